--- a/internal/edge/choose/choose.go
+++ b/internal/edge/choose/choose.go
@@ -1,13 +1,11 @@
-// Package choose picks the engine for a request. It is pure: what is known of
-// the engines, and the random source, are arguments.
+// Package choose selects the engine that serves a request. It keeps no state: the known state of
+// the engines and the random source are arguments.
 //
-// A request goes through three steps: Eligible engines are filtered, ranked by
-// the policy of the request's kind, and the first is taken. For prompts the
-// rank is a hash of the part of the prompt that other requests share, so that
-// all routers send the same prompt to the same engine without a message, and
-// the engine's cache holds it; a bound on the load sends the excess of a hot
-// prompt to the next engine of the same fixed order. Plain requests go to the
-// engine with the least load for its size.
+// Engines that take no requests are filtered out, the rest are ranked, and the first is selected.
+// Requests with a prompt rank engines by a rendezvous hash of the prompt's shared prefix, so that
+// all routers send the same prompt to the same engine without coordination and that engine's cache
+// holds it. A bound on the load sends the excess of a popular prompt to the next engine in the same
+// order. Requests without a prompt go to the engine with the lowest load relative to its slots.
 package choose
 
 import (
@@ -21,178 +19,183 @@
 )
 
 const (
-	// loadFactor and loadSlack bound what a prompted engine may have in
-	// flight: loadFactor times the mean over the service, and loadSlack.
-	// Below twice the mean and three, which the operators allow for 97 of 100
-	// requests, they leave room for what other routers send before their loads
-	// are heard: 67 routers that followed a bound of 1.9 without the request
-	// itself sent 3.1 of 100 beyond what is allowed.
+	// loadFactor and loadSlack bound the requests in flight at an engine that is selected by
+	// prompt: loadFactor times the mean of the service, plus loadSlack. Operators require that 97
+	// of 100 requests stay below twice the mean plus three. The lower factor leaves room for
+	// requests that other routers send before their load reports arrive: with 67 routers and a
+	// factor of 1.9 that did not count the request being placed, 3.1 of 100 requests exceeded the
+	// operators' limit.
 	loadFactor = 1.8
 	loadSlack  = 3
-	// siteBonus is the load that a plain engine in another site must have
-	// less, as a share of its slots, to be taken: bytes between sites cost.
-	siteBonus = 0.1
-	// coldLoad is the load, as a share of its slots, that a cold engine counts for beside
-	// its own: it bears few requests, however empty it is.
-	coldLoad = 1
+	// remoteSitePenalty is added to the load, relative to its slots, of an engine in another site,
+	// because traffic between sites has a cost.
+	remoteSitePenalty = 0.1
+	// coldPenalty is added to the load, relative to its slots, of a cold engine, because it can
+	// serve few requests even if it is idle.
+	coldPenalty = 1
 )
 
-// Engine is an engine as far as the choice depends on it.
+// Engine is the state of an engine that its selection depends on.
 type Engine struct {
 	ID string
-	// Key is the engine's place in the hashed order.
+	// Key is the engine's key in the rendezvous hash.
 	Key uint64
-	// InFlight is how many requests the whole fleet has at it, as known.
+	// InFlight is the known number of requests in flight at the engine from all routers.
 	InFlight int
-	// Slots is how many requests it executes at once; zero if not known.
+	// Slots is the number of requests that the engine executes concurrently; zero if unknown.
 	Slots int
-	// Near engines are in the router's own site.
+	// Near is set for engines in the router's own site.
 	Near bool
-	// Leaving engines get no new request; others can still fetch from their
+	// Leaving is set for engines that get no new requests. Other engines can still fetch from their
 	// cache.
 	Leaving bool
-	// Fresh engines came, or came back empty, a short time ago: other engines hold
-	// the prompts that are theirs now. Came is when, in a time that all share.
+	// Fresh is set for engines that were recently added or restarted with an empty cache, so that
+	// other engines hold the prompts that now map to them. Came is the time when this happened, by
+	// the same clock for all engines.
 	Fresh bool
 	Came  time.Duration
-	// Cold engines bear few requests a second: they get one only where it was granted.
+	// Cold is set for engines that can serve few requests a second. They get a request only after a
+	// grant.
 	Cold bool
-	// Share of its normal load that it may take, 0 to 1: less than 1 while it
-	// returns from an ejection, 0 while it is ejected.
+	// Share is the part of its normal load that the engine may get, from 0 to 1: 0 while it is
+	// ejected and less than 1 while it returns from an ejection.
 	Share float64
 }
 
-// CanGive says whether others may fetch from the engine's cache.
+// CanGive reports whether other engines may fetch from the engine's cache.
 func (e Engine) CanGive() bool { return e.Share > 0 || e.Leaving }
 
-// together is how far apart engines come that start at once.
-const together = 2 * time.Second
+// simultaneousStart is the largest time between the additions of engines that were started
+// together.
+const simultaneousStart = 2 * time.Second
 
-// cameWith says whether the engine came along with another fresh one, or later: it has not held
-// prompts in between.
-func (e Engine) cameWith(other Engine) bool {
-	return e.Fresh && e.Came > other.Came-together
+// addedWithOrAfter reports whether the engine was recently added, together with the other one or
+// later. Such an engine has not cached the prompts that the other one lacks.
+func (e Engine) addedWithOrAfter(other Engine) bool {
+	return e.Fresh && e.Came > other.Came-simultaneousStart
 }
 
-// HasRoom says whether the engine takes requests and has a free place.
+// HasRoom reports whether the engine takes requests and has a free slot.
 func (e Engine) HasRoom() bool {
 	return !e.Leaving && !e.Cold && e.Share > 0 && e.InFlight < max(e.Slots, 1)
 }
 
-// Placement is where a prompt goes.
+// Placement is the selected engine for a prompt and the engine to fetch its cache from.
 type Placement struct {
-	// Engine is the index of the chosen engine, or None.
+	// Engine is the index of the selected engine, or None.
 	Engine int
-	// Holder is the index of the engine that most likely holds the prompt in
-	// its cache, other than the chosen one, or None. An engine that leaves, or
-	// is too busy, can still be that.
+	// Holder is the index of the engine, other than the selected one, that most likely has the
+	// prompt in its cache, or None. It may be leaving or over its load bound.
 	Holder int
-	// Moved means that the prompt has been at the holder, if anywhere: its own
-	// engine is not the chosen one, or came a short time ago.
+	// Moved is set if the selected engine is not the first in the prompt's order or was recently
+	// added, so that the prompt is more likely cached at Holder.
 	Moved bool
 }
 
 // None is the index that stands for no engine.
 const None = -1
 
-// Prompted places a prompt whose shared part hashes to key.
-//
-// The engines stand in an order that depends only on the key and on who is
-// there: the first one that may take the prompt gets it. If it is not the very
-// first, that one is the holder. If it is, the second may have been the first
-// until the chosen one came.
+// Prompted selects an engine for a prompt whose shared prefix hashes to key. It selects the first
+// engine in the prompt's order that stays within the load bound, or the least loaded one if none
+// does. The order depends only on the key and the engines present.
 func Prompted(engines []Engine, key uint64, rng *rand.Rand) Placement {
-	candidates := usable(engines)
+	candidates := usableEngines(engines)
 	if len(candidates) == 0 {
 		return Placement{Engine: None, Holder: None}
 	}
-	engine := within(engines, ranked(engines, key), loadBound(engines))
+	engine := firstWithinBound(engines, ranked(engines, key), loadBound(engines))
 	if engine == None {
 		engine = leastLoaded(engines, candidates, rng)
 	}
 	return At(engines, engine, key)
 }
 
-// At is the placement of a prompt at an engine that is known already.
+// At returns the placement of a prompt at an engine that is already selected. The holder is the
+// first other engine in the prompt's order that can serve its cache. If the selected engine is
+// the first in that order and was recently added, engines that were added with it or later are used
+// only if there is no other.
 func At(engines []Engine, engine int, key uint64) Placement {
 	order := ranked(engines, key)
 	out := Placement{Engine: engine, Holder: None}
-	came := order[0] == engine && engines[engine].Fresh
-	out.Moved = order[0] != engine || came
-	gives := func(i int) bool { return i != engine && engines[i].CanGive() }
-	out.Holder = first(order, func(i int) bool { return gives(i) && !(came && engines[i].cameWith(engines[engine])) })
+	recentlyAdded := order[0] == engine && engines[engine].Fresh
+	out.Moved = order[0] != engine || recentlyAdded
+	canServe := func(i int) bool { return i != engine && engines[i].CanGive() }
+	out.Holder = firstMatch(order, func(i int) bool {
+		return canServe(i) && !(recentlyAdded && engines[i].addedWithOrAfter(engines[engine]))
+	})
 	if out.Holder == None {
-		out.Holder = first(order, gives)
+		out.Holder = firstMatch(order, canServe)
 	}
 	return out
 }
 
-// first returns the first index for which ok holds, or None.
-func first(order []int, ok func(int) bool) int {
+// firstMatch returns the first element of order for which ok holds, or None.
+func firstMatch(order []int, ok func(int) bool) int {
 	if at := slices.IndexFunc(order, ok); at >= 0 {
 		return order[at]
 	}
 	return None
 }
 
-// crowdedShare is the part of a service's places from which on its requests ask for one
-// before they are sent. Reports of loads are a few tenths of a second old, in which a surge
-// can take as many places again; asking costs a message each way.
-const crowdedShare = 0.4
+// crowdedUtilization is the part of a service's slots in use from which on its requests must
+// acquire a slot before they are sent. Load reports are a few tenths of a second old, in which a
+// surge can take as many slots again. Acquiring a slot costs a round trip.
+const crowdedUtilization = 0.4
 
-// Crowded says whether so many places of a service are taken that requests must ask.
+// Crowded reports whether requests to the service must acquire a slot before they are sent.
 func Crowded(engines []Engine) bool {
-	taken, places := 0, 0
-	for _, i := range usable(engines) {
-		taken += engines[i].InFlight
-		places += engines[i].Slots
+	inFlight, slots := 0, 0
+	for _, i := range usableEngines(engines) {
+		inFlight += engines[i].InFlight
+		slots += engines[i].Slots
 	}
-	return places > 0 && float64(taken) >= crowdedShare*float64(places)
+	return slots > 0 && float64(inFlight) >= crowdedUtilization*float64(slots)
 }
 
-// spare is how many requests more than it executes at once an engine may be sent: they are
-// under way while a place becomes free.
-const spare = 3
+// extraInFlight is the number of requests beyond its slots that an engine may be sent. They are in
+// transit while a slot becomes free.
+const extraInFlight = 3
 
-// Places is how many requests may be at an engine at once: what it executes, and no more
-// than the bound on the load lets prompts have. An owner of a gate counts what is there, so that the
-// bound needs no room for what others send meanwhile.
+// Places returns the number of requests that may be in flight at an engine: its slots and
+// extraInFlight, at most the load bound for prompts, and at least one. The owner of the engine's
+// gate counts these requests, so the bound needs no margin for requests from other routers.
 func Places(engines []Engine, i int) int {
 	mean, _ := serviceLoad(engines)
 	bound := loadFactor*mean + loadSlack
-	return max(1, min(engines[i].Slots+spare, int(bound)))
+	return max(1, min(engines[i].Slots+extraInFlight, int(bound)))
 }
 
 const (
-	// alternatives is how many engines are asked after the first one. Each of them costs
-	// a message each way, and finds a place that the others know nothing of.
-	alternatives = 2
-	// alternativeSample is how many engines are compared for each of them: all routers
-	// would take the same one if each took the best, by reports that all have.
+	// maxAlternatives is the number of engines to ask for a slot after the first one. Each of them
+	// costs a round trip and finds slots that the load reports don't show.
+	maxAlternatives = 2
+	// alternativeSample is the number of engines compared for each alternative. Routers have the
+	// same load reports and would all select the same engine if each compared all of them.
 	alternativeSample = 3
 )
 
-// Candidates returns the engines to ask for a place for a prompt whose shared part hashes to
-// key, the first one first: the one that Prompted would take while there is room, then
-// less loaded ones at random.
+// Candidates returns the indexes of the engines to ask for a slot, in order, for a prompt whose
+// shared prefix hashes to key: the engine that Prompted selects within the load bound, then less
+// loaded ones from random samples.
 func Candidates(engines []Engine, key uint64, rng *rand.Rand) []int {
 	var out []int
-	usable := usable(engines)
-	if home := within(engines, ranked(engines, key), loadBound(engines)); home != None {
-		out = append(out, home)
+	candidates := usableEngines(engines)
+	if preferred := firstWithinBound(engines, ranked(engines, key), loadBound(engines)); preferred != None {
+		out = append(out, preferred)
 	}
-	return withAlternatives(out, engines, usable, rng)
+	return withAlternatives(out, engines, candidates, rng)
 }
 
-// PlainCandidates is the same for a request without a prompt.
+// PlainCandidates returns the indexes of the engines to ask for a slot, in order, for a request
+// without a prompt.
 func PlainCandidates(engines []Engine, rng *rand.Rand) []int {
-	return withAlternatives(nil, engines, usable(engines), rng)
+	return withAlternatives(nil, engines, usableEngines(engines), rng)
 }
 
-func withAlternatives(out []int, engines []Engine, usable []int, rng *rand.Rand) []int {
-	rest := slices.DeleteFunc(slices.Clone(usable), func(i int) bool { return slices.Contains(out, i) })
+func withAlternatives(out []int, engines []Engine, candidates []int, rng *rand.Rand) []int {
+	rest := slices.DeleteFunc(slices.Clone(candidates), func(i int) bool { return slices.Contains(out, i) })
 	rng.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
-	for len(out) <= alternatives && len(rest) > 0 {
+	for len(out) <= maxAlternatives && len(rest) > 0 {
 		best := leastLoaded(engines, rest[:min(alternativeSample, len(rest))], rng)
 		out = append(out, best)
 		rest = slices.DeleteFunc(rest, func(i int) bool { return i == best })
@@ -200,7 +203,7 @@
 	return out
 }
 
-// ranked returns the indexes of all engines in the order of the key.
+// ranked returns the indexes of all engines in the rendezvous order of the key.
 func ranked(engines []Engine, key uint64) []int {
 	order := make([]int, len(engines))
 	for i := range order {
@@ -215,45 +218,45 @@
 	return order
 }
 
-// leastShare is the share from which on an engine takes its prompts. A smaller
-// load cannot be had by taking some of them: the rest would have to be read by
-// another engine.
-const leastShare = 0.5
+// minPromptShare is the minimum load share of an engine that is selected by prompt. An engine with
+// a lower share gets no prompts instead of some of them, because the others would have to be
+// prefilled at another engine anyway.
+const minPromptShare = 0.5
 
-// within returns the first engine in order that stays within the bound, or None.
-func within(engines []Engine, order []int, bound float64) int {
+// firstWithinBound returns the first engine in order that stays within the bound, or None.
+func firstWithinBound(engines []Engine, order []int, bound float64) int {
 	for _, i := range order {
 		e := engines[i]
-		if !e.Leaving && e.Share >= leastShare && float64(e.InFlight)+1 <= bound {
+		if !e.Leaving && e.Share >= minPromptShare && float64(e.InFlight)+1 <= bound {
 			return i
 		}
 	}
 	return None
 }
 
-// Plain picks an engine for a request without a prompt, or returns None.
+// Plain selects an engine for a request without a prompt, or returns None.
 func Plain(engines []Engine, rng *rand.Rand) int {
-	candidates := usable(engines)
+	candidates := usableEngines(engines)
 	if len(candidates) == 0 {
 		return None
 	}
-	return leastLoaded(engines, sample(candidates, rng), rng)
+	return leastLoaded(engines, sampleCandidates(candidates, rng), rng)
 }
 
-// sampled is how many engines are compared for a plain request. Loads of other
-// routers are heard late; if all routers took the engine that seemed best, it
-// would be the worst a moment later.
-const sampled = 2
+// plainSample is the number of engines compared for a request without a prompt. Load reports of
+// other routers arrive late: if all routers selected the engine that seemed best, it would soon
+// have the highest load.
+const plainSample = 2
 
-func sample(candidates []int, rng *rand.Rand) []int {
+func sampleCandidates(candidates []int, rng *rand.Rand) []int {
 	rng.Shuffle(len(candidates), func(i, j int) {
 		candidates[i], candidates[j] = candidates[j], candidates[i]
 	})
-	return candidates[:min(sampled, len(candidates))]
+	return candidates[:min(plainSample, len(candidates))]
 }
 
-// WithoutCold returns the engines with the cold ones as leaving: they get no request, and others
-// may fetch from them.
+// WithoutCold returns a copy of the engines in which cold ones are marked as leaving: they get no
+// requests, and other engines may fetch from their cache.
 func WithoutCold(engines []Engine) []Engine {
 	out := slices.Clone(engines)
 	for i := range out {
@@ -262,7 +265,7 @@
 	return out
 }
 
-// OnlyCold says whether all engines that take requests are cold.
+// OnlyCold reports whether there are engines that take requests and all of them are cold.
 func OnlyCold(engines []Engine) bool {
 	cold := false
 	for _, e := range engines {
@@ -277,98 +280,101 @@
 	return cold
 }
 
-// usable returns the engines that are not ejected; all of them if all are, since
-// then the fault is elsewhere and refusing everything would only add to it.
-func usable(engines []Engine) []int {
-	var in, all []int
+// usableEngines returns the indexes of the engines that are neither leaving nor ejected. If all are
+// ejected, it ignores ejections: the cause is then outside the engines, and refusing all requests
+// would make it worse.
+func usableEngines(engines []Engine) []int {
+	var available, all []int
 	for i, e := range engines {
 		if e.Leaving {
 			continue
 		}
 		all = append(all, i)
 		if e.Share > 0 {
-			in = append(in, i)
+			available = append(available, i)
 		}
 	}
-	if len(in) == 0 {
+	if len(available) == 0 {
 		return all
 	}
-	return in
+	return available
 }
 
-// loadBound is how many requests a prompted engine may have, by the mean of the engines that take
-// requests, or of the whole service if that is less: operators count engines that leave as well,
-// and these empty while the others fill. The fewer take requests, the more each of them gets of what
-// other routers send before their loads are heard, and the more room the bound leaves for that.
+// loadBound returns the maximum number of requests in flight at an engine that is selected by
+// prompt. It follows the mean of the engines that take requests, or of the whole service if that is
+// lower: operators count leaving engines too, which empty while the others fill. The fewer engines
+// take requests, the more each of them gets from other routers before load reports arrive, and the
+// more the bound is reduced to leave room for these.
 func loadBound(engines []Engine) float64 {
-	mean, part := serviceLoad(engines)
+	mean, activeFraction := serviceLoad(engines)
 	factor, slack := loadFactor, float64(loadSlack)
-	if part < 1 {
-		factor = 1 + (loadFactor-1)*math.Sqrt(part)
-		slack *= part
+	if activeFraction < 1 {
+		factor = 1 + (loadFactor-1)*math.Sqrt(activeFraction)
+		slack *= activeFraction
 	}
 	return math.Max(factor*mean+slack, 1)
 }
 
 // serviceLoad returns the mean load, with one more request, of the engines that take requests, or
-// of these and the leaving ones if that is less; and which part of both takes requests. Where all
-// are ejected, all take requests.
-func serviceLoad(engines []Engine) (mean, part float64) {
-	var taking, leaving, ejected group
+// of these and the leaving ones if that is lower. activeFraction is the part of both that takes
+// requests. If all engines are ejected, they count as taking requests.
+func serviceLoad(engines []Engine) (mean, activeFraction float64) {
+	var active, draining, ejected loadSum
 	for _, e := range engines {
 		switch {
 		case e.Leaving:
-			leaving.add(e)
+			draining.add(e)
 		case e.Share > 0:
-			taking.add(e)
+			active.add(e)
 		default:
 			ejected.add(e)
 		}
 	}
-	if taking.n == 0 {
-		taking = ejected
+	if active.count == 0 {
+		active = ejected
 	}
-	if taking.n == 0 {
+	if active.count == 0 {
 		return 0, 1
 	}
-	all := group{n: taking.n + leaving.n, load: taking.load + leaving.load}
-	return min(taking.mean(), all.mean()), float64(taking.n) / float64(all.n)
+	all := loadSum{count: active.count + draining.count, load: active.load + draining.load}
+	return min(active.mean(), all.mean()), float64(active.count) / float64(all.count)
 }
 
-// group is some engines and their requests.
-type group struct{ n, load int }
+// loadSum is a number of engines and the sum of their requests in flight.
+type loadSum struct{ count, load int }
 
-func (g *group) add(e Engine) {
-	g.n++
-	g.load += e.InFlight
+func (s *loadSum) add(e Engine) {
+	s.count++
+	s.load += e.InFlight
 }
 
-// mean is the mean load with one more request.
-func (g *group) mean() float64 { return float64(g.load+1) / float64(g.n) }
+// mean returns the mean load with one more request.
+func (s *loadSum) mean() float64 { return float64(s.load+1) / float64(s.count) }
 
 func leastLoaded(engines []Engine, candidates []int, rng *rand.Rand) int {
 	best, bestLoad := None, math.Inf(1)
 	offset := rng.IntN(len(candidates))
 	for k := range candidates {
 		i := candidates[(k+offset)%len(candidates)]
-		if load := weigh(engines[i]); load < bestLoad {
+		if load := weightedLoad(engines[i]); load < bestLoad {
 			best, bestLoad = i, load
 		}
 	}
 	return best
 }
 
-// weigh is the load of an engine for its size, with what its site costs.
-func weigh(e Engine) float64 {
+// weightedLoad returns the load of an engine relative to its slots and load share, plus the
+// penalties for another site and for a cold engine.
+func weightedLoad(e Engine) float64 {
 	load := float64(e.InFlight+1) / float64(max(e.Slots, 1))
 	if e.Share > 0 {
 		load /= e.Share
 	}
 	if !e.Near {
-		load += siteBonus
+		load += remoteSitePenalty
 	}
 	if e.Cold {
-		load += coldLoad
+		load += coldPenalty
 	}
 	return load
 }
--- a/internal/edge/choose/choose_test.go
+++ b/internal/edge/choose/choose_test.go
@@ -13,7 +13,7 @@
 
 func testRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-func fleet(n int) []Engine {
+func testEngines(n int) []Engine {
 	out := make([]Engine, n)
 	for i := range out {
 		id := fmt.Sprintf("e%d", i)
@@ -22,8 +22,8 @@
 	return out
 }
 
-func TestPromptStaysAtItsEngine(t *testing.T) {
-	engines := fleet(9)
+func TestSamePromptIsPlacedAtSameEngine(t *testing.T) {
+	engines := testEngines(9)
 	first := Prompted(engines, 42, testRand())
 	for range 20 {
 		require.Equal(t, first, Prompted(engines, 42, testRand()))
@@ -32,46 +32,46 @@
 	require.NotEqual(t, first.Engine, first.Holder)
 }
 
-// Symptom: a hot prompt overloads its engine, or its overflow is read by many.
-// Sequence: the engine reaches the bound. Cause handled: the overflow goes to one
-// next engine, which can fetch from the first.
-func TestOverflowGoesToOneNextEngineAndNamesTheHolder(t *testing.T) {
-	engines := fleet(9)
-	home := Prompted(engines, 42, testRand()).Engine
-	engines[home].InFlight = 40
-	spilled := Prompted(engines, 42, testRand())
-	require.NotEqual(t, home, spilled.Engine)
-	require.Equal(t, home, spilled.Holder)
-	require.True(t, spilled.Moved)
+// Guards against a popular prompt that overloads its engine, or whose overflow is prefilled by many
+// engines: beyond the load bound, all of it goes to the next engine, which can fetch from the
+// first.
+func TestOverflowGoesToOneEngineAndNamesHolder(t *testing.T) {
+	engines := testEngines(9)
+	preferred := Prompted(engines, 42, testRand()).Engine
+	engines[preferred].InFlight = 40
+	overflow := Prompted(engines, 42, testRand())
+	require.NotEqual(t, preferred, overflow.Engine)
+	require.Equal(t, preferred, overflow.Holder)
+	require.True(t, overflow.Moved)
 	for range 20 {
-		require.Equal(t, spilled, Prompted(engines, 42, testRand()))
+		require.Equal(t, overflow, Prompted(engines, 42, testRand()))
 	}
 }
 
-// Symptom: what a leaving engine held is read again. Cause handled: it gets no
-// request and is still named as the holder.
-func TestLeavingEngineIsHolderOnly(t *testing.T) {
-	engines := fleet(9)
-	home := Prompted(engines, 42, testRand()).Engine
-	engines[home].Leaving = true
+// Guards against prefilling again what a leaving engine has in its cache: it gets no requests but
+// is still the holder.
+func TestLeavingEngineIsOnlyHolder(t *testing.T) {
+	engines := testEngines(9)
+	preferred := Prompted(engines, 42, testRand()).Engine
+	engines[preferred].Leaving = true
 	p := Prompted(engines, 42, testRand())
-	require.NotEqual(t, home, p.Engine)
-	require.Equal(t, home, p.Holder)
+	require.NotEqual(t, preferred, p.Engine)
+	require.Equal(t, preferred, p.Holder)
 }
 
-func TestEjectedEngineIsNeitherChosenNorHolder(t *testing.T) {
-	engines := fleet(9)
-	home := Prompted(engines, 42, testRand()).Engine
-	engines[home].Share = 0
+func TestEjectedEngineIsNeitherSelectedNorHolder(t *testing.T) {
+	engines := testEngines(9)
+	preferred := Prompted(engines, 42, testRand()).Engine
+	engines[preferred].Share = 0
 	p := Prompted(engines, 42, testRand())
-	require.NotEqual(t, home, p.Engine)
-	require.NotEqual(t, home, p.Holder)
+	require.NotEqual(t, preferred, p.Engine)
+	require.NotEqual(t, preferred, p.Holder)
 }
 
-// Symptom: nothing is served although engines run. Sequence: all are ejected.
-// Cause handled: then the fault is elsewhere, and all are used.
-func TestAllEjectedMeansNoneIs(t *testing.T) {
-	engines := fleet(3)
+// Guards against refusing all requests while engines run: if all engines of a service are ejected,
+// the cause is outside them, and all are used.
+func TestAllEnginesAreUsedIfAllAreEjected(t *testing.T) {
+	engines := testEngines(3)
 	for i := range engines {
 		engines[i].Share = 0
 	}
@@ -79,44 +79,44 @@
 	require.NotEqual(t, None, Plain(engines, testRand()))
 }
 
-func TestNoEngine(t *testing.T) {
+func TestNoEngineToSelect(t *testing.T) {
 	require.Equal(t, None, Plain(nil, testRand()))
 	require.Equal(t, None, Prompted(nil, 1, testRand()).Engine)
-	leaving := fleet(1)
+	leaving := testEngines(1)
 	leaving[0].Leaving = true
 	require.Equal(t, None, Prompted(leaving, 1, testRand()).Engine)
 }
 
-// Whatever the loads, a prompt goes to an engine within the bound if there is
-// one, and never to one that leaves.
-func TestBoundHolds(t *testing.T) {
+// Guards against exceeding the load bound for prompts while an engine within it exists, and against
+// selecting a leaving engine, under any loads.
+func TestPromptStaysWithinLoadBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		engines := fleet(rapid.IntRange(1, 12).Draw(t, "n"))
-		total, in := 0, 0
+		engines := testEngines(rapid.IntRange(1, 12).Draw(t, "n"))
+		total, active := 0, 0
 		for i := range engines {
 			engines[i].InFlight = rapid.IntRange(0, 60).Draw(t, "load")
 			engines[i].Leaving = rapid.Bool().Draw(t, "leaving")
 			if !engines[i].Leaving {
 				total += engines[i].InFlight
-				in++
+				active++
 			}
 		}
 		p := Prompted(engines, rapid.Uint64().Draw(t, "key"), testRand())
-		if in == 0 {
+		if active == 0 {
 			require.Equal(t, None, p.Engine)
 			return
 		}
 		require.False(t, engines[p.Engine].Leaving)
-		mean := float64(total+1) / float64(in)
+		mean := float64(total+1) / float64(active)
 		require.LessOrEqual(t, float64(engines[p.Engine].InFlight)+1, loadFactor*mean+loadSlack)
 	})
 }
 
-// Symptom: all routers send to the engine that was best half a second ago.
-// Cause handled: each compares two at random, so that even a clear best one does
-// not get everything.
-func TestPlainRequestsSpread(t *testing.T) {
-	engines := fleet(4)
+// Guards against all routers selecting the engine that load reports of half a second ago show as
+// least loaded: each compares two random engines, so that even a clearly better one does not get
+// all requests.
+func TestRequestsWithoutPromptAreSpread(t *testing.T) {
+	engines := testEngines(4)
 	for i := range engines {
 		engines[i].Slots = 6
 		engines[i].InFlight = 3
@@ -134,10 +134,10 @@
 	}
 }
 
-// Guards against a third of the engines that leave at once making the others take more than twice
-// the mean of their service.
-func TestBoundHoldsWhileManyEnginesLeave(t *testing.T) {
-	engines := fleet(60)
+// Guards against more than twice the mean load at the remaining engines after a third of the
+// engines of a service starts leaving at once.
+func TestLoadStaysWithinOperatorsLimitWhileManyEnginesLeave(t *testing.T) {
+	engines := testEngines(60)
 	for i := range 20 {
 		engines[i].Leaving = true
 	}
@@ -152,24 +152,24 @@
 	}
 }
 
-// Guards against prompts that are read again when a site's engines come back together: the next
-// one in order came back with the chosen one and is as empty, the one that served meanwhile is not.
-func TestEnginesThatComeTogetherDoNotFetchFromOneAnother(t *testing.T) {
-	engines := fleet(9)
+// Guards against prefilling prompts again after the engines of a site were added together: the next
+// engine in order is as empty as the selected one, so the holder must be one that served meanwhile.
+func TestEnginesAddedTogetherDoNotFetchFromOneAnother(t *testing.T) {
+	engines := testEngines(9)
 	order := ranked(engines, 42)
-	home, next, served := order[0], order[1], order[2]
-	for _, i := range []int{home, next} {
+	first, second, third := order[0], order[1], order[2]
+	for _, i := range []int{first, second} {
 		engines[i].Fresh, engines[i].Came = true, time.Minute
 	}
-	require.Equal(t, Placement{Engine: home, Holder: served, Moved: true}, Prompted(engines, 42, testRand()))
-	engines[home].Came = time.Minute + together
-	require.Equal(t, next, Prompted(engines, 42, testRand()).Holder, "it came before, and has served since")
+	require.Equal(t, Placement{Engine: first, Holder: third, Moved: true}, Prompted(engines, 42, testRand()))
+	engines[first].Came = time.Minute + simultaneousStart
+	require.Equal(t, second, Prompted(engines, 42, testRand()).Holder, "it was added earlier and has served requests since")
 }
 
-// Guards against a small service that gives a third of its places while all of its engines but one
-// leave: the last one may hold what it executes.
-func TestLastEngineOfAServiceHasItsPlaces(t *testing.T) {
-	engines := fleet(3)
+// Guards against a small service that uses only a third of its slots while all of its engines but
+// one leave: the last one may use all of its slots.
+func TestLastEngineOfServiceMayUseAllItsSlots(t *testing.T) {
+	engines := testEngines(3)
 	for i := range engines {
 		engines[i].Slots, engines[i].Leaving = 6, i > 0
 	}
@@ -180,9 +180,10 @@
 	require.LessOrEqual(t, float64(engines[0].InFlight), 2*float64(engines[0].InFlight)/3+3)
 }
 
-// Guards against questions to gates where all engines of a service are ejected, and none is cold.
-func TestOnlyColdMeansCold(t *testing.T) {
-	engines := fleet(3)
+// Guards against asking gates for slots at a service whose engines are all ejected and none is
+// cold.
+func TestEjectedEnginesAreNotCold(t *testing.T) {
+	engines := testEngines(3)
 	require.False(t, OnlyCold(engines))
 	for i := range engines {
 		engines[i].Share = 0
