--- a/internal/edge/catalog/catalog_test.go
+++ b/internal/edge/catalog/catalog_test.go
@@ -27,7 +27,7 @@
 	require.Nil(t, c.Match("c.example", "/x/"))
 }
 
-func TestRepeatable(t *testing.T) {
+func TestOnlyIdempotentAndResumableRoutesAreRepeatable(t *testing.T) {
 	require.True(t, (&Route{Kind: Idempotent}).Repeatable())
 	require.False(t, (&Route{Kind: NonIdempotent}).Repeatable())
 	require.False(t, (&Route{Kind: Streaming}).Repeatable())
@@ -38,10 +38,9 @@
 	return Engine{ID: id, Service: "llm", Address: "10.0.0.1:1", Revision: revision}
 }
 
-// Symptom: a router forgets half of its engines, or keeps one that has left.
-// Sequence: it asks another router what changed since a version whose removals
-// that router has forgotten. Cause: the answer must then be the whole set.
-func TestSinceIsWholeWhereRemovalsAreForgotten(t *testing.T) {
+// Guards against a router that loses engines, or keeps removed ones, after it queries the changes
+// since a version whose removals the other router has discarded: the answer must be a full update.
+func TestSinceReturnsFullUpdateForDiscardedRemovals(t *testing.T) {
 	s, _ := NewEngineSet().Apply(EngineUpdate{Full: true, Upto: 10, Present: []Engine{engine("keep", 5), engine("gone", 6)}}, 0)
 	s, _ = s.Apply(EngineUpdate{Since: 10, Upto: 11, Removed: []Removal{{"gone", 11}}}, 0)
 	require.False(t, s.Since(10).Full)
@@ -51,16 +50,15 @@
 	}
 	u := s.Since(10)
 	require.True(t, u.Full)
-	behind, _ := NewEngineSet().Apply(EngineUpdate{Full: true, Upto: 10, Present: []Engine{engine("keep", 5), engine("gone", 6)}}, 0)
-	behind, _ = behind.Apply(u, 0)
-	require.Contains(t, behind.ByID, "keep")
-	require.NotContains(t, behind.ByID, "gone")
+	receiver, _ := NewEngineSet().Apply(EngineUpdate{Full: true, Upto: 10, Present: []Engine{engine("keep", 5), engine("gone", 6)}}, 0)
+	receiver, _ = receiver.Apply(u, 0)
+	require.Contains(t, receiver.ByID, "keep")
+	require.NotContains(t, receiver.ByID, "gone")
 }
 
-// Symptom: a request goes to an engine that has left. Sequence: the removal
-// arrives, then an older view of the engine from another router. Cause: views
-// arrive out of order; revisions order them.
-func TestOlderViewDoesNotBringAnEngineBack(t *testing.T) {
+// Guards against requests to a removed engine after an older update from another router arrives
+// late: revisions decide which one is newer.
+func TestOutdatedUpdateDoesNotRestoreRemovedEngine(t *testing.T) {
 	s, _ := NewEngineSet().Apply(EngineUpdate{Full: true, Upto: 10, Present: []Engine{engine("a", 5)}}, 0)
 	s, _ = s.Apply(EngineUpdate{Since: 10, Upto: 12, Removed: []Removal{{"a", 12}}}, 0)
 	s, changed := s.Apply(EngineUpdate{Full: true, Upto: 11, Present: []Engine{engine("a", 5)}}, 0)
@@ -70,83 +68,79 @@
 	require.Empty(t, s.ByID)
 }
 
-// Symptom: changes are lost for good. Sequence: a router gets a difference that
-// starts after the version it has. Cause: taking it would skip what lies between.
-func TestUpdateWithGapIsRefused(t *testing.T) {
+// Guards against changes that are lost for good because a router applies an update that starts
+// after the router's version.
+func TestUpdateWithGapIsIgnored(t *testing.T) {
 	s, _ := NewEngineSet().Apply(EngineUpdate{Full: true, Upto: 10}, 0)
 	next, changed := s.Apply(EngineUpdate{Since: 12, Upto: 13, Present: []Engine{engine("a", 13)}}, 0)
 	require.False(t, changed)
 	require.Equal(t, uint64(10), next.Upto)
 }
 
-// Symptom: the whole service ends with the first answer after an outage of the
-// store. Sequence: the store is away for seconds, engines can't renew their
-// entries, the store returns without them, they register again within two
-// seconds. Cause: a missing entry says nothing that soon after an outage.
-func TestMissingEntryAfterOutageIsDoubtedForTwoSeconds(t *testing.T) {
-	const lapse = 2400 * time.Millisecond
+// Guards against an interruption of the whole service with the first answer after a store outage of
+// some seconds: engines could not renew their entries and register again within two seconds.
+func TestEngineWithoutEntryAfterStoreOutageIsDoubtfulForTwoSeconds(t *testing.T) {
+	const minOutage = 2400 * time.Millisecond
 	s := Empty()
-	s, _ = s.WithEngines(EngineUpdate{Full: true, Upto: 10, Present: []Engine{engine("a", 5), engine("b", 6)}}, 10*time.Second, lapse, 0)
-	s, _ = s.WithEngines(EngineUpdate{Full: true, Upto: 20}, 15*time.Second, lapse, 0)
+	s, _ = s.WithEngines(EngineUpdate{Full: true, Upto: 10, Present: []Engine{engine("a", 5), engine("b", 6)}}, 10*time.Second, minOutage, 0)
+	s, _ = s.WithEngines(EngineUpdate{Full: true, Upto: 20}, 15*time.Second, minOutage, 0)
 	require.Len(t, s.Engines.ByID, 2)
-	s, _ = s.WithEngines(EngineUpdate{Since: 20, Upto: 21, Present: []Engine{engine("a", 21)}}, 16*time.Second, lapse, 0)
+	s, _ = s.WithEngines(EngineUpdate{Since: 20, Upto: 21, Present: []Engine{engine("a", 21)}}, 16*time.Second, minOutage, 0)
 	set, _ := s.Engines.Expire(17 * time.Second)
 	require.Contains(t, set.ByID, "a")
 	require.NotContains(t, set.ByID, "b")
 }
 
-// Symptom: a request reaches an engine more than two seconds after it left.
-// Sequence: the store turns one router away for seconds while another reads it;
-// the first takes over again and meets a removal. Cause: that is no outage, since
-// the engines were confirmed meanwhile.
-func TestNoDoubtWhereSomebodyCouldRead(t *testing.T) {
-	const lapse = 2400 * time.Millisecond
+// Guards against requests to an engine more than two seconds after it left: if the store rejects
+// one router for some seconds while another one reads it, this is no outage, because the engines
+// were confirmed meanwhile.
+func TestEngineIsRemovedIfAnotherRouterReadTheStore(t *testing.T) {
+	const minOutage = 2400 * time.Millisecond
 	s := Empty()
-	s, _ = s.WithEngines(EngineUpdate{Full: true, Upto: 10, Present: []Engine{engine("a", 5)}}, 10*time.Second, lapse, 0)
+	s, _ = s.WithEngines(EngineUpdate{Full: true, Upto: 10, Present: []Engine{engine("a", 5)}}, 10*time.Second, minOutage, 0)
 	for at := 11 * time.Second; at <= 15*time.Second; at += time.Second {
-		s, _ = s.WithEngines(EngineUpdate{Since: 10, Upto: 10}, at, lapse, 0)
+		s, _ = s.WithEngines(EngineUpdate{Since: 10, Upto: 10}, at, minOutage, 0)
 	}
-	s, _ = s.WithEngines(EngineUpdate{Since: 10, Upto: 20, Removed: []Removal{{"a", 20}}}, 16*time.Second, lapse, 0)
+	s, _ = s.WithEngines(EngineUpdate{Since: 10, Upto: 20, Removed: []Removal{{"a", 20}}}, 16*time.Second, minOutage, 0)
 	require.Empty(t, s.Engines.ByID)
 }
 
-// Symptom: a request reaches an engine three seconds after it left. Sequence: a
-// router's link is full for some seconds, it hears nothing, then reads a removal.
-// Cause: that is its own trouble; no reader has failed to reach the store.
-func TestNoDoubtWhereOnlyThisRouterHeardNothing(t *testing.T) {
-	const lapse = 2400 * time.Millisecond
+// Guards against requests to an engine three seconds after it left: if a router's own link is
+// saturated for some seconds while no reader fails to reach the store, this is no outage.
+func TestEngineIsRemovedIfOnlyThisRouterLostContact(t *testing.T) {
+	const minOutage = 2400 * time.Millisecond
 	s := Empty()
-	s, _ = s.WithEngines(EngineUpdate{Full: true, Upto: 10, Present: []Engine{engine("a", 5)}}, 10*time.Second, lapse, time.Hour)
-	s, _ = s.WithEngines(EngineUpdate{Full: true, Upto: 20}, 15*time.Second, lapse, 20*time.Second)
+	s, _ = s.WithEngines(EngineUpdate{Full: true, Upto: 10, Present: []Engine{engine("a", 5)}}, 10*time.Second, minOutage, time.Hour)
+	s, _ = s.WithEngines(EngineUpdate{Full: true, Upto: 20}, 15*time.Second, minOutage, 20*time.Second)
 	require.Empty(t, s.Engines.ByID)
 }
 
-// A draining engine that loses its entry has left, whatever the store did.
-func TestDrainingEngineIsNeverDoubted(t *testing.T) {
+// Guards against keeping a draining engine in service after it lost its entry, even after a store
+// outage.
+func TestDrainingEngineIsNeverDoubtful(t *testing.T) {
 	s := Empty()
-	leaving := engine("a", 5)
-	leaving.Draining = true
-	s, _ = s.WithEngines(EngineUpdate{Full: true, Upto: 10, Present: []Engine{leaving}}, 10*time.Second, time.Second, 0)
+	draining := engine("a", 5)
+	draining.Draining = true
+	s, _ = s.WithEngines(EngineUpdate{Full: true, Upto: 10, Present: []Engine{draining}}, 10*time.Second, time.Second, 0)
 	s, _ = s.WithEngines(EngineUpdate{Full: true, Upto: 20}, 15*time.Second, time.Second, 0)
 	require.Empty(t, s.Engines.ByID)
 }
 
-// Symptom: a request is handled by an older version after a newer one was seen.
-// Sequence: a router has version 9, then hears of 7 from one that is behind.
-// Cause: versions only go forward, and a confirmation of 7 says nothing of 9.
-func TestConfigNeverGoesBack(t *testing.T) {
+// Guards against handling requests by an older configuration after a newer one was received: a
+// confirmation of an older version must change neither the version nor its age.
+func TestOlderConfigIsIgnored(t *testing.T) {
 	s, _ := Empty().WithConfig(NewConfig(Config{Version: 9}), 5*time.Second)
-	back, changed := s.WithConfig(NewConfig(Config{Version: 7}), 9*time.Second)
+	unchanged, changed := s.WithConfig(NewConfig(Config{Version: 7}), 9*time.Second)
 	require.False(t, changed)
-	require.Equal(t, uint64(9), back.Config.Version)
-	require.Equal(t, 5*time.Second, back.ConfigAsOf)
+	require.Equal(t, uint64(9), unchanged.Config.Version)
+	require.Equal(t, 5*time.Second, unchanged.ConfigAsOf)
 	same, _ := s.WithConfig(NewConfig(Config{Version: 9}), 8*time.Second)
 	require.Equal(t, 8*time.Second, same.ConfigAsOf)
 	older, _ := same.WithConfig(same.Config, 6*time.Second)
 	require.Equal(t, 8*time.Second, older.ConfigAsOf)
 }
 
-func TestConfigUpdateLeadsFromAnyToAny(t *testing.T) {
+func TestConfigUpdateConvertsAnyVersionToAnyOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old, next := drawConfig(t, 1), drawConfig(t, 2)
 		got, ok := next.UpdateFrom(old).Apply(old)
@@ -154,9 +148,9 @@
 		require.Equal(t, next.Version, got.Version)
 		require.ElementsMatch(t, next.Routes, got.Routes)
 		require.ElementsMatch(t, next.Accounts, got.Accounts)
-		whole, ok := next.UpdateFrom(nil).Apply(nil)
+		full, ok := next.UpdateFrom(nil).Apply(nil)
 		require.True(t, ok)
-		require.ElementsMatch(t, next.Routes, whole.Routes)
+		require.ElementsMatch(t, next.Routes, full.Routes)
 	})
 }
 
@@ -176,9 +170,9 @@
 	return NewConfig(c)
 }
 
-// Symptom: revoked keys are accepted. Sequence: a difference from version 3 is
-// applied to version 2. Cause: only its own base makes sense of a difference.
-func TestConfigUpdateForAnotherBaseIsRefused(t *testing.T) {
+// Guards against accepting revoked keys after an update is applied to another version than its
+// base.
+func TestConfigUpdateForAnotherBaseIsRejected(t *testing.T) {
 	v2, v3, v4 := NewConfig(Config{Version: 2}), NewConfig(Config{Version: 3}), NewConfig(Config{Version: 4})
 	_, ok := v4.UpdateFrom(v3).Apply(v2)
 	require.False(t, ok)
@@ -186,10 +180,10 @@
 	require.False(t, ok)
 }
 
-// Symptom: the log of a router that has just started says that its configuration is 22
-// hours old. Cause: its age was counted from the boot of the VM.
-func TestWhatWasNeverHeardHasNoAge(t *testing.T) {
-	require.Equal(t, []any{"config_age", unheard, "engines_age", unheard}, Empty().AgeFields(time.Hour))
+// Guards against logging the time since the VM's boot as the age of state that was never confirmed:
+// the log of a router that had just started showed a configuration 22 hours old.
+func TestUnconfirmedStateHasNoAge(t *testing.T) {
+	require.Equal(t, []any{"config_age", neverConfirmed, "engines_age", neverConfirmed}, Empty().AgeFields(time.Hour))
 	s, _ := Empty().WithConfig(NewConfig(Config{Version: 1}), time.Minute)
-	require.Equal(t, []any{"config_age", "1m0s", "engines_age", unheard}, s.AgeFields(2*time.Minute))
+	require.Equal(t, []any{"config_age", "1m0s", "engines_age", neverConfirmed}, s.AgeFields(2*time.Minute))
 }
--- a/internal/edge/catalog/changes.go
+++ b/internal/edge/catalog/changes.go
@@ -19,7 +19,7 @@
 // next contains are not included.
 func (s *EngineSet) ChangesTo(next *EngineSet) EngineChanges {
 	var changes EngineChanges
-	for id, have := range s.ByID {
+	for id, previous := range s.ByID {
 		e, present := next.ByID[id]
 		_, wasDoubtful := s.Doubtful[id]
 		_, doubtful := next.Doubtful[id]
@@ -28,7 +28,7 @@
 			changes.Removed = append(changes.Removed, Removal{ID: id, Revision: next.removalRevision(id)})
 		case doubtful && !wasDoubtful:
 			changes.Doubtful = append(changes.Doubtful, Removal{ID: id, Revision: next.removalRevision(id)})
-		case e.Draining && !have.Draining:
+		case e.Draining && !previous.Draining:
 			changes.Draining = append(changes.Draining, e)
 		}
 	}
--- a/internal/edge/catalog/changes_test.go
+++ b/internal/edge/catalog/changes_test.go
@@ -14,10 +14,10 @@
 	s, _ := NewEngineSet().Apply(EngineUpdate{Full: true, Upto: 4, Present: []Engine{gone, doubtful, draining, stays}}, 0)
 	require.Zero(t, s.ChangesTo(s))
 
-	leaving := draining
-	leaving.Draining, leaving.Revision = true, 6
-	next, _ := s.Apply(EngineUpdate{Since: 4, Upto: 6, Present: []Engine{leaving}, Removed: []Removal{{"gone", 5}}}, 0)
-	require.Equal(t, EngineChanges{Removed: []Removal{{"gone", 5}}, Draining: []Engine{leaving}}, s.ChangesTo(next))
+	nowDraining := draining
+	nowDraining.Draining, nowDraining.Revision = true, 6
+	next, _ := s.Apply(EngineUpdate{Since: 4, Upto: 6, Present: []Engine{nowDraining}, Removed: []Removal{{"gone", 5}}}, 0)
+	require.Equal(t, EngineChanges{Removed: []Removal{{"gone", 5}}, Draining: []Engine{nowDraining}}, s.ChangesTo(next))
 
 	missing, _ := next.Apply(EngineUpdate{Since: 6, Upto: 7, Removed: []Removal{{"doubtful", 7}}}, time.Minute)
 	require.Equal(t, EngineChanges{Doubtful: []Removal{{"doubtful", 7}}}, next.ChangesTo(missing))
--- a/internal/edge/catalog/config.go
+++ b/internal/edge/catalog/config.go
@@ -1,9 +1,8 @@
-// Package catalog holds what a router must know to forward a request: the
-// operator's configuration and the engines in service, as typed values and as
-// an immutable Snapshot that traffic reads without locks.
+// Package catalog holds the state that a router needs to forward requests: the operators'
+// configuration and the engines in service, as typed values and as an immutable Snapshot that
+// requests read without locks.
 //
-// The package is pure. It neither reads a clock nor does I/O; who fetches its
-// content is package feed.
+// The package neither reads a clock nor does I/O. Package feed fetches its content.
 package catalog
 
 import (
@@ -12,7 +11,7 @@
 	"time"
 )
 
-// Kind says what may be repeated on a route.
+// Kind determines whether requests of a route may be repeated.
 type Kind uint8
 
 const (
@@ -20,12 +19,12 @@
 	Idempotent Kind = iota + 1
 	// NonIdempotent requests execute at most once.
 	NonIdempotent
-	// Streaming answers are a series of events. Such a request executes at
-	// most once, unless the route says that its streams can be resumed.
+	// Streaming responses are a series of events. Such a request executes at most once, unless the
+	// route's streams are resumable.
 	Streaming
 )
 
-// String returns the label of the kind in logs.
+// String returns the kind as logged.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -38,61 +37,61 @@
 	return "unknown"
 }
 
-// Backend is one of the services that a route is split over.
+// Backend is one of the services that the requests of a route are split over.
 type Backend struct {
 	Service string
-	// Weight is this service's share of the route, relative to the others.
+	// Weight is the service's share of the requests, relative to the weights of the route's other
+	// services.
 	Weight int
 }
 
-// Route sends the requests of a host whose path begins with Prefix to a service.
+// Route sends the requests for a host whose path begins with Prefix to a service.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time that a caller is kept waiting; zero means
-	// that only the caller's own limit counts.
+	// Timeout is the maximum time that a client waits for the response; zero if only the client's
+	// own limit applies.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or the first event of a
-	// stream, is on time.
+	// Objective is the latency objective: the maximum time to a response, or to the first event of
+	// a stream.
 	Objective time.Duration
-	// MaxPause is the longest pause between two events of a stream that is
-	// still on time.
+	// MaxPause is the objective for streams: the maximum time between two events.
 	MaxPause time.Duration
-	// Priority ranks routes; 0 is the most urgent.
+	// Priority is the priority of the route; 0 is the most urgent.
 	Priority int
 	Backends []Backend
-	// Attempts bounds how many engines may execute one request.
+	// Attempts is the maximum number of engines that may execute one request.
 	Attempts int
 	// Public routes need no API key.
 	Public bool
-	// Prompted routes carry prompts whose prefix engines cache.
+	// Prompted routes carry prompts whose prefixes engines cache.
 	Prompted bool
-	// Resumable streams can go on at another engine after an event.
+	// Resumable streams can continue at another engine after an event.
 	Resumable bool
 }
 
-// Repeatable says whether a request may be sent again after an engine may have
-// executed it.
+// Repeatable reports whether a request may be sent again after an engine may have executed it.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
 
-// Service is a pool of equal engines.
+// Service is a pool of interchangeable engines.
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConns bounds the connections that one engine accepts from all
-	// routers together; zero means no bound.
+	// MaxConns bounds the connections that one engine accepts from all routers together; zero means
+	// no bound.
 	MaxConns int
-	// Slots is how many requests one model engine executes at once; zero for
-	// plain services, whose engines say it themselves.
+	// Slots is the number of requests that one model engine executes concurrently; zero for other
+	// services, whose engines report it themselves.
 	Slots int
-	// CacheTokens is the memory for prompts of one model engine, in tokens.
+	// CacheTokens is the prompt cache size of one model engine, in tokens.
 	CacheTokens int
-	// ColdStart is how long an engine is cold after its start, and ColdRate how many
-	// requests a second it bears meanwhile; zero for services whose engines bear any.
+	// ColdStart is the time for which an engine is cold after its start, and ColdRate the requests
+	// per second that it can serve while cold. Both are zero for services whose engines start at
+	// full capacity.
 	ColdStart time.Duration
 	ColdRate  float64
 }
@@ -101,25 +100,23 @@
 type Account struct {
 	Name string
 	Keys []string
-	// Priority ranks accounts before the routes' own priority; 0 is the most
-	// urgent.
+	// Priority ranks accounts before the priorities of routes; 0 is the most urgent.
 	Priority int
 }
 
-// Limits bound what a caller may send.
+// Limits bounds what a client may send.
 type Limits struct {
 	// MaxHeader and MaxBody are in bytes; zero means no bound.
 	MaxHeader int64
 	MaxBody   int64
-	// HeaderTimeout bounds the time between the first byte of a request and
-	// the end of its header.
+	// HeaderTimeout bounds the time between the first byte of a request and the end of its header.
 	HeaderTimeout time.Duration
-	// IdleTimeout bounds the pause between two requests on a connection.
+	// IdleTimeout bounds the time between two requests on a connection.
 	IdleTimeout time.Duration
 }
 
-// Config is one version of the operator's configuration. It is immutable once
-// NewConfig has returned it.
+// Config is one version of the operators' configuration. It is immutable once NewConfig has
+// returned it.
 type Config struct {
 	Version  uint64
 	Routes   []Route
@@ -132,13 +129,13 @@
 	services map[string]*Service
 }
 
-// NewConfig indexes a configuration. It keeps c's slices.
+// NewConfig returns c with its lookup indexes. It keeps c's slices.
 func NewConfig(c Config) *Config {
 	out := &c
 	out.byHost = make(map[string][]*Route)
 	for i := range out.Routes {
 		r := &out.Routes[i]
-		host := normalHost(r.Host)
+		host := normalizeHost(r.Host)
 		out.byHost[host] = append(out.byHost[host], r)
 	}
 	for _, routes := range out.byHost {
@@ -157,8 +154,8 @@
 	return out
 }
 
-// normalHost drops the port and the case of a host name.
-func normalHost(host string) string {
+// normalizeHost removes the port from a host name and converts it to lower case.
+func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
@@ -167,7 +164,7 @@
 
 // Match returns the route of the host with the longest prefix of path, or nil.
 func (c *Config) Match(host, path string) *Route {
-	for _, r := range c.byHost[normalHost(host)] {
+	for _, r := range c.byHost[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -178,7 +175,7 @@
 // Account returns the client account that holds the API key, or nil.
 func (c *Config) Account(key string) *Account { return c.byKey[key] }
 
-// NeedsKey says whether requests on the route must carry an API key.
+// NeedsKey reports whether requests on the route must carry an API key.
 func (c *Config) NeedsKey(r *Route) bool {
 	return !r.Public && len(c.Accounts) > 0
 }
--- a/internal/edge/catalog/delta.go
+++ b/internal/edge/catalog/delta.go
@@ -2,15 +2,13 @@
 
 import "reflect"
 
-// ConfigUpdate leads from one version of the configuration to a later one. A
-// whole configuration of some hundred routes takes tens of kilobytes, and a
-// series of changes that is passed on whole to each router fills the links of
-// small VMs; most changes concern one route or account.
+// ConfigUpdate converts one version of the configuration to a later one. A full configuration of
+// some hundred routes takes tens of kilobytes, and sending it to each router for each of a series
+// of changes saturates the links of small VMs. Most changes concern one route or account.
 type ConfigUpdate struct {
-	// Base is the version to apply the update to; zero for any.
+	// Base is the version that the update applies to; zero if it applies to any.
 	Base, Version uint64
-	// Routes and Accounts are new or changed; those not named stay as they
-	// are, except where Base is zero.
+	// Routes and Accounts are new or changed. If Base is not zero, all others stay as they are.
 	Routes          []Route
 	RemovedRoutes   []string
 	Accounts        []Account
@@ -19,8 +17,8 @@
 	Limits          Limits
 }
 
-// UpdateFrom returns what leads from an older configuration to c; a nil one
-// stands for none.
+// UpdateFrom returns the update from an older configuration to c. If old is nil, the update
+// contains the full configuration.
 func (c *Config) UpdateFrom(old *Config) ConfigUpdate {
 	u := ConfigUpdate{Version: c.Version, Services: c.Services, Limits: c.Limits}
 	if old == nil {
@@ -28,13 +26,13 @@
 		return u
 	}
 	u.Base = old.Version
-	u.Routes, u.RemovedRoutes = changes(old.Routes, c.Routes, func(r Route) string { return r.Name })
-	u.Accounts, u.RemovedAccounts = changes(old.Accounts, c.Accounts, func(a Account) string { return a.Name })
+	u.Routes, u.RemovedRoutes = diff(old.Routes, c.Routes, func(r Route) string { return r.Name })
+	u.Accounts, u.RemovedAccounts = diff(old.Accounts, c.Accounts, func(a Account) string { return a.Name })
 	return u
 }
 
-// Apply returns the configuration that an update leads to, and false if the
-// update does not start from old.
+// Apply returns the configuration after the update, and false if the update is for another base
+// than old.
 func (u ConfigUpdate) Apply(old *Config) (*Config, bool) {
 	out := Config{Version: u.Version, Services: u.Services, Limits: u.Limits}
 	if u.Base == 0 {
@@ -44,44 +42,44 @@
 	if old == nil || old.Version != u.Base {
 		return nil, false
 	}
-	out.Routes = merged(old.Routes, u.Routes, u.RemovedRoutes, func(r Route) string { return r.Name })
-	out.Accounts = merged(old.Accounts, u.Accounts, u.RemovedAccounts, func(a Account) string { return a.Name })
+	out.Routes = merge(old.Routes, u.Routes, u.RemovedRoutes, func(r Route) string { return r.Name })
+	out.Accounts = merge(old.Accounts, u.Accounts, u.RemovedAccounts, func(a Account) string { return a.Name })
 	return NewConfig(out), true
 }
 
-// changes returns the items of next that are new or differ from old, and the
-// names of those that next lacks.
-func changes[T any](old, next []T, name func(T) string) (changed []T, removed []string) {
-	before := make(map[string]T, len(old))
+// diff returns the items of next that are new or differ from old, and the names of the items that
+// only old contains.
+func diff[T any](old, next []T, name func(T) string) (changed []T, removed []string) {
+	byName := make(map[string]T, len(old))
 	for _, item := range old {
-		before[name(item)] = item
+		byName[name(item)] = item
 	}
 	for _, item := range next {
-		was, known := before[name(item)]
-		if !known || !reflect.DeepEqual(was, item) {
+		previous, known := byName[name(item)]
+		if !known || !reflect.DeepEqual(previous, item) {
 			changed = append(changed, item)
 		}
-		delete(before, name(item))
+		delete(byName, name(item))
 	}
-	for gone := range before {
-		removed = append(removed, gone)
+	for missing := range byName {
+		removed = append(removed, missing)
 	}
 	return changed, removed
 }
 
-// merged returns old with the changed items in place of those of the same name,
-// and without the removed ones.
-func merged[T any](old, changed []T, removed []string, name func(T) string) []T {
-	drop := make(map[string]bool, len(removed)+len(changed))
-	for _, gone := range removed {
-		drop[gone] = true
+// merge returns the items of old that are neither changed nor removed, followed by the changed
+// ones.
+func merge[T any](old, changed []T, removed []string, name func(T) string) []T {
+	omit := make(map[string]bool, len(removed)+len(changed))
+	for _, removedName := range removed {
+		omit[removedName] = true
 	}
 	for _, item := range changed {
-		drop[name(item)] = true
+		omit[name(item)] = true
 	}
 	var out []T
 	for _, item := range old {
-		if !drop[name(item)] {
+		if !omit[name(item)] {
 			out = append(out, item)
 		}
 	}
--- a/internal/edge/catalog/engine.go
+++ b/internal/edge/catalog/engine.go
@@ -6,65 +6,66 @@
 	"time"
 )
 
-// Engine is one engine as it registered itself.
+// Engine is an engine as registered in the store.
 type Engine struct {
-	// ID names the engine. An engine may start again under the one that it had; it then
-	// knows nothing of before.
+	// ID identifies the engine. An engine may restart under the same ID, without any of its earlier
+	// state.
 	ID      string
 	Service string
-	// Address is "ip:port". It may belong to another engine later.
+	// Address is "ip:port". It may later be assigned to another engine.
 	Address string
 	Site    string
-	// Slots is how many requests it executes at once; zero if it doesn't say.
+	// Slots is the number of requests that the engine executes concurrently; zero if not reported.
 	Slots int
-	// Draining engines must get no new request.
+	// Draining engines must get no new requests.
 	Draining bool
-	// ColdFor is how much longer it is slow after its start, as registered.
+	// ColdFor is the remaining time for which the engine is cold after its start, as registered.
 	ColdFor time.Duration
-	// Born is the time of the engine's start, in Unix milliseconds by its own clock, zero
-	// if it doesn't say, and Orders how many orders it has taken since.
+	// Born is the time of the engine's start by its own clock, in Unix milliseconds, zero if not
+	// reported. Orders is the number of orders executed since.
 	Born, Orders int64
-	// Revision is the store's version of the entry. It orders two views of it.
+	// Revision is the store's version of the entry. Of two versions of an entry, the one with the
+	// higher revision is newer.
 	Revision uint64
 }
 
-// RestartOf says whether this is the engine after another start than the given one of the
-// same ID.
+// RestartOf reports whether the engine was restarted since last, which is an earlier version of the
+// entry with the same ID.
 func (e Engine) RestartOf(last Engine) bool {
 	return e.Born != last.Born || e.Orders < last.Orders
 }
 
-// Removal is the end of an engine's entry.
+// Removal is the removal of an engine's entry.
 type Removal struct {
 	ID       string
 	Revision uint64
 }
 
-// EngineUpdate is what a reader of the store, or another router, says about
-// the engines: all of them, or what changed after a revision.
+// EngineUpdate is a report of engines from a reader of the store or from another router: all of
+// them, or the changes after a revision.
 type EngineUpdate struct {
-	// Full means that engines which are not in Present have no entry.
+	// Full is set if engines that are not in Present have no entry.
 	Full bool
-	// Since and Upto are the store's versions between which the changes lie.
-	// Since has no meaning with Full.
+	// The changes are later than the store's version Since, up to and including Upto. Since has no
+	// meaning if Full is set.
 	Since, Upto uint64
 	Present     []Engine
 	Removed     []Removal
-	// Foreign are entries that are no engine's: somebody else has written them. An engine
+	// Foreign lists entries that were overwritten with something that is not an engine. An engine
 	// that had its entry there has none any more.
 	Foreign []Removal
 }
 
-// EngineSet is an immutable set of engines as of one version of the store.
+// EngineSet is an immutable set of engines at one version of the store.
 type EngineSet struct {
 	Upto uint64
-	// ByID holds the engines with an entry, and those in doubt.
+	// ByID holds the engines with an entry and the doubtful ones.
 	ByID map[string]Engine
-	// Doubtful engines lost their entry while the store could not be trusted
-	// to hold it; the value is the boot time until which they keep serving.
+	// Doubtful holds engines whose entry went missing while the store could not be trusted to hold
+	// it. The value is the boot time until which they stay in service.
 	Doubtful map[string]time.Duration
-	// Removed are recent removals, oldest first, for routers that ask what
-	// changed.
+	// Removed lists recent removals, oldest first, for routers that query the changes since a
+	// version.
 	Removed []Removal
 	// Floor is the version up to which Removed may be incomplete; Since returns the whole set for
 	// older versions. A full update sets it to its own version, because it does not list removals
@@ -74,32 +75,30 @@
 	byService map[string][]Engine
 }
 
-// maxRemovals bounds the remembered removals. An asker whose version is older
-// gets the whole set; a fleet of 850 engines that restart one after the other
-// produces this many in over an hour.
+// maxRemovals bounds the removals that are kept. Routers that query changes since an older version
+// receive the full set. In a fleet of 850 engines that restart one after the other, this many
+// removals take more than an hour.
 const maxRemovals = 256
 
-// NewEngineSet returns a set without engines, older than any store's version.
+// NewEngineSet returns an empty set that is older than any version of the store.
 func NewEngineSet() *EngineSet {
 	return &EngineSet{ByID: map[string]Engine{}, Doubtful: map[string]time.Duration{}}
 }
 
-// Of returns the engines of a service, sorted by ID. The slice must not be
-// modified.
+// Of returns the engines of a service, sorted by ID. The caller must not modify the slice.
 func (s *EngineSet) Of(service string) []Engine { return s.byService[service] }
 
-// Covers says whether the update leads on from this set without a gap.
+// Covers reports whether the update follows this set without a gap.
 func (s *EngineSet) Covers(u EngineUpdate) bool {
 	return u.Full || u.Since <= s.Upto
 }
 
-// noDoubt is the time until which an engine is in doubt that is not.
+// noDoubt is the doubtUntil argument that removes engines at once.
 const noDoubt = 0
 
-// Apply returns the set after the update, and whether it differs in anything
-// but Upto. An update that is older than the set, or would leave a gap, changes
-// nothing. Engines that lose their entry keep serving until doubtUntil, if that
-// is not zero.
+// Apply returns the set after the update, and whether it differs in anything but Upto. An update
+// that is older than the set, or would leave a gap, is ignored. Engines that lose their entry stay
+// in service as doubtful until the boot time doubtUntil, unless it is zero.
 func (s *EngineSet) Apply(u EngineUpdate, doubtUntil time.Duration) (*EngineSet, bool) {
 	if u.Upto < s.Upto || !s.Covers(u) {
 		return s, false
@@ -138,7 +137,8 @@
 	return next, changed
 }
 
-// Expire returns the set without the engines whose doubt has ended at now.
+// Expire returns the set without the engines whose doubt has ended at the boot time now, and
+// whether there were any.
 func (s *EngineSet) Expire(now time.Duration) (*EngineSet, bool) {
 	expired := false
 	for _, until := range s.Doubtful {
@@ -158,8 +158,7 @@
 	return next, true
 }
 
-// Since returns what changed after a version, or the whole set where that is
-// not known any more.
+// Since returns the changes after a version, or the full set if these are no longer known.
 func (s *EngineSet) Since(version uint64) EngineUpdate {
 	u := EngineUpdate{Since: version, Upto: s.Upto, Full: version < s.Floor || version == 0}
 	for id, e := range s.ByID {
@@ -193,8 +192,8 @@
 }
 
 func (s *EngineSet) put(e Engine) bool {
-	have, known := s.ByID[e.ID]
-	if known && have.Revision >= e.Revision && s.Doubtful[e.ID] == 0 {
+	previous, known := s.ByID[e.ID]
+	if known && previous.Revision >= e.Revision && s.Doubtful[e.ID] == 0 {
 		return false
 	}
 	if !known && s.removedAfter(e) {
@@ -205,7 +204,7 @@
 	return true
 }
 
-// removedAfter says whether a removal of the engine is newer than e.
+// removedAfter reports whether the set contains a removal of the engine that is newer than e.
 func (s *EngineSet) removedAfter(e Engine) bool {
 	for _, r := range s.Removed {
 		if r.ID == e.ID && r.Revision > e.Revision {
@@ -216,8 +215,8 @@
 }
 
 func (s *EngineSet) remove(r Removal, doubtUntil time.Duration) bool {
-	have, known := s.ByID[r.ID]
-	if known && have.Revision > r.Revision {
+	previous, known := s.ByID[r.ID]
+	if known && previous.Revision > r.Revision {
 		return false
 	}
 	if !slices.Contains(s.Removed, r) {
@@ -229,9 +228,8 @@
 	if !known {
 		return false
 	}
-	// An engine that announced its leave has left: its missing entry is no
-	// surprise that a store's outage could explain.
-	if doubtUntil > 0 && !have.Draining {
+	// A draining engine is expected to lose its entry, so it is removed even after a store outage.
+	if doubtUntil > 0 && !previous.Draining {
 		s.Doubtful[r.ID] = doubtUntil
 		return true
 	}
@@ -240,7 +238,7 @@
 	return true
 }
 
-// trim forgets the oldest removals.
+// trim sorts the removals and discards the oldest beyond maxRemovals.
 func (s *EngineSet) trim() {
 	slices.SortStableFunc(s.Removed, func(a, b Removal) int {
 		return compareVersions(a.Revision, b.Revision)
--- a/internal/edge/catalog/evacuation.go
+++ b/internal/edge/catalog/evacuation.go
@@ -6,29 +6,31 @@
 	"slices"
 )
 
-// Evacuation is an operator's order to send nothing more to the engines of a site, or its end.
+// Evacuation is an operator's order to send no more requests to the engines of a site, or the end
+// of such an order.
 type Evacuation struct {
 	Site string
-	// Active orders are in force; the others have been taken back.
+	// Active is set while the order is in force, and false once it was withdrawn.
 	Active bool
-	// Revision is the store's version of the change. It orders two views of it.
+	// Revision is the store's version of the change. Of two changes to a site, the one with the
+	// higher revision is newer.
 	Revision uint64
 }
 
-// EvacuationUpdate is what a reader of the store, or another router, says about evacuations: all
-// of them, or what changed.
+// EvacuationUpdate is a report of evacuations from a reader of the store or from another router:
+// all of them, or the ones that changed.
 type EvacuationUpdate struct {
-	// Full means that sites not listed as active in Changes are not evacuated as of Upto.
+	// Full is set if sites that are not listed as active in Changes are not evacuated as of Upto.
 	Full bool
 	// Upto is the store's version of a full update.
 	Upto    uint64
 	Changes []Evacuation
 }
 
-// Evacuations is an immutable set of evacuations, the recently ended ones included. The zero
-// value has none.
+// Evacuations is an immutable set of evacuations, including those that ended recently. The zero
+// value is an empty set.
 type Evacuations struct {
-	// revision is the newest one of all changes.
+	// revision is the newest revision of all changes.
 	revision uint64
 	// floor is the store version of the latest full update. A site that is not in bySite was not
 	// evacuated at that version.
@@ -36,17 +38,17 @@
 	bySite map[string]Evacuation
 }
 
-// maxEnded bounds the remembered ends of evacuations. An end is needed only until all routers
-// have it.
-const maxEnded = 256
+// maxEndedEvacuations bounds the ended evacuations that are kept. One is needed only until all
+// routers have received it.
+const maxEndedEvacuations = 256
 
-// Active says whether the site is evacuated.
+// Active reports whether the site is evacuated.
 func (e Evacuations) Active(site string) bool { return e.bySite[site].Active }
 
-// Of returns the newest change of a site, the zero value if none is known.
+// Of returns the newest change to a site, or the zero value if none is known.
 func (e Evacuations) Of(site string) Evacuation { return e.bySite[site] }
 
-// Sites returns the evacuated sites in order.
+// Sites returns the evacuated sites, sorted.
 func (e Evacuations) Sites() []string {
 	var out []string
 	for site, evacuation := range e.bySite {
@@ -58,7 +60,7 @@
 	return out
 }
 
-// Revision is the newest revision in the set, zero if nothing is known.
+// Revision returns the newest revision in the set, zero if no change is known.
 func (e Evacuations) Revision() uint64 { return e.revision }
 
 // Upto returns the store version up to which the set is current, zero if nothing is known.
@@ -80,9 +82,9 @@
 	return u
 }
 
-// Apply returns the set after an update, and whether another set of sites is evacuated. The
-// newest change of each site counts, in whatever order updates arrive: routers hear of the same
-// change on several ways, and a reader may start from an old version.
+// Apply returns the set after an update, and whether a different set of sites is evacuated. The
+// newest change to each site applies, in whatever order updates arrive: routers receive the same
+// change by several paths, and a reader may start from an old version.
 func (e Evacuations) Apply(u EvacuationUpdate) (Evacuations, bool) {
 	next := Evacuations{revision: e.revision, floor: e.floor, bySite: maps.Clone(e.bySite)}
 	if next.bySite == nil {
@@ -95,8 +97,8 @@
 		changed = next.put(change) || changed
 	}
 	if u.Full {
-		for site, have := range e.bySite {
-			if have.Active && !listed[site] {
+		for site, previous := range e.bySite {
+			if previous.Active && !listed[site] {
 				changed = next.put(Evacuation{Site: site, Revision: u.Upto}) || changed
 			}
 		}
@@ -123,19 +125,19 @@
 	return out
 }
 
-// put takes a change that is newer than what is known of its site, and says whether the site
-// is now evacuated and was not, or the reverse.
+// put stores a change that is newer than the known one of its site, and reports whether this starts
+// or ends an evacuation. It ignores changes without a site.
 func (e *Evacuations) put(change Evacuation) bool {
-	have := e.bySite[change.Site]
-	if change.Site == "" || change.Revision <= have.Revision {
+	previous := e.bySite[change.Site]
+	if change.Site == "" || change.Revision <= previous.Revision {
 		return false
 	}
 	e.bySite[change.Site] = change
 	e.revision = max(e.revision, change.Revision)
-	return have.Active != change.Active
+	return previous.Active != change.Active
 }
 
-// trim forgets the oldest ends.
+// trim discards the oldest ended evacuations beyond maxEndedEvacuations.
 func (e *Evacuations) trim() {
 	var ended []Evacuation
 	for _, evacuation := range e.bySite {
@@ -144,7 +146,7 @@
 		}
 	}
 	slices.SortFunc(ended, func(a, b Evacuation) int { return cmp.Compare(b.Revision, a.Revision) })
-	for _, old := range ended[min(len(ended), maxEnded):] {
-		delete(e.bySite, old.Site)
+	for _, oldest := range ended[min(len(ended), maxEndedEvacuations):] {
+		delete(e.bySite, oldest.Site)
 	}
 }
--- a/internal/edge/catalog/evacuation_test.go
+++ b/internal/edge/catalog/evacuation_test.go
@@ -16,9 +16,9 @@
 	return Evacuation{Site: site, Revision: revision}
 }
 
-// Guards against an evacuation that a reader forgets, or one that never ends, when the whole table
-// is read after changes were missed.
-func TestFullReadEndsOnlyWhatItIsNewerThan(t *testing.T) {
+// Guards against losing an active evacuation, or keeping an ended one, when the full table is read
+// after changes were missed.
+func TestFullUpdateEndsOnlyOlderEvacuations(t *testing.T) {
 	e, changed := Evacuations{}.Apply(EvacuationUpdate{Changes: []Evacuation{evacuated("a", 5), evacuated("b", 9)}})
 	require.True(t, changed)
 	stale, changed := e.Apply(EvacuationUpdate{Full: true, Upto: 4})
@@ -28,24 +28,24 @@
 	require.True(t, changed)
 	require.Equal(t, []string{"b"}, e.Sites())
 	e, _ = e.Apply(EvacuationUpdate{Changes: []Evacuation{evacuated("a", 5)}})
-	require.False(t, e.Active("a"), "an old word does not bring the evacuation back")
+	require.False(t, e.Active("a"), "an outdated change does not restart the evacuation")
 	require.EqualValues(t, 12, e.Revision())
 }
 
-// Guards against an order without a site, and against unbounded memory for ended ones.
-func TestOddEvacuations(t *testing.T) {
+// Guards against storing an order without a site, and against unbounded memory for ended
+// evacuations.
+func TestEvacuationsIgnoreEmptySiteAndBoundEndedOnes(t *testing.T) {
 	e, changed := Evacuations{}.Apply(EvacuationUpdate{Changes: []Evacuation{evacuated("", 3)}})
 	require.False(t, changed)
 	require.Empty(t, e.Sites())
-	for i := range uint64(3 * maxEnded) {
+	for i := range uint64(3 * maxEndedEvacuations) {
 		e, _ = e.Apply(EvacuationUpdate{Changes: []Evacuation{ended(string(rune('a'+i)), i+1)}})
 	}
-	require.Len(t, e.bySite, maxEnded)
+	require.Len(t, e.bySite, maxEndedEvacuations)
 }
 
-// Guards against routers that disagree for good on which sites are evacuated: whatever the order in
-// which they hear of changes, from the store or from one another, those that have heard of the same
-// changes know the same.
+// Guards against routers that permanently disagree about the evacuated sites: routers that received
+// the same changes, in any order and from the store or another router, must hold the same set.
 func TestEvacuationsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var history []Evacuation
--- a/internal/edge/catalog/snapshot.go
+++ b/internal/edge/catalog/snapshot.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// Snapshot is all that a router believes at one moment. It is immutable.
+// Snapshot is the state known to a router at one moment. It is immutable.
 type Snapshot struct {
-	// Config is nil until a first configuration has arrived.
+	// Config is nil until the first configuration was received.
 	Config *Config
-	// ConfigAsOf is the boot time at which the call was sent that last
-	// confirmed Config as the newest one. Counting from the sending makes the
-	// age an upper bound, however long the answer took.
+	// ConfigAsOf is the boot time at which the latest call was sent that confirmed Config as the
+	// newest version. The age counted from the sending is an upper bound, regardless of how long
+	// the answer took.
 	ConfigAsOf time.Duration
-	// Evacuations are confirmed along with Config, by the same calls.
+	// Evacuations is confirmed by the same calls as Config.
 	Evacuations Evacuations
 	Engines     *EngineSet
-	// EnginesAsOf is the same for Engines.
+	// EnginesAsOf is the boot time at which the latest call was sent that confirmed Engines.
 	EnginesAsOf time.Duration
-	// DoubtUntil is the boot time until which a missing entry says nothing.
+	// DoubtUntil is the boot time until which engines whose entry is missing stay in service as
+	// doubtful.
 	DoubtUntil time.Duration
 }
 
-// ConfigAge is how old the configuration may be, at most, at now.
+// ConfigAge returns the maximum age of the configuration at now.
 func (s *Snapshot) ConfigAge(now time.Duration) time.Duration { return now - s.ConfigAsOf }
 
-// EnginesAge is how old the set of engines may be, at most, at now.
+// EnginesAge returns the maximum age of the set of engines at now.
 func (s *Snapshot) EnginesAge(now time.Duration) time.Duration { return now - s.EnginesAsOf }
 
-// AgeFields are the ages at now for a log line. What was never heard has none.
+// AgeFields returns the ages at now as log fields. State that was never confirmed has no age.
 func (s *Snapshot) AgeFields(now time.Duration) []any {
-	return []any{"config_age", ageText(s.ConfigAsOf, now), "engines_age", ageText(s.EnginesAsOf, now)}
+	return []any{"config_age", formatAge(s.ConfigAsOf, now), "engines_age", formatAge(s.EnginesAsOf, now)}
 }
 
-// unheard stands in log lines for the age of what was never heard.
-const unheard = "never confirmed"
+// neverConfirmed is logged instead of the age of state that was never confirmed.
+const neverConfirmed = "never confirmed"
 
-func ageText(asOf, now time.Duration) string {
+func formatAge(asOf, now time.Duration) string {
 	if asOf == 0 {
-		return unheard
+		return neverConfirmed
 	}
 	return (now - asOf).String()
 }
 
-// WithConfig returns the snapshot after a reader found c to be the newest
-// configuration by a call sent at asOf. Versions only go forward: a confirmation
-// of an older version than the one known says nothing. The flag is true where
-// the version changed.
+// WithConfig returns the snapshot after a call sent at asOf confirmed c as the newest
+// configuration, and whether the version changed. Versions never decrease: a confirmation of a
+// version older than the known one is ignored.
 func (s *Snapshot) WithConfig(c *Config, asOf time.Duration) (*Snapshot, bool) {
 	if c == nil || s.Config != nil && c.Version < s.Config.Version {
 		return s, false
@@ -58,7 +58,7 @@
 	return &next, false
 }
 
-// WithEvacuations returns the snapshot after an update of the evacuations, and whether another
+// WithEvacuations returns the snapshot after an update of the evacuations, and whether a different
 // set of sites is evacuated.
 func (s *Snapshot) WithEvacuations(u EvacuationUpdate) (*Snapshot, bool) {
 	if !u.Full && len(u.Changes) == 0 {
@@ -70,34 +70,34 @@
 	return &next, changed
 }
 
-// TakesRequests says whether new requests may be sent to the engine: it neither leaves nor is in
-// an evacuated site.
+// TakesRequests reports whether new requests may be sent to the engine: it is neither draining nor
+// in an evacuated site.
 func (s *Snapshot) TakesRequests(e Engine) bool {
 	return !e.Draining && !s.Evacuations.Active(e.Site)
 }
 
-// doubtFor is how long after the store's return a missing entry says nothing:
-// engines that live register again within this time.
-const doubtFor = 2 * time.Second
+// doubtPeriod is the time after an outage of the store in which engines whose entry is missing stay
+// in service. Running engines register again within this time.
+const doubtPeriod = 2 * time.Second
 
-// WithEngines returns the snapshot after an update by a call sent at asOf, and
-// whether the engines changed.
+// WithEngines returns the snapshot after an update by a call sent at asOf, and whether the engines
+// changed.
 //
-// If nobody could read the store for as long as lapse, entries may be missing
-// whose engines are alive: they could not renew them. Taking them for gone would
-// end the service with the first answer after an outage. They stay in service
-// until they had time to register again. An outage that only some routers see
-// is none: the others have confirmed the engines meanwhile. Neither is a time in
-// which this router heard nothing while no reader failed, lostAgo being how long
-// ago one last did: then its own links were bad, and the store was well.
-func (s *Snapshot) WithEngines(u EngineUpdate, asOf, lapse, lostAgo time.Duration) (*Snapshot, bool) {
+// If no router could read the store for at least minOutage, the entries of running engines may have
+// expired because the engines could not renew them. Removing these engines would stop the service
+// with the first answer after an outage, so they stay in service until they had time to register
+// again. An outage seen by some routers only does not count, because the others confirmed the
+// engines meanwhile. Neither does a time in which this router received no updates while no reader
+// failed: its own links failed then, not the store. sinceReadFailure is the time since a reader
+// last failed.
+func (s *Snapshot) WithEngines(u EngineUpdate, asOf, minOutage, sinceReadFailure time.Duration) (*Snapshot, bool) {
 	if u.Upto < s.Engines.Upto || !s.Engines.Covers(u) {
 		return s, false
 	}
 	next := *s
-	gap := asOf - s.EnginesAsOf
-	if s.Engines.Upto > 0 && gap >= lapse && lostAgo <= gap {
-		next.DoubtUntil = asOf + doubtFor
+	unconfirmedFor := asOf - s.EnginesAsOf
+	if s.Engines.Upto > 0 && unconfirmedFor >= minOutage && sinceReadFailure <= unconfirmedFor {
+		next.DoubtUntil = asOf + doubtPeriod
 	}
 	doubtUntil := next.DoubtUntil
 	if asOf >= doubtUntil {
@@ -109,7 +109,7 @@
 	return &next, changed
 }
 
-// Empty returns the snapshot of a router that has heard nothing yet.
+// Empty returns the snapshot of a router that has received no state yet.
 func Empty() *Snapshot {
 	return &Snapshot{Engines: NewEngineSet()}
 }
