--- a/internal/edge/health/health.go
+++ b/internal/edge/health/health.go
@@ -1,10 +1,10 @@
-// Package health judges engines by how their requests end. It is pure: evidence
-// and the time are arguments.
+// Package health detects failing engines by the outcomes of their requests. It keeps no clock:
+// evidence and the time are arguments.
 //
-// Health probes are not asked, since an engine may answer them well and fail its
-// callers, or the reverse. One router of many sees too few requests to tell a
-// bad engine from bad luck, so routers add up their evidence: it is a pair of
-// sums that fade with time, and sums of different routers can be added.
+// It uses no health probes, because an engine may answer them and fail its requests, or the
+// reverse. One router of many sees too few requests to tell a failing engine from chance, so
+// routers add up their evidence. Evidence is a pair of exponentially decaying counts, and the
+// counts of different routers can be added.
 package health
 
 import (
@@ -12,67 +12,67 @@
 	"time"
 )
 
-// halfLife is the time after which evidence counts half. Outages last seconds:
-// a longer memory would keep a recovered engine out, a shorter one would forget
-// a dead engine before anyone has tried it again.
+// halfLife is the half-life of evidence. Outages last seconds: a longer half-life would keep
+// recovered engines ejected, and a shorter one would forget a dead engine before it is tried again.
 const halfLife = 1500 * time.Millisecond
 
-// Evidence is how requests at an engine have ended lately. The zero value is no
-// evidence.
+// Evidence is the decayed number of requests at an engine that succeeded and failed. The zero value
+// is no evidence.
 type Evidence struct {
 	Good, Bad float64
 }
 
-// Add returns the sum of two pieces of evidence of the same moment.
+// Add returns the sum of two pieces of evidence. Both must be decayed to the same time.
 func (e Evidence) Add(o Evidence) Evidence {
 	return Evidence{Good: e.Good + o.Good, Bad: e.Bad + o.Bad}
 }
 
-// Sub returns what is left of e without o, at least nothing.
+// Sub returns e without o. Its counts are not less than zero.
 func (e Evidence) Sub(o Evidence) Evidence {
 	return Evidence{Good: math.Max(0, e.Good-o.Good), Bad: math.Max(0, e.Bad-o.Bad)}
 }
 
-// After returns the evidence as it counts d later.
+// After returns the evidence decayed by d. A negative d leaves it unchanged.
 func (e Evidence) After(d time.Duration) Evidence {
 	if d <= 0 {
 		return e
 	}
-	f := math.Exp2(-float64(d) / float64(halfLife))
-	return Evidence{Good: e.Good * f, Bad: e.Bad * f}
+	factor := math.Exp2(-float64(d) / float64(halfLife))
+	return Evidence{Good: e.Good * factor, Bad: e.Bad * factor}
 }
 
-// coarse is the step that evidence is rounded to for other routers: a thirtieth of what
-// the prior weighs.
-const coarse = 1.0 / 16
+// roundingStep is the step to which evidence for other routers is rounded: about a thirtieth of
+// priorSuccesses.
+const roundingStep = 1.0 / 16
 
-// Coarse returns the evidence rounded, which takes few bytes to send.
+// Coarse returns the evidence rounded to multiples of roundingStep, which need fewer bytes to send.
 func (e Evidence) Coarse() Evidence {
-	return Evidence{Good: math.Round(e.Good/coarse) * coarse, Bad: math.Round(e.Bad/coarse) * coarse}
+	return Evidence{Good: math.Round(e.Good/roundingStep) * roundingStep, Bad: math.Round(e.Bad/roundingStep) * roundingStep}
 }
 
-// prior is the number of good ends that every engine is taken to have had. It
-// keeps one failure after a quiet time from condemning an engine; two do.
-const prior = 2.0
+// priorSuccesses is the number of successes added to the evidence of every engine. After a time
+// without requests, one failure does not eject an engine, and two do.
+const priorSuccesses = 2.0
 
-// badness is the share of bad ends, from 0 to 1.
-func (e Evidence) badness() float64 {
-	return e.Bad / (e.Good + e.Bad + prior)
+// failureRate returns the share of failures among the outcomes and priorSuccesses, from 0 to 1.
+func (e Evidence) failureRate() float64 {
+	return e.Bad / (e.Good + e.Bad + priorSuccesses)
 }
 
-// Record is the fading evidence of one engine.
+// Record accumulates the evidence of one engine. The zero value is ready to use. It is not safe for
+// concurrent use.
 type Record struct {
-	evidence Evidence
-	at       time.Duration
+	evidence  Evidence
+	updatedAt time.Duration
 }
 
-// At returns the evidence as it counts at now.
-func (r *Record) At(now time.Duration) Evidence { return r.evidence.After(now - r.at) }
+// At returns the evidence decayed to now.
+func (r *Record) At(now time.Duration) Evidence { return r.evidence.After(now - r.updatedAt) }
 
-// Note adds an end of a request.
+// Note adds the outcome of a request that ended at now.
 func (r *Record) Note(good bool, now time.Duration) {
 	r.evidence = r.At(now)
-	r.at = now
+	r.updatedAt = now
 	if good {
 		r.evidence.Good++
 	} else {
@@ -81,17 +81,16 @@
 }
 
 const (
-	// tolerated is by how much an engine's share of bad ends may be above that
-	// of the rest of its service, before it gets less than its normal load.
-	tolerated = 0.25
-	// unbearable is the excess from which on it gets nothing.
-	unbearable = 0.5
+	// toleratedExcess is the excess of an engine's failure rate over that of the rest of its
+	// service above which the engine gets less than its normal load.
+	toleratedExcess = 0.25
+	// ejectionExcess is the excess from which on the engine is ejected.
+	ejectionExcess = 0.5
 )
 
-// Shares returns, for each engine of a service, the part of its normal load, 0
-// to 1, that it should get. Engines are compared with the rest of their service:
-// where all fail alike, the fault is elsewhere, and taking engines out would
-// only put their load on the others.
+// Shares returns the part of its normal load that each engine of a service should get, from 0 to 1,
+// in the order of the evidence. It compares each engine with the rest of its service: if all fail
+// alike, the cause is elsewhere, and ejecting some would only move their load to the others.
 func Shares(evidence []Evidence) []float64 {
 	var total Evidence
 	for _, e := range evidence {
@@ -99,8 +98,8 @@
 	}
 	out := make([]float64, len(evidence))
 	for i, e := range evidence {
-		excess := e.badness() - total.Sub(e).badness()
-		out[i] = min(max((unbearable-excess)/(unbearable-tolerated), 0), 1)
+		excess := e.failureRate() - total.Sub(e).failureRate()
+		out[i] = min(max((ejectionExcess-excess)/(ejectionExcess-toleratedExcess), 0), 1)
 	}
 	return out
 }
--- a/internal/edge/health/health_test.go
+++ b/internal/edge/health/health_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: one router of many can't tell a bad engine from bad luck. Sequence:
-// seven routers see one failure each. Cause handled: their evidence adds up.
-func TestEvidenceOfManyRoutersCondemnsWhatOneCannot(t *testing.T) {
+// Guards against a failing engine that stays in service because one router of many cannot tell it
+// from chance: if seven routers see one failure each, the sum of their evidence ejects the engine.
+func TestEvidenceOfManyRoutersEjectsEngineThatOneRouterCannot(t *testing.T) {
 	var one Record
 	one.Note(false, 0)
 	seven := Evidence{}
@@ -21,18 +21,18 @@
 	require.Positive(t, Shares([]Evidence{one.At(0), good, good})[0])
 }
 
-// Symptom: a fault of the caller's side, or of all engines, takes all out of
-// service. Cause handled: engines are compared with the rest of their service.
-func TestEnginesThatFailAlikeAreAllKept(t *testing.T) {
+// Guards against ejecting all engines after a fault of the clients or of all engines: each engine
+// is compared with the rest of its service.
+func TestEnginesThatFailAlikeAreNotEjected(t *testing.T) {
 	bad := Evidence{Good: 5, Bad: 5}
 	for _, share := range Shares([]Evidence{bad, bad, bad}) {
 		require.Equal(t, 1.0, share)
 	}
 }
 
-// Symptom: an engine that has recovered stays out for good. Cause handled:
-// evidence fades, so that it is tried again.
-func TestEvidenceFades(t *testing.T) {
+// Guards against an engine that stays ejected after it has recovered: evidence decays, so the
+// engine is tried again.
+func TestEvidenceDecays(t *testing.T) {
 	var r Record
 	for range 10 {
 		r.Note(false, time.Second)
@@ -44,13 +44,13 @@
 	require.InDelta(t, 5, r.At(time.Second+halfLife).Bad, 1e-9)
 }
 
-func TestNoEvidenceIsNoReason(t *testing.T) {
+func TestEnginesWithLittleEvidenceGetTheirFullShare(t *testing.T) {
 	require.Equal(t, []float64{1, 1}, Shares(make([]Evidence, 2)))
 	require.Equal(t, []float64{1}, Shares([]Evidence{{Bad: 0.4}}))
 }
 
-// A clock that seems to go back does not make evidence grow.
-func TestEvidenceNeverGrowsWithTime(t *testing.T) {
+// Guards against evidence that grows if the clock seems to go back.
+func TestEvidenceDoesNotGrowIfClockGoesBack(t *testing.T) {
 	e := Evidence{Good: 1, Bad: 2}
 	require.Equal(t, e, e.After(-time.Second))
 }
--- a/internal/edge/health/pace_test.go
+++ b/internal/edge/health/latency_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: a service under load collapses. Sequence: all its engines take longer than
-// usual; requests are given up and sent again, which is more load. Cause handled:
-// patience follows the answers of the service, given up ones included.
-func TestPatienceGrowsWithASlowService(t *testing.T) {
+// Guards against the collapse of a service under load: if all of its engines become slow and
+// requests are given up and sent again, the load rises further. Patience follows the response
+// times, including those of requests that were given up.
+func TestPatienceFollowsSlowService(t *testing.T) {
 	const objective = 100 * time.Millisecond
 	var p Pace
 	for range 100 {
@@ -30,15 +30,16 @@
 	require.Greater(t, p.Patience(objective), 300*time.Millisecond)
 }
 
-// A service of which nothing is known has its objective; one without an objective is
-// waited for, and quick answers don't make a slow one suspicious at once.
-func TestPatienceWithoutAnswers(t *testing.T) {
+// Guards against suspecting an engine after few answers, or after fast ones only: without enough
+// answers, patience is the objective, or unlimited if there is none, and fast answers do not reduce
+// it below half of the objective.
+func TestPatienceWithFewOrFastAnswers(t *testing.T) {
 	var p Pace
 	require.Equal(t, time.Second, p.Patience(time.Second))
 	require.Zero(t, p.Patience(0))
-	for range fewestAnswers {
+	for range minAnswers {
 		p.Note(time.Millisecond)
 	}
 	require.Equal(t, 500*time.Millisecond, p.Patience(time.Second))
-	require.Equal(t, silentAfter*time.Millisecond, p.Patience(0))
+	require.Equal(t, patienceFactor*time.Millisecond, p.Patience(0))
 }
