--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -1,4 +1,4 @@
-// Package entry answers callers that ask which routers to connect to.
+// Package entry determines the addresses of the routers that a client should connect to.
 package entry
 
 import (
@@ -10,67 +10,67 @@
 	"damaskrouter.example/damaskrouter/internal/decide/rendezvous"
 )
 
-// Router is a router that callers may be sent to.
+// Router is a router that clients may connect to.
 type Router struct {
 	Name string
 	Site string
-	// Address is where it serves callers, "ip:port".
+	// Address is the address at which it serves clients, "ip:port".
 	Address string
 }
 
-// Question is what a caller says of itself.
+// Question describes a client that queries router addresses.
 type Question struct {
-	// Host is the host name that it wants to reach.
+	// Host is the host name that the client wants to reach.
 	Host   string
 	Region string
 	Site   string
 }
 
-// Answer is a list of addresses and how long to use it.
+// Answer is a list of router addresses and the time for which a client may use it.
 type Answer struct {
 	Addresses []string
 	TTL       time.Duration
 }
 
 const (
-	// maxAddresses bounds an answer; callers use no more.
+	// maxAddresses bounds the addresses in an answer. Clients use no more.
 	maxAddresses = 64
-	// minNear is how many routers a site needs for its callers to be sent to
-	// them only. With one, its loss would leave them without any.
-	minNear = 2
+	// minLocalRouters is the number of routers from which on a site's clients are sent only to the
+	// routers of their site. With one, clients would have no router left after its loss.
+	minLocalRouters = 2
 )
 
-// Answers returns the addresses that the router called self gives a caller: the
-// routers of the caller's site, or all of them where the site has too few. Bytes
-// between sites cost, and a nearby router answers sooner. The answer is never empty
-// if there is a router.
-func Answers(self string, routers []Router, q Question, ttl time.Duration) Answer {
-	var near []Router
+// Answers returns the addresses that the router named self returns to a client: the routers of the
+// client's site, or all routers if the site has fewer than minLocalRouters. Traffic between sites
+// has a cost, and a local router answers faster. The answer has at least one address unless routers
+// is empty.
+func Answers(self string, routers []Router, query Question, ttl time.Duration) Answer {
+	var local []Router
 	for _, r := range routers {
-		if r.Site == q.Site {
-			near = append(near, r)
+		if r.Site == query.Site {
+			local = append(local, r)
 		}
 	}
-	chosen := near
-	if len(near) < minNear {
-		chosen = slices.Clone(routers)
+	selected := local
+	if len(local) < minLocalRouters {
+		selected = slices.Clone(routers)
 	}
-	chosen = share(self, chosen)
-	slices.SortFunc(chosen, func(a, b Router) int { return strings.Compare(a.Name, b.Name) })
+	selected = sampleRouters(self, selected)
+	slices.SortFunc(selected, func(a, b Router) int { return strings.Compare(a.Name, b.Name) })
 	out := Answer{TTL: ttl}
-	for _, r := range chosen {
+	for _, r := range selected {
 		out.Addresses = append(out.Addresses, r.Address)
 	}
 	return out
 }
 
-// share picks which routers to name where there are more than an answer may hold. Were they the
-// same in each router's answers, a site whose own routers are all off would send its callers to
-// the first 64 of the fleet, and those would bear the load of four sites' routers; so each
-// router draws its own. It draws by rendezvous hashing, by which a router that comes or goes
-// changes one address of the answer: callers give up connections to addresses that are no longer
-// in it.
-func share(self string, routers []Router) []Router {
+// sampleRouters returns at most maxAddresses of the routers. It may reorder the slice. Each router
+// named self selects a different sample: if all returned the same 64 routers, these would serve all
+// clients of a site that has lost its own routers, a load for the routers of four sites. The sample
+// is selected by rendezvous hashing, so that a router that is added or removed changes only one
+// address of an answer. Clients close their connections to addresses that are no longer in the
+// answer.
+func sampleRouters(self string, routers []Router) []Router {
 	if len(routers) <= maxAddresses {
 		return routers
 	}
--- a/internal/edge/entry/entry_test.go
+++ b/internal/edge/entry/entry_test.go
@@ -18,52 +18,54 @@
 	return out
 }
 
-func TestAnswers(t *testing.T) {
-	q := Question{Site: "x"}
-	near := Answers("0", routers("x", "y", "x"), q, time.Second)
-	require.Equal(t, []string{"10.0.0.0:1", "10.0.0.2:1"}, near.Addresses)
-	require.Equal(t, time.Second, near.TTL)
-	require.Len(t, Answers("0", routers("x", "y", "y"), q, time.Second).Addresses, 3, "one near router is not enough")
-	require.Len(t, Answers("0", routers("y", "z"), q, time.Second).Addresses, 2)
+func TestLocalRoutersAreReturnedIfEnough(t *testing.T) {
+	query := Question{Site: "x"}
+	local := Answers("0", routers("x", "y", "x"), query, time.Second)
+	require.Equal(t, []string{"10.0.0.0:1", "10.0.0.2:1"}, local.Addresses)
+	require.Equal(t, time.Second, local.TTL)
+	require.Len(t, Answers("0", routers("x", "y", "y"), query, time.Second).Addresses, 3, "one local router is not enough")
+	require.Len(t, Answers("0", routers("y", "z"), query, time.Second).Addresses, 2)
 	many := make([]string, 100)
 	require.Len(t, Answers("0", routers(many...), Question{}, time.Second).Addresses, maxAddresses)
 }
 
-// Symptom: all routers of one of five sites are off, and a quarter of the others answer late.
-// Sequence: the site's callers are told of 64 routers of the 236 that are left. Cause: each
-// router that they asked told of the same 64, the first by name, which are all in one site.
-func TestLostSiteIsSharedByAll(t *testing.T) {
-	const left, asked = 236, 236
+// Guards against overloading some routers after a site has lost all of its own: when each router
+// returned the first 64 of the remaining 236 by name, which were all in one site, a quarter of the
+// routers answered late.
+func TestClientsOfLostSiteAreSpreadOverAllRouters(t *testing.T) {
+	const remaining, asked = 236, 236
 	var sites []string
-	for i := range left {
+	for i := range remaining {
 		sites = append(sites, fmt.Sprint("site ", i%4))
 	}
-	fleet := routers(sites...)
-	named := make(map[string]int)
+	all := routers(sites...)
+	answersByAddress := make(map[string]int)
 	for i := range asked {
-		for _, a := range Answers(fleet[i].Name, fleet, Question{Site: "lost"}, time.Second).Addresses {
-			named[a]++
+		for _, a := range Answers(all[i].Name, all, Question{Site: "lost"}, time.Second).Addresses {
+			answersByAddress[a]++
 		}
 	}
-	// Each is named in 64 of 236 answers; five standard deviations of such draws allowed.
-	mean := float64(asked) * maxAddresses / left
-	for _, r := range fleet {
-		require.InDelta(t, mean, named[r.Address], 5*math.Sqrt(mean*(1-mean/asked)), r.Name)
+	// Each router is in 64 of 236 answers on average. The tolerance is five standard deviations of
+	// a binomial distribution.
+	mean := float64(asked) * maxAddresses / remaining
+	for _, r := range all {
+		require.InDelta(t, mean, answersByAddress[r.Address], 5*math.Sqrt(mean*(1-mean/asked)), r.Name)
 	}
 }
 
-// A router that leaves takes its own address out of an answer and no other: callers give up
-// connections to addresses that are no longer in it.
-func TestAnswersChangeByOneAddress(t *testing.T) {
-	fleet := routers(make([]string, 100)...)
-	q := Question{}
-	before := Answers("asked", fleet, q, time.Second).Addresses
-	for i := range fleet {
-		gone := fleet[i].Address
-		after := Answers("asked", slices.Delete(slices.Clone(fleet), i, i+1), q, time.Second).Addresses
+// Guards against closing connections to routers that remain: removing a router must remove its own
+// address from an answer and no other, because clients close connections to addresses that are no
+// longer in the answer.
+func TestRouterThatLeavesRemovesOnlyItsOwnAddress(t *testing.T) {
+	all := routers(make([]string, 100)...)
+	query := Question{}
+	before := Answers("asked", all, query, time.Second).Addresses
+	for i := range all {
+		removed := all[i].Address
+		after := Answers("asked", slices.Delete(slices.Clone(all), i, i+1), query, time.Second).Addresses
 		for _, a := range before {
-			if a != gone {
-				require.Contains(t, after, a, "without %s", gone)
+			if a != removed {
+				require.Contains(t, after, a, "without %s", removed)
 			}
 		}
 	}
