--- a/internal/edge/callers/callers.go
+++ b/internal/edge/callers/callers.go
@@ -1,14 +1,14 @@
-// Package callers bounds the connections that callers have to a router.
+// Package callers limits the connections that clients have open to a router.
 //
-// Callers that are refused come back on new connections and leave the old ones open. In a surge of
-// ten times the usual load routers ran out of descriptors within seconds: nothing could be opened to
-// engines, nor to the other routers, whose gates then held places that nobody gave back. That went
-// on for as long as the process lived, since callers went on to come back. How one would notice:
-// "too many open files" as the cause of failed attempts.
+// Clients whose requests are refused retry on new connections and leave the old ones open. In a
+// surge of ten times the usual load, routers ran out of file descriptors within seconds. They could
+// open no connections to engines or to other routers, so slots that other routers' gates had
+// granted them were not released. This lasted for the lifetime of the process, because clients kept
+// retrying. It shows as failed attempts with the cause "too many open files".
 //
-// With the bound the connection that has been idle for longest ends for each new one beyond it.
-// Requests under way are never cut. Where all connections are busy new ones are closed unread, which
-// tells callers that nothing ran.
+// For each new connection beyond the limit, the connection that has been idle for longest is
+// closed. Connections with requests in progress are never closed. If all connections are busy, new
+// ones are closed before a request is read, which tells clients that none was executed.
 package callers
 
 import (
@@ -20,51 +20,55 @@
 	"sync/atomic"
 )
 
-// Limit bounds the connections of a server. It is safe for concurrent use.
+// Limit limits the connections of a server. It is safe for concurrent use.
 type Limit struct {
-	// most returns how many connections there may be.
-	most func() int
+	// maxConns returns the maximum number of connections.
+	maxConns func() int
 
 	mu    sync.Mutex
 	conns map[net.Conn]*conn
-	// idle are the connections without a request, the one that is so for longest first.
+	// idle lists the connections without a request, the longest idle first.
 	idle   list.List
 	counts Counts
 }
 
-// Counts are a Limit's connections.
+// Counts are the connection counts of a Limit.
 type Counts struct {
-	// Open is how many there are, Idle how many of them have no request.
+	// Open is the number of connections, and Idle the number of those without a request.
 	Open int `json:"open"`
 	Idle int `json:"idle"`
-	// EndedIdle is how many were closed to make room, EndedNew how many were closed unread.
-	EndedIdle uint64 `json:"ended_idle"`
-	EndedNew  uint64 `json:"ended_new"`
+	// ClosedIdle is the number of idle connections closed for new ones, and ClosedNew the number of
+	// new connections closed before a request was read.
+	ClosedIdle uint64 `json:"ended_idle"`
+	ClosedNew  uint64 `json:"ended_new"`
 }
 
-// conn is a connection.
+// conn is a tracked connection.
 type conn struct {
 	net.Conn
-	// idle is its place among the idle ones, nil while it has a request.
+	// idle is its element in the list of idle connections, nil while it has a request.
 	idle *list.Element
-	// ended connections were closed by the Limit.
-	ended atomic.Bool
+	// closed is set once the Limit has closed the connection.
+	closed atomic.Bool
 }
 
-// spare is the part of the bound by which connections that are all busy may exceed it.
-const spare = 0.1
+// busyExcess is the fraction of the limit by which connections that are all busy may exceed it.
+const busyExcess = 0.1
 
-// New returns a Limit of as many connections as most returns.
-func New(most func() int) *Limit { return &Limit{most: most, conns: make(map[net.Conn]*conn)} }
+// New returns a Limit of maxConns connections. maxConns may change over time and is called with the
+// Limit's mutex held.
+func New(maxConns func() int) *Limit {
+	return &Limit{maxConns: maxConns, conns: make(map[net.Conn]*conn)}
+}
 
-// Attach bounds the connections of a server that does not serve yet.
+// Attach limits the connections of a server. It must be called before the server serves.
 func (l *Limit) Attach(server *http.Server) {
-	server.ConnState = l.changed
-	server.ConnContext = l.context
-	server.Handler = l.unlessEnded(server.Handler)
+	server.ConnState = l.connState
+	server.ConnContext = l.connContext
+	server.Handler = l.rejectClosed(server.Handler)
 }
 
-// Counts returns how many connections there are.
+// Counts returns the current counts.
 func (l *Limit) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,95 +77,97 @@
 	return out
 }
 
-// key is where a connection stands in the contexts of its requests.
-type key struct{}
+// connKey is the context key of a request's connection.
+type connKey struct{}
 
-// context takes a new connection.
-func (l *Limit) context(ctx context.Context, c net.Conn) context.Context {
-	fresh := &conn{Conn: c}
-	l.close(l.add(fresh))
-	return context.WithValue(ctx, key{}, fresh)
+// connContext starts tracking a new connection. It is the server's ConnContext callback.
+func (l *Limit) connContext(ctx context.Context, c net.Conn) context.Context {
+	added := &conn{Conn: c}
+	l.closeConn(l.add(added))
+	return context.WithValue(ctx, connKey{}, added)
 }
 
-// changed follows the states of connections.
-func (l *Limit) changed(c net.Conn, state http.ConnState) {
+// connState updates the state of a connection. It is the server's ConnState callback.
+func (l *Limit) connState(c net.Conn, state http.ConnState) {
 	if state != http.StateNew {
-		l.close(l.note(c, state))
+		l.closeConn(l.setState(c, state))
 	}
 }
 
-// close closes a connection that was ended; the server finds it closed and forgets it.
-func (l *Limit) close(ended *conn) {
-	if ended != nil {
-		_ = ended.Close()
+// closeConn closes a connection unless it is nil. The server then drops it on its own.
+func (l *Limit) closeConn(c *conn) {
+	if c != nil {
+		_ = c.Close()
 	}
 }
 
-// unlessEnded serves requests but those of connections that were ended as the request came: its
-// answer could not arrive, so that it must not run.
-func (l *Limit) unlessEnded(next http.Handler) http.Handler {
+// rejectClosed aborts requests on connections that the Limit closed while the request arrived.
+// Their response could not be delivered, so they must not be executed.
+func (l *Limit) rejectClosed(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if c, ok := r.Context().Value(key{}).(*conn); ok && c.ended.Load() {
+		if c, ok := r.Context().Value(connKey{}).(*conn); ok && c.closed.Load() {
 			panic(http.ErrAbortHandler)
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// add takes a new connection, and returns one that is to be closed for it: it may be itself.
-func (l *Limit) add(fresh *conn) (ended *conn) {
+// add tracks a new connection and returns a connection to close for it, which may be the new one,
+// or nil.
+func (l *Limit) add(added *conn) (toClose *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.conns[fresh.Conn] = fresh
-	if ended := l.makeRoom(); ended != nil {
-		return ended
+	l.conns[added.Conn] = added
+	if toClose := l.evictIdle(); toClose != nil {
+		return toClose
 	}
-	if float64(len(l.conns)) <= (1+spare)*float64(l.most()) {
+	if float64(len(l.conns)) <= (1+busyExcess)*float64(l.maxConns()) {
 		return nil
 	}
-	l.counts.EndedNew++
-	return l.end(fresh)
+	l.counts.ClosedNew++
+	return l.markClosed(added)
 }
 
-// note follows the state of a connection, and returns one that is to be closed.
-func (l *Limit) note(c net.Conn, state http.ConnState) (ended *conn) {
+// setState updates the state of a connection and returns a connection to close, or nil.
+func (l *Limit) setState(c net.Conn, state http.ConnState) (toClose *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := l.conns[c]
-	if known == nil {
-		// It was ended.
+	tracked := l.conns[c]
+	if tracked == nil {
+		// The Limit has closed it.
 		return nil
 	}
-	if known.idle != nil {
-		l.idle.Remove(known.idle)
-		known.idle = nil
+	if tracked.idle != nil {
+		l.idle.Remove(tracked.idle)
+		tracked.idle = nil
 	}
 	switch state {
 	case http.StateIdle:
-		known.idle = l.idle.PushBack(known)
-		return l.makeRoom()
+		tracked.idle = l.idle.PushBack(tracked)
+		return l.evictIdle()
 	case http.StateClosed, http.StateHijacked:
 		delete(l.conns, c)
 	}
 	return nil
 }
 
-// makeRoom ends the connection that has been idle for longest if there are too many. The caller
-// holds the mutex.
-func (l *Limit) makeRoom() (ended *conn) {
+// evictIdle removes the connection that has been idle for longest if there are too many
+// connections, and returns it, or nil. The caller must hold the mutex.
+func (l *Limit) evictIdle() (toClose *conn) {
 	oldest := l.idle.Front()
-	if oldest == nil || len(l.conns) <= l.most() {
+	if oldest == nil || len(l.conns) <= l.maxConns() {
 		return nil
 	}
 	c := l.idle.Remove(oldest).(*conn)
 	c.idle = nil
-	l.counts.EndedIdle++
-	return l.end(c)
+	l.counts.ClosedIdle++
+	return l.markClosed(c)
 }
 
-// end forgets a connection. The caller holds the mutex.
-func (l *Limit) end(c *conn) *conn {
-	c.ended.Store(true)
+// markClosed marks a connection as closed, stops tracking it, and returns it for closing. The
+// caller must hold the mutex.
+func (l *Limit) markClosed(c *conn) *conn {
+	c.closed.Store(true)
 	delete(l.conns, c.Conn)
 	return c
 }
--- a/internal/edge/callers/callers_test.go
+++ b/internal/edge/callers/callers_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// fakeConn notes that it was closed.
+// fakeConn records whether it was closed.
 type fakeConn struct {
 	net.Conn
 	closed bool
@@ -22,83 +22,83 @@
 	return nil
 }
 
-func limitOf(n int) *Limit { return New(func() int { return n }) }
+func newLimit(n int) *Limit { return New(func() int { return n }) }
 
-// open takes n connections, each with a request.
-func open(l *Limit, n int) []*fakeConn {
+// openConns opens n connections with a request on each.
+func openConns(l *Limit, n int) []*fakeConn {
 	var out []*fakeConn
 	for range n {
 		c := &fakeConn{}
 		out = append(out, c)
-		l.context(context.Background(), c)
-		l.changed(c, http.StateNew)
-		l.changed(c, http.StateActive)
+		l.connContext(context.Background(), c)
+		l.connState(c, http.StateNew)
+		l.connState(c, http.StateActive)
 	}
 	return out
 }
 
-// Symptom: a router can open nothing to engines or to other routers, and refuses most requests for
-// as long as it runs. Sequence: in a surge callers come back on new connections and leave the old
-// ones open, until all descriptors are taken. Cause handled: for each connection beyond the bound
-// the one that has been idle for longest ends.
-func TestIdleConnectionsMakeRoom(t *testing.T) {
-	l := limitOf(10)
-	conns := open(l, 10)
+// Guards against a router that runs out of file descriptors and refuses most requests for as long
+// as it runs: in a surge, clients retry on new connections and leave the old ones open. Beyond the
+// limit, the connection that has been idle for longest is closed for each new one.
+func TestLongestIdleConnectionIsClosedForNewOne(t *testing.T) {
+	l := newLimit(10)
+	conns := openConns(l, 10)
 	for _, i := range []int{3, 1, 2} {
-		l.changed(conns[i], http.StateIdle)
+		l.connState(conns[i], http.StateIdle)
 	}
-	l.changed(conns[1], http.StateActive)
-	l.changed(conns[1], http.StateIdle)
-	conns = append(conns, open(l, 2)...)
+	l.connState(conns[1], http.StateActive)
+	l.connState(conns[1], http.StateIdle)
+	conns = append(conns, openConns(l, 2)...)
 	require.True(t, conns[3].closed, "idle for longest")
 	require.True(t, conns[2].closed)
 	require.False(t, conns[1].closed)
-	require.Equal(t, Counts{Open: 10, Idle: 1, EndedIdle: 2}, l.Counts())
-	l.changed(conns[3], http.StateClosed)
-	require.Equal(t, 10, l.Counts().Open, "counted out once")
+	require.Equal(t, Counts{Open: 10, Idle: 1, ClosedIdle: 2}, l.Counts())
+	l.connState(conns[3], http.StateClosed)
+	require.Equal(t, 10, l.Counts().Open, "removed from the count only once")
 }
 
-// Connections with requests are never cut. Where all are busy a new one is closed unread.
-func TestBusyConnectionsStay(t *testing.T) {
-	l := limitOf(10)
-	conns := open(l, 11)
+// Guards against closing connections with requests in progress: if all are busy, a new one is
+// closed before a request is read.
+func TestBusyConnectionsAreNeverClosed(t *testing.T) {
+	l := newLimit(10)
+	conns := openConns(l, 11)
 	for _, c := range conns {
 		require.False(t, c.closed)
 	}
-	refused := open(l, 1)[0]
+	refused := openConns(l, 1)[0]
 	require.True(t, refused.closed)
-	require.Equal(t, Counts{Open: 11, EndedNew: 1}, l.Counts())
-	l.changed(conns[0], http.StateIdle)
-	require.True(t, conns[0].closed, "no longer busy, and still one too many")
+	require.Equal(t, Counts{Open: 11, ClosedNew: 1}, l.Counts())
+	l.connState(conns[0], http.StateIdle)
+	require.True(t, conns[0].closed, "no longer busy, and still beyond the limit")
 	require.Equal(t, 10, l.Counts().Open)
 }
 
-// Symptom: a request runs whose answer can't arrive. Sequence: a connection ends to make room as a
-// request comes over it. Cause handled: such a request is not begun.
-func TestRequestOfAnEndedConnectionDoesNotRun(t *testing.T) {
-	l := limitOf(1)
+// Guards against executing a request whose response cannot be delivered, because its connection was
+// closed to make room while the request arrived.
+func TestRequestOnClosedConnectionIsNotServed(t *testing.T) {
+	l := newLimit(1)
 	ran := false
-	handler := l.unlessEnded(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { ran = true }))
+	handler := l.rejectClosed(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { ran = true }))
 	c := &fakeConn{}
-	ctx := l.context(context.Background(), c)
+	ctx := l.connContext(context.Background(), c)
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://router/", nil)
 	require.NoError(t, err)
 	handler.ServeHTTP(nil, r)
 	require.True(t, ran)
 	ran = false
-	l.changed(c, http.StateIdle)
-	open(l, 1)
+	l.connState(c, http.StateIdle)
+	openConns(l, 1)
 	require.True(t, c.closed)
 	require.PanicsWithValue(t, http.ErrAbortHandler, func() { handler.ServeHTTP(nil, r) })
 	require.False(t, ran)
 }
 
-// Random connections, requests and ends: never more than the bound and its spare, no busy one is
-// cut, and the books agree.
-func TestBooksAgree(t *testing.T) {
+// Guards against wrong counts, against exceeding the limit by more than busyExcess, and against
+// closing a busy connection, under random connections, requests and closes.
+func TestCountsMatchOpenConnections(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		most := rapid.IntRange(1, 20).Draw(t, "most")
-		l := limitOf(most)
+		maxConns := rapid.IntRange(1, 20).Draw(t, "most")
+		l := newLimit(maxConns)
 		busy, idle := map[*fakeConn]bool{}, map[*fakeConn]bool{}
 		pick := func(m map[*fakeConn]bool) (*fakeConn, bool) {
 			for c := range m {
@@ -108,7 +108,7 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"new": func(*rapid.T) {
-				if c := open(l, 1)[0]; !c.closed {
+				if c := openConns(l, 1)[0]; !c.closed {
 					busy[c] = true
 				}
 			},
@@ -116,20 +116,20 @@
 				if c, ok := pick(busy); ok {
 					delete(busy, c)
 					idle[c] = true
-					l.changed(c, http.StateIdle)
+					l.connState(c, http.StateIdle)
 				}
 			},
 			"request": func(*rapid.T) {
 				if c, ok := pick(idle); ok {
 					delete(idle, c)
 					busy[c] = true
-					l.changed(c, http.StateActive)
+					l.connState(c, http.StateActive)
 				}
 			},
 			"close": func(*rapid.T) {
 				if c, ok := pick(busy); ok {
 					delete(busy, c)
-					l.changed(c, http.StateClosed)
+					l.connState(c, http.StateClosed)
 				}
 			},
 			"": func(t *rapid.T) {
@@ -144,15 +144,16 @@
 				got := l.Counts()
 				require.Equal(t, len(busy)+len(idle), got.Open)
 				require.Equal(t, len(idle), got.Idle)
-				require.LessOrEqual(t, float64(got.Open), (1+spare)*float64(most))
+				require.LessOrEqual(t, float64(got.Open), (1+busyExcess)*float64(maxConns))
 			},
 		})
 	})
 }
 
-// A server with a bound serves any number of callers that leave their connections open.
-func TestServerWithManyIdleCallers(t *testing.T) {
-	l := limitOf(50)
+// Guards against refusing clients of a server with a limit because earlier clients left their
+// connections open.
+func TestServerServesMoreIdleClientsThanItsLimit(t *testing.T) {
+	l := newLimit(50)
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") })}
 	l.Attach(server)
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -170,5 +171,5 @@
 		require.NoError(t, resp.Body.Close())
 		require.LessOrEqual(t, l.Counts().Open, 55)
 	}
-	require.GreaterOrEqual(t, l.Counts().EndedIdle, uint64(45))
+	require.GreaterOrEqual(t, l.Counts().ClosedIdle, uint64(45))
 }
