--- a/internal/edge/catalog/engine.go
+++ b/internal/edge/catalog/engine.go
@@ -67,7 +67,7 @@
 	// Removed lists recent removals, oldest first, for routers that query the changes since a
 	// version.
 	Removed []Removal
-	// Floor is the version up to which Removed may be incomplete; Since returns the whole set for
+	// Floor is the version up to which Removed may be incomplete; Since returns the full set for
 	// older versions. A full update sets it to its own version, because it does not list removals
 	// of engines that this set never contained.
 	Floor uint64
