--- a/internal/edge/forward/admit_test.go
+++ b/internal/edge/forward/admit_test.go
@@ -15,7 +15,7 @@
 
 // arriving is an exchange at a router whose configuration was last confirmed at asOf,
 // and is confirmed again after some time; zero for never.
-func arriving(t *testing.T, asOf, confirmedAfter time.Duration, lost bool) *exchange {
+func exchangeWithConfigAge(t *testing.T, asOf, confirmedAfter time.Duration, storeLost bool) *exchange {
 	started := time.Now()
 	clock := func() time.Duration { return time.Minute + time.Since(started) }
 	config := catalog.NewConfig(catalog.Config{
@@ -33,7 +33,7 @@
 	f := &Forwarder{Options: Options{
 		Snapshot: snapshot, Clock: clock, KeyLease: func() time.Duration { return keyLease },
 		FreshFor:  func() time.Duration { return 2 * time.Second },
-		StoreLost: func() bool { return lost },
+		StoreLost: func() bool { return storeLost },
 	}}
 	r := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "http://h/missing/x", nil)
 	return &exchange{f: f, r: r, started: clock()}
@@ -42,22 +42,22 @@
 // Symptom: a router that wakes up refuses hundreds of requests. Sequence: it is
 // suspended for seconds; requests wait in its sockets; it looks at them before it has
 // asked its source. Cause handled: it waits until it has asked.
-func TestWakingRouterWaitsForItsSource(t *testing.T) {
+func TestAdmitWaitsForConfigConfirmationAfterSuspend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		x := arriving(t, time.Second, 60*time.Millisecond, false)
+		x := exchangeWithConfigAge(t, time.Second, 60*time.Millisecond, false)
 		require.Equal(t, http.StatusNotFound, x.admit().Status)
 		require.Less(t, x.f.Clock()-x.started, 70*time.Millisecond)
 	})
 }
 
 // The wait is short, and there is none where the store is known to be lost.
-func TestNoLongWaitForALostStore(t *testing.T) {
+func TestAdmitWaitIsBoundedAndSkippedWhenStoreIsLost(t *testing.T) {
 	for _, tc := range []struct {
 		lost bool
 		wait time.Duration
-	}{{false, catchUpWait}, {true, 0}} {
+	}{{false, configConfirmWait}, {true, 0}} {
 		synctest.Test(t, func(t *testing.T) {
-			x := arriving(t, time.Second, 0, tc.lost)
+			x := exchangeWithConfigAge(t, time.Second, 0, tc.lost)
 			refusal := x.admit()
 			require.Equal(t, http.StatusServiceUnavailable, refusal.Status)
 			require.Equal(t, ReasonStaleConfig, refusal.Reason)
@@ -69,19 +69,19 @@
 // Symptom: after a loss of power routers refuse for seconds what they could serve. Sequence: all
 // start at once; requests arrive before a router knows the configuration, or any engine. Cause
 // handled: they wait for its first knowledge, a part of their time at most.
-func TestRouterThatStartsWaitsForItsFirstKnowledge(t *testing.T) {
+func TestAdmitWaitsForFirstConfigAndEnginesAfterStart(t *testing.T) {
 	for _, tc := range []struct {
-		name                   string
-		config, engines        time.Duration
-		timeout, served, wants time.Duration
+		name                                 string
+		config, engines                      time.Duration
+		timeout, admittedAfter, refusedAfter time.Duration
 	}{
 		{"engines come last", 100 * time.Millisecond, 300 * time.Millisecond, 0, 300 * time.Millisecond, 0},
 		{"configuration comes last", 300 * time.Millisecond, 0, 6 * time.Second, 300 * time.Millisecond, 0},
-		{"nothing comes", time.Hour, time.Hour, 6 * time.Second, 0, firstWait},
+		{"nothing comes", time.Hour, time.Hour, 6 * time.Second, 0, startupWait},
 		{"a caller with little time", time.Hour, time.Hour, 600 * time.Millisecond, 0, 200 * time.Millisecond},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			x := arriving(t, time.Second, 0, true)
+			x := exchangeWithConfigAge(t, time.Second, 0, true)
 			x.req.Timeout = tc.timeout
 			x.r = httptest.NewRequestWithContext(t.Context(), http.MethodGet, "http://h/a/x", nil)
 			known := x.f.Snapshot
@@ -97,13 +97,13 @@
 			}
 			refusal := x.admit()
 			took := x.f.Clock() - x.started
-			if tc.served > 0 {
+			if tc.admittedAfter > 0 {
 				require.Nil(t, refusal, tc.name)
-				require.InDelta(t, tc.served, took, float64(catchUpPoll), tc.name)
+				require.InDelta(t, tc.admittedAfter, took, float64(snapshotPollInterval), tc.name)
 				return
 			}
 			require.Equal(t, ReasonNoConfig, refusal.Reason, tc.name)
-			require.InDelta(t, tc.wants, took, float64(catchUpPoll), tc.name)
+			require.InDelta(t, tc.refusedAfter, took, float64(snapshotPollInterval), tc.name)
 		})
 	}
 }
--- a/internal/edge/forward/budget.go
+++ b/internal/edge/forward/budget.go
@@ -24,7 +24,7 @@
 
 // fewestRouters is how many routers are taken to share the slack at least: one
 // that knows fewer has most likely not heard of the others yet.
-const fewestRouters = 6
+const minRouters = 6
 
 // Budgets holds a router's part of the fleet's retry budget, one for each
 // service. Each router takes the ratio of its own requests and an equal part of
@@ -34,49 +34,49 @@
 	limits  func() BudgetLimits
 	routers func() int
 
-	mu       sync.Mutex
-	services map[string]*retry.Budget
+	mu        sync.Mutex
+	byService map[string]*retry.Budget
 }
 
 // NewBudgets returns full budgets. Limits are those in force, routers is how many routers share
 // them.
 func NewBudgets(limits func() BudgetLimits, routers func() int) *Budgets {
-	return &Budgets{limits: limits, routers: routers, services: make(map[string]*retry.Budget)}
+	return &Budgets{limits: limits, routers: routers, byService: make(map[string]*retry.Budget)}
 }
 
 // Fresh counts the first send of a request.
-func (b *Budgets) Fresh(service string, now time.Duration) {
+func (b *Budgets) RecordRequest(service string, now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(service, now).Fresh(at(now))
+	b.budget(service, now).Fresh(bootTime(now))
 }
 
 // Spend takes one more send out of the budget and says whether there was one.
 func (b *Budgets) Spend(service string, now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(service, now).Spend(at(now))
+	return b.budget(service, now).Spend(bootTime(now))
 }
 
 // of returns the service's budget, sized for the routers that share it now. A
 // router that has just started knows no other yet; were its part fixed then, it
 // would take the whole slack for itself.
-func (b *Budgets) of(service string, now time.Duration) *retry.Budget {
-	budget := b.services[service]
+func (b *Budgets) budget(service string, now time.Duration) *retry.Budget {
+	budget := b.byService[service]
 	if budget == nil {
-		budget = retry.NewBudget(at(now), b.share())
-		b.services[service] = budget
+		budget = retry.NewBudget(bootTime(now), b.config())
+		b.byService[service] = budget
 		return budget
 	}
-	budget.Configure(at(now), b.share())
+	budget.Configure(bootTime(now), b.config())
 	return budget
 }
 
 // share is this router's part: half of its slack can be saved up, and the other
 // half comes evenly over a window, so that both together stay within it.
-func (b *Budgets) share() retry.BudgetConfig {
+func (b *Budgets) config() retry.BudgetConfig {
 	limits := b.limits()
-	slack := budgetMargin * limits.Slack / float64(max(b.routers(), fewestRouters))
+	slack := budgetMargin * limits.Slack / float64(max(b.routers(), minRouters))
 	return retry.BudgetConfig{
 		Ratio:        budgetMargin * limits.Ratio,
 		MinPerSecond: slack / 2 / limits.Window.Seconds(),
@@ -86,4 +86,4 @@
 
 // at turns a reading of the boot clock into a time for package retry, which
 // only looks at differences.
-func at(now time.Duration) time.Time { return time.Unix(0, int64(now)) }
+func bootTime(now time.Duration) time.Time { return time.Unix(0, int64(now)) }
--- a/internal/edge/forward/cold_test.go
+++ b/internal/edge/forward/cold_test.go
@@ -30,22 +30,22 @@
 	return s
 }
 
-func evacuation(s *catalog.Snapshot, site string, active bool, revision uint64) *catalog.Snapshot {
+func withEvacuation(s *catalog.Snapshot, site string, active bool, revision uint64) *catalog.Snapshot {
 	s, _ = s.WithEvacuations(catalog.EvacuationUpdate{Changes: []catalog.Evacuation{{Site: site, Active: active, Revision: revision}}})
 	return s
 }
 
 // arrivals sends n requests, one each gap, and counts those that each engine gets.
-func (c *crowd) arrivals(n int, gap time.Duration) map[string]int {
+func (c *testRouter) sendRequests(n int, gap time.Duration) map[string]int {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	got := make(map[string]int)
 	for i := range n {
 		all.Go(func() {
-			x := c.arriving(context.Background())
+			x := c.newExchange(context.Background())
 			x.req.ID = fmt.Sprint("q", i)
 			x.req.Prompt[0].ID = fmt.Sprint("dossier-", i)
-			choice, refusal := x.place(notRun(ReasonNoEngine, retryLater))
+			choice, refusal := x.chooseFirst(notExecuted(ReasonNoEngine, retryLater))
 			if refusal != nil {
 				return
 			}
@@ -62,69 +62,69 @@
 
 // Guards against a herd at engines that have just started: they get what they bear, and the others
 // take the rest at once.
-func TestColdEnginesGetFewRequests(t *testing.T) {
-	inCrowd(t, 4, func(c *crowd) {
-		c.s = coldSnapshot(4, 2, 5)
+func TestColdEnginesAreRateLimited(t *testing.T) {
+	withTestRouter(t, 4, func(c *testRouter) {
+		c.snapshot = coldSnapshot(4, 2, 5)
 		c.f.Engines.SetColdLimits(func() ColdLimits { return ColdLimits{Over: 1.5, Slack: 5} })
-		got := c.arrivals(500, 2*time.Millisecond)
+		got := c.sendRequests(500, 2*time.Millisecond)
 		require.Equal(t, 500, got["e0"]+got["e1"]+got["e2"]+got["e3"], "nothing is refused")
 		for _, cold := range []string{"e0", "e1"} {
 			require.LessOrEqual(t, got[cold], 21)
 			require.Positive(t, got[cold])
 		}
 		time.Sleep(3 * time.Second)
-		got = c.arrivals(500, 2*time.Millisecond)
+		got = c.sendRequests(500, 2*time.Millisecond)
 		require.Greater(t, got["e0"], 50, "it is warm now")
 	})
 }
 
 // Guards against requests lost where only cold engines are left: those that can be served in time
 // are, and the others are refused at once.
-func TestOnlyColdEnginesAreLeft(t *testing.T) {
-	inCrowd(t, 2, func(c *crowd) {
-		c.s = coldSnapshot(2, 2, 5)
+func TestRequestsAreServedWhenAllEnginesAreCold(t *testing.T) {
+	withTestRouter(t, 2, func(c *testRouter) {
+		c.snapshot = coldSnapshot(2, 2, 5)
 		c.f.Engines.SetColdLimits(func() ColdLimits { return ColdLimits{Over: 1.5, Slack: 5} })
-		got := c.arrivals(50, 80*time.Millisecond)
+		got := c.sendRequests(50, 80*time.Millisecond)
 		require.Equal(t, 50, got["e0"]+got["e1"])
 	})
 }
 
 // Guards against requests to the engines of an evacuated site, and against a herd at them when the
 // evacuation ends: they may have been emptied, and tell so only later.
-func TestEvacuatedSiteGetsNothingAndComesBackCold(t *testing.T) {
-	inCrowd(t, 4, func(c *crowd) {
-		c.s = coldSnapshot(4, 0, 5)
-		require.Len(t, c.arrivals(100, time.Millisecond), 4)
-		c.s = evacuation(c.s, "x", true, 6)
-		got := c.arrivals(100, time.Millisecond)
+func TestEvacuatedSiteGetsNoRequestsAndReturnsCold(t *testing.T) {
+	withTestRouter(t, 4, func(c *testRouter) {
+		c.snapshot = coldSnapshot(4, 0, 5)
+		require.Len(t, c.sendRequests(100, time.Millisecond), 4)
+		c.snapshot = withEvacuation(c.snapshot, "x", true, 6)
+		got := c.sendRequests(100, time.Millisecond)
 		require.Zero(t, got["e0"]+got["e2"])
 		require.Equal(t, 100, got["e1"]+got["e3"])
-		c.s = evacuation(c.s, "x", false, 7)
-		got = c.arrivals(400, 2*time.Millisecond)
+		c.snapshot = withEvacuation(c.snapshot, "x", false, 7)
+		got = c.sendRequests(400, 2*time.Millisecond)
 		require.LessOrEqual(t, max(got["e0"], got["e2"]), 21)
 		require.Positive(t, got["e0"])
 	})
 }
 
 // Guards against an evacuation that came and went between two requests.
-func TestEvacuationThatNobodySawLeavesEnginesCold(t *testing.T) {
-	inCrowd(t, 2, func(c *crowd) {
-		c.s = coldSnapshot(2, 0, 5)
-		c.arrivals(1, 0)
-		c.s = evacuation(c.s, "x", false, 8)
-		got := c.arrivals(200, time.Millisecond)
+func TestMissedEvacuationMarksEnginesCold(t *testing.T) {
+	withTestRouter(t, 2, func(c *testRouter) {
+		c.snapshot = coldSnapshot(2, 0, 5)
+		c.sendRequests(1, 0)
+		c.snapshot = withEvacuation(c.snapshot, "x", false, 8)
+		got := c.sendRequests(200, time.Millisecond)
 		require.LessOrEqual(t, got["e0"], 21)
 	})
 }
 
 // Guards against a request that is sent to an evacuated site after it has waited for a place there.
-func TestWaitingRequestLeavesAnEvacuatedSite(t *testing.T) {
-	inCrowd(t, 2, func(c *crowd) {
-		c.s = coldSnapshot(2, 0, 5)
-		c.taken(70)
+func TestWaitingRequestIsNotSentToEvacuatedSite(t *testing.T) {
+	withTestRouter(t, 2, func(c *testRouter) {
+		c.snapshot = coldSnapshot(2, 0, 5)
+		c.setOtherLoads(70)
 		done := make(chan Choice, 1)
 		go func() {
-			choice, refusal := c.arriving(context.Background()).place(notRun(ReasonNoEngine, retryLater))
+			choice, refusal := c.newExchange(context.Background()).chooseFirst(notExecuted(ReasonNoEngine, retryLater))
 			if refusal == nil {
 				c.f.Engines.Done(choice)
 			}
@@ -132,20 +132,20 @@
 		}()
 		time.Sleep(20 * time.Millisecond)
 		require.Equal(t, 1, c.owner.Load().Waiting)
-		c.s = evacuation(c.s, "x", true, 6)
-		c.s = evacuation(c.s, "y", true, 7)
-		c.taken(0)
+		c.snapshot = withEvacuation(c.snapshot, "x", true, 6)
+		c.snapshot = withEvacuation(c.snapshot, "y", true, 7)
+		c.setOtherLoads(0)
 		require.Empty(t, (<-done).Engine.ID)
 	})
 }
 
 // Guards against a service that has engines in an evacuated site only: the refusal is at once and
 // true, since nothing may be sent there.
-func TestOnlySiteOfAServiceIsEvacuated(t *testing.T) {
-	inCrowd(t, 2, func(c *crowd) {
-		c.s = evacuation(evacuation(coldSnapshot(2, 0, 5), "x", true, 6), "y", true, 7)
+func TestImmediateRefusalWhenAllSitesAreEvacuated(t *testing.T) {
+	withTestRouter(t, 2, func(c *testRouter) {
+		c.snapshot = withEvacuation(withEvacuation(coldSnapshot(2, 0, 5), "x", true, 6), "y", true, 7)
 		started := c.f.Clock()
-		_, refusal := c.arriving(context.Background()).place(notRun(ReasonNoEngine, retryLater))
+		_, refusal := c.newExchange(context.Background()).chooseFirst(notExecuted(ReasonNoEngine, retryLater))
 		require.Equal(t, ReasonNoEngine, refusal.Reason)
 		require.Zero(t, c.f.Clock()-started)
 	})
--- a/internal/edge/forward/engines.go
+++ b/internal/edge/forward/engines.go
@@ -19,31 +19,31 @@
 type Engines struct {
 	site string
 	// others returns the other routers' loads by engine ID.
-	others func() map[string]feed.EngineLoad
-	clock  func() time.Duration
-	rng    *rand.Rand
+	otherLoads func() map[string]feed.EngineLoad
+	clock      func() time.Duration
+	rng        *rand.Rand
 	// release gives a place back.
 	release func(*flow.Permit)
 
-	mu  sync.Mutex
-	own map[string]*ownLoad
+	mu       sync.Mutex
+	ownLoads map[string]*ownLoad
 	// ejected holds the engines that get no requests, by ID, for the log.
 	ejected map[string]bool
 	// holders is which engines hold which parts of prompts, as far as this router
 	// has sent them.
-	holders holders
+	promptCaches promptCaches
 	// seen is each engine as it was last among the engines, and since when this router
 	// knows any.
-	seen  map[string]sighting
-	since time.Duration
+	states     map[string]engineState
+	knownSince time.Duration
 	// restarted is told of engines that have started again.
-	restarted func(engine string)
+	onRestart func(engine string)
 	// coldLimits bound the requests to cold engines.
 	coldLimits func() ColdLimits
 	// crowdedUntil is until when requests of a service ask for places, and holds how
 	// long they have them in the mean.
-	crowdedUntil map[string]time.Duration
-	holds        map[string]time.Duration
+	congestedUntil map[string]time.Duration
+	meanHolds      map[string]time.Duration
 }
 
 // ownLoad is what this router knows of one engine by its own requests.
@@ -57,12 +57,12 @@
 // NewEngines returns an Engines for a router in a site.
 func NewEngines(site string, others func() map[string]feed.EngineLoad, clock func() time.Duration, rng *rand.Rand) *Engines {
 	return &Engines{
-		site: site, others: others, clock: clock, rng: rng, holders: newHolders(),
-		own:          make(map[string]*ownLoad),
-		seen:         make(map[string]sighting),
-		ejected:      make(map[string]bool),
-		coldLimits:   func() ColdLimits { return ColdLimits{} },
-		crowdedUntil: make(map[string]time.Duration), holds: make(map[string]time.Duration),
+		site: site, otherLoads: others, clock: clock, rng: rng, promptCaches: newPromptCaches(),
+		ownLoads:       make(map[string]*ownLoad),
+		states:         make(map[string]engineState),
+		ejected:        make(map[string]bool),
+		coldLimits:     func() ColdLimits { return ColdLimits{} },
+		congestedUntil: make(map[string]time.Duration), meanHolds: make(map[string]time.Duration),
 	}
 }
 
@@ -70,26 +70,26 @@
 func (p *Engines) ReleaseBy(release func(*flow.Permit)) { p.release = release }
 
 // OnRestart says who is told of engines that have started again. It must not block.
-func (p *Engines) OnRestart(restarted func(engine string)) { p.restarted = restarted }
+func (p *Engines) OnRestart(restarted func(engine string)) { p.onRestart = restarted }
 
 // Own returns what this router knows of the engines.
 func (p *Engines) Own() map[string]feed.EngineLoad {
 	now := p.clock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make(map[string]feed.EngineLoad, len(p.own))
-	for id, l := range p.own {
+	out := make(map[string]feed.EngineLoad, len(p.ownLoads))
+	for id, l := range p.ownLoads {
 		out[id] = feed.EngineLoad{InFlight: l.inFlight, Leased: l.leased, Evidence: l.record.At(now)}
 	}
 	return out
 }
 
 // of returns the engine's load. The caller holds the mutex.
-func (p *Engines) of(engine string) *ownLoad {
-	l := p.own[engine]
+func (p *Engines) load(engine string) *ownLoad {
+	l := p.ownLoads[engine]
 	if l == nil {
 		l = &ownLoad{}
-		p.own[engine] = l
+		p.ownLoads[engine] = l
 	}
 	return l
 }
@@ -105,21 +105,21 @@
 	// permit is the place that was granted; nil if none was asked for.
 	permit *flow.Permit
 	// taken is the boot time since which the request counts.
-	taken time.Duration
+	startedAt time.Duration
 }
 
 // Pick chooses an engine of the service and counts a request to it until Done.
 // shared are the parts of the prompt that other requests may have too, in order.
 // Engines in avoid are passed over, and cold ones, which need a grant. It returns false if there is
 // none.
-func (p *Engines) Pick(s *catalog.Snapshot, service string, shared []string, avoid map[string]bool) (Choice, bool) {
+func (p *Engines) Pick(s *catalog.Snapshot, service string, shared []string, excluded map[string]bool) (Choice, bool) {
 	now := p.clock()
-	others := p.others()
+	others := p.otherLoads()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	engines, candidates := p.candidates(s, service, avoid, others, now)
+	engines, candidates := p.candidates(s, service, excluded, others, now)
 	candidates = choose.WithoutCold(candidates)
-	return p.settle(engines, candidates, p.placement(candidates, shared), shared, now)
+	return p.commit(engines, candidates, p.placement(candidates, shared), shared, now)
 }
 
 // placement chooses among candidates. The caller holds the mutex.
@@ -131,57 +131,57 @@
 }
 
 // settle takes a placement. The caller holds the mutex.
-func (p *Engines) settle(engines []catalog.Engine, candidates []choose.Engine, at choose.Placement, shared []string, now time.Duration) (Choice, bool) {
-	choice, ok := p.take(engines, at.Engine, now)
+func (p *Engines) commit(engines []catalog.Engine, candidates []choose.Engine, placement choose.Placement, shared []string, now time.Duration) (Choice, bool) {
+	choice, ok := p.start(engines, placement.Engine, now)
 	if !ok || len(shared) == 0 {
 		return choice, ok
 	}
-	choice.FetchFrom = p.fetchFrom(engines, candidates, at, shared, now)
-	p.holders.note(choice.Engine.ID, shared, now)
+	choice.FetchFrom = p.fetchSource(engines, candidates, placement, shared, now)
+	p.promptCaches.add(choice.Engine.ID, shared, now)
 	return choice, true
 }
 
 // take counts a request to an engine.
-func (p *Engines) take(engines []catalog.Engine, i int, now time.Duration) (Choice, bool) {
+func (p *Engines) start(engines []catalog.Engine, i int, now time.Duration) (Choice, bool) {
 	if i == choose.None {
 		return Choice{}, false
 	}
-	p.of(engines[i].ID).inFlight++
-	return Choice{Engine: engines[i], taken: now}, true
+	p.load(engines[i].ID).inFlight++
+	return Choice{Engine: engines[i], startedAt: now}, true
 }
 
 // fetchFrom returns the address of the engine that holds most of the prompt, or
 // nothing if the chosen engine has it: asking costs a few milliseconds. What this
 // router has sent goes before what the order of the engines says, and that before
 // shorter parts.
-func (p *Engines) fetchFrom(engines []catalog.Engine, candidates []choose.Engine, at choose.Placement, shared []string, now time.Duration) string {
-	chosen := engines[at.Engine].ID
+func (p *Engines) fetchSource(engines []catalog.Engine, candidates []choose.Engine, placement choose.Placement, shared []string, now time.Duration) string {
+	chosen := engines[placement.Engine].ID
 	longest := len(shared) - 1
-	if p.holders.has(chosen, shared[longest], now) {
+	if p.promptCaches.contains(chosen, shared[longest], now) {
 		return ""
 	}
-	if address, ok := p.addressOf(engines, candidates, chosen, shared[longest], now); ok {
+	if address, ok := p.sourceAddress(engines, candidates, chosen, shared[longest], now); ok {
 		return address
 	}
-	if at.Holder != choose.None && at.Moved {
-		return engines[at.Holder].Address
+	if placement.Holder != choose.None && placement.Moved {
+		return engines[placement.Holder].Address
 	}
-	for i := longest - 1; i >= 0 && !p.holders.has(chosen, shared[i], now); i-- {
-		if address, ok := p.addressOf(engines, candidates, chosen, shared[i], now); ok {
+	for i := longest - 1; i >= 0 && !p.promptCaches.contains(chosen, shared[i], now); i-- {
+		if address, ok := p.sourceAddress(engines, candidates, chosen, shared[i], now); ok {
 			return address
 		}
 	}
-	if at.Holder == choose.None {
+	if placement.Holder == choose.None {
 		return ""
 	}
-	return engines[at.Holder].Address
+	return engines[placement.Holder].Address
 }
 
 // addressOf returns the address of the engine, other than the chosen one, that this
 // router last sent the part to, unless it is ejected: a request would wait for an
 // engine that gives nothing.
-func (p *Engines) addressOf(engines []catalog.Engine, candidates []choose.Engine, chosen, part string, now time.Duration) (string, bool) {
-	holder, ok := p.holders.other(chosen, part, now)
+func (p *Engines) sourceAddress(engines []catalog.Engine, candidates []choose.Engine, chosen, part string, now time.Duration) (string, bool) {
+	holder, ok := p.promptCaches.otherEngine(chosen, part, now)
 	if !ok {
 		return "", false
 	}
@@ -193,22 +193,22 @@
 	return "", false
 }
 
-func (p *Engines) candidates(s *catalog.Snapshot, service string, avoid map[string]bool, others map[string]feed.EngineLoad, now time.Duration) ([]catalog.Engine, []choose.Engine) {
+func (p *Engines) candidates(s *catalog.Snapshot, service string, excluded map[string]bool, others map[string]feed.EngineLoad, now time.Duration) ([]catalog.Engine, []choose.Engine) {
 	var engines []catalog.Engine
 	var out []choose.Engine
 	var evidence []health.Evidence
 	config := s.Config.Service(service)
 	for _, e := range s.Engines.Of(service) {
-		if avoid[e.ID] {
+		if excluded[e.ID] {
 			continue
 		}
-		p.sight(s, e, now)
+		p.observe(s, e, now)
 		slots := e.Slots
 		if slots == 0 && config != nil {
 			slots = config.Slots
 		}
 		load := others[e.ID]
-		if own := p.own[e.ID]; own != nil {
+		if own := p.ownLoads[e.ID]; own != nil {
 			load.InFlight += own.inFlight
 			load.Evidence = load.Evidence.Add(own.record.At(now))
 		}
@@ -216,9 +216,9 @@
 		evidence = append(evidence, load.Evidence)
 		out = append(out, choose.Engine{
 			ID: e.ID, Key: rendezvous.ID(e.ID), InFlight: load.InFlight, Slots: slots,
-			Near: e.Site == p.site, Leaving: !s.TakesRequests(e), Fresh: p.fresh(e.ID, now),
-			Came: p.seen[e.ID].first,
-			Cold: p.coldLeft(config, e.ID, now) > 0,
+			Near: e.Site == p.site, Leaving: !s.TakesRequests(e), Fresh: p.recentlyStarted(e.ID, now),
+			Came: p.states[e.ID].firstSeen,
+			Cold: p.coldRemaining(config, e.ID, now) > 0,
 		})
 	}
 	for i, share := range health.Shares(evidence) {
@@ -229,47 +229,47 @@
 
 // sight notes an engine that is there. One that has started again under its ID holds
 // nothing, and how its requests ended before says nothing of it. The caller holds the mutex.
-func (p *Engines) sight(s *catalog.Snapshot, e catalog.Engine, now time.Duration) {
-	if len(p.seen) == 0 {
-		p.since = now
+func (p *Engines) observe(s *catalog.Snapshot, e catalog.Engine, now time.Duration) {
+	if len(p.states) == 0 {
+		p.knownSince = now
 	}
-	last, known := p.seen[e.ID]
-	again := known && e.RestartOf(last.engine)
-	next := last
-	next.engine = e
-	if !known || again {
-		next.first = now
+	previous, known := p.states[e.ID]
+	restarted := known && e.RestartOf(previous.engine)
+	current := previous
+	current.engine = e
+	if !known || restarted {
+		current.firstSeen = now
 	}
-	news := !known || e.Revision > last.engine.Revision
-	emptied := next.chill(s, coldStartOf(s, e.Service), now, known, news)
-	p.seen[e.ID] = next
+	entryChanged := !known || e.Revision > previous.engine.Revision
+	emptied := current.updateCold(s, coldStartDuration(s, e.Service), now, known, entryChanged)
+	p.states[e.ID] = current
 	if emptied {
-		p.holders.forget(e.ID, now)
+		p.promptCaches.markEmpty(e.ID, now)
 	}
-	if !again {
+	if !restarted {
 		return
 	}
-	p.of(e.ID).record = health.Record{}
-	p.holders.forget(e.ID, now)
-	if p.restarted != nil {
-		p.restarted(e.ID)
+	p.load(e.ID).record = health.Record{}
+	p.promptCaches.markEmpty(e.ID, now)
+	if p.onRestart != nil {
+		p.onRestart(e.ID)
 	}
 }
 
 // fresh says whether an engine came a short time ago, and not before this router
 // did. The caller holds the mutex.
-func (p *Engines) fresh(engine string, now time.Duration) bool {
-	first := p.seen[engine].first
-	return first > p.since+settleTime && now-first <= heldFor
+func (p *Engines) recentlyStarted(engine string, now time.Duration) bool {
+	firstSeen := p.states[engine].firstSeen
+	return firstSeen > p.knownSince+startupSettleTime && now-firstSeen <= promptCacheTTL
 }
 
 // HasRoom says whether an engine of the service, other than those in avoid, takes
 // requests and has a free place.
-func (p *Engines) HasRoom(s *catalog.Snapshot, service string, avoid map[string]bool) bool {
-	others := p.others()
+func (p *Engines) HasFreeSlot(s *catalog.Snapshot, service string, excluded map[string]bool) bool {
+	others := p.otherLoads()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_, candidates := p.candidates(s, service, avoid, others, p.clock())
+	_, candidates := p.candidates(s, service, excluded, others, p.clock())
 	return slices.ContainsFunc(candidates, choose.Engine.HasRoom)
 }
 
@@ -281,20 +281,20 @@
 	now := p.clock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	load := p.of(choice.Engine.ID)
+	load := p.load(choice.Engine.ID)
 	load.inFlight--
 	if choice.permit != nil {
 		load.leased--
 	}
-	p.noteHold(choice.Engine.Service, now-choice.taken)
+	p.recordHold(choice.Engine.Service, now-choice.startedAt)
 }
 
 // Known is what this router and the others' reports say of an engine's load.
 func (p *Engines) Known(engine string) flow.Known {
-	load := p.others()[engine]
+	load := p.otherLoads()[engine]
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if own := p.own[engine]; own != nil {
+	if own := p.ownLoads[engine]; own != nil {
 		load.InFlight += own.inFlight
 		load.Leased += own.leased
 	}
@@ -302,15 +302,15 @@
 }
 
 // Note adds how a request at an engine ended.
-func (p *Engines) Note(engine string, good bool) {
+func (p *Engines) RecordOutcome(engine string, good bool) {
 	now := p.clock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.of(engine).record.Note(good, now)
+	p.load(engine).record.Note(good, now)
 }
 
 // Verdict is a change of the judgement on an engine.
-type Verdict struct {
+type EjectionChange struct {
 	Engine, Service string
 	// Ejected engines get no requests.
 	Ejected  bool
@@ -319,35 +319,35 @@
 
 // Review forgets the engines that have left, and returns whose judgement has
 // changed since the last call.
-func (p *Engines) Review(s *catalog.Snapshot) []Verdict {
-	others := p.others()
+func (p *Engines) Review(s *catalog.Snapshot) []EjectionChange {
+	others := p.otherLoads()
 	now := p.clock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, l := range p.own {
+	for id, l := range p.ownLoads {
 		if _, present := s.Engines.ByID[id]; !present && l.inFlight == 0 {
-			delete(p.own, id)
+			delete(p.ownLoads, id)
 			delete(p.ejected, id)
 		}
 	}
-	for id := range p.seen {
+	for id := range p.states {
 		if _, ok := s.Engines.ByID[id]; !ok {
-			delete(p.seen, id)
-			p.holders.gone(id)
+			delete(p.states, id)
+			p.promptCaches.remove(id)
 		}
 	}
 	if s.Config == nil {
 		return nil
 	}
-	var out []Verdict
+	var out []EjectionChange
 	for i := range s.Config.Services {
 		service := s.Config.Services[i].Name
 		_, candidates := p.candidates(s, service, nil, others, now)
 		for _, c := range candidates {
 			if ejected := c.Share == 0; ejected != p.ejected[c.ID] {
 				p.ejected[c.ID] = ejected
-				evidence := others[c.ID].Evidence.Add(p.of(c.ID).record.At(now))
-				out = append(out, Verdict{Engine: c.ID, Service: service, Ejected: ejected, Evidence: evidence})
+				evidence := others[c.ID].Evidence.Add(p.load(c.ID).record.At(now))
+				out = append(out, EjectionChange{Engine: c.ID, Service: service, Ejected: ejected, Evidence: evidence})
 			}
 		}
 	}
--- a/internal/edge/forward/forward_test.go
+++ b/internal/edge/forward/forward_test.go
@@ -14,8 +14,8 @@
 // Symptom: a stream is cut at the end of a planned stop. Sequence: it was taken
 // seconds after the router was told to stop, and lasts longer than is left. Cause
 // handled: late requests are taken only if their time limit fits.
-func TestLeavingRouterTakesWhatCanEnd(t *testing.T) {
-	l := &leaving{since: 100 * time.Second, stop: 7 * time.Second}
+func TestDrainingRouterAcceptsOnlyRequestsThatCanFinish(t *testing.T) {
+	l := &drainState{startedAt: 100 * time.Second, timeout: 7 * time.Second}
 	for _, tc := range []struct {
 		after, limit time.Duration
 		want         bool
@@ -26,13 +26,13 @@
 		{3 * time.Second, time.Second, true},
 		{6500 * time.Millisecond, time.Second, false},
 	} {
-		require.Equal(t, tc.want, l.accepts(l.since+tc.after, tc.limit), "%v %v", tc.after, tc.limit)
+		require.Equal(t, tc.want, l.accepts(l.startedAt+tc.after, tc.limit), "%v %v", tc.after, tc.limit)
 	}
 }
 
 // However a stream is cut into reads, only whole events come out, in order, and
 // the id of the last one is known.
-func TestEventsComeOutWhole(t *testing.T) {
+func TestEventSplitterEmitsOnlyCompleteEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 6).Draw(t, "events")
 		var text strings.Builder
@@ -42,7 +42,7 @@
 		whole := text.String()
 		rest := rapid.SampledFrom([]string{"", "id: 9\nda", "data: x\n"}).Draw(t, "rest")
 		input := whole + rest
-		v := &events{}
+		v := &eventSplitter{}
 		var out strings.Builder
 		for input != "" {
 			k := rapid.IntRange(1, len(input)).Draw(t, "cut")
@@ -61,7 +61,7 @@
 // Sequence: traffic is split over the routers in any way, and all repeat whenever
 // they may, also right after a start at which they know no other router. Cause
 // handled: each router's part is sized for all of them.
-func TestBudgetOfAllRoutersHoldsForAnySplit(t *testing.T) {
+func TestFleetRetryBudgetHoldsForAnyTrafficSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(6, 90).Draw(t, "routers")
 		limits := BudgetLimits{Ratio: 0.2, Slack: rapid.Float64Range(58, 216).Draw(t, "slack"), Window: 10 * time.Second}
@@ -69,14 +69,14 @@
 		budgets := make([]*Budgets, n)
 		for i := range budgets {
 			budgets[i] = NewBudgets(func() BudgetLimits { return limits }, func() int { return known })
-			budgets[i].Fresh("s", 0)
+			budgets[i].RecordRequest("s", 0)
 		}
 		known = n
 		requests, repeats := n, 0
 		for ms := time.Duration(0); ms < 10000; ms += 50 {
 			for _, b := range budgets {
 				for range rapid.IntRange(0, 1).Draw(t, "fresh") {
-					b.Fresh("s", ms*time.Millisecond)
+					b.RecordRequest("s", ms*time.Millisecond)
 					requests++
 				}
 				for b.Spend("s", ms*time.Millisecond) {
@@ -88,7 +88,7 @@
 	})
 }
 
-func TestSharedPartsAreAllButTheRequestsOwn(t *testing.T) {
+func TestSharedPartsExcludeLastPart(t *testing.T) {
 	require.Equal(t, []string{"a", "b"}, (&Request{Prompt: []Part{{"a", 1}, {"b", 2}, {"own", 3}}}).SharedParts())
 	require.Equal(t, []string{"a"}, (&Request{Prompt: []Part{{"a", 1}}}).SharedParts())
 	require.Empty(t, (&Request{}).SharedParts())
@@ -96,15 +96,15 @@
 
 // A route's traffic is split by weight, prompts that share a part stay together,
 // and a service with weight zero gets nothing.
-func TestSplitOverServices(t *testing.T) {
+func TestTrafficSplitFollowsServiceWeights(t *testing.T) {
 	x := &exchange{route: &catalog.Route{Backends: []catalog.Backend{
 		{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0},
 	}}}
 	counts := map[string]int{}
 	for i := range 10000 {
 		shared := []string{fmt.Sprint(i)}
-		services := x.services(shared)
-		require.Equal(t, services, x.services(shared))
+		services := x.serviceOrder(shared)
+		require.Equal(t, services, x.serviceOrder(shared))
 		require.NotContains(t, services, "c")
 		require.Len(t, services, 2)
 		counts[services[0]]++
--- a/internal/edge/forward/forwarder.go
+++ b/internal/edge/forward/forwarder.go
@@ -61,15 +61,15 @@
 type Forwarder struct {
 	Options
 	// leaving is nil until the router is told to stop.
-	leaving  atomic.Pointer[leaving]
+	draining atomic.Pointer[drainState]
 	inFlight atomic.Int64
 	// servedLines bounds the log of requests that were simply served.
-	servedLines *rate.Limiter
-	stats       *Stats
-	paces       *paces
-	overloads   overloads
-	throttles   throttles
-	limits      limits
+	servedLogLimiter *rate.Limiter
+	stats            *Stats
+	answerTimes      *answerTimes
+	overloads        overloads
+	throttles        throttles
+	callerTimeouts   callerTimeouts
 }
 
 // New returns a Forwarder.
@@ -78,10 +78,10 @@
 		o.Settings = func() string { return "" }
 	}
 	return &Forwarder{
-		Options: o, stats: newStats(), paces: newPaces(), servedLines: rate.NewLimiter(servedPerSecond, servedPerSecond),
-		overloads: overloads{random: rand.Float64, services: make(map[string]*gate.Overload)},
-		throttles: throttles{random: rand.Float64, of: make(map[throttleKey]*gate.Throttle)},
-		limits:    limits{routes: make(map[string]*gate.Usual)},
+		Options: o, stats: newStats(), answerTimes: newAnswerTimes(), servedLogLimiter: rate.NewLimiter(servedLogsPerSecond, servedLogsPerSecond),
+		overloads:      overloads{random: rand.Float64, byService: make(map[string]*gate.Overload)},
+		throttles:      throttles{random: rand.Float64, byKey: make(map[throttleKey]*gate.Throttle)},
+		callerTimeouts: callerTimeouts{byRoute: make(map[string]*gate.Usual)},
 	}
 }
 
@@ -94,33 +94,33 @@
 // Leave makes callers go elsewhere: their connections are closed after the next
 // answer, and requests are taken only while they can end before stop, the time
 // until the process ends.
-func (f *Forwarder) Leave(stop time.Duration) {
-	f.leaving.Store(&leaving{since: f.Clock(), stop: stop})
+func (f *Forwarder) Leave(timeout time.Duration) {
+	f.draining.Store(&drainState{startedAt: f.Clock(), timeout: timeout})
 }
 
 // leaving is the state of a router that was told to stop.
-type leaving struct {
+type drainState struct {
 	// since is the boot time at which it was told, stop how long it has.
-	since, stop time.Duration
+	startedAt, timeout time.Duration
 }
 
 // acceptShare is the part of the time to stop in which any request is still
 // taken: callers keep an old address for some seconds. A long stream that came
 // later would be cut.
-const acceptShare = 0.3
+const acceptAllShare = 0.3
 
 // accepts says whether a request that arrives at now and may take up to limit
 // is still taken.
-func (l *leaving) accepts(now, limit time.Duration) bool {
-	gone := now - l.since
-	return gone <= time.Duration(acceptShare*float64(l.stop)) || gone+limit <= l.stop
+func (l *drainState) accepts(now, limit time.Duration) bool {
+	elapsed := now - l.startedAt
+	return elapsed <= time.Duration(acceptAllShare*float64(l.timeout)) || elapsed+limit <= l.timeout
 }
 
 // ServeHTTP carries one request.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.inFlight.Add(1)
 	defer f.inFlight.Add(-1)
-	if f.leaving.Load() != nil {
+	if f.draining.Load() != nil {
 		w.Header().Set("Connection", "close")
 	}
 	x := &exchange{f: f, w: w, r: r, started: f.Clock()}
@@ -155,14 +155,14 @@
 	sends    int
 	// asks is how many engines had no place, predicted how long the last one would have
 	// made the request wait.
-	asks      int
-	predicted time.Duration
+	deniedPermits int
+	predictedWait time.Duration
 	// late means that the caller has come back after a refusal, too late for the objective.
-	late  bool
-	avoid map[string]bool
+	late     bool
+	excluded map[string]bool
 	// failure is an engine's own failure, which is the answer if no other
 	// engine gives a better one.
-	failure *wholeFailure
+	engineFailure *engineFailure
 	// answered is set once a byte of an answer has gone to the caller.
 	answered  bool
 	firstByte time.Duration
@@ -192,8 +192,8 @@
 		limit = min(limit, x.req.Timeout)
 	}
 	x.deadline = x.started + limit
-	if l := x.f.leaving.Load(); l != nil && !l.accepts(x.started, limit) {
-		return notRun(ReasonLeaving, retrySoon)
+	if l := x.f.draining.Load(); l != nil && !l.accepts(x.started, limit) {
+		return notExecuted(ReasonDraining, retrySoon)
 	}
 	return x.readBody()
 }
@@ -243,7 +243,7 @@
 	return context.WithTimeout(ctx, x.remaining())
 }
 
-func (x *exchange) callerLeft() bool { return x.r.Context().Err() != nil }
+func (x *exchange) callerDisconnected() bool { return x.r.Context().Err() != nil }
 
 // refuse ends a request that no engine has served: by an engine's own failure if
 // there is one, else by the router's refusal. If an answer has begun, the
@@ -254,8 +254,8 @@
 		x.aborted = true
 		return
 	}
-	if x.failure != nil {
-		x.answerWhole(x.failure.status, x.failure.header, x.failure.body)
+	if x.engineFailure != nil {
+		x.writeAnswer(x.engineFailure.status, x.engineFailure.header, x.engineFailure.body)
 		return
 	}
 	x.status = refusal.Status
@@ -264,7 +264,7 @@
 
 func (x *exchange) finish() {
 	took := x.f.Clock() - x.started
-	x.f.stats.request(x, took)
+	x.f.stats.recordRequest(x, took)
 	x.log(took)
 	if x.aborted {
 		panic(http.ErrAbortHandler)
--- a/internal/edge/forward/place.go
+++ b/internal/edge/forward/permit.go
@@ -13,99 +13,99 @@
 
 // place finds the engine for the first send: at once while there is room, else by asking
 // for a place. It returns a choice to be given back by Engines.Done, or a refusal.
-func (x *exchange) place(last *Refusal) (Choice, *Refusal) {
+func (x *exchange) chooseFirst(last *Refusal) (Choice, *Refusal) {
 	var shared []string
 	if x.route.Prompted {
 		shared = x.req.SharedParts()
 	}
-	for _, service := range x.services(shared) {
-		plan, ok := x.f.Engines.Plan(x.snapshot, service, shared, x.avoid)
+	for _, service := range x.serviceOrder(shared) {
+		plan, ok := x.f.Engines.Plan(x.snapshot, service, shared, x.excluded)
 		switch {
 		case !ok:
 		case len(plan.Ask) == 0:
-			x.noteLimit(service)
+			x.recordTimeout(service)
 			return plan.Choice, nil
 		default:
-			return x.ask(service, plan, shared)
+			return x.requestPermit(service, plan, shared)
 		}
 	}
 	return Choice{}, last
 }
 
 // ask asks for a place at one engine after the other.
-func (x *exchange) ask(service string, plan Plan, shared []string) (Choice, *Refusal) {
+func (x *exchange) requestPermit(service string, plan Plan, shared []string) (Choice, *Refusal) {
 	ctx, cancel := context.WithTimeout(x.r.Context(), x.remaining())
 	defer cancel()
 	refused := false
-	x.noteLimit(service)
-	x.late = x.f.limits.late(x.route.Name, x.req.Timeout, x.route.Objective)
+	x.recordTimeout(service)
+	x.late = x.f.callerTimeouts.isLate(x.route.Name, x.req.Timeout, x.route.Objective)
 	key := throttleKey{service: service, urgency: x.urgency(), late: x.late}
-	if !plan.Warm && x.f.throttles.refuses(key, x.f.Clock()) {
-		return Choice{}, x.overloaded(service)
+	if !plan.Warm && x.f.throttles.shouldRefuse(key, x.f.Clock()) {
+		return Choice{}, x.overloadRefusal(service)
 	}
-	for i, alternative := range plan.Ask {
+	for i, candidate := range plan.Ask {
 		age := x.f.Clock() - x.started
 		maxWait := gate.MaxWait(x.route.Prompted, i, len(plan.Ask), x.route.Objective, age)
 		if plan.Warm {
 			maxWait = min(maxWait, gate.ColdWait(x.route.Objective))
 		}
-		permit, answer, err := x.f.Places.Ask(ctx, x.askFor(alternative, plan, maxWait))
+		permit, answer, err := x.f.Places.Ask(ctx, x.permitRequest(candidate, plan, maxWait))
 		x.late = x.late || answer.Late
 		refused = refused || flow.ErrRefused.Has(err)
 		switch {
-		case err == nil && x.stillTakes(alternative.Choice.Engine):
-			choice := alternative.Choice
+		case err == nil && x.stillAccepts(candidate.Choice.Engine):
+			choice := candidate.Choice
 			choice.permit = permit
-			x.f.throttles.note(key, true, x.f.Clock())
-			return x.f.Engines.TakeLeased(choice, shared), nil
+			x.f.throttles.record(key, true, x.f.Clock())
+			return x.f.Engines.StartLeased(choice, shared), nil
 		case err == nil:
 			x.f.Places.Release(permit)
-		case x.callerLeft():
-			return Choice{}, x.gone()
+		case x.callerDisconnected():
+			return Choice{}, x.disconnectRefusal()
 		case x.remaining() <= 0:
-			return Choice{}, x.timeUp()
+			return Choice{}, x.timeoutRefusal()
 		}
-		x.asks++
-		x.predicted = answer.Wait
+		x.deniedPermits++
+		x.predictedWait = answer.Wait
 		if x.late && x.route.Prompted && refused {
 			// At another engine it would take a place that somebody else can use on time.
 			break
 		}
 	}
 	if !refused || plan.Warm {
-		return x.unasked()
+		return x.chooseWithoutPermit()
 	}
-	x.f.throttles.note(key, false, x.f.Clock())
-	return Choice{}, x.overloaded(service)
+	x.f.throttles.record(key, false, x.f.Clock())
+	return Choice{}, x.overloadRefusal(service)
 }
 
 // overloaded refuses a request for which there is no place in time, and says when to come back.
-func (x *exchange) overloaded(service string) *Refusal {
-	return notRun(ReasonOverload, x.f.overloads.comeBack(service, x.route.Objective, x.remaining(), x.f.Clock()))
+func (x *exchange) overloadRefusal(service string) *Refusal {
+	return notExecuted(ReasonOverload, x.f.overloads.retryAfter(service, x.route.Objective, x.remaining(), x.f.Clock()))
 }
 
 // stillTakes says whether requests may be sent to an engine by the newest knowledge: its site may
 // have been evacuated while a request waited for a place there.
-func (x *exchange) stillTakes(e catalog.Engine) bool {
+func (x *exchange) stillAccepts(e catalog.Engine) bool {
 	x.snapshot = x.f.Snapshot()
-	now, known := x.snapshot.Engines.ByID[e.ID]
-	return known && x.snapshot.TakesRequests(now)
+	current, known := x.snapshot.Engines.ByID[e.ID]
+	return known && x.snapshot.TakesRequests(current)
 }
 
 // noteLimit remembers the caller's time limit, if it is sure to be one that callers give:
 // while nobody is refused, nobody comes back.
-func (x *exchange) noteLimit(service string) {
-	if x.f.overloads.over(service, x.f.Clock()) {
-		x.f.limits.note(x.route.Name, x.req.Timeout)
+func (x *exchange) recordTimeout(service string) {
+	if x.f.overloads.ended(service, x.f.Clock()) {
+		x.f.callerTimeouts.record(x.route.Name, x.req.Timeout)
 	}
 }
 
 // askFor is the question to the owner of an engine's gate.
-func (x *exchange) askFor(a Alternative, plan Plan, maxWait time.Duration) flow.Ask {
+func (x *exchange) permitRequest(a PermitCandidate, plan Plan, maxWait time.Duration) flow.Ask {
 	out := flow.Ask{
-		Engine: a.Choice.Engine.ID, Places: a.Places, Urgency: x.urgency(), Weight: x.req.Work(),
+		Engine: a.Choice.Engine.ID, Places: a.MaxInFlight, Urgency: x.urgency(), Weight: x.req.Cost(),
 		MaxWait: maxWait, Lease: x.remaining(), Hold: plan.Hold,
-		Subject: x.req.Subject(), Attempt: rendezvous.ID(x.req.ID), Slack: gate.StartWithin(x.route.Objective), Late: x.late,
+		Subject: x.req.RetryKey(), Attempt: rendezvous.ID(x.req.ID), Slack: gate.StartWithin(x.route.Objective), Late: x.late,
 		Pace: a.Pace,
 	}
 	if x.account != nil {
@@ -116,68 +116,68 @@
 
 // unasked places a request by what is known of the loads, as while there is room: no owner of a
 // gate could be reached, or only cold engines were asked.
-func (x *exchange) unasked() (Choice, *Refusal) {
-	if choice, ok := x.pick(); ok {
+func (x *exchange) chooseWithoutPermit() (Choice, *Refusal) {
+	if choice, ok := x.pickEngine(); ok {
 		return choice, nil
 	}
-	return Choice{}, notRun(ReasonNoEngine, retryLater)
+	return Choice{}, notExecuted(ReasonNoEngine, retryLater)
 }
 
 // limits remembers the time limits that callers of each route usually give. It is safe for
 // concurrent use.
-type limits struct {
-	mu     sync.Mutex
-	routes map[string]*gate.Usual
+type callerTimeouts struct {
+	mu      sync.Mutex
+	byRoute map[string]*gate.Usual
 }
 
 // note adds the limit of a request that came while nobody was refused.
-func (l *limits) note(route string, limit time.Duration) {
+func (l *callerTimeouts) record(route string, limit time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	usual := l.routes[route]
+	usual := l.byRoute[route]
 	if usual == nil {
 		usual = &gate.Usual{}
-		l.routes[route] = usual
+		l.byRoute[route] = usual
 	}
 	usual.Note(limit)
 }
 
 // late says whether a caller with such a limit has come back too late to be served on time.
-func (l *limits) late(route string, limit, objective time.Duration) bool {
+func (l *callerTimeouts) isLate(route string, limit, objective time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	usual := l.routes[route]
+	usual := l.byRoute[route]
 	return usual != nil && usual.Late(limit, objective)
 }
 
 // overloads remembers since when each service has refused requests. It is safe for
 // concurrent use.
 type overloads struct {
-	mu       sync.Mutex
-	random   func() float64
-	services map[string]*gate.Overload
+	mu        sync.Mutex
+	random    func() float64
+	byService map[string]*gate.Overload
 }
 
 // comeBack notes a refusal and returns when the caller should come back.
-func (o *overloads) comeBack(service string, objective, left, now time.Duration) time.Duration {
+func (o *overloads) retryAfter(service string, objective, left, now time.Duration) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.of(service).ComeBack(objective, left, now, o.random())
+	return o.state(service).ComeBack(objective, left, now, o.random())
 }
 
 // over says whether the service has refused nobody for a while.
-func (o *overloads) over(service string, now time.Duration) bool {
+func (o *overloads) ended(service string, now time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.of(service).Over(now)
+	return o.state(service).Over(now)
 }
 
 // of returns the state of a service. The caller holds the mutex.
-func (o *overloads) of(service string) *gate.Overload {
-	state := o.services[service]
+func (o *overloads) state(service string) *gate.Overload {
+	state := o.byService[service]
 	if state == nil {
 		state = &gate.Overload{}
-		o.services[service] = state
+		o.byService[service] = state
 	}
 	return state
 }
--- a/internal/edge/forward/place_test.go
+++ b/internal/edge/forward/permit_test.go
@@ -19,20 +19,20 @@
 )
 
 // crowd is one router before engines of one service, whose other requests a test sets.
-type crowd struct {
-	f      *Forwarder
-	s      *catalog.Snapshot
-	others map[string]feed.EngineLoad
-	owner  *flow.Owner
+type testRouter struct {
+	f          *Forwarder
+	snapshot   *catalog.Snapshot
+	otherLoads map[string]feed.EngineLoad
+	owner      *flow.Owner
 }
 
 // inCrowd runs a test on a fake clock, with n engines that have 64 places each.
-func inCrowd(t *testing.T, n int, test func(c *crowd)) {
+func withTestRouter(t *testing.T, n int, test func(c *testRouter)) {
 	synctest.Test(t, func(t *testing.T) {
 		started := time.Now()
 		clock := func() time.Duration { return time.Minute + time.Since(started) }
-		c := &crowd{s: snapshotOf(n), others: make(map[string]feed.EngineLoad)}
-		engines := NewEngines("site", func() map[string]feed.EngineLoad { return c.others }, clock, rand.New(rand.NewPCG(1, 2)))
+		c := &testRouter{snapshot: newSnapshot(n), otherLoads: make(map[string]feed.EngineLoad)}
+		engines := NewEngines("site", func() map[string]feed.EngineLoad { return c.otherLoads }, clock, rand.New(rand.NewPCG(1, 2)))
 		c.owner = flow.NewOwner(clock, engines.Known, func(string) bool { return false })
 		self := feed.Peer{Name: "self"}
 		places := flow.NewAsker(flow.Options{
@@ -41,7 +41,7 @@
 		})
 		engines.ReleaseBy(places.Release)
 		c.f = New(Options{
-			Snapshot: func() *catalog.Snapshot { return c.s }, Clock: clock, Engines: engines, Places: places,
+			Snapshot: func() *catalog.Snapshot { return c.snapshot }, Clock: clock, Engines: engines, Places: places,
 			Log: log.New(io.Discard),
 		})
 		ctx, cancel := context.WithCancel(context.Background())
@@ -54,17 +54,17 @@
 }
 
 // taken says that other routers have so many requests at each engine, without leases.
-func (c *crowd) taken(n int) {
-	for _, e := range c.s.Engines.Of("llm") {
-		c.others[e.ID] = feed.EngineLoad{InFlight: n}
+func (c *testRouter) setOtherLoads(n int) {
+	for _, e := range c.snapshot.Engines.Of("llm") {
+		c.otherLoads[e.ID] = feed.EngineLoad{InFlight: n}
 	}
 }
 
-func (c *crowd) arriving(ctx context.Context) *exchange {
+func (c *testRouter) newExchange(ctx context.Context) *exchange {
 	r := httptest.NewRequestWithContext(ctx, http.MethodPost, "http://h/a/x", nil)
 	now := c.f.Clock()
 	return &exchange{
-		f: c.f, r: r, started: now, deadline: now + 6*time.Second, snapshot: c.s, avoid: map[string]bool{},
+		f: c.f, r: r, started: now, deadline: now + 6*time.Second, snapshot: c.snapshot, excluded: map[string]bool{},
 		req: Request{ID: "q", Prompt: []Part{{"dossier", 8000}, {"own", 500}}, PromptTokens: 8500, OutputTokens: 50},
 		route: &catalog.Route{
 			Kind: catalog.Streaming, Prompted: true, Objective: 600 * time.Millisecond, Attempts: 1,
@@ -74,10 +74,10 @@
 }
 
 // Requests are sent without asking while there is room: asking costs a message each way.
-func TestNobodyAsksWhileThereIsRoom(t *testing.T) {
-	inCrowd(t, 3, func(c *crowd) {
-		c.taken(10)
-		choice, refusal := c.arriving(context.Background()).place(nil)
+func TestNoPermitRequestedWithFreeCapacity(t *testing.T) {
+	withTestRouter(t, 3, func(c *testRouter) {
+		c.setOtherLoads(10)
+		choice, refusal := c.newExchange(context.Background()).chooseFirst(nil)
 		require.Nil(t, refusal)
 		require.Nil(t, choice.permit)
 		require.Zero(t, c.owner.Load().Gates)
@@ -89,11 +89,11 @@
 // late. Sequence: all places are taken, and more requests come than places become free.
 // Cause handled: a request that could only start too late is refused within its objective,
 // with a promise that it did not run and a time to come back.
-func TestRequestWithoutAPlaceInTimeIsRefused(t *testing.T) {
-	inCrowd(t, 3, func(c *crowd) {
-		c.taken(80)
-		x := c.arriving(context.Background())
-		_, refusal := x.place(nil)
+func TestRequestRefusedWithoutPermitInTime(t *testing.T) {
+	withTestRouter(t, 3, func(c *testRouter) {
+		c.setOtherLoads(80)
+		x := c.newExchange(context.Background())
+		_, refusal := x.chooseFirst(nil)
 		require.NotNil(t, refusal)
 		require.Equal(t, http.StatusServiceUnavailable, refusal.Status)
 		require.Equal(t, ReasonOverload, refusal.Reason)
@@ -106,11 +106,11 @@
 
 // Symptom: a request is refused although a place is free. Sequence: its own engine is full,
 // another one is not. Cause handled: others are asked, and grant at once.
-func TestPromptGoesWhereAPlaceIsFree(t *testing.T) {
-	inCrowd(t, 3, func(c *crowd) {
-		c.taken(80)
-		c.others["e1"] = feed.EngineLoad{InFlight: 20}
-		choice, refusal := c.arriving(context.Background()).place(nil)
+func TestPromptMovesToEngineWithFreeCapacity(t *testing.T) {
+	withTestRouter(t, 3, func(c *testRouter) {
+		c.setOtherLoads(80)
+		c.otherLoads["e1"] = feed.EngineLoad{InFlight: 20}
+		choice, refusal := c.newExchange(context.Background()).chooseFirst(nil)
 		require.Nil(t, refusal)
 		require.Equal(t, "e1", choice.Engine.ID)
 		require.NotNil(t, choice.permit)
@@ -122,13 +122,13 @@
 
 // Symptom: requests are sent for callers who have left. Sequence: a caller leaves while its
 // request waits for a place. Cause handled: it stops to wait, and holds no place.
-func TestCallerWhoLeavesStopsToWait(t *testing.T) {
-	inCrowd(t, 1, func(c *crowd) {
-		c.taken(80)
+func TestDisconnectedCallerStopsWaitingForPermit(t *testing.T) {
+	withTestRouter(t, 1, func(c *testRouter) {
+		c.setOtherLoads(80)
 		ctx, leave := context.WithCancel(context.Background())
 		time.AfterFunc(50*time.Millisecond, leave)
-		x := c.arriving(ctx)
-		_, refusal := x.place(nil)
+		x := c.newExchange(ctx)
+		_, refusal := x.chooseFirst(nil)
 		require.Equal(t, ReasonCallerLeft, refusal.Reason)
 		require.Zero(t, c.owner.Load().Waiting+c.owner.Load().Leases)
 	})
--- a/internal/edge/forward/holders_test.go
+++ b/internal/edge/forward/promptcache_test.go
@@ -12,20 +12,20 @@
 )
 
 // placer places prompts that share their first part.
-type placer struct {
+type promptPicker struct {
 	t       *testing.T
 	now     time.Duration
 	engines *Engines
 }
 
-func newPlacer(t *testing.T) *placer {
-	p := &placer{t: t, now: time.Minute}
+func newPromptPicker(t *testing.T) *promptPicker {
+	p := &promptPicker{t: t, now: time.Minute}
 	nobody := func() map[string]feed.EngineLoad { return nil }
 	p.engines = NewEngines("site", nobody, func() time.Duration { return p.now }, rand.New(rand.NewPCG(1, 2)))
 	return p
 }
 
-func (p *placer) pick(s *catalog.Snapshot, dossier int) Choice {
+func (p *promptPicker) pick(s *catalog.Snapshot, dossier int) Choice {
 	choice, ok := p.engines.Pick(s, "llm", []string{"common", fmt.Sprint("dossier-", dossier)}, nil)
 	require.True(p.t, ok)
 	p.engines.Done(choice)
@@ -33,7 +33,7 @@
 }
 
 // snapshotOf returns a snapshot with n engines of one service.
-func snapshotOf(n int) *catalog.Snapshot {
+func newSnapshot(n int) *catalog.Snapshot {
 	u := catalog.EngineUpdate{Full: true, Upto: uint64(n)}
 	for i := range n {
 		u.Present = append(u.Present, catalog.Engine{
@@ -48,9 +48,9 @@
 // Symptom: a part that many prompts share is read again at each engine. Sequence: a
 // prompt is new, its first part is not. Cause: the engine was told to fetch from one
 // that never had anything of the prompt.
-func TestPromptFetchesItsFirstPart(t *testing.T) {
-	p := newPlacer(t)
-	s := snapshotOf(5)
+func TestNewPromptFetchesSharedPartFromEngineThatHasIt(t *testing.T) {
+	p := newPromptPicker(t)
+	s := newSnapshot(5)
 	sent := map[string]bool{p.pick(s, 0).Engine.Address: true}
 	for i := 1; i < 20; i++ {
 		choice := p.pick(s, i)
@@ -65,16 +65,16 @@
 // Symptom: prompts are read again when engines are added. Sequence: an engine comes
 // and takes over prompts of others, which this router has or has not sent. Cause: it
 // is not told who had them.
-func TestFreshEngineFetchesFromWhoHadThePrompt(t *testing.T) {
-	p := newPlacer(t)
-	before := snapshotOf(5)
+func TestAddedEngineFetchesFromPreviousEngine(t *testing.T) {
+	p := newPromptPicker(t)
+	before := newSnapshot(5)
 	had := make(map[int]Choice)
 	for i := range 40 {
 		had[i] = p.pick(before, i)
 	}
 	p.now += 10 * time.Second
-	after := snapshotOf(6)
-	other := newPlacer(t)
+	after := newSnapshot(6)
+	other := newPromptPicker(t)
 	other.pick(before, 99)
 	other.now = p.now
 	taken := 0
@@ -93,12 +93,12 @@
 // Symptom: requests hang at a healthy engine. Sequence: an engine that holds a prompt
 // fails and is ejected; the prompt goes to another. Cause: that one is told to fetch
 // from the engine that gives nothing.
-func TestNothingIsFetchedFromAnEjectedEngine(t *testing.T) {
-	p := newPlacer(t)
-	s := snapshotOf(5)
+func TestNoFetchFromEjectedEngine(t *testing.T) {
+	p := newPromptPicker(t)
+	s := newSnapshot(5)
 	first := p.pick(s, 0)
 	for range 50 {
-		p.engines.Note(first.Engine.ID, false)
+		p.engines.RecordOutcome(first.Engine.ID, false)
 	}
 	next := p.pick(s, 0)
 	require.NotEqual(t, first.Engine.ID, next.Engine.ID)
@@ -109,36 +109,36 @@
 // Sequence: an engine starts again under the ID that it had, with an empty cache; by its ID it
 // seems to hold all that was sent to it, and to have failed. Cause: what is known of an engine
 // went by its ID alone.
-func TestEngineThatStartsAgainHoldsNothing(t *testing.T) {
-	for name, again := range map[string]func(*catalog.Engine){
+func TestRestartedEngineHasEmptyCache(t *testing.T) {
+	for name, restart := range map[string]func(*catalog.Engine){
 		"another start":          func(e *catalog.Engine) { e.Born += 5000 },
 		"counts that start anew": func(e *catalog.Engine) { e.Orders = 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPlacer(t)
+			p := newPromptPicker(t)
 			var restarted []string
 			p.engines.OnRestart(func(engine string) { restarted = append(restarted, engine) })
-			s := snapshotOf(3)
+			s := newSnapshot(3)
 			engines := s.Engines.Of("llm")
 			for i := range engines {
 				engines[i].Born, engines[i].Orders = 1000, 3
 			}
 			first := p.pick(s, 1)
-			p.engines.Note(first.Engine.ID, false)
+			p.engines.RecordOutcome(first.Engine.ID, false)
 			require.Empty(t, p.pick(s, 1).FetchFrom, "it holds the prompt")
 
 			for i := range engines {
 				if engines[i].ID == first.Engine.ID {
-					again(&engines[i])
+					restart(&engines[i])
 				}
 			}
-			p.now += settleTime + time.Second
-			require.True(t, p.engines.holders.has(first.Engine.ID, "dossier-1", p.now))
+			p.now += startupSettleTime + time.Second
+			require.True(t, p.engines.promptCaches.contains(first.Engine.ID, "dossier-1", p.now))
 			p.engines.Review(s)
 			require.Equal(t, []string{first.Engine.ID}, restarted)
 			require.Zero(t, p.engines.Own()[first.Engine.ID].Evidence)
-			require.False(t, p.engines.holders.has(first.Engine.ID, "dossier-1", p.now))
-			require.True(t, p.engines.fresh(first.Engine.ID, p.now), "others may hold its prompts")
+			require.False(t, p.engines.promptCaches.contains(first.Engine.ID, "dossier-1", p.now))
+			require.True(t, p.engines.recentlyStarted(first.Engine.ID, p.now), "others may hold its prompts")
 			p.engines.Review(s)
 			require.Len(t, restarted, 1)
 		})
@@ -147,17 +147,17 @@
 
 // Guards against prompts that are read again after an evacuation: the engines of the site may have
 // been emptied, and fetch from those that served meanwhile.
-func TestEngineFetchesAfterItsSiteWasEvacuated(t *testing.T) {
-	p := newPlacer(t)
+func TestEngineFetchesPromptAfterEvacuationEnds(t *testing.T) {
+	p := newPromptPicker(t)
 	s := coldSnapshot(6, 0, 5)
 	home := p.pick(s, 1).Engine
 	p.now += 10 * time.Second
-	s = evacuation(s, home.Site, true, 6)
+	s = withEvacuation(s, home.Site, true, 6)
 	meanwhile := p.pick(s, 1)
 	require.NotEqual(t, home.Site, meanwhile.Engine.Site)
 	require.Equal(t, home.Address, meanwhile.FetchFrom)
 	p.now += 3 * time.Second
-	s = evacuation(s, home.Site, false, 7)
+	s = withEvacuation(s, home.Site, false, 7)
 	p.pick(s, 2)
 	p.now += 4 * time.Second
 	back := p.pick(s, 1)
--- a/internal/edge/forward/refusal.go
+++ b/internal/edge/forward/refusal.go
@@ -14,24 +14,24 @@
 
 // The reasons, as they stand in answers and logs.
 const (
-	ReasonMalformed    Reason = "malformed_request"
-	ReasonTooLarge     Reason = "body_too_large"
-	ReasonSlowBody     Reason = "body_too_slow"
-	ReasonNoConfig     Reason = "no_configuration"
-	ReasonStaleConfig  Reason = "configuration_not_confirmed"
-	ReasonNoRoute      Reason = "no_route"
-	ReasonUnknownKey   Reason = "unknown_key"
-	ReasonNoEngine     Reason = "no_engine"
-	ReasonUnreachable  Reason = "engines_unreachable"
-	ReasonRefused      Reason = "engines_refused"
-	ReasonOverload     Reason = "no_place_in_time"
-	ReasonLeaving      Reason = "router_leaving"
-	ReasonTimeout      Reason = "time_limit"
-	ReasonNoAnswer     Reason = "engine_gave_no_answer"
-	ReasonFailure      Reason = "engine_answered_failure"
-	ReasonBadAnswer    Reason = "engine_answer_malformed"
-	ReasonCallerLeft   Reason = "caller_left"
-	ReasonStreamBroken Reason = "stream_broken"
+	ReasonMalformed     Reason = "malformed_request"
+	ReasonTooLarge      Reason = "body_too_large"
+	ReasonSlowBody      Reason = "body_too_slow"
+	ReasonNoConfig      Reason = "no_configuration"
+	ReasonStaleConfig   Reason = "configuration_not_confirmed"
+	ReasonNoRoute       Reason = "no_route"
+	ReasonUnknownKey    Reason = "unknown_key"
+	ReasonNoEngine      Reason = "no_engine"
+	ReasonUnreachable   Reason = "engines_unreachable"
+	ReasonRefused       Reason = "engines_refused"
+	ReasonOverload      Reason = "no_place_in_time"
+	ReasonDraining      Reason = "router_leaving"
+	ReasonTimeout       Reason = "time_limit"
+	ReasonNoAnswer      Reason = "engine_gave_no_answer"
+	ReasonEngineFailure Reason = "engine_answered_failure"
+	ReasonBadAnswer     Reason = "engine_answer_malformed"
+	ReasonCallerLeft    Reason = "caller_left"
+	ReasonStreamBroken  Reason = "stream_broken"
 )
 
 // Refusal is a final answer of the router's own.
@@ -53,11 +53,11 @@
 	// retryLater is for engines that are full or gone.
 	retryLater = 250 * time.Millisecond
 	// retryStore is for a lost store, whose return takes seconds.
-	retryStore = 700 * time.Millisecond
+	retryStoreLost = 700 * time.Millisecond
 )
 
 // notRun is a refusal that promises that the request did not execute and won't.
-func notRun(reason Reason, retryAfter time.Duration) *Refusal {
+func notExecuted(reason Reason, retryAfter time.Duration) *Refusal {
 	return &Refusal{Status: http.StatusServiceUnavailable, Reason: reason, Ran: apierr.RanNo, RetryAfter: retryAfter}
 }
 
@@ -67,7 +67,7 @@
 }
 
 // failed is a failure after which the request may have executed.
-func failed(status int, reason Reason) *Refusal {
+func maybeExecuted(status int, reason Reason) *Refusal {
 	return &Refusal{Status: status, Reason: reason, Ran: apierr.RanUnknown}
 }
 
--- a/internal/edge/forward/request.go
+++ b/internal/edge/forward/request.go
@@ -56,7 +56,7 @@
 // Subject is the same for all attempts at the request, and zero if that can't be told: an
 // attempt has an ID of its own, but the last part of its prompt is the request's or its
 // session's own.
-func (r *Request) Subject() uint64 {
+func (r *Request) RetryKey() uint64 {
 	if len(r.Prompt) < 2 {
 		return 0
 	}
@@ -65,16 +65,16 @@
 
 // outputCost is how much work a token of the answer is, in tokens of a prompt: with a full
 // batch, of engines of today's kind.
-const outputCost = 10
+const outputTokenCost = 10
 
 // Work is how much an engine has to do for the request, in tokens of a prompt: what others
 // share is in its cache.
-func (r *Request) Work() int64 {
+func (r *Request) Cost() int64 {
 	own := r.PromptTokens
 	for _, part := range r.Prompt[:max(len(r.Prompt)-1, 0)] {
 		own -= part.Tokens
 	}
-	return int64(max(own, 0) + outputCost*r.OutputTokens)
+	return int64(max(own, 0) + outputTokenCost*r.OutputTokens)
 }
 
 // Sending is what the router tells an engine beside the caller's own headers.
--- a/internal/edge/forward/record.go
+++ b/internal/edge/forward/requestlog.go
@@ -24,13 +24,13 @@
 
 // servedPerSecond is how many lines a second about requests that were simply served are
 // written at most; failures are always written, within the bound of the log.
-const servedPerSecond = 50
+const servedLogsPerSecond = 50
 
 // log writes the outcome of a request: what decided it, how old that was, and
 // how it ended.
 func (x *exchange) log(took time.Duration) {
 	ok := x.outcome == ""
-	if ok && !x.f.servedLines.Allow() {
+	if ok && !x.f.servedLogLimiter.Allow() {
 		return
 	}
 	now := x.f.Clock()
@@ -43,7 +43,7 @@
 	}
 	fields := []any{
 		"request", x.req.ID, "route", route, "status", x.status, "engine", x.engine, "fetch_from", x.fetchFrom,
-		"asks", x.asks, "predicted_wait", x.predicted, "late", x.late, "sends", x.sends, "executed", x.executed, "took", took, "first_byte", x.firstByte,
+		"asks", x.deniedPermits, "predicted_wait", x.predictedWait, "late", x.late, "sends", x.sends, "executed", x.executed, "took", took, "first_byte", x.firstByte,
 		"config", version, "engines_revision", x.snapshot.Engines.Upto, "settings", x.f.Settings(),
 	}
 	fields = append(fields, x.snapshot.AgeFields(now)...)
@@ -58,7 +58,7 @@
 }
 
 // pointOf maps a key evenly to 0 .. total-1.
-func pointOf(key string, total int) int {
+func hashMod(key string, total int) int {
 	if total <= 0 {
 		return 0
 	}
--- a/internal/edge/forward/send.go
+++ b/internal/edge/forward/send.go
@@ -13,114 +13,114 @@
 
 const (
 	// maxUnsent is how many engines are tried that can't be reached.
-	maxUnsent = 4
+	maxUnreachable = 4
 	// maxRefusals is how many engines may refuse before the caller is refused.
-	maxRefusals = 3
+	maxEngineRefusals = 3
 	// maxIdleOnce is how long a connection may have been idle for a request
 	// that must not be sent twice; see engineconn.Request.MaxIdle.
-	maxIdleOnce = 300 * time.Millisecond
+	maxIdleNonRepeatable = 300 * time.Millisecond
 	// maxIdleRepeatable is the same for one that may be.
 	maxIdleRepeatable = 4 * time.Second
 )
 
 // verdict is what to do after a send.
-type verdict uint8
+type nextAction uint8
 
 const (
 	// done means that the caller has the answer.
-	done verdict = iota
+	actionDone nextAction = iota
 	// another means that the request goes to another engine.
-	another
+	actionTryNext
 	// over means that the refusal is final.
-	over
+	actionStop
 )
 
 // forward sends the request until an answer is on its way or nothing more may
 // be tried. It returns the refusal to send, or nil.
 func (x *exchange) forward() *Refusal {
-	x.avoid = make(map[string]bool)
-	unsent, refusals := 0, 0
-	last := notRun(ReasonNoEngine, retryLater)
+	x.excluded = make(map[string]bool)
+	unreachable, refusals := 0, 0
+	last := notExecuted(ReasonNoEngine, retryLater)
 	for {
-		if refusal := x.mayGoOn(last); refusal != nil {
+		if refusal := x.checkBeforeSend(last); refusal != nil {
 			return refusal
 		}
-		choice, refusal := x.choose(last)
+		choice, refusal := x.chooseEngine(last)
 		if refusal != nil {
 			return refusal
 		}
 		e := choice.Engine
 		result := x.send(choice)
-		if result.verdict != another {
+		if result.action != actionTryNext {
 			return result.refusal
 		}
-		x.avoid[e.ID] = true
+		x.excluded[e.ID] = true
 		last = result.refusal
 		switch {
 		case result.unsent:
-			unsent++
+			unreachable++
 		case result.refused:
 			refusals++
 		}
-		if unsent >= maxUnsent || refusals >= maxRefusals {
+		if unreachable >= maxUnreachable || refusals >= maxEngineRefusals {
 			return last
 		}
-		if !result.unsent && !result.paid && !x.f.Budget.Spend(e.Service, x.f.Clock()) {
+		if !result.unsent && !result.budgetSpent && !x.f.Budget.Spend(e.Service, x.f.Clock()) {
 			return last
 		}
 	}
 }
 
 // mayGoOn checks what may have changed while the request waited.
-func (x *exchange) mayGoOn(last *Refusal) *Refusal {
+func (x *exchange) checkBeforeSend(last *Refusal) *Refusal {
 	switch {
-	case x.callerLeft():
-		return x.gone()
+	case x.callerDisconnected():
+		return x.disconnectRefusal()
 	case x.remaining() <= 0:
-		return x.timeUp()
+		return x.timeoutRefusal()
 	}
 	x.snapshot = x.f.Snapshot()
 	if age := x.snapshot.ConfigAge(x.f.Clock()); x.account != nil && age > x.f.KeyLease() {
 		if x.executed > 0 {
 			return last
 		}
-		return notRun(ReasonStaleConfig, retryStore)
+		return notExecuted(ReasonStaleConfig, retryStoreLost)
 	}
 	return nil
 }
 
-func (x *exchange) gone() *Refusal {
+func (x *exchange) disconnectRefusal() *Refusal {
 	return &Refusal{Status: http.StatusBadGateway, Reason: ReasonCallerLeft}
 }
 
 // timeUp is the final answer at the time limit.
-func (x *exchange) timeUp() *Refusal {
+func (x *exchange) timeoutRefusal() *Refusal {
 	if x.executed == 0 {
-		return notRun(ReasonTimeout, 0)
+		return notExecuted(ReasonTimeout, 0)
 	}
-	return failed(http.StatusGatewayTimeout, ReasonTimeout)
+	return maybeExecuted(http.StatusGatewayTimeout, ReasonTimeout)
 }
 
 // choose returns the engine for the next send. Repeats go at once: they have been waited
 // for already, and the budget bounds them.
-func (x *exchange) choose(last *Refusal) (Choice, *Refusal) {
+func (x *exchange) chooseEngine(last *Refusal) (Choice, *Refusal) {
 	if x.executed == 0 {
-		return x.place(last)
+		return x.chooseFirst(last)
 	}
-	if choice, ok := x.pick(); ok {
+	if choice, ok := x.pickEngine(); ok {
 		return choice, nil
 	}
 	return Choice{}, last
 }
 
 // pick chooses an engine of one of the route's services, by the loads as known.
-func (x *exchange) pick() (Choice, bool) {
+func (x *exchange) pickEngine() (Choice, bool) {
 	var shared []string
 	if x.route.Prompted {
 		shared = x.req.SharedParts()
 	}
-	for _, service := range x.services(shared) {
-		if choice, ok := x.f.Engines.Pick(x.snapshot, service, shared, x.avoid); ok {
+	for _, service := range x.serviceOrder(shared) {
+		if choice, ok := x.f.Engines.Pick(x.snapshot, service, shared, x.excluded); ok {
 			return choice, true
 		}
 	}
@@ -129,7 +129,7 @@
 
 // services returns the route's services, the one to use first. Prompts that
 // share a part go to the same service, so that its engines' caches are used.
-func (x *exchange) services(shared []string) []string {
+func (x *exchange) serviceOrder(shared []string) []string {
 	backends := x.route.Backends
 	total := 0
 	for _, b := range backends {
@@ -139,7 +139,7 @@
 	if len(shared) > 0 {
 		key = shared[len(shared)-1]
 	}
-	point := pointOf(key, total)
+	point := hashMod(key, total)
 	var first string
 	var rest []string
 	for _, b := range backends {
@@ -160,56 +160,56 @@
 }
 
 // result is the end of one send.
-type result struct {
-	verdict verdict
+type sendResult struct {
+	action nextAction
 	// unsent means that nothing left the router, refused that the engine
 	// promised not to have executed the request.
 	unsent, refused bool
 	// paid means that the retry budget has granted the next send already.
-	paid    bool
-	refusal *Refusal
+	budgetSpent bool
+	refusal     *Refusal
 }
 
 // send sends the request to an engine and relays its answer.
-func (x *exchange) send(choice Choice) result {
+func (x *exchange) send(choice Choice) sendResult {
 	e := choice.Engine
 	defer x.f.Engines.Done(choice)
 	x.sends++
 	x.engine = e.ID
 	x.fetchFrom = choice.FetchFrom
 	if x.sends == 1 {
-		x.f.Budget.Fresh(e.Service, x.f.Clock())
+		x.f.Budget.RecordRequest(e.Service, x.f.Clock())
 	}
 	ctx, cancel := x.context()
 	defer cancel()
-	ctx, answered := x.watchSilence(ctx, e)
-	sent := x.f.Clock()
-	answer, err := x.f.Conns.Send(ctx, targetOf(e), x.engineRequest(choice, ""))
-	answered()
-	waited := x.f.Clock() - sent
+	ctx, stopTimer := x.withAttemptTimeout(ctx, e)
+	sentAt := x.f.Clock()
+	answer, err := x.f.Conns.Send(ctx, engineTarget(e), x.engineRequest(choice, ""))
+	stopTimer()
+	waited := x.f.Clock() - sentAt
 	if err != nil {
-		return x.sendFailed(ctx, e, err, waited)
+		return x.handleSendError(ctx, e, err, waited)
 	}
 	defer answer.Close()
 	reply := x.f.Codec.Reply(answer.Status, answer.Header)
 	if reply.NotExecuted {
-		return x.engineRefused(e, answer, reply)
+		return x.handleEngineRefusal(e, answer, reply)
 	}
 	x.executed++
 	if x.route.Kind != catalog.Streaming {
-		x.f.paces.note(e.Service, waited)
+		x.f.answerTimes.record(e.Service, waited)
 	}
 	if !reply.Sealed || reply.Encoded {
-		x.f.Engines.Note(e.ID, false)
-		return x.mayRepeat(failed(http.StatusBadGateway, ReasonBadAnswer))
+		x.f.Engines.RecordOutcome(e.ID, false)
+		return x.retryIfAllowed(maybeExecuted(http.StatusBadGateway, ReasonBadAnswer))
 	}
 	if x.route.Kind == catalog.Streaming && answer.Status < http.StatusMultipleChoices {
 		return x.relayStream(ctx, e, answer)
 	}
-	return x.relayWhole(e, answer)
+	return x.relayBuffered(e, answer)
 }
 
-func targetOf(e catalog.Engine) engineconn.Target {
+func engineTarget(e catalog.Engine) engineconn.Target {
 	return engineconn.Target{ID: e.ID, Address: e.Address}
 }
 
@@ -221,14 +221,14 @@
 	if x.account != nil {
 		sending.Account = x.account.Name
 	}
-	maxIdle := maxIdleOnce
+	maxIdle := maxIdleNonRepeatable
 	if x.route.Repeatable() {
 		maxIdle = maxIdleRepeatable
 	}
 	return &engineconn.Request{
-		Method: x.r.Method, Target: x.target(), Host: x.r.Host,
+		Method: x.r.Method, Target: x.requestTarget(), Host: x.r.Host,
 		Header: x.f.Codec.EngineHeader(x.r.Header, &x.req, sending),
-		Body:   x.body, MaxIdle: maxIdle, Keep: x.keep(choice.Engine.Service),
+		Body:   x.body, MaxIdle: maxIdle, Keep: x.idleConnLimit(choice.Engine.Service),
 		Own: func(h http.Header) bool {
 			id := x.f.Codec.Reply(0, h).RequestID
 			return id == "" || id == x.req.ID
@@ -240,25 +240,25 @@
 	// keptShare is the part of the connections that an engine accepts which
 	// all routers together may keep idle. The rest is for requests: an engine
 	// resets what is over its bound, and a request lost by that may have run.
-	keptShare = 0.5
+	idleConnShare = 0.5
 	// maxKept bounds the idle connections to one engine in any case.
-	maxKept = 16
+	maxIdleConns = 16
 )
 
 // keep is how many idle connections this router may keep to an engine of the
 // service.
-func (x *exchange) keep(service string) int {
+func (x *exchange) idleConnLimit(service string) int {
 	config := x.snapshot.Config.Service(service)
 	if config == nil || config.MaxConns == 0 {
-		return maxKept
+		return maxIdleConns
 	}
-	share := keptShare * float64(config.MaxConns) / float64(x.f.Routers())
-	return min(max(int(share), 1), maxKept)
+	share := idleConnShare * float64(config.MaxConns) / float64(x.f.Routers())
+	return min(max(int(share), 1), maxIdleConns)
 }
 
 // target is the path and query as they came; only a request to a proxy names
 // the host there too, and an engine is none.
-func (x *exchange) target() string {
+func (x *exchange) requestTarget() string {
 	if strings.HasPrefix(x.r.RequestURI, "/") {
 		return x.r.RequestURI
 	}
@@ -283,72 +283,72 @@
 }
 
 // sendFailed decides after a send without an answer.
-func (x *exchange) sendFailed(ctx context.Context, e catalog.Engine, err error, waited time.Duration) result {
+func (x *exchange) handleSendError(ctx context.Context, e catalog.Engine, err error, waited time.Duration) sendResult {
 	unsent := engineconn.ErrNotSent.Has(err)
 	if !unsent {
 		x.executed++
 	}
 	x.logAttempt(e, err, waited)
 	switch {
-	case x.callerLeft():
-		return result{verdict: over, refusal: x.gone()}
-	case wasSilent(ctx):
-		return x.gaveUp(e, unsent, waited)
+	case x.callerDisconnected():
+		return sendResult{action: actionStop, refusal: x.disconnectRefusal()}
+	case attemptTimedOut(ctx):
+		return x.handleAttemptTimeout(e, unsent, waited)
 	case ctx.Err() != nil:
-		x.f.Engines.Note(e.ID, false)
-		return result{verdict: over, refusal: x.timeUp()}
+		x.f.Engines.RecordOutcome(e.ID, false)
+		return sendResult{action: actionStop, refusal: x.timeoutRefusal()}
 	}
-	x.f.Engines.Note(e.ID, false)
+	x.f.Engines.RecordOutcome(e.ID, false)
 	if unsent {
-		refusal := notRun(ReasonUnreachable, retryLater)
+		refusal := notExecuted(ReasonUnreachable, retryLater)
 		if x.executed > 0 {
-			refusal = failed(http.StatusBadGateway, ReasonUnreachable)
+			refusal = maybeExecuted(http.StatusBadGateway, ReasonUnreachable)
 		}
-		return result{verdict: another, unsent: true, refusal: refusal}
+		return sendResult{action: actionTryNext, unsent: true, refusal: refusal}
 	}
 	reason := ReasonNoAnswer
 	if engineconn.ErrMalformed.Has(err) {
 		reason = ReasonBadAnswer
 	}
-	return x.mayRepeat(failed(http.StatusBadGateway, reason))
+	return x.retryIfAllowed(maybeExecuted(http.StatusBadGateway, reason))
 }
 
 // gaveUp decides after a send to an engine that stayed silent; see watchSilence.
-func (x *exchange) gaveUp(e catalog.Engine, unsent bool, waited time.Duration) result {
-	x.f.Engines.Note(e.ID, false)
-	x.f.paces.note(e.Service, waited)
-	x.f.stats.gaveUp()
-	refusal := failed(http.StatusBadGateway, ReasonNoAnswer)
+func (x *exchange) handleAttemptTimeout(e catalog.Engine, unsent bool, waited time.Duration) sendResult {
+	x.f.Engines.RecordOutcome(e.ID, false)
+	x.f.answerTimes.record(e.Service, waited)
+	x.f.stats.recordAttemptTimeout()
+	refusal := maybeExecuted(http.StatusBadGateway, ReasonNoAnswer)
 	if unsent && x.executed == 0 {
-		refusal = notRun(ReasonUnreachable, retryLater)
+		refusal = notExecuted(ReasonUnreachable, retryLater)
 	}
-	return result{verdict: another, unsent: unsent, paid: true, refusal: refusal}
+	return sendResult{action: actionTryNext, unsent: unsent, budgetSpent: true, refusal: refusal}
 }
 
 // mayRepeat decides after an attempt that may have executed the request.
-func (x *exchange) mayRepeat(refusal *Refusal) result {
+func (x *exchange) retryIfAllowed(refusal *Refusal) sendResult {
 	if x.route.Repeatable() && x.executed < x.route.Attempts {
-		return result{verdict: another, refusal: refusal}
+		return sendResult{action: actionTryNext, refusal: refusal}
 	}
-	return result{verdict: over, refusal: refusal}
+	return sendResult{action: actionStop, refusal: refusal}
 }
 
 // engineRefused decides after an engine's promise that nothing ran.
-func (x *exchange) engineRefused(e catalog.Engine, answer *engineconn.Answer, reply Reply) result {
+func (x *exchange) handleEngineRefusal(e catalog.Engine, answer *engineconn.Answer, reply Reply) sendResult {
 	x.logAttempt(e, errEngineRefused.New("status %d", answer.Status), 0)
 	if reply.WrongEngine {
 		// Until the store says so too, others need not try the address.
-		x.f.Engines.Note(e.ID, false)
+		x.f.Engines.RecordOutcome(e.ID, false)
 	}
 	// The body is read so that the connection can be kept; what it says does
 	// not matter.
-	_, _ = io.Copy(io.Discard, io.LimitReader(answer, wholeAnswer))
+	_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxBufferedAnswer))
 	if answer.Status == http.StatusBadRequest {
-		return result{verdict: over, refusal: rejected(http.StatusBadRequest, ReasonMalformed)}
+		return sendResult{action: actionStop, refusal: rejected(http.StatusBadRequest, ReasonMalformed)}
 	}
-	refusal := notRun(ReasonRefused, retryLater)
+	refusal := notExecuted(ReasonRefused, retryLater)
 	if x.executed > 0 {
-		refusal = failed(http.StatusBadGateway, ReasonRefused)
+		refusal = maybeExecuted(http.StatusBadGateway, ReasonRefused)
 	}
-	return result{verdict: another, refused: true, refusal: refusal}
+	return sendResult{action: actionTryNext, refused: true, refusal: refusal}
 }
--- a/internal/edge/forward/stats.go
+++ b/internal/edge/forward/stats.go
@@ -33,7 +33,7 @@
 func (s *Stats) Vars() *expvar.Map { return s.vars }
 
 // request counts a finished request.
-func (s *Stats) request(x *exchange, took time.Duration) {
+func (s *Stats) recordRequest(x *exchange, took time.Duration) {
 	kind := "unrouted"
 	if x.route != nil {
 		kind = x.route.Kind.String()
@@ -64,7 +64,7 @@
 }
 
 // gaveUp counts a send that was given up because its engine stayed silent.
-func (s *Stats) gaveUp() { s.vars.Add("given_up_silent", 1) }
+func (s *Stats) recordAttemptTimeout() { s.vars.Add("given_up_silent", 1) }
 
 // Quantiles of the latency histograms that are served.
 var quantiles = []float64{50, 90, 99, 99.9}
--- a/internal/edge/forward/stream.go
+++ b/internal/edge/forward/stream.go
@@ -12,10 +12,10 @@
 )
 
 // maxEvent bounds one event of a stream, in bytes.
-const maxEvent = 1 << 20
+const maxEventSize = 1 << 20
 
 // streamBuffer is how much of a stream is read at once.
-const streamBuffer = 8 << 10
+const streamBufferSize = 8 << 10
 
 // eventEnd is the empty line after an event.
 var eventEnd = []byte("\n\n")
@@ -23,14 +23,14 @@
 // events splits a stream: it passes on whole events only, and remembers the id
 // of the last one. An engine may break off in the middle of an event; a piece
 // of it, followed by another engine's events, would spoil the answer.
-type events struct {
+type eventSplitter struct {
 	pending []byte
 	lastID  string
 }
 
 // add takes bytes of the stream and returns the whole events among all that is
 // pending. The slice is valid until the next call.
-func (v *events) add(b []byte) []byte {
+func (v *eventSplitter) add(b []byte) []byte {
 	v.pending = append(v.pending, b...)
 	end := bytes.LastIndex(v.pending, eventEnd)
 	if end < 0 {
@@ -38,11 +38,11 @@
 	}
 	whole := v.pending[:end+len(eventEnd)]
 	v.pending = append([]byte(nil), v.pending[len(whole):]...)
-	v.noteID(whole)
+	v.recordLastID(whole)
 	return whole
 }
 
-func (v *events) noteID(whole []byte) {
+func (v *eventSplitter) recordLastID(whole []byte) {
 	for line := range bytes.SplitSeq(whole, []byte("\n")) {
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
 			v.lastID = string(bytes.TrimSpace(id))
@@ -52,24 +52,24 @@
 
 // relayStream passes a stream on, event by event. Where the route allows it, a
 // stream that breaks goes on at another engine, after the last whole event.
-func (x *exchange) relayStream(ctx context.Context, e catalog.Engine, answer *engineconn.Answer) result {
-	split := &events{lastID: x.req.LastEvent}
+func (x *exchange) relayStream(ctx context.Context, e catalog.Engine, answer *engineconn.Answer) sendResult {
+	splitter := &eventSplitter{lastID: x.req.LastEvent}
 	for {
-		err := x.copyEvents(answer, split)
+		err := x.copyEvents(answer, splitter)
 		if err == nil {
-			x.f.Engines.Note(e.ID, true)
-			return x.endStream(split)
+			x.f.Engines.RecordOutcome(e.ID, true)
+			return x.endStream(splitter)
 		}
-		if refusal := x.brokeOff(e, err); refusal != nil {
-			return result{verdict: over, refusal: refusal}
+		if refusal := x.handleReadError(e, err); refusal != nil {
+			return sendResult{action: actionStop, refusal: refusal}
 		}
 		if !x.answered {
-			return x.mayRepeat(failed(http.StatusBadGateway, ReasonStreamBroken))
+			return x.retryIfAllowed(maybeExecuted(http.StatusBadGateway, ReasonStreamBroken))
 		}
-		split.pending = nil
-		next, nextAnswer, release := x.resume(ctx, e, split.lastID)
+		splitter.pending = nil
+		next, nextAnswer, release := x.resume(ctx, e, splitter.lastID)
 		if nextAnswer == nil {
-			return result{verdict: over, refusal: failed(http.StatusBadGateway, ReasonStreamBroken)}
+			return sendResult{action: actionStop, refusal: maybeExecuted(http.StatusBadGateway, ReasonStreamBroken)}
 		}
 		defer release()
 		e, answer = next, nextAnswer
@@ -78,21 +78,21 @@
 
 // endStream checks that a stream which ended whole has no piece of an event
 // left.
-func (x *exchange) endStream(split *events) result {
-	if len(split.pending) > 0 || !x.answered {
-		return result{verdict: over, refusal: failed(http.StatusBadGateway, ReasonStreamBroken)}
+func (x *exchange) endStream(splitter *eventSplitter) sendResult {
+	if len(splitter.pending) > 0 || !x.answered {
+		return sendResult{action: actionStop, refusal: maybeExecuted(http.StatusBadGateway, ReasonStreamBroken)}
 	}
-	return result{verdict: done}
+	return sendResult{action: actionDone}
 }
 
 // copyEvents passes on events until the stream ends. Errors: errCallerLeft,
 // engineconn.ErrCut, engineconn.ErrMalformed.
-func (x *exchange) copyEvents(answer *engineconn.Answer, split *events) error {
+func (x *exchange) copyEvents(answer *engineconn.Answer, splitter *eventSplitter) error {
 	control := http.NewResponseController(x.w)
-	buf := make([]byte, streamBuffer)
+	buf := make([]byte, streamBufferSize)
 	for {
 		n, err := answer.Read(buf)
-		if whole := split.add(buf[:n]); len(whole) > 0 {
+		if whole := splitter.add(buf[:n]); len(whole) > 0 {
 			if !x.answered {
 				x.writeHeader(answer.Status, answer.Header)
 				x.w.WriteHeader(answer.Status)
@@ -104,8 +104,8 @@
 				return errCallerLeft.Wrap(flushErr)
 			}
 		}
-		if len(split.pending) > maxEvent {
-			return engineconn.ErrMalformed.New("an event of more than %d bytes", maxEvent)
+		if len(splitter.pending) > maxEventSize {
+			return engineconn.ErrMalformed.New("an event of more than %d bytes", maxEventSize)
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -119,17 +119,17 @@
 // resume continues a broken stream at another engine, if the route allows it and the
 // budget has room. An engine that refuses leaves the stream to the next one.
 func (x *exchange) resume(ctx context.Context, broken catalog.Engine, lastID string) (catalog.Engine, *engineconn.Answer, func()) {
-	x.avoid[broken.ID] = true
-	for range maxRefusals {
+	x.excluded[broken.ID] = true
+	for range maxEngineRefusals {
 		if !x.mayResume(lastID) {
 			break
 		}
-		choice, ok := x.pick()
+		choice, ok := x.pickEngine()
 		if !ok {
 			break
 		}
 		e := choice.Engine
-		answer, refused := x.sendRest(ctx, choice, lastID)
+		answer, refused := x.sendResume(ctx, choice, lastID)
 		if answer != nil {
 			return e, answer, func() {
 				answer.Close()
@@ -137,7 +137,7 @@
 			}
 		}
 		x.f.Engines.Done(choice)
-		x.avoid[e.ID] = true
+		x.excluded[e.ID] = true
 		if !refused {
 			break
 		}
@@ -148,20 +148,20 @@
 // mayResume says whether the stream may go on after the event at all. Why not does not
 // matter: an answer that has begun is cut, whatever the refusal.
 func (x *exchange) mayResume(lastID string) bool {
-	return x.route.Repeatable() && x.executed < x.route.Attempts && lastID != "" && x.mayGoOn(x.gone()) == nil
+	return x.route.Repeatable() && x.executed < x.route.Attempts && lastID != "" && x.checkBeforeSend(x.disconnectRefusal()) == nil
 }
 
 // sendRest asks an engine for what comes after an event. It returns nil if there is no
 // answer to relay, and whether the engine promised that it did not execute the request.
-func (x *exchange) sendRest(ctx context.Context, choice Choice, lastID string) (answer *engineconn.Answer, refused bool) {
+func (x *exchange) sendResume(ctx context.Context, choice Choice, lastID string) (answer *engineconn.Answer, refused bool) {
 	e := choice.Engine
 	if !x.f.Budget.Spend(e.Service, x.f.Clock()) {
 		return nil, false
 	}
 	x.sends++
-	answer, err := x.f.Conns.Send(ctx, targetOf(e), x.engineRequest(choice, lastID))
+	answer, err := x.f.Conns.Send(ctx, engineTarget(e), x.engineRequest(choice, lastID))
 	if err != nil {
-		x.f.Engines.Note(e.ID, false)
+		x.f.Engines.RecordOutcome(e.ID, false)
 		x.logAttempt(e, err, 0)
 		unsent := engineconn.ErrNotSent.Has(err)
 		if !unsent {
@@ -171,13 +171,13 @@
 	}
 	reply := x.f.Codec.Reply(answer.Status, answer.Header)
 	if reply.NotExecuted {
-		x.engineRefused(e, answer, reply)
+		x.handleEngineRefusal(e, answer, reply)
 		answer.Close()
 		return nil, true
 	}
 	x.executed++
 	if answer.Status != http.StatusOK || !reply.Sealed || reply.Encoded {
-		x.f.Engines.Note(e.ID, false)
+		x.f.Engines.RecordOutcome(e.ID, false)
 		answer.Close()
 		return nil, false
 	}
