--- a/internal/edge/forward/admit.go
+++ b/internal/edge/forward/admit.go
@@ -9,24 +9,22 @@
 )
 
 const (
-	// catchUpWait is how long a request waits for a configuration that is too old,
-	// or missing, to be confirmed. A router that was suspended, or has just started,
-	// has the answer of its source within 20 to 100 ms; a refusal costs the caller a
-	// pause and a second connection.
+	// configConfirmWait is how long a request waits for a missing or outdated configuration to be
+	// confirmed. A router that was suspended or has just started gets the answer of its source
+	// within 20 to 100 ms; a refusal would cost the caller a pause and a second connection.
 	configConfirmWait = 150 * time.Millisecond
-	// firstWait is how long a request waits for the first configuration and the first
-	// engines of a router that has just started, and firstShare the part of the caller's
-	// time that it may wait at most. Three hundred routers that start together have them
-	// after 0.1 to 0.4 s; refused, callers came back to routers that knew as little.
+	// startupWait is how long a request waits for the first configuration and the first engines of
+	// a router that has just started; startupWaitShare limits the wait to a share of the caller's
+	// timeout. 300 routers started together have both after 0.1 to 0.4 s. When requests were
+	// refused instead, callers retried at routers that had no configuration either.
 	startupWait      = time.Second
 	startupWaitShare = 1.0 / 3
-	// catchUpPoll is how often the configuration is looked at meanwhile.
+	// snapshotPollInterval is how often a waiting request reads the current snapshot.
 	snapshotPollInterval = 5 * time.Millisecond
 )
 
-// admitOnce finds the route and the account by one snapshot. Whether the
-// configuration has grown too old meanwhile is checked again before each send; see
-// mayGoOn.
+// authorize finds the route and the account in one snapshot. Before each send, checkBeforeSend
+// checks again whether the configuration has become too old.
 func (x *exchange) authorize(s *catalog.Snapshot) *Refusal {
 	if s.Config == nil || s.Engines.Upto == 0 {
 		return notExecuted(ReasonNoConfig, retrySoon)
@@ -55,11 +53,11 @@
 	return nil
 }
 
-// admit admits the request by the newest configuration. A router that wakes up finds
-// requests in its sockets and a configuration as old as its sleep; it would refuse all
-// of them although its source answers a moment later. So it waits for that moment,
-// unless the store is known to be lost: then waiting would not help. A router that has just
-// started waits for its first knowledge all the same, which another router may have.
+// admit authorizes the request with the newest configuration. A router that resumes from a suspend
+// finds requests in its sockets and a configuration as old as the suspend. It would refuse all of
+// them although its source confirms the configuration moments later, so admit waits for the
+// confirmation, unless the store is known to be lost and waiting would not help. A router that has
+// just started waits for its first snapshot even then, because another router may supply it.
 func (x *exchange) admit() *Refusal {
 	for {
 		x.snapshot = x.f.Snapshot()
@@ -73,7 +71,7 @@
 	}
 }
 
-// mayCatchUp says whether the refusal may soon be needless.
+// shouldWait reports whether the reason for the refusal may go away shortly.
 func (x *exchange) shouldWait(refusal *Refusal) bool {
 	if refusal == nil {
 		return false
--- a/internal/edge/forward/attempttimeout.go
+++ b/internal/edge/forward/attempttimeout.go
@@ -11,11 +11,11 @@
 	"github.com/zeebo/errs"
 )
 
-// errSilent ends a send to an engine that has not answered for longer than the other
-// engines of its service take.
-var errAttemptTimeout = errs.Class("engine silent")
+// errAttemptTimeout ends an attempt at an engine that takes much longer to answer than the engines
+// of its service usually do.
+var errAttemptTimeout = errs.Class("attempt timeout")
 
-// paces is how long answers take, by service. It is safe for concurrent use.
+// answerTimes records how long answers take, by service. It is safe for concurrent use.
 type answerTimes struct {
 	mu        sync.Mutex
 	byService map[string]*health.Pace
@@ -23,7 +23,7 @@
 
 func newAnswerTimes() *answerTimes { return &answerTimes{byService: make(map[string]*health.Pace)} }
 
-// note adds an answer of the service, or a send that was given up.
+// record adds the time to an answer, or to an attempt's timeout.
 func (p *answerTimes) record(service string, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -36,7 +36,7 @@
 	return p.pace(service).Patience(objective)
 }
 
-// of returns the pace of a service. The caller holds the mutex.
+// pace returns the answer times of a service. The caller holds the mutex.
 func (p *answerTimes) pace(service string) *health.Pace {
 	pace := p.byService[service]
 	if pace == nil {
@@ -46,12 +46,12 @@
 	return pace
 }
 
-// watchSilence returns a context that ends, with errSilent as its cause, if the engine
-// stays silent for too long and the request can go on elsewhere: an engine that hangs,
-// or whose answer was lost, would otherwise use up all the time of a request that
-// another engine serves at once. Only idempotent requests are given up: what a stream
-// has cost its engine is much more than a second answer. The function that is returned
-// ends the watch and must be called once the engine has answered.
+// withAttemptTimeout returns a context that is canceled with errAttemptTimeout as its cause if the
+// engine does not answer in time and the request can go to another engine. Otherwise an engine that
+// hangs, or whose answer was lost, would use up the time of a request that another engine could
+// serve at once. Only idempotent requests have an attempt timeout: the work that an engine has done
+// for a stream costs much more than a second short answer. The returned function stops the timer
+// and must be called once the engine has answered.
 func (x *exchange) withAttemptTimeout(ctx context.Context, e catalog.Engine) (context.Context, func()) {
 	if x.route.Kind != catalog.Idempotent || x.executed+1 >= x.route.Attempts {
 		return ctx, func() {}
@@ -65,13 +65,13 @@
 	excluded[e.ID] = true
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(timeout, func() {
-		// The budget is asked last, since what it grants is spent.
+		// The budget is checked last, because a successful Spend uses it up.
 		if x.f.Engines.HasFreeSlot(snapshot, e.Service, excluded) && x.f.Budget.Spend(e.Service, x.f.Clock()) {
-			cancel(errAttemptTimeout.New("for %s", timeout))
+			cancel(errAttemptTimeout.New("no answer within %s", timeout))
 		}
 	})
 	return ctx, func() { timer.Stop() }
 }
 
-// wasSilent says whether a send ended because its engine stayed silent.
+// attemptTimedOut reports whether an attempt ended because of its timeout.
 func attemptTimedOut(ctx context.Context) bool { return errAttemptTimeout.Has(context.Cause(ctx)) }
--- a/internal/edge/forward/budget.go
+++ b/internal/edge/forward/budget.go
@@ -7,29 +7,28 @@
 	"damaskrouter.example/damaskrouter/internal/decide/retry"
 )
 
-// BudgetLimits are what the whole fleet may send to one service beyond the
-// first send of each request.
+// BudgetLimits limit how many sends beyond the first send of each request the whole fleet may make
+// to one service.
 type BudgetLimits struct {
-	// Ratio is the allowed share of the requests of a window, and Slack what is
-	// allowed besides.
+	// Ratio is the allowed share of the requests in a window. Slack is the number of sends allowed
+	// in addition.
 	Ratio float64
 	Slack float64
-	// Window is the span in which arrivals are counted.
+	// Window is the period over which requests are counted.
 	Window time.Duration
 }
 
-// budgetMargin is the part of the limits that the routers use: their counts do
-// not start and end with the windows of whoever checks them.
+// budgetMargin is the share of the limits that the routers use. Their counts are not aligned with
+// the windows of whoever checks the limits.
 const budgetMargin = 0.7
 
-// fewestRouters is how many routers are taken to share the slack at least: one
-// that knows fewer has most likely not heard of the others yet.
+// minRouters is the minimum number of routers by which the slack is divided. A router that knows of
+// fewer has most likely not discovered the others yet.
 const minRouters = 6
 
-// Budgets holds a router's part of the fleet's retry budget, one for each
-// service. Each router takes the ratio of its own requests and an equal part of
-// the slack, so that the sum stays within the limits however the traffic is
-// split, without a message. It is safe for concurrent use.
+// Budgets holds one router's share of the fleet's retry budget for each service. Each router uses
+// the ratio of its own requests and an equal part of the slack, which keeps the sum within the
+// limits for any traffic split without communication. It is safe for concurrent use.
 type Budgets struct {
 	limits  func() BudgetLimits
 	routers func() int
@@ -38,29 +37,29 @@
 	byService map[string]*retry.Budget
 }
 
-// NewBudgets returns full budgets. Limits are those in force, routers is how many routers share
-// them.
+// NewBudgets returns full budgets. The function limits returns the limits in force, and routers the
+// number of routers that share them.
 func NewBudgets(limits func() BudgetLimits, routers func() int) *Budgets {
 	return &Budgets{limits: limits, routers: routers, byService: make(map[string]*retry.Budget)}
 }
 
-// Fresh counts the first send of a request.
+// RecordRequest counts the first send of a request at the boot time now.
 func (b *Budgets) RecordRequest(service string, now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budget(service, now).Fresh(bootTime(now))
 }
 
-// Spend takes one more send out of the budget and says whether there was one.
+// Spend takes one retry out of the service's budget and reports whether one was available.
 func (b *Budgets) Spend(service string, now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.budget(service, now).Spend(bootTime(now))
 }
 
-// of returns the service's budget, sized for the routers that share it now. A
-// router that has just started knows no other yet; were its part fixed then, it
-// would take the whole slack for itself.
+// budget returns the service's budget, sized for the current number of routers. A router that has
+// just started knows no others; a size fixed at that time would give it the whole slack. The caller
+// holds the mutex.
 func (b *Budgets) budget(service string, now time.Duration) *retry.Budget {
 	budget := b.byService[service]
 	if budget == nil {
@@ -72,8 +71,8 @@
 	return budget
 }
 
-// share is this router's part: half of its slack can be saved up, and the other
-// half comes evenly over a window, so that both together stay within it.
+// config returns this router's share of the limits. Half of the slack can accumulate as burst and
+// the other half refills evenly over a window, so that both together stay within the slack.
 func (b *Budgets) config() retry.BudgetConfig {
 	limits := b.limits()
 	slack := budgetMargin * limits.Slack / float64(max(b.routers(), minRouters))
@@ -84,6 +83,6 @@
 	}
 }
 
-// at turns a reading of the boot clock into a time for package retry, which
-// only looks at differences.
+// bootTime converts a reading of the boot clock to a time for package retry, which uses only
+// differences.
 func bootTime(now time.Duration) time.Time { return time.Unix(0, int64(now)) }
--- a/internal/edge/forward/cold.go
+++ b/internal/edge/forward/cold.go
@@ -7,24 +7,26 @@
 	"damaskrouter.example/damaskrouter/internal/edge/catalog"
 )
 
-// ColdLimits bound what a cold engine may get in one second: Over times the rate that its service
-// states, and Slack.
+// ColdLimits limit the requests that a cold engine may receive in one second: Over times the rate
+// stated by its service, plus Slack.
 type ColdLimits struct{ Over, Slack float64 }
 
-// sighting is an engine as it was last seen, and when its present life was seen first.
+// engineState is an engine as last observed, and the boot time at which its current start, or its
+// return from an evacuation, was first observed.
 type engineState struct {
 	engine    catalog.Engine
 	firstSeen time.Duration
-	// evacuation is the revision of the newest evacuation of its site that was seen.
+	// evacuationRevision is the newest observed revision of an evacuation of the engine's site.
 	evacuationRevision uint64
-	// coldUntil is until when the engine is taken to be cold.
+	// coldUntil is the boot time until which the engine counts as cold.
 	coldUntil time.Duration
 }
 
-// chill notes how long an engine is cold: by its entry, and after the evacuation of its site has
-// ended, since engines may have been emptied meanwhile and tell so only later. known says whether
-// the engine was seen before: a router that starts knows nothing of when an evacuation ended. It
-// returns whether the engine may have been emptied.
+// updateCold updates how long the engine counts as cold: for the period in its entry, and after the
+// end of an evacuation of its site for coldStart, because engines may have been emptied during the
+// evacuation and report that only later. known means that the engine was observed before; a router
+// that has just started does not know when an evacuation ended. entryChanged means that the entry
+// is new or newer than the last one. It reports whether the engine may have been emptied.
 func (v *engineState) updateCold(s *catalog.Snapshot, coldStart, now time.Duration, known, entryChanged bool) (emptied bool) {
 	if entryChanged {
 		v.coldUntil = max(v.coldUntil, now+v.engine.ColdFor)
@@ -40,12 +42,12 @@
 	return emptied
 }
 
-// SetColdLimits says what bounds the requests to cold engines. The default is the rate that their
-// service states.
+// SetColdLimits sets the limits on requests to cold engines. The default is the rate stated by
+// their service. It must be called before the first request.
 func (p *Engines) SetColdLimits(limits func() ColdLimits) { p.coldLimits = limits }
 
-// coldLeft is how much longer an engine is cold, as far as this router knows, zero if it is not, or
-// if its service does not say what a cold engine bears. The caller holds the mutex.
+// coldRemaining returns how much longer an engine counts as cold, or zero if it is not cold or its
+// service states no rate for cold engines. The caller holds the mutex.
 func (p *Engines) coldRemaining(service *catalog.Service, engine string, now time.Duration) time.Duration {
 	if service == nil || service.ColdRate <= 0 {
 		return 0
@@ -53,7 +55,7 @@
 	return max(p.states[engine].coldUntil-now, 0)
 }
 
-// Cold returns how much longer each cold engine is taken to be cold, by its ID.
+// Cold returns the remaining cold time of each cold engine by engine ID.
 func (p *Engines) Cold(s *catalog.Snapshot) map[string]time.Duration {
 	now := p.clock()
 	p.mu.Lock()
@@ -70,7 +72,8 @@
 	return out
 }
 
-// paceOf is the pace at which an engine may be sent requests. The caller holds the mutex.
+// pace returns the rate limit for requests to an engine; the zero Pace means no limit. The caller
+// holds the mutex.
 func (p *Engines) pace(service *catalog.Service, engine string, now time.Duration) gate.Pace {
 	remaining := p.coldRemaining(service, engine, now)
 	if remaining == 0 {
@@ -81,7 +84,7 @@
 	return gate.PaceFor(maxRate, limits.Slack, remaining)
 }
 
-// coldStartOf is how long engines of a service are cold after their start.
+// coldStartDuration returns how long engines of a service are cold after their start.
 func coldStartDuration(s *catalog.Snapshot, service string) time.Duration {
 	if s.Config == nil {
 		return 0
--- a/internal/edge/forward/engines.go
+++ b/internal/edge/forward/engines.go
@@ -14,47 +14,47 @@
 	"damaskrouter.example/damaskrouter/internal/edge/health"
 )
 
-// Engines is what a router knows of the engines by its own requests: how many it
-// has at each, and which fail. It is safe for concurrent use.
+// Engines tracks the requests of this router at each engine and how they end, and chooses engines
+// for requests. It is safe for concurrent use.
 type Engines struct {
 	site string
-	// others returns the other routers' loads by engine ID.
+	// otherLoads returns the loads reported by the other routers, by engine ID.
 	otherLoads func() map[string]feed.EngineLoad
 	clock      func() time.Duration
 	rng        *rand.Rand
-	// release gives a place back.
+	// release returns a permit to its gate.
 	release func(*flow.Permit)
 
 	mu       sync.Mutex
 	ownLoads map[string]*ownLoad
-	// ejected holds the engines that get no requests, by ID, for the log.
+	// ejected holds the IDs of ejected engines, so that Review returns only changes.
 	ejected map[string]bool
-	// holders is which engines hold which parts of prompts, as far as this router
-	// has sent them.
+	// promptCaches records which engines this router has sent which prompt parts.
 	promptCaches promptCaches
-	// seen is each engine as it was last among the engines, and since when this router
-	// knows any.
+	// states holds the last observation of each engine by ID. knownSince is the boot time at which
+	// this router first knew any engine.
 	states     map[string]engineState
 	knownSince time.Duration
-	// restarted is told of engines that have started again.
+	// onRestart is called with the ID of each engine that has restarted.
 	onRestart func(engine string)
-	// coldLimits bound the requests to cold engines.
+	// coldLimits returns the limits on requests to cold engines.
 	coldLimits func() ColdLimits
-	// crowdedUntil is until when requests of a service ask for places, and holds how
-	// long they have them in the mean.
+	// congestedUntil is, by service, the boot time until which requests need a permit. meanHolds
+	// is, by service, the mean time that a request occupies an engine.
 	congestedUntil map[string]time.Duration
 	meanHolds      map[string]time.Duration
 }
 
-// ownLoad is what this router knows of one engine by its own requests.
+// ownLoad is this router's requests at one engine and how they have ended.
 type ownLoad struct {
-	// inFlight is how many requests are there, leased how many of them have a lease of
-	// a gate.
+	// inFlight is the number of requests in progress, and leased the number of these that hold a
+	// permit.
 	inFlight, leased int
 	record           health.Record
 }
 
-// NewEngines returns an Engines for a router in a site.
+// NewEngines returns an Engines for a router in a site. The function others returns the loads
+// reported by the other routers, by engine ID.
 func NewEngines(site string, others func() map[string]feed.EngineLoad, clock func() time.Duration, rng *rand.Rand) *Engines {
 	return &Engines{
 		site: site, otherLoads: others, clock: clock, rng: rng, promptCaches: newPromptCaches(),
@@ -66,13 +66,14 @@
 	}
 }
 
-// ReleaseBy says how places are given back.
+// ReleaseBy sets the function that releases permits. It must be called before the first request.
 func (p *Engines) ReleaseBy(release func(*flow.Permit)) { p.release = release }
 
-// OnRestart says who is told of engines that have started again. It must not block.
+// OnRestart sets the function that is called with the ID of each restarted engine. The function
+// runs while the mutex is held, so it must neither block nor call methods of p.
 func (p *Engines) OnRestart(restarted func(engine string)) { p.onRestart = restarted }
 
-// Own returns what this router knows of the engines.
+// Own returns this router's load and outcome counts by engine ID.
 func (p *Engines) Own() map[string]feed.EngineLoad {
 	now := p.clock()
 	p.mu.Lock()
@@ -84,7 +85,7 @@
 	return out
 }
 
-// of returns the engine's load. The caller holds the mutex.
+// load returns the engine's load and creates it if needed. The caller holds the mutex.
 func (p *Engines) load(engine string) *ownLoad {
 	l := p.ownLoads[engine]
 	if l == nil {
@@ -94,24 +95,23 @@
 	return l
 }
 
-// Choice is where a request goes.
+// Choice is the engine selected for a request.
 type Choice struct {
 	Engine catalog.Engine
-	// FetchFrom is the address of an engine from whose cache the chosen one
-	// should fetch what it lacks of the prompt; empty for none. Fetching costs
-	// less than reading the prompt again, in time and in load.
+	// FetchFrom is the address of an engine from whose cache the chosen one should fetch the
+	// missing parts of the prompt, or empty. Fetching takes less time and load than processing the
+	// prompt again.
 	FetchFrom string
 
-	// permit is the place that was granted; nil if none was asked for.
+	// permit is the granted permit, or nil if none was requested.
 	permit *flow.Permit
-	// taken is the boot time since which the request counts.
+	// startedAt is the boot time since which the request counts.
 	startedAt time.Duration
 }
 
-// Pick chooses an engine of the service and counts a request to it until Done.
-// shared are the parts of the prompt that other requests may have too, in order.
-// Engines in avoid are passed over, and cold ones, which need a grant. It returns false if there is
-// none.
+// Pick chooses an engine of the service and counts a request to it until Done is called. shared are
+// the IDs of the prompt parts that other requests may have too, in order. Pick skips the engines in
+// excluded, and cold ones, which require a permit. It returns false if there is no engine left.
 func (p *Engines) Pick(s *catalog.Snapshot, service string, shared []string, excluded map[string]bool) (Choice, bool) {
 	now := p.clock()
 	others := p.otherLoads()
@@ -122,7 +122,7 @@
 	return p.commit(engines, candidates, p.placement(candidates, shared), shared, now)
 }
 
-// placement chooses among candidates. The caller holds the mutex.
+// placement chooses among the candidates. The caller holds the mutex.
 func (p *Engines) placement(candidates []choose.Engine, shared []string) choose.Placement {
 	if len(shared) == 0 {
 		return choose.Placement{Engine: choose.Plain(candidates, p.rng), Holder: choose.None}
@@ -130,7 +130,8 @@
 	return choose.Prompted(candidates, rendezvous.ID(shared[len(shared)-1]), p.rng)
 }
 
-// settle takes a placement. The caller holds the mutex.
+// commit counts a request at the engine of a placement and records its prompt parts there. The
+// caller holds the mutex.
 func (p *Engines) commit(engines []catalog.Engine, candidates []choose.Engine, placement choose.Placement, shared []string, now time.Duration) (Choice, bool) {
 	choice, ok := p.start(engines, placement.Engine, now)
 	if !ok || len(shared) == 0 {
@@ -141,7 +142,7 @@
 	return choice, true
 }
 
-// take counts a request to an engine.
+// start counts a request at the i-th engine. The caller holds the mutex.
 func (p *Engines) start(engines []catalog.Engine, i int, now time.Duration) (Choice, bool) {
 	if i == choose.None {
 		return Choice{}, false
@@ -150,10 +151,12 @@
 	return Choice{Engine: engines[i], startedAt: now}, true
 }
 
-// fetchFrom returns the address of the engine that holds most of the prompt, or
-// nothing if the chosen engine has it: asking costs a few milliseconds. What this
-// router has sent goes before what the order of the engines says, and that before
-// shorter parts.
+// fetchSource returns the address of the engine to fetch the prompt from, or an empty string if the
+// chosen engine has the longest part already, because asking another engine costs a few
+// milliseconds. It tries in this order: the engine to which this router last sent the longest part,
+// the engine that had the prompt before according to the hash order, and the engines to which this
+// router last sent shorter parts. If none qualifies, it falls back to the first other engine of the
+// hash order. The caller holds the mutex.
 func (p *Engines) fetchSource(engines []catalog.Engine, candidates []choose.Engine, placement choose.Placement, shared []string, now time.Duration) string {
 	chosen := engines[placement.Engine].ID
 	longest := len(shared) - 1
@@ -177,9 +180,9 @@
 	return engines[placement.Holder].Address
 }
 
-// addressOf returns the address of the engine, other than the chosen one, that this
-// router last sent the part to, unless it is ejected: a request would wait for an
-// engine that gives nothing.
+// sourceAddress returns the address of the engine, other than the chosen one, to which this router
+// last sent the part. It returns false for an ejected engine: a request would wait for an engine
+// that does not respond. The caller holds the mutex.
 func (p *Engines) sourceAddress(engines []catalog.Engine, candidates []choose.Engine, chosen, part string, now time.Duration) (string, bool) {
 	holder, ok := p.promptCaches.otherEngine(chosen, part, now)
 	if !ok {
@@ -227,8 +230,9 @@
 	return engines, out
 }
 
-// sight notes an engine that is there. One that has started again under its ID holds
-// nothing, and how its requests ended before says nothing of it. The caller holds the mutex.
+// observe records an engine of the current snapshot. For an engine that has restarted under the
+// same ID, it discards the prompt parts and outcomes recorded before the restart. The caller holds
+// the mutex.
 func (p *Engines) observe(s *catalog.Snapshot, e catalog.Engine, now time.Duration) {
 	if len(p.states) == 0 {
 		p.knownSince = now
@@ -256,15 +260,15 @@
 	}
 }
 
-// fresh says whether an engine came a short time ago, and not before this router
-// did. The caller holds the mutex.
+// recentlyStarted reports whether the engine was added within the last promptCacheTTL, and after
+// the engines that this router found at its own start. The caller holds the mutex.
 func (p *Engines) recentlyStarted(engine string, now time.Duration) bool {
 	firstSeen := p.states[engine].firstSeen
 	return firstSeen > p.knownSince+startupSettleTime && now-firstSeen <= promptCacheTTL
 }
 
-// HasRoom says whether an engine of the service, other than those in avoid, takes
-// requests and has a free place.
+// HasFreeSlot reports whether any engine of the service, other than those in excluded, accepts
+// requests and has a free slot.
 func (p *Engines) HasFreeSlot(s *catalog.Snapshot, service string, excluded map[string]bool) bool {
 	others := p.otherLoads()
 	p.mu.Lock()
@@ -273,7 +277,8 @@
 	return slices.ContainsFunc(candidates, choose.Engine.HasRoom)
 }
 
-// Done ends the count of a request, and gives its place back.
+// Done ends the count of a request and releases its permit. It must be called once for each choice
+// that Pick, Plan or StartLeased has counted.
 func (p *Engines) Done(choice Choice) {
 	if choice.permit != nil {
 		p.release(choice.permit)
@@ -289,7 +294,7 @@
 	p.recordHold(choice.Engine.Service, now-choice.startedAt)
 }
 
-// Known is what this router and the others' reports say of an engine's load.
+// Known returns an engine's load from this router's own requests and the reports of the others.
 func (p *Engines) Known(engine string) flow.Known {
 	load := p.otherLoads()[engine]
 	p.mu.Lock()
@@ -301,7 +306,7 @@
 	return flow.Known{Unasked: max(load.InFlight-load.Leased, 0), Leased: load.Leased}
 }
 
-// Note adds how a request at an engine ended.
+// RecordOutcome records whether a request at an engine ended well.
 func (p *Engines) RecordOutcome(engine string, good bool) {
 	now := p.clock()
 	p.mu.Lock()
@@ -309,7 +314,7 @@
 	p.load(engine).record.Note(good, now)
 }
 
-// Verdict is a change of the judgement on an engine.
+// EjectionChange reports that an engine was ejected or restored.
 type EjectionChange struct {
 	Engine, Service string
 	// Ejected engines get no requests.
@@ -317,8 +322,8 @@
 	Evidence health.Evidence
 }
 
-// Review forgets the engines that have left, and returns whose judgement has
-// changed since the last call.
+// Review drops the state of removed engines, and returns the engines that were ejected or restored
+// since the last call.
 func (p *Engines) Review(s *catalog.Snapshot) []EjectionChange {
 	others := p.otherLoads()
 	now := p.clock()
--- a/internal/edge/forward/forwarder.go
+++ b/internal/edge/forward/forwarder.go
@@ -18,52 +18,51 @@
 )
 
 const (
-	// defaultTimeout bounds a request for which neither the caller nor the
-	// route has a limit.
+	// defaultTimeout limits a request if neither the caller nor the route sets a limit.
 	defaultTimeout = 30 * time.Second
-	// defaultMaxBody bounds a body where the configuration doesn't.
+	// defaultMaxBody limits the request body, in bytes, if the configuration sets no limit.
 	defaultMaxBody = 8 << 20
-	// writeGrace is how long a caller may take to read after the time limit,
-	// before its connection is given up.
+	// writeGrace is how much longer than the request's deadline a write to the caller may take
+	// before the connection is closed.
 	writeGrace = 2 * time.Second
 )
 
-// Options set up a Forwarder.
+// Options configure a Forwarder.
 type Options struct {
 	Snapshot func() *catalog.Snapshot
-	// Clock reads the time since the VM booted, suspends included.
+	// Clock returns the time since the VM booted, including suspends.
 	Clock   func() time.Duration
 	Codec   Codec
 	Conns   *engineconn.Pool
 	Engines *Engines
-	// Places is whom to ask for places.
+	// Places requests permits.
 	Places *flow.Asker
 	Budget *Budgets
 	Log    *log.Logger
-	// KeyLease is how long after its last confirmation a configuration may
-	// be used for requests with API keys: a key may have been taken away
-	// since.
+	// KeyLease returns the maximum age of a configuration's last confirmation at which requests
+	// with API keys are served. Older configurations may contain revoked keys.
 	KeyLease func() time.Duration
-	// FreshFor is the age of the configuration up to which it is sure that a
-	// route or a key does not exist. Beyond it the newest version may have
-	// them, and a refusal that the caller takes for final would be wrong.
+	// FreshFor returns the maximum age of the configuration at which an unknown route or key is
+	// rejected. A newer version may contain the route or key, and callers treat the rejection as
+	// final.
 	FreshFor func() time.Duration
-	// Settings names the settings in force, for log lines. The default is no name.
+	// Settings returns an identifier of the settings in force for log lines. The default returns an
+	// empty string.
 	Settings func() string
-	// StoreLost says whether a configuration is old because the store can't be
-	// reached, and not because this router has not asked yet.
+	// StoreLost reports whether the configuration is old because the store is unreachable, not
+	// because this router has not read it yet.
 	StoreLost func() bool
-	// Routers returns how many routers there are, at least one.
+	// Routers returns the number of routers in the fleet, at least one.
 	Routers func() int
 }
 
-// Forwarder is the handler of callers' requests.
+// Forwarder is the http.Handler for callers' requests.
 type Forwarder struct {
 	Options
-	// leaving is nil until the router is told to stop.
+	// draining is nil until Leave is called.
 	draining atomic.Pointer[drainState]
 	inFlight atomic.Int64
-	// servedLines bounds the log of requests that were simply served.
+	// servedLogLimiter limits the log lines about successful requests.
 	servedLogLimiter *rate.Limiter
 	stats            *Stats
 	answerTimes      *answerTimes
@@ -88,35 +87,36 @@
 // Stats returns the counters.
 func (f *Forwarder) Stats() *Stats { return f.stats }
 
-// InFlight is how many requests are being handled.
+// InFlight returns the number of requests in progress.
 func (f *Forwarder) InFlight() int64 { return f.inFlight.Load() }
 
-// Leave makes callers go elsewhere: their connections are closed after the next
-// answer, and requests are taken only while they can end before stop, the time
-// until the process ends.
+// Leave starts draining: each caller's connection is closed after the next response, and requests
+// are accepted only if they can finish before the process ends, timeout from now.
 func (f *Forwarder) Leave(timeout time.Duration) {
 	f.draining.Store(&drainState{startedAt: f.Clock(), timeout: timeout})
 }
 
-// leaving is the state of a router that was told to stop.
+// drainState is the state of a draining router.
 type drainState struct {
-	// since is the boot time at which it was told, stop how long it has.
+	// startedAt is the boot time at which draining began, and timeout the time from then until the
+	// process ends.
 	startedAt, timeout time.Duration
 }
 
-// acceptShare is the part of the time to stop in which any request is still
-// taken: callers keep an old address for some seconds. A long stream that came
-// later would be cut.
+// acceptAllShare is the share of the drain timeout during which every request is accepted, because
+// callers keep using an old address for some seconds. A long stream that started later would be cut
+// off.
 const acceptAllShare = 0.3
 
-// accepts says whether a request that arrives at now and may take up to limit
-// is still taken.
+// accepts reports whether a request that arrives at the boot time now and may take up to limit is
+// accepted.
 func (l *drainState) accepts(now, limit time.Duration) bool {
 	elapsed := now - l.startedAt
 	return elapsed <= time.Duration(acceptAllShare*float64(l.timeout)) || elapsed+limit <= l.timeout
 }
 
-// ServeHTTP carries one request.
+// ServeHTTP forwards one request. It panics with http.ErrAbortHandler to cut the connection if a
+// response that has begun can't be completed.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.inFlight.Add(1)
 	defer f.inFlight.Add(-1)
@@ -134,7 +134,7 @@
 	x.finish()
 }
 
-// exchange is one caller's request and its answer.
+// exchange is one caller's request and its response.
 type exchange struct {
 	f       *Forwarder
 	w       http.ResponseWriter
@@ -144,26 +144,27 @@
 	req     Request
 	route   *catalog.Route
 	account *catalog.Account
-	// deadline is the boot time by which the caller has a final answer.
+	// deadline is the boot time by which the caller must have a final response.
 	deadline time.Duration
 	body     []byte
 
 	snapshot *catalog.Snapshot
-	// executed counts the engines that may have executed the request, sends
-	// the times it was sent.
+	// executed counts the engines that may have executed the request, and sends the attempts to
+	// send it.
 	executed int
 	sends    int
-	// asks is how many engines had no place, predicted how long the last one would have
-	// made the request wait.
+	// deniedPermits counts the permit requests that gave no usable permit. predictedWait is the
+	// wait that the last answer predicted.
 	deniedPermits int
 	predictedWait time.Duration
-	// late means that the caller has come back after a refusal, too late for the objective.
+	// late means that the caller has retried after a refusal, too late to meet the route's
+	// objective.
 	late     bool
 	excluded map[string]bool
-	// failure is an engine's own failure, which is the answer if no other
-	// engine gives a better one.
+	// engineFailure is an engine's own error response. The caller gets it if no other engine gives
+	// a better one.
 	engineFailure *engineFailure
-	// answered is set once a byte of an answer has gone to the caller.
+	// answered is set once any byte of a response may have gone to the caller.
 	answered  bool
 	firstByte time.Duration
 	outcome   Reason
@@ -173,7 +174,7 @@
 	aborted   bool
 }
 
-// prepare reads and admits the request.
+// prepare decodes and admits the request, sets its deadline and reads its body.
 func (x *exchange) prepare() *Refusal {
 	x.snapshot = x.f.Snapshot()
 	var err error
@@ -198,8 +199,8 @@
 	return x.readBody()
 }
 
-// readBody reads the whole body before anything is sent: an engine's slot is
-// not held by a slow caller, and the request can be sent again.
+// readBody reads the whole body before anything is sent, so that a slow caller does not occupy an
+// engine's slot and the request can be sent again.
 func (x *exchange) readBody() *Refusal {
 	control := http.NewResponseController(x.w)
 	limit := x.snapshot.Config.Limits.MaxBody
@@ -207,7 +208,7 @@
 		limit = defaultMaxBody
 	}
 	left := x.remaining()
-	// The error says that the connection has no deadlines, as in a test.
+	// Setting a deadline fails only where the connection supports none, as in tests.
 	_ = control.SetWriteDeadline(time.Now().Add(left + writeGrace))
 	if x.r.ContentLength == 0 {
 		return nil
@@ -232,9 +233,9 @@
 
 func (x *exchange) remaining() time.Duration { return x.deadline - x.f.Clock() }
 
-// context ends at the time limit, or when the caller leaves. A request that
-// must not be repeated runs to its end once it was sent: cutting it off would
-// leave its outcome unknown, and save nothing.
+// context returns a context that ends at the deadline or when the caller disconnects.
+// Non-idempotent requests continue after a disconnect: canceling one would leave its outcome
+// unknown and save nothing.
 func (x *exchange) context() (context.Context, context.CancelFunc) {
 	ctx := x.r.Context()
 	if x.route.Kind == catalog.NonIdempotent {
@@ -245,9 +246,9 @@
 
 func (x *exchange) callerDisconnected() bool { return x.r.Context().Err() != nil }
 
-// refuse ends a request that no engine has served: by an engine's own failure if
-// there is one, else by the router's refusal. If an answer has begun, the
-// connection is cut, so that the answer does not look complete.
+// refuse ends a request that no engine has served. It passes on an engine's own error response if
+// there is one, and sends the refusal otherwise. If a response has begun, it cuts the connection,
+// so that the response does not look complete.
 func (x *exchange) refuse(refusal *Refusal) {
 	x.outcome = refusal.Reason
 	if x.answered {
--- a/internal/edge/forward/permit.go
+++ b/internal/edge/forward/permit.go
@@ -11,8 +11,9 @@
 	"damaskrouter.example/damaskrouter/internal/edge/flow"
 )
 
-// place finds the engine for the first send: at once while there is room, else by asking
-// for a place. It returns a choice to be given back by Engines.Done, or a refusal.
+// chooseFirst finds the engine for the first send: directly while the service has spare capacity,
+// and by requesting a permit otherwise. It returns a choice that must be passed to Engines.Done, or
+// a refusal; if there is no engine, the refusal is last.
 func (x *exchange) chooseFirst(last *Refusal) (Choice, *Refusal) {
 	var shared []string
 	if x.route.Prompted {
@@ -32,7 +33,7 @@
 	return Choice{}, last
 }
 
-// ask asks for a place at one engine after the other.
+// requestPermit requests a permit at one candidate engine after the other.
 func (x *exchange) requestPermit(service string, plan Plan, shared []string) (Choice, *Refusal) {
 	ctx, cancel := context.WithTimeout(x.r.Context(), x.remaining())
 	defer cancel()
@@ -68,7 +69,8 @@
 		x.deniedPermits++
 		x.predictedWait = answer.Wait
 		if x.late && x.route.Prompted && refused {
-			// At another engine it would take a place that somebody else can use on time.
+			// At another engine, the late request would take a permit that an on-time request can
+			// still use.
 			break
 		}
 	}
@@ -79,28 +81,28 @@
 	return Choice{}, x.overloadRefusal(service)
 }
 
-// overloaded refuses a request for which there is no place in time, and says when to come back.
+// overloadRefusal refuses a request that can't get a permit in time, and suggests when to retry.
 func (x *exchange) overloadRefusal(service string) *Refusal {
 	return notExecuted(ReasonOverload, x.f.overloads.retryAfter(service, x.route.Objective, x.remaining(), x.f.Clock()))
 }
 
-// stillTakes says whether requests may be sent to an engine by the newest knowledge: its site may
-// have been evacuated while a request waited for a place there.
+// stillAccepts updates the snapshot and reports whether requests may be sent to the engine
+// according to it. The site may have been evacuated while the request waited for a permit.
 func (x *exchange) stillAccepts(e catalog.Engine) bool {
 	x.snapshot = x.f.Snapshot()
 	current, known := x.snapshot.Engines.ByID[e.ID]
 	return known && x.snapshot.TakesRequests(current)
 }
 
-// noteLimit remembers the caller's time limit, if it is sure to be one that callers give:
-// while nobody is refused, nobody comes back.
+// recordTimeout records the caller's timeout while the service refuses no requests. Without
+// refusals there are no retries, so the timeout is the full one that callers use.
 func (x *exchange) recordTimeout(service string) {
 	if x.f.overloads.ended(service, x.f.Clock()) {
 		x.f.callerTimeouts.record(x.route.Name, x.req.Timeout)
 	}
 }
 
-// askFor is the question to the owner of an engine's gate.
+// permitRequest returns the request to the owner of an engine's gate.
 func (x *exchange) permitRequest(a PermitCandidate, plan Plan, maxWait time.Duration) flow.Ask {
 	out := flow.Ask{
 		Engine: a.Choice.Engine.ID, Places: a.MaxInFlight, Urgency: x.urgency(), Weight: x.req.Cost(),
@@ -114,8 +116,8 @@
 	return out
 }
 
-// unasked places a request by what is known of the loads, as while there is room: no owner of a
-// gate could be reached, or only cold engines were asked.
+// chooseWithoutPermit chooses an engine by the known loads, as with spare capacity. It is used if
+// no owner of a gate could be reached, or if only cold engines were asked and others are available.
 func (x *exchange) chooseWithoutPermit() (Choice, *Refusal) {
 	if choice, ok := x.pickEngine(); ok {
 		return choice, nil
@@ -123,14 +125,14 @@
 	return Choice{}, notExecuted(ReasonNoEngine, retryLater)
 }
 
-// limits remembers the time limits that callers of each route usually give. It is safe for
+// callerTimeouts records the timeouts that callers of each route usually set. It is safe for
 // concurrent use.
 type callerTimeouts struct {
 	mu      sync.Mutex
 	byRoute map[string]*gate.Usual
 }
 
-// note adds the limit of a request that came while nobody was refused.
+// record adds the timeout of a request that arrived while nothing was refused.
 func (l *callerTimeouts) record(route string, limit time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -142,7 +144,7 @@
 	usual.Note(limit)
 }
 
-// late says whether a caller with such a limit has come back too late to be served on time.
+// isLate reports whether a caller with this timeout has retried too late to be served on time.
 func (l *callerTimeouts) isLate(route string, limit, objective time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -150,29 +152,28 @@
 	return usual != nil && usual.Late(limit, objective)
 }
 
-// overloads remembers since when each service has refused requests. It is safe for
-// concurrent use.
+// overloads records since when each service has refused requests. It is safe for concurrent use.
 type overloads struct {
 	mu        sync.Mutex
 	random    func() float64
 	byService map[string]*gate.Overload
 }
 
-// comeBack notes a refusal and returns when the caller should come back.
+// retryAfter records a refusal and returns how long the caller should wait before it retries.
 func (o *overloads) retryAfter(service string, objective, left, now time.Duration) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.state(service).ComeBack(objective, left, now, o.random())
 }
 
-// over says whether the service has refused nobody for a while.
+// ended reports whether the service has refused no request for a while.
 func (o *overloads) ended(service string, now time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.state(service).Over(now)
 }
 
-// of returns the state of a service. The caller holds the mutex.
+// state returns the overload state of a service. The caller holds the mutex.
 func (o *overloads) state(service string) *gate.Overload {
 	state := o.byService[service]
 	if state == nil {
--- a/internal/edge/forward/plan.go
+++ b/internal/edge/forward/plan.go
@@ -10,37 +10,40 @@
 )
 
 const (
-	// crowdedFor is how long requests of a service go on asking for places after it was
-	// last crowded: a service at the limit would otherwise change its ways all the time.
+	// congestedFor is how long requests of a service keep requesting permits after it was last
+	// congested. Without it, a service close to the threshold would switch back and forth.
 	congestedFor = 2 * time.Second
-	// holdWeight is the weight of the newest request in the mean of how long they last.
+	// meanHoldWeight is the weight of the newest request in the mean time that requests occupy an
+	// engine.
 	meanHoldWeight = 1.0 / 32
 )
 
-// Plan says where a request may go. Either Choice is taken, or the engines of Ask are to be
-// asked for a place, in order.
+// Plan is the result of choosing an engine. If Ask is empty, the request goes to Choice. Otherwise
+// a permit must be requested from the engines in Ask, in order.
 type Plan struct {
 	Choice Choice
 	Ask    []PermitCandidate
-	// Warm means that the engines of Ask are cold and others are not: where these refuse,
-	// a request goes to the others without asking.
+	// Warm means that the engine in Ask is cold and others are not. If it grants no permit, the
+	// request goes to the others without one.
 	Warm bool
-	// Hold is how long requests of the service have a place in the mean.
+	// Hold is the mean time that a request of the service occupies an engine.
 	Hold time.Duration
 }
 
-// Alternative is an engine that may take a request.
+// PermitCandidate is an engine at which a permit can be requested.
 type PermitCandidate struct {
 	Choice Choice
-	// Places is how many requests may be there at once.
+	// MaxInFlight is how many requests the engine may have in progress at once.
 	MaxInFlight int
-	// Pace bounds how often requests may be sent there, if it is cold.
+	// Pace limits the rate of requests to the engine while it is cold.
 	Pace gate.Pace
 }
 
-// Plan chooses an engine of the service, or several to ask if the service is crowded, for a
-// request with the given shared parts of a prompt. Engines in avoid are passed over. It
-// returns false if there is none. A choice that is taken must be given back by Done.
+// Plan chooses an engine of the service, or the engines to request a permit from if the service is
+// congested or the chosen engine is cold. shared are the IDs of the prompt parts that other
+// requests may have too, in order. Plan skips the engines in excluded and returns false if there is
+// no engine left. If Ask is empty, Plan has counted the request, and Done must be called with
+// Choice.
 func (p *Engines) Plan(s *catalog.Snapshot, service string, shared []string, excluded map[string]bool) (Plan, bool) {
 	now := p.clock()
 	others := p.otherLoads()
@@ -69,7 +72,7 @@
 	return plan, len(plan.Ask) > 0
 }
 
-// order returns the engines to ask for a place, the first one first.
+// permitOrder returns the indexes of the engines to request a permit from, in order.
 func (p *Engines) permitOrder(candidates []choose.Engine, shared []string) []int {
 	if len(shared) == 0 {
 		return choose.PlainCandidates(candidates, p.rng)
@@ -77,7 +80,7 @@
 	return choose.Candidates(candidates, rendezvous.ID(shared[len(shared)-1]), p.rng)
 }
 
-// crowded says whether requests of the service ask for places. The caller holds the mutex.
+// congested reports whether requests of the service need a permit. The caller holds the mutex.
 func (p *Engines) congested(service string, candidates []choose.Engine, now time.Duration) bool {
 	if choose.Crowded(candidates) {
 		p.congestedUntil[service] = now + congestedFor
@@ -85,7 +88,8 @@
 	return now < p.congestedUntil[service]
 }
 
-// choiceOf is the choice of an engine that asking may lead to.
+// candidateChoice returns the choice of the i-th engine, to be used if it grants a permit. The
+// caller holds the mutex.
 func (p *Engines) candidateChoice(engines []catalog.Engine, candidates []choose.Engine, i int, shared []string, now time.Duration) Choice {
 	choice := Choice{Engine: engines[i]}
 	if len(shared) > 0 {
@@ -95,7 +99,7 @@
 	return choice
 }
 
-// TakeLeased counts a request to an engine that has granted it a place, until Done.
+// StartLeased counts a request at an engine that has granted a permit, until Done is called.
 func (p *Engines) StartLeased(choice Choice, shared []string) Choice {
 	now := p.clock()
 	p.mu.Lock()
@@ -110,7 +114,8 @@
 	return choice
 }
 
-// noteHold adds how long a request had a place. The caller holds the mutex.
+// recordHold updates the mean time that requests of the service occupy an engine. The caller holds
+// the mutex.
 func (p *Engines) recordHold(service string, took time.Duration) {
 	mean, ok := p.meanHolds[service]
 	if !ok {
--- a/internal/edge/forward/refusal.go
+++ b/internal/edge/forward/refusal.go
@@ -9,10 +9,10 @@
 	"damaskrouter.example/damaskrouter/internal/serve/apierr"
 )
 
-// Reason names a refusal or failure of the router's own.
+// Reason identifies why the router refused a request or failed to serve it.
 type Reason string
 
-// The reasons, as they stand in answers and logs.
+// The reasons as sent in responses and written to logs.
 const (
 	ReasonMalformed     Reason = "malformed_request"
 	ReasonTooLarge      Reason = "body_too_large"
@@ -34,50 +34,50 @@
 	ReasonStreamBroken  Reason = "stream_broken"
 )
 
-// Refusal is a final answer of the router's own.
+// Refusal is a final error response that the router itself generates.
 type Refusal struct {
 	Status int
 	Reason Reason
-	// Ran says whether the request may have executed. A status of 408, 421,
-	// 429 or 503 promises that it did not.
+	// Ran tells whether the request may have executed. Status codes 408, 421, 429 and 503 promise
+	// that it did not.
 	Ran apierr.Ran
-	// RetryAfter is when to come back; zero means not to say.
+	// RetryAfter is how long the caller should wait before a retry; zero sends no suggestion.
 	RetryAfter time.Duration
 }
 
-// Pauses before a caller comes back. They are short against the time limits of
-// callers, who take a third of what they have left at most.
+// Suggested waits before a retry. They are short compared with callers' timeouts, because callers
+// wait for at most a third of their remaining time.
 const (
-	// retrySoon is for what another router, or the next moment, mends.
+	// retrySoon is for conditions that another router or a short delay resolves.
 	retrySoon = 100 * time.Millisecond
 	// retryLater is for engines that are full or gone.
 	retryLater = 250 * time.Millisecond
-	// retryStore is for a lost store, whose return takes seconds.
+	// retryStoreLost is for an unreachable store, which takes seconds to return.
 	retryStoreLost = 700 * time.Millisecond
 )
 
-// notRun is a refusal that promises that the request did not execute and won't.
+// notExecuted returns a refusal which promises that the request has not executed and will not.
 func notExecuted(reason Reason, retryAfter time.Duration) *Refusal {
 	return &Refusal{Status: http.StatusServiceUnavailable, Reason: reason, Ran: apierr.RanNo, RetryAfter: retryAfter}
 }
 
-// rejected is a refusal of a request that the caller must change.
+// rejected returns a refusal of a request that the caller must correct.
 func rejected(status int, reason Reason) *Refusal {
 	return &Refusal{Status: status, Reason: reason, Ran: apierr.RanNo}
 }
 
-// failed is a failure after which the request may have executed.
+// maybeExecuted returns a failure after which the request may have executed.
 func maybeExecuted(status int, reason Reason) *Refusal {
 	return &Refusal{Status: status, Reason: reason, Ran: apierr.RanUnknown}
 }
 
-// refusalBody is what a caller reads of a refusal.
+// refusalBody is the JSON body of a refusal.
 type refusalBody struct {
 	Error Reason     `json:"error"`
 	Ran   apierr.Ran `json:"ran"`
 }
 
-// write sends the refusal. Errors of writing mean that the caller has left.
+// write sends the refusal. It ignores write errors, which mean that the caller has disconnected.
 func (r *Refusal) write(w http.ResponseWriter, codec Codec, requestID string) {
 	h := w.Header()
 	codec.Refusal(h, requestID)
@@ -85,7 +85,7 @@
 	if r.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(r.RetryAfter.Seconds(), 'f', 3, 64))
 	}
-	// A struct of two strings can't fail to encode.
+	// Marshaling a struct of two strings can't fail.
 	body, _ := json.Marshal(refusalBody{Error: r.Reason, Ran: r.Ran})
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(r.Status)
--- a/internal/edge/forward/relay.go
+++ b/internal/edge/forward/relay.go
@@ -9,12 +9,12 @@
 	"damaskrouter.example/damaskrouter/internal/edge/catalog"
 )
 
-// wholeAnswer bounds the answers that are read whole before they are passed on,
-// in bytes. Until then a broken answer can still become another engine's, or an
-// honest failure.
+// maxBufferedAnswer limits the answers that are read completely before they are passed on, in
+// bytes. Until something is passed on, a broken answer can be replaced by that of another engine or
+// by an error response.
 const maxBufferedAnswer = 1 << 20
 
-// relayWhole reads the whole answer and passes it on.
+// relayBuffered reads the complete answer and passes it on.
 func (x *exchange) relayBuffered(e catalog.Engine, answer *engineconn.Answer) sendResult {
 	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedAnswer))
 	if err == nil && len(body) == maxBufferedAnswer {
@@ -36,8 +36,8 @@
 	return x.retryIfAllowed(maybeExecuted(http.StatusBadGateway, ReasonEngineFailure))
 }
 
-// brokeOff returns the refusal that ends a request whose answer broke off, or nil if
-// the engine is to blame and the request may go on elsewhere.
+// handleReadError returns the refusal that ends a request whose answer broke off, or nil if the
+// engine is at fault and the request may go to another engine.
 func (x *exchange) handleReadError(e catalog.Engine, err error) *Refusal {
 	switch {
 	case errCallerLeft.Has(err) || x.callerDisconnected():
@@ -50,23 +50,24 @@
 	return nil
 }
 
-// wholeFailure is an engine's own answer that the request failed.
+// engineFailure is an engine's own error response.
 type engineFailure struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// answerWhole passes on an answer that was read whole.
+// writeAnswer passes on an answer that was read completely.
 func (x *exchange) writeAnswer(status int, header http.Header, body []byte) {
 	x.writeHeader(status, header)
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	x.w.WriteHeader(status)
-	// A caller that has left needs no answer.
+	// A write error means that the caller has disconnected.
 	_, _ = x.w.Write(body)
 }
 
-// relayLong passes on an answer that is too long to be held.
+// relayUnbuffered passes on an answer that is too long to buffer. start is the part that was
+// already read.
 func (x *exchange) relayUnbuffered(answer *engineconn.Answer, start []byte) sendResult {
 	x.writeHeader(answer.Status, answer.Header)
 	if answer.Length >= 0 {
@@ -82,7 +83,8 @@
 	return sendResult{action: actionDone}
 }
 
-// writeHeader copies the engine's header for the caller.
+// writeHeader copies the engine's header to the caller's response. It keeps a Connection header set
+// while draining.
 func (x *exchange) writeHeader(status int, header http.Header) {
 	connection := x.w.Header().Get("Connection")
 	x.f.Codec.CallerHeader(x.w.Header(), header)
--- a/internal/edge/forward/request.go
+++ b/internal/edge/forward/request.go
@@ -1,5 +1,5 @@
-// Package forward carries a request from its caller to an engine and the
-// engine's answer back: route, account, placement, engine, relay.
+// Package forward forwards requests from callers to engines and relays the answers: it finds the
+// route and the account, chooses an engine, sends the request and passes the answer on.
 package forward
 
 import (
@@ -11,36 +11,35 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrRequest means that a caller's request lacks something, or contradicts
-// itself.
+// ErrRequest means that a caller's request is incomplete or contradictory.
 var ErrRequest = errs.Class("request")
 
-// Part is a part of a prompt. Prompts share parts, and engines cache them.
+// Part is a part of a prompt. Prompts can share parts, and engines cache them.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Request is a caller's request as far as the router looks at it. Everything
-// else is passed on as it came.
+// Request holds the fields of a caller's request that the router uses. Everything else is passed on
+// unchanged.
 type Request struct {
-	// ID names this request; each attempt of a caller has its own.
+	// ID identifies this request. Each attempt of a caller has its own.
 	ID string
 	// Key is the API key, or empty.
 	Key string
-	// Timeout is how long the caller waits; zero if it doesn't say.
+	// Timeout is how long the caller waits; zero if not stated.
 	Timeout time.Duration
 	// Prompt lists the parts of the prompt in order.
 	Prompt []Part
-	// PromptTokens is the length of the prompt and OutputTokens the longest answer that
-	// the caller takes; zero if it doesn't say.
+	// PromptTokens is the length of the prompt, and OutputTokens the maximum length of the answer;
+	// zero if not stated.
 	PromptTokens, OutputTokens int
-	// LastEvent is the id after which the caller wants a stream to go on.
+	// LastEvent is the ID of the event after which the caller resumes a stream, or empty.
 	LastEvent string
 }
 
-// SharedParts are the IDs of the parts of the prompt that other requests may have
-// too, in order; the last part of several is the request's or its session's own.
+// SharedParts returns the IDs of the prompt parts that other requests may have too, in order. If
+// there are several parts, the last one belongs to this request or its session alone.
 func (r *Request) SharedParts() []string {
 	shared := r.Prompt
 	if len(shared) > 1 {
@@ -53,9 +52,9 @@
 	return ids
 }
 
-// Subject is the same for all attempts at the request, and zero if that can't be told: an
-// attempt has an ID of its own, but the last part of its prompt is the request's or its
-// session's own.
+// RetryKey returns a key that is the same for all attempts at the request, or zero if there is
+// none. Attempts have different IDs, but the last part of the prompt belongs to the request or its
+// session alone.
 func (r *Request) RetryKey() uint64 {
 	if len(r.Prompt) < 2 {
 		return 0
@@ -63,12 +62,12 @@
 	return rendezvous.ID(r.Prompt[len(r.Prompt)-1].ID)
 }
 
-// outputCost is how much work a token of the answer is, in tokens of a prompt: with a full
-// batch, of engines of today's kind.
+// outputTokenCost is the work for an output token in units of prompt tokens, on current engines
+// with a full batch.
 const outputTokenCost = 10
 
-// Work is how much an engine has to do for the request, in tokens of a prompt: what others
-// share is in its cache.
+// Cost returns the work of an engine for the request, in prompt tokens. Shared parts cost nothing
+// because they are in the engine's cache.
 func (r *Request) Cost() int64 {
 	own := r.PromptTokens
 	for _, part := range r.Prompt[:max(len(r.Prompt)-1, 0)] {
@@ -77,49 +76,46 @@
 	return int64(max(own, 0) + outputTokenCost*r.OutputTokens)
 }
 
-// Sending is what the router tells an engine beside the caller's own headers.
+// Sending is what the router adds to the caller's headers for an engine.
 type Sending struct {
 	Engine catalog.Engine
-	// Account is the caller's client account; empty on public routes.
+	// Account is the name of the client account; empty on public routes.
 	Account string
-	// Remaining is the time that is left for an answer.
+	// Remaining is the time left until the deadline.
 	Remaining time.Duration
-	// Urgency ranks the request at the engine, 0 first.
+	// Urgency is the request's rank at the engine; 0 is the most urgent.
 	Urgency int
-	// LastEvent is the id after which a stream goes on, or empty.
+	// LastEvent is the ID of the event after which to resume the stream, or empty.
 	LastEvent string
-	// FetchFrom is the address of an engine whose cache holds the prompt, or
-	// empty.
+	// FetchFrom is the address of an engine whose cache holds the prompt, or empty.
 	FetchFrom string
 }
 
-// Reply is what an engine says in the header of its answer.
+// Reply is the routing information in the header of an engine's answer.
 type Reply struct {
-	// RequestID is the request that the answer belongs to.
+	// RequestID is the ID of the request that the answer belongs to.
 	RequestID string
-	// Sealed answers bear the engine's proof that the answer is its own.
+	// Sealed answers carry the engine's proof that it generated them.
 	Sealed bool
 	// NotExecuted is the engine's promise that it did not execute the request.
 	NotExecuted bool
-	// WrongEngine means that another engine has the address.
+	// WrongEngine means that the address belongs to a different engine.
 	WrongEngine bool
-	// Encoded bodies are not what the engine made.
+	// Encoded means that the body has a content encoding and is not what the engine generated.
 	Encoded bool
 }
 
-// Codec translates between HTTP messages and what they mean. It is given by
-// the platform.
+// Codec translates between HTTP messages and their meaning. The platform provides it.
 type Codec interface {
 	// Decode reads a caller's request. Errors: ErrRequest.
 	Decode(r *http.Request) (Request, error)
-	// EngineHeader returns the header to send to an engine: the caller's
-	// own, without what concerns only its connection and what only the router
-	// may set.
+	// EngineHeader returns the header to send to an engine. It contains the caller's header without
+	// the fields that concern only the caller's connection and those that only the router may set.
 	EngineHeader(caller http.Header, r *Request, s Sending) http.Header
 	// Reply reads the header of an engine's answer.
 	Reply(status int, h http.Header) Reply
-	// CallerHeader writes the header of an engine's answer for the caller.
+	// CallerHeader writes the header of an engine's answer to the caller's response.
 	CallerHeader(dst http.Header, engine http.Header)
-	// Refusal writes the header of an answer of the router's own.
+	// Refusal writes the header of a response that the router generates.
 	Refusal(dst http.Header, requestID string)
 }
--- a/internal/edge/forward/requestlog.go
+++ b/internal/edge/forward/requestlog.go
@@ -10,11 +10,11 @@
 
 // Errors within an exchange.
 var (
-	errCallerLeft    = errs.Class("caller left")
+	errCallerLeft    = errs.Class("caller disconnected")
 	errEngineRefused = errs.Class("engine refused")
 )
 
-// logAttempt writes why one send came to nothing.
+// logAttempt logs why an attempt failed.
 func (x *exchange) logAttempt(e catalog.Engine, err error, waited time.Duration) {
 	now := x.f.Clock()
 	x.f.Log.Warn("attempt failed", "request", x.req.ID, "route", x.route.Name, "engine", e.ID,
@@ -22,12 +22,11 @@
 		"engines_revision", x.snapshot.Engines.Upto, "engines_age", x.snapshot.EnginesAge(now), "cause", err)
 }
 
-// servedPerSecond is how many lines a second about requests that were simply served are
-// written at most; failures are always written, within the bound of the log.
+// servedLogsPerSecond limits the log lines about successful requests. Failures are always logged,
+// within the limit of the log itself.
 const servedLogsPerSecond = 50
 
-// log writes the outcome of a request: what decided it, how old that was, and
-// how it ended.
+// log logs the outcome of a request with the data it was decided on and the age of that data.
 func (x *exchange) log(took time.Duration) {
 	ok := x.outcome == ""
 	if ok && !x.f.servedLogLimiter.Allow() {
@@ -57,7 +56,7 @@
 	x.f.Log.Warn("request not served", append(fields, "reason", x.outcome)...)
 }
 
-// pointOf maps a key evenly to 0 .. total-1.
+// hashMod maps a key uniformly to the range from 0 to total-1.
 func hashMod(key string, total int) int {
 	if total <= 0 {
 		return 0
--- a/internal/edge/forward/send.go
+++ b/internal/edge/forward/send.go
@@ -12,31 +12,32 @@
 )
 
 const (
-	// maxUnsent is how many engines are tried that can't be reached.
+	// maxUnreachable is how many unreachable engines are tried.
 	maxUnreachable = 4
-	// maxRefusals is how many engines may refuse before the caller is refused.
+	// maxEngineRefusals is how many engines may refuse a request before it is refused to the
+	// caller.
 	maxEngineRefusals = 3
-	// maxIdleOnce is how long a connection may have been idle for a request
-	// that must not be sent twice; see engineconn.Request.MaxIdle.
+	// maxIdleNonRepeatable is the maximum idle time of a reused connection for a request that must
+	// not be sent twice; see engineconn.Request.MaxIdle.
 	maxIdleNonRepeatable = 300 * time.Millisecond
-	// maxIdleRepeatable is the same for one that may be.
+	// maxIdleRepeatable is the same for a request that may be sent twice.
 	maxIdleRepeatable = 4 * time.Second
 )
 
-// verdict is what to do after a send.
+// nextAction is what to do after an attempt.
 type nextAction uint8
 
 const (
-	// done means that the caller has the answer.
+	// actionDone means that the caller has the answer.
 	actionDone nextAction = iota
-	// another means that the request goes to another engine.
+	// actionTryNext means that the request goes to another engine.
 	actionTryNext
-	// over means that the refusal is final.
+	// actionStop means that the refusal is final.
 	actionStop
 )
 
-// forward sends the request until an answer is on its way or nothing more may
-// be tried. It returns the refusal to send, or nil.
+// forward sends the request until it is answered or nothing more may be tried. It returns the
+// refusal to send, or nil.
 func (x *exchange) forward() *Refusal {
 	x.excluded = make(map[string]bool)
 	unreachable, refusals := 0, 0
@@ -71,7 +72,9 @@
 	}
 }
 
-// mayGoOn checks what may have changed while the request waited.
+// checkBeforeSend checks what may have changed while the request waited: whether the caller is
+// still connected, the deadline, and the age of the configuration. If the configuration is too old
+// and the request may have executed already, it returns last, the result of the previous attempt.
 func (x *exchange) checkBeforeSend(last *Refusal) *Refusal {
 	switch {
 	case x.callerDisconnected():
@@ -93,7 +96,7 @@
 	return &Refusal{Status: http.StatusBadGateway, Reason: ReasonCallerLeft}
 }
 
-// timeUp is the final answer at the time limit.
+// timeoutRefusal returns the final response after the deadline.
 func (x *exchange) timeoutRefusal() *Refusal {
 	if x.executed == 0 {
 		return notExecuted(ReasonTimeout, 0)
@@ -101,8 +104,8 @@
 	return maybeExecuted(http.StatusGatewayTimeout, ReasonTimeout)
 }
 
-// choose returns the engine for the next send. Repeats go at once: they have been waited
-// for already, and the budget bounds them.
+// chooseEngine returns the engine for the next send. Retries need no permit: they have waited
+// already, and the retry budget limits them.
 func (x *exchange) chooseEngine(last *Refusal) (Choice, *Refusal) {
 	if x.executed == 0 {
 		return x.chooseFirst(last)
@@ -113,7 +116,7 @@
 	return Choice{}, last
 }
 
-// pick chooses an engine of one of the route's services, by the loads as known.
+// pickEngine chooses an engine of one of the route's services by the known loads.
 func (x *exchange) pickEngine() (Choice, bool) {
 	var shared []string
 	if x.route.Prompted {
@@ -127,8 +130,8 @@
 	return Choice{}, false
 }
 
-// services returns the route's services, the one to use first. Prompts that
-// share a part go to the same service, so that its engines' caches are used.
+// serviceOrder returns the route's services in the order of preference. Prompts that share a part
+// prefer the same service, so that they find that part in the caches of its engines.
 func (x *exchange) serviceOrder(shared []string) []string {
 	backends := x.route.Backends
 	total := 0
@@ -159,13 +162,13 @@
 	return append([]string{first}, rest...)
 }
 
-// result is the end of one send.
+// sendResult is the result of one attempt.
 type sendResult struct {
 	action nextAction
-	// unsent means that nothing left the router, refused that the engine
-	// promised not to have executed the request.
+	// unsent means that nothing left the router. refused means that the engine promised not to have
+	// executed the request.
 	unsent, refused bool
-	// paid means that the retry budget has granted the next send already.
+	// budgetSpent means that the retry budget has already been charged for the next send.
 	budgetSpent bool
 	refusal     *Refusal
 }
@@ -237,16 +240,15 @@
 }
 
 const (
-	// keptShare is the part of the connections that an engine accepts which
-	// all routers together may keep idle. The rest is for requests: an engine
-	// resets what is over its bound, and a request lost by that may have run.
+	// idleConnShare is the share of an engine's connection limit that all routers together may keep
+	// idle. The rest is for requests: an engine resets connections beyond its limit, and a request
+	// lost that way may have executed.
 	idleConnShare = 0.5
-	// maxKept bounds the idle connections to one engine in any case.
+	// maxIdleConns limits the idle connections to one engine in any case.
 	maxIdleConns = 16
 )
 
-// keep is how many idle connections this router may keep to an engine of the
-// service.
+// idleConnLimit returns how many idle connections this router may keep to an engine of the service.
 func (x *exchange) idleConnLimit(service string) int {
 	config := x.snapshot.Config.Service(service)
 	if config == nil || config.MaxConns == 0 {
@@ -256,8 +258,8 @@
 	return min(max(int(share), 1), maxIdleConns)
 }
 
-// target is the path and query as they came; only a request to a proxy names
-// the host there too, and an engine is none.
+// requestTarget returns the path and query as received. A request in absolute form, as sent to
+// proxies, is reduced to them, because an engine is not a proxy.
 func (x *exchange) requestTarget() string {
 	if strings.HasPrefix(x.r.RequestURI, "/") {
 		return x.r.RequestURI
@@ -265,14 +267,14 @@
 	return x.r.URL.RequestURI()
 }
 
-// engineUrgency is the rank of all requests at engines. Who goes first is decided before a
-// request is sent; an engine that preempts one for another makes both late. With ranks,
-// 1,100 requests were preempted in 8 s of four times the usual load and 0.705 of the
-// benefit was earned in the worst seconds of it; with gates and one rank none, and 0.85.
+// engineUrgency is the urgency of all requests at engines. The order is decided before requests are
+// sent; an engine that preempts one request for another delays both. At four times the usual load,
+// 1,100 requests were preempted in 8 s with different urgencies, and 0.705 of the benefit was
+// earned in the worst seconds. With gates and a single urgency none were preempted, and 0.85 was
+// earned.
 const engineUrgency = 5
 
-// urgencyStep separates the priorities of accounts: the account's goes before
-// the route's.
+// urgencyStep spaces the priorities of accounts, which take precedence over those of routes.
 const urgencyStep = 3
 
 func (x *exchange) urgency() int {
@@ -282,7 +284,7 @@
 	return x.account.Priority*urgencyStep + min(x.route.Priority, urgencyStep-1)
 }
 
-// sendFailed decides after a send without an answer.
+// handleSendError decides what to do after an attempt without an answer.
 func (x *exchange) handleSendError(ctx context.Context, e catalog.Engine, err error, waited time.Duration) sendResult {
 	unsent := engineconn.ErrNotSent.Has(err)
 	if !unsent {
@@ -313,7 +315,7 @@
 	return x.retryIfAllowed(maybeExecuted(http.StatusBadGateway, reason))
 }
 
-// gaveUp decides after a send to an engine that stayed silent; see watchSilence.
+// handleAttemptTimeout decides what to do after an attempt that timed out; see withAttemptTimeout.
 func (x *exchange) handleAttemptTimeout(e catalog.Engine, unsent bool, waited time.Duration) sendResult {
 	x.f.Engines.RecordOutcome(e.ID, false)
 	x.f.answerTimes.record(e.Service, waited)
@@ -325,7 +327,7 @@
 	return sendResult{action: actionTryNext, unsent: unsent, budgetSpent: true, refusal: refusal}
 }
 
-// mayRepeat decides after an attempt that may have executed the request.
+// retryIfAllowed decides what to do after an attempt that may have executed the request.
 func (x *exchange) retryIfAllowed(refusal *Refusal) sendResult {
 	if x.route.Repeatable() && x.executed < x.route.Attempts {
 		return sendResult{action: actionTryNext, refusal: refusal}
@@ -333,15 +335,15 @@
 	return sendResult{action: actionStop, refusal: refusal}
 }
 
-// engineRefused decides after an engine's promise that nothing ran.
+// handleEngineRefusal decides what to do after an engine's promise that it did not execute the
+// request.
 func (x *exchange) handleEngineRefusal(e catalog.Engine, answer *engineconn.Answer, reply Reply) sendResult {
 	x.logAttempt(e, errEngineRefused.New("status %d", answer.Status), 0)
 	if reply.WrongEngine {
-		// Until the store says so too, others need not try the address.
+		// The failure keeps other requests away from the address until the store has the new owner.
 		x.f.Engines.RecordOutcome(e.ID, false)
 	}
-	// The body is read so that the connection can be kept; what it says does
-	// not matter.
+	// Reading the body allows the connection to be reused. Its content is not needed.
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxBufferedAnswer))
 	if answer.Status == http.StatusBadRequest {
 		return sendResult{action: actionStop, refusal: rejected(http.StatusBadRequest, ReasonMalformed)}
--- a/internal/edge/forward/stats.go
+++ b/internal/edge/forward/stats.go
@@ -9,15 +9,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the latency histograms, in microseconds: what lies outside is
-// counted at the bound.
+// Range of the latency histograms, in microseconds, and their number of significant digits. Values
+// outside the range are counted at the nearest bound.
 const (
 	lowestLatency    = 100
 	highestLatency   = 60_000_000
 	latencyPrecision = 2
 )
 
-// Stats are the counters and latency histograms of forwarded requests.
+// Stats holds the counters and latency histograms of forwarded requests. It is safe for concurrent
+// use.
 type Stats struct {
 	vars *expvar.Map
 
@@ -29,10 +30,10 @@
 	return &Stats{vars: new(expvar.Map).Init(), routes: make(map[string]*hdrhistogram.Histogram)}
 }
 
-// Vars returns the counters, by name.
+// Vars returns the counters by name.
 func (s *Stats) Vars() *expvar.Map { return s.vars }
 
-// request counts a finished request.
+// recordRequest counts a finished request.
 func (s *Stats) recordRequest(x *exchange, took time.Duration) {
 	kind := "unrouted"
 	if x.route != nil {
@@ -59,18 +60,18 @@
 		h = hdrhistogram.New(lowestLatency, highestLatency, latencyPrecision)
 		s.routes[kind] = h
 	}
-	// The value is clamped to the bounds, so that it can't be refused.
+	// The value is clamped to the range, so RecordValue can't fail.
 	_ = h.RecordValue(min(max(latency.Microseconds(), lowestLatency), highestLatency))
 }
 
-// gaveUp counts a send that was given up because its engine stayed silent.
+// recordAttemptTimeout counts an attempt that timed out.
 func (s *Stats) recordAttemptTimeout() { s.vars.Add("given_up_silent", 1) }
 
-// Quantiles of the latency histograms that are served.
+// quantiles are the percentiles of the latency histograms that Latencies returns.
 var quantiles = []float64{50, 90, 99, 99.9}
 
-// Latencies returns the quantiles of the time to the first byte, in
-// milliseconds, by kind of route.
+// Latencies returns percentiles of the time to the first byte, in milliseconds, by kind of route
+// and percentile.
 func (s *Stats) Latencies() map[string]map[string]float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/edge/forward/stream.go
+++ b/internal/edge/forward/stream.go
@@ -11,25 +11,25 @@
 	"damaskrouter.example/damaskrouter/internal/edge/catalog"
 )
 
-// maxEvent bounds one event of a stream, in bytes.
+// maxEventSize limits one event of a stream, in bytes.
 const maxEventSize = 1 << 20
 
-// streamBuffer is how much of a stream is read at once.
+// streamBufferSize is the size of one read from a stream, in bytes.
 const streamBufferSize = 8 << 10
 
-// eventEnd is the empty line after an event.
+// eventEnd is the empty line that ends an event.
 var eventEnd = []byte("\n\n")
 
-// events splits a stream: it passes on whole events only, and remembers the id
-// of the last one. An engine may break off in the middle of an event; a piece
-// of it, followed by another engine's events, would spoil the answer.
+// eventSplitter splits a stream into complete events and records the ID of the last one. An engine
+// may break off in the middle of an event; a partial event followed by another engine's events
+// would corrupt the response.
 type eventSplitter struct {
 	pending []byte
 	lastID  string
 }
 
-// add takes bytes of the stream and returns the whole events among all that is
-// pending. The slice is valid until the next call.
+// add appends bytes of the stream and returns the complete events among the pending bytes. The
+// slice is valid until the next call.
 func (v *eventSplitter) add(b []byte) []byte {
 	v.pending = append(v.pending, b...)
 	end := bytes.LastIndex(v.pending, eventEnd)
@@ -50,8 +50,8 @@
 	}
 }
 
-// relayStream passes a stream on, event by event. Where the route allows it, a
-// stream that breaks goes on at another engine, after the last whole event.
+// relayStream passes a stream on, event by event. If the route allows it, a broken stream resumes
+// at another engine after the last complete event.
 func (x *exchange) relayStream(ctx context.Context, e catalog.Engine, answer *engineconn.Answer) sendResult {
 	splitter := &eventSplitter{lastID: x.req.LastEvent}
 	for {
@@ -76,8 +76,8 @@
 	}
 }
 
-// endStream checks that a stream which ended whole has no piece of an event
-// left.
+// endStream checks that a stream that ended normally did not end within an event or without any
+// event.
 func (x *exchange) endStream(splitter *eventSplitter) sendResult {
 	if len(splitter.pending) > 0 || !x.answered {
 		return sendResult{action: actionStop, refusal: maybeExecuted(http.StatusBadGateway, ReasonStreamBroken)}
@@ -85,8 +85,8 @@
 	return sendResult{action: actionDone}
 }
 
-// copyEvents passes on events until the stream ends. Errors: errCallerLeft,
-// engineconn.ErrCut, engineconn.ErrMalformed.
+// copyEvents passes on events until the stream ends. Errors: errCallerLeft, engineconn.ErrCut,
+// engineconn.ErrMalformed.
 func (x *exchange) copyEvents(answer *engineconn.Answer, splitter *eventSplitter) error {
 	control := http.NewResponseController(x.w)
 	buf := make([]byte, streamBufferSize)
@@ -105,7 +105,7 @@
 			}
 		}
 		if len(splitter.pending) > maxEventSize {
-			return engineconn.ErrMalformed.New("an event of more than %d bytes", maxEventSize)
+			return engineconn.ErrMalformed.New("stream event exceeds %d bytes", maxEventSize)
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -116,8 +116,9 @@
 	}
 }
 
-// resume continues a broken stream at another engine, if the route allows it and the
-// budget has room. An engine that refuses leaves the stream to the next one.
+// resume continues a broken stream at another engine, if the route and the retry budget allow it.
+// If an engine refuses, it tries the next one. The returned function closes the answer and ends the
+// count of the request.
 func (x *exchange) resume(ctx context.Context, broken catalog.Engine, lastID string) (catalog.Engine, *engineconn.Answer, func()) {
 	x.excluded[broken.ID] = true
 	for range maxEngineRefusals {
@@ -145,14 +146,14 @@
 	return catalog.Engine{}, nil, nil
 }
 
-// mayResume says whether the stream may go on after the event at all. Why not does not
-// matter: an answer that has begun is cut, whatever the refusal.
+// mayResume reports whether the stream may resume after the event. The reason for a refusal does
+// not matter, because a response that has begun is cut in any case.
 func (x *exchange) mayResume(lastID string) bool {
 	return x.route.Repeatable() && x.executed < x.route.Attempts && lastID != "" && x.checkBeforeSend(x.disconnectRefusal()) == nil
 }
 
-// sendRest asks an engine for what comes after an event. It returns nil if there is no
-// answer to relay, and whether the engine promised that it did not execute the request.
+// sendResume requests the events after lastID from an engine. If there is no answer to relay, it
+// returns nil and whether the engine has not executed the request.
 func (x *exchange) sendResume(ctx context.Context, choice Choice, lastID string) (answer *engineconn.Answer, refused bool) {
 	e := choice.Engine
 	if !x.f.Budget.Spend(e.Service, x.f.Clock()) {
--- a/internal/edge/forward/throttle.go
+++ b/internal/edge/forward/throttle.go
@@ -7,21 +7,22 @@
 	"damaskrouter.example/damaskrouter/internal/decide/gate"
 )
 
-// throttleKey names requests that have the same prospects of a place.
+// throttleKey identifies requests with the same chance of getting a permit.
 type throttleKey struct {
 	service string
 	urgency int
 	late    bool
 }
 
-// throttles decide which requests ask for places. It is safe for concurrent use.
+// throttles decide which requests may request a permit. It is safe for concurrent use.
 type throttles struct {
 	mu     sync.Mutex
 	random func() float64
 	byKey  map[throttleKey]*gate.Throttle
 }
 
-// refuses says whether a request is to be refused without asking.
+// shouldRefuse reports whether a request is refused without requesting a permit, and records the
+// refusal.
 func (t *throttles) shouldRefuse(key throttleKey, now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -32,14 +33,14 @@
 	return refused
 }
 
-// note adds whether a request that asked has a place.
+// record records whether a request got a permit.
 func (t *throttles) record(key throttleKey, granted bool, now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.throttle(key).Note(now, granted)
 }
 
-// get returns the state of a key. The caller holds the mutex.
+// throttle returns the throttle of a key. The caller holds the mutex.
 func (t *throttles) throttle(key throttleKey) *gate.Throttle {
 	state := t.byKey[key]
 	if state == nil {
