--- a/internal/edge/forward/admit_test.go
+++ b/internal/edge/forward/admit_test.go
@@ -13,8 +13,8 @@
 
 const keyLease = 3500 * time.Millisecond
 
-// arriving is an exchange at a router whose configuration was last confirmed at asOf,
-// and is confirmed again after some time; zero for never.
+// exchangeWithConfigAge returns an exchange at a router whose configuration was last confirmed at
+// asOf and is confirmed again confirmedAfter later, or never if that is zero.
 func exchangeWithConfigAge(t *testing.T, asOf, confirmedAfter time.Duration, storeLost bool) *exchange {
 	started := time.Now()
 	clock := func() time.Duration { return time.Minute + time.Since(started) }
@@ -39,9 +39,9 @@
 	return &exchange{f: f, r: r, started: clock()}
 }
 
-// Symptom: a router that wakes up refuses hundreds of requests. Sequence: it is
-// suspended for seconds; requests wait in its sockets; it looks at them before it has
-// asked its source. Cause handled: it waits until it has asked.
+// Guards against a router that refuses hundreds of requests when it resumes from a suspend of some
+// seconds: the requests wait in its sockets and are read before its source has confirmed the
+// configuration. They wait for that confirmation.
 func TestAdmitWaitsForConfigConfirmationAfterSuspend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := exchangeWithConfigAge(t, time.Second, 60*time.Millisecond, false)
@@ -50,7 +50,7 @@
 	})
 }
 
-// The wait is short, and there is none where the store is known to be lost.
+// The wait is short, and there is none if the store is known to be lost.
 func TestAdmitWaitIsBoundedAndSkippedWhenStoreIsLost(t *testing.T) {
 	for _, tc := range []struct {
 		lost bool
@@ -66,19 +66,19 @@
 	}
 }
 
-// Symptom: after a loss of power routers refuse for seconds what they could serve. Sequence: all
-// start at once; requests arrive before a router knows the configuration, or any engine. Cause
-// handled: they wait for its first knowledge, a part of their time at most.
+// Guards against routers that refuse requests for seconds after a power loss, when all start at
+// once and requests arrive before a router knows the configuration or any engine. Requests wait for
+// both, for at most a share of their timeout.
 func TestAdmitWaitsForFirstConfigAndEnginesAfterStart(t *testing.T) {
 	for _, tc := range []struct {
 		name                                 string
 		config, engines                      time.Duration
 		timeout, admittedAfter, refusedAfter time.Duration
 	}{
-		{"engines come last", 100 * time.Millisecond, 300 * time.Millisecond, 0, 300 * time.Millisecond, 0},
-		{"configuration comes last", 300 * time.Millisecond, 0, 6 * time.Second, 300 * time.Millisecond, 0},
-		{"nothing comes", time.Hour, time.Hour, 6 * time.Second, 0, startupWait},
-		{"a caller with little time", time.Hour, time.Hour, 600 * time.Millisecond, 0, 200 * time.Millisecond},
+		{"engines arrive last", 100 * time.Millisecond, 300 * time.Millisecond, 0, 300 * time.Millisecond, 0},
+		{"configuration arrives last", 300 * time.Millisecond, 0, 6 * time.Second, 300 * time.Millisecond, 0},
+		{"nothing arrives", time.Hour, time.Hour, 6 * time.Second, 0, startupWait},
+		{"short caller timeout", time.Hour, time.Hour, 600 * time.Millisecond, 0, 200 * time.Millisecond},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			x := exchangeWithConfigAge(t, time.Second, 0, true)
--- a/internal/edge/forward/attempttimeout.go
+++ b/internal/edge/forward/attempttimeout.go
@@ -24,24 +24,24 @@
 func newAnswerTimes() *answerTimes { return &answerTimes{byService: make(map[string]*health.Pace)} }
 
 // record adds the time to an answer, or to an attempt's timeout.
-func (p *answerTimes) record(service string, took time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.pace(service).Note(took)
+func (a *answerTimes) record(service string, took time.Duration) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.pace(service).Note(took)
 }
 
-func (p *answerTimes) attemptTimeout(service string, objective time.Duration) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.pace(service).Patience(objective)
+func (a *answerTimes) attemptTimeout(service string, objective time.Duration) time.Duration {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.pace(service).Patience(objective)
 }
 
 // pace returns the answer times of a service. The caller holds the mutex.
-func (p *answerTimes) pace(service string) *health.Pace {
-	pace := p.byService[service]
+func (a *answerTimes) pace(service string) *health.Pace {
+	pace := a.byService[service]
 	if pace == nil {
 		pace = &health.Pace{}
-		p.byService[service] = pace
+		a.byService[service] = pace
 	}
 	return pace
 }
--- a/internal/edge/forward/cold.go
+++ b/internal/edge/forward/cold.go
@@ -27,18 +27,18 @@
 // evacuation and report that only later. known means that the engine was observed before; a router
 // that has just started does not know when an evacuation ended. entryChanged means that the entry
 // is new or newer than the last one. It reports whether the engine may have been emptied.
-func (v *engineState) updateCold(s *catalog.Snapshot, coldStart, now time.Duration, known, entryChanged bool) (emptied bool) {
+func (e *engineState) updateCold(s *catalog.Snapshot, coldStart, now time.Duration, known, entryChanged bool) (emptied bool) {
 	if entryChanged {
-		v.coldUntil = max(v.coldUntil, now+v.engine.ColdFor)
+		e.coldUntil = max(e.coldUntil, now+e.engine.ColdFor)
 	}
-	evacuation := s.Evacuations.Of(v.engine.Site)
-	ended := evacuation.Revision > v.evacuationRevision && !evacuation.Active
+	evacuation := s.Evacuations.Of(e.engine.Site)
+	ended := evacuation.Revision > e.evacuationRevision && !evacuation.Active
 	emptied = known && ended
 	if emptied {
-		v.coldUntil = max(v.coldUntil, now+coldStart)
-		v.firstSeen = now
+		e.coldUntil = max(e.coldUntil, now+coldStart)
+		e.firstSeen = now
 	}
-	v.evacuationRevision = max(v.evacuationRevision, evacuation.Revision)
+	e.evacuationRevision = max(e.evacuationRevision, evacuation.Revision)
 	return emptied
 }
 
--- a/internal/edge/forward/cold_test.go
+++ b/internal/edge/forward/cold_test.go
@@ -11,7 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// coldSnapshot has n engines in two sites; engines with an index below cold have just started.
+// coldSnapshot returns a snapshot with n engines in two sites. Engines with an index below cold
+// have just started.
 func coldSnapshot(n, cold int, revision uint64) *catalog.Snapshot {
 	u := catalog.EngineUpdate{Full: true, Upto: revision}
 	for i := range n {
@@ -35,14 +36,14 @@
 	return s
 }
 
-// arrivals sends n requests, one each gap, and counts those that each engine gets.
-func (c *testRouter) sendRequests(n int, gap time.Duration) map[string]int {
+// sendRequests sends n requests at intervals of gap and counts those that each engine gets.
+func (tr *testRouter) sendRequests(n int, gap time.Duration) map[string]int {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	got := make(map[string]int)
 	for i := range n {
 		all.Go(func() {
-			x := c.newExchange(context.Background())
+			x := tr.newExchange(context.Background())
 			x.req.ID = fmt.Sprint("q", i)
 			x.req.Prompt[0].ID = fmt.Sprint("dossier-", i)
 			choice, refusal := x.chooseFirst(notExecuted(ReasonNoEngine, retryLater))
@@ -52,7 +53,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			got[choice.Engine.ID]++
-			c.f.Engines.Done(choice)
+			tr.f.Engines.Done(choice)
 		})
 		time.Sleep(gap)
 	}
@@ -60,93 +61,93 @@
 	return got
 }
 
-// Guards against a herd at engines that have just started: they get what they bear, and the others
-// take the rest at once.
+// Guards against a burst of requests at engines that have just started. They get no more than their
+// rate, and the other engines take the rest without delay.
 func TestColdEnginesAreRateLimited(t *testing.T) {
-	withTestRouter(t, 4, func(c *testRouter) {
-		c.snapshot = coldSnapshot(4, 2, 5)
-		c.f.Engines.SetColdLimits(func() ColdLimits { return ColdLimits{Over: 1.5, Slack: 5} })
-		got := c.sendRequests(500, 2*time.Millisecond)
-		require.Equal(t, 500, got["e0"]+got["e1"]+got["e2"]+got["e3"], "nothing is refused")
+	withTestRouter(t, 4, func(tr *testRouter) {
+		tr.snapshot = coldSnapshot(4, 2, 5)
+		tr.f.Engines.SetColdLimits(func() ColdLimits { return ColdLimits{Over: 1.5, Slack: 5} })
+		got := tr.sendRequests(500, 2*time.Millisecond)
+		require.Equal(t, 500, got["e0"]+got["e1"]+got["e2"]+got["e3"], "no request is refused")
 		for _, cold := range []string{"e0", "e1"} {
 			require.LessOrEqual(t, got[cold], 21)
 			require.Positive(t, got[cold])
 		}
 		time.Sleep(3 * time.Second)
-		got = c.sendRequests(500, 2*time.Millisecond)
-		require.Greater(t, got["e0"], 50, "it is warm now")
+		got = tr.sendRequests(500, 2*time.Millisecond)
+		require.Greater(t, got["e0"], 50, "the engine is no longer cold")
 	})
 }
 
-// Guards against requests lost where only cold engines are left: those that can be served in time
-// are, and the others are refused at once.
+// Guards against lost requests while only cold engines are left. Requests within their rate are all
+// served.
 func TestRequestsAreServedWhenAllEnginesAreCold(t *testing.T) {
-	withTestRouter(t, 2, func(c *testRouter) {
-		c.snapshot = coldSnapshot(2, 2, 5)
-		c.f.Engines.SetColdLimits(func() ColdLimits { return ColdLimits{Over: 1.5, Slack: 5} })
-		got := c.sendRequests(50, 80*time.Millisecond)
+	withTestRouter(t, 2, func(tr *testRouter) {
+		tr.snapshot = coldSnapshot(2, 2, 5)
+		tr.f.Engines.SetColdLimits(func() ColdLimits { return ColdLimits{Over: 1.5, Slack: 5} })
+		got := tr.sendRequests(50, 80*time.Millisecond)
 		require.Equal(t, 50, got["e0"]+got["e1"])
 	})
 }
 
-// Guards against requests to the engines of an evacuated site, and against a herd at them when the
-// evacuation ends: they may have been emptied, and tell so only later.
+// Guards against requests to the engines of an evacuated site, and against a burst of requests at
+// them when the evacuation ends: they may have been emptied and report that only later.
 func TestEvacuatedSiteGetsNoRequestsAndReturnsCold(t *testing.T) {
-	withTestRouter(t, 4, func(c *testRouter) {
-		c.snapshot = coldSnapshot(4, 0, 5)
-		require.Len(t, c.sendRequests(100, time.Millisecond), 4)
-		c.snapshot = withEvacuation(c.snapshot, "x", true, 6)
-		got := c.sendRequests(100, time.Millisecond)
+	withTestRouter(t, 4, func(tr *testRouter) {
+		tr.snapshot = coldSnapshot(4, 0, 5)
+		require.Len(t, tr.sendRequests(100, time.Millisecond), 4)
+		tr.snapshot = withEvacuation(tr.snapshot, "x", true, 6)
+		got := tr.sendRequests(100, time.Millisecond)
 		require.Zero(t, got["e0"]+got["e2"])
 		require.Equal(t, 100, got["e1"]+got["e3"])
-		c.snapshot = withEvacuation(c.snapshot, "x", false, 7)
-		got = c.sendRequests(400, 2*time.Millisecond)
+		tr.snapshot = withEvacuation(tr.snapshot, "x", false, 7)
+		got = tr.sendRequests(400, 2*time.Millisecond)
 		require.LessOrEqual(t, max(got["e0"], got["e2"]), 21)
 		require.Positive(t, got["e0"])
 	})
 }
 
-// Guards against an evacuation that came and went between two requests.
+// Guards against missing an evacuation that began and ended between two requests.
 func TestMissedEvacuationMarksEnginesCold(t *testing.T) {
-	withTestRouter(t, 2, func(c *testRouter) {
-		c.snapshot = coldSnapshot(2, 0, 5)
-		c.sendRequests(1, 0)
-		c.snapshot = withEvacuation(c.snapshot, "x", false, 8)
-		got := c.sendRequests(200, time.Millisecond)
+	withTestRouter(t, 2, func(tr *testRouter) {
+		tr.snapshot = coldSnapshot(2, 0, 5)
+		tr.sendRequests(1, 0)
+		tr.snapshot = withEvacuation(tr.snapshot, "x", false, 8)
+		got := tr.sendRequests(200, time.Millisecond)
 		require.LessOrEqual(t, got["e0"], 21)
 	})
 }
 
-// Guards against a request that is sent to an evacuated site after it has waited for a place there.
+// Guards against sending a request to an evacuated site after it has waited for a permit there.
 func TestWaitingRequestIsNotSentToEvacuatedSite(t *testing.T) {
-	withTestRouter(t, 2, func(c *testRouter) {
-		c.snapshot = coldSnapshot(2, 0, 5)
-		c.setOtherLoads(70)
+	withTestRouter(t, 2, func(tr *testRouter) {
+		tr.snapshot = coldSnapshot(2, 0, 5)
+		tr.setOtherLoads(70)
 		done := make(chan Choice, 1)
 		go func() {
-			choice, refusal := c.newExchange(context.Background()).chooseFirst(notExecuted(ReasonNoEngine, retryLater))
+			choice, refusal := tr.newExchange(context.Background()).chooseFirst(notExecuted(ReasonNoEngine, retryLater))
 			if refusal == nil {
-				c.f.Engines.Done(choice)
+				tr.f.Engines.Done(choice)
 			}
 			done <- choice
 		}()
 		time.Sleep(20 * time.Millisecond)
-		require.Equal(t, 1, c.owner.Load().Waiting)
-		c.snapshot = withEvacuation(c.snapshot, "x", true, 6)
-		c.snapshot = withEvacuation(c.snapshot, "y", true, 7)
-		c.setOtherLoads(0)
+		require.Equal(t, 1, tr.owner.Load().Waiting)
+		tr.snapshot = withEvacuation(tr.snapshot, "x", true, 6)
+		tr.snapshot = withEvacuation(tr.snapshot, "y", true, 7)
+		tr.setOtherLoads(0)
 		require.Empty(t, (<-done).Engine.ID)
 	})
 }
 
-// Guards against a service that has engines in an evacuated site only: the refusal is at once and
-// true, since nothing may be sent there.
+// Guards against a delayed or wrong refusal while all sites of a service are evacuated: no engine
+// may be used, so the refusal is immediate.
 func TestImmediateRefusalWhenAllSitesAreEvacuated(t *testing.T) {
-	withTestRouter(t, 2, func(c *testRouter) {
-		c.snapshot = withEvacuation(withEvacuation(coldSnapshot(2, 0, 5), "x", true, 6), "y", true, 7)
-		started := c.f.Clock()
-		_, refusal := c.newExchange(context.Background()).chooseFirst(notExecuted(ReasonNoEngine, retryLater))
+	withTestRouter(t, 2, func(tr *testRouter) {
+		tr.snapshot = withEvacuation(withEvacuation(coldSnapshot(2, 0, 5), "x", true, 6), "y", true, 7)
+		started := tr.f.Clock()
+		_, refusal := tr.newExchange(context.Background()).chooseFirst(notExecuted(ReasonNoEngine, retryLater))
 		require.Equal(t, ReasonNoEngine, refusal.Reason)
-		require.Zero(t, c.f.Clock()-started)
+		require.Zero(t, tr.f.Clock()-started)
 	})
 }
--- a/internal/edge/forward/engines.go
+++ b/internal/edge/forward/engines.go
@@ -196,6 +196,8 @@
 	return "", false
 }
 
+// candidates returns the engines of the service that are not excluded, and the same engines in the
+// same order as package choose needs them. It observes each of them. The caller holds the mutex.
 func (p *Engines) candidates(s *catalog.Snapshot, service string, excluded map[string]bool, others map[string]feed.EngineLoad, now time.Duration) ([]catalog.Engine, []choose.Engine) {
 	var engines []catalog.Engine
 	var out []choose.Engine
--- a/internal/edge/forward/forward_test.go
+++ b/internal/edge/forward/forward_test.go
@@ -11,11 +11,11 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: a stream is cut at the end of a planned stop. Sequence: it was taken
-// seconds after the router was told to stop, and lasts longer than is left. Cause
-// handled: late requests are taken only if their time limit fits.
+// Guards against a stream that is cut when a draining router stops, because it was accepted seconds
+// after draining began and lasts longer than the time left. Late requests are accepted only if
+// their timeout fits.
 func TestDrainingRouterAcceptsOnlyRequestsThatCanFinish(t *testing.T) {
-	l := &drainState{startedAt: 100 * time.Second, timeout: 7 * time.Second}
+	drain := &drainState{startedAt: 100 * time.Second, timeout: 7 * time.Second}
 	for _, tc := range []struct {
 		after, limit time.Duration
 		want         bool
@@ -26,12 +26,12 @@
 		{3 * time.Second, time.Second, true},
 		{6500 * time.Millisecond, time.Second, false},
 	} {
-		require.Equal(t, tc.want, l.accepts(l.startedAt+tc.after, tc.limit), "%v %v", tc.after, tc.limit)
+		require.Equal(t, tc.want, drain.accepts(drain.startedAt+tc.after, tc.limit), "%v %v", tc.after, tc.limit)
 	}
 }
 
-// However a stream is cut into reads, only whole events come out, in order, and
-// the id of the last one is known.
+// For any split of a stream into reads, only complete events are returned, in order, and the ID of
+// the last one is recorded.
 func TestEventSplitterEmitsOnlyCompleteEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 6).Draw(t, "events")
@@ -42,25 +42,24 @@
 		whole := text.String()
 		rest := rapid.SampledFrom([]string{"", "id: 9\nda", "data: x\n"}).Draw(t, "rest")
 		input := whole + rest
-		v := &eventSplitter{}
+		splitter := &eventSplitter{}
 		var out strings.Builder
 		for input != "" {
 			k := rapid.IntRange(1, len(input)).Draw(t, "cut")
-			out.Write(v.add([]byte(input[:k])))
+			out.Write(splitter.add([]byte(input[:k])))
 			input = input[k:]
 		}
 		require.Equal(t, whole, out.String())
-		require.Equal(t, rest, string(v.pending))
+		require.Equal(t, rest, string(splitter.pending))
 		if n > 0 {
-			require.Equal(t, fmt.Sprint(n), v.lastID)
+			require.Equal(t, fmt.Sprint(n), splitter.lastID)
 		}
 	})
 }
 
-// Symptom: a service gets more repeated requests than the operators allow.
-// Sequence: traffic is split over the routers in any way, and all repeat whenever
-// they may, also right after a start at which they know no other router. Cause
-// handled: each router's part is sized for all of them.
+// Guards against more retries to a service than the fleet's limit, for any split of the traffic
+// over the routers, when all of them retry whenever they may. This includes the time after a start,
+// when each router knows no other: its share is sized for all routers.
 func TestFleetRetryBudgetHoldsForAnyTrafficSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(6, 90).Draw(t, "routers")
@@ -94,8 +93,8 @@
 	require.Empty(t, (&Request{}).SharedParts())
 }
 
-// A route's traffic is split by weight, prompts that share a part stay together,
-// and a service with weight zero gets nothing.
+// Traffic is split by weight, prompts that share a part stay together, and a service with weight
+// zero gets nothing.
 func TestTrafficSplitFollowsServiceWeights(t *testing.T) {
 	x := &exchange{route: &catalog.Route{Backends: []catalog.Backend{
 		{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0},
--- a/internal/edge/forward/forwarder.go
+++ b/internal/edge/forward/forwarder.go
@@ -110,9 +110,9 @@
 
 // accepts reports whether a request that arrives at the boot time now and may take up to limit is
 // accepted.
-func (l *drainState) accepts(now, limit time.Duration) bool {
-	elapsed := now - l.startedAt
-	return elapsed <= time.Duration(acceptAllShare*float64(l.timeout)) || elapsed+limit <= l.timeout
+func (d *drainState) accepts(now, limit time.Duration) bool {
+	elapsed := now - d.startedAt
+	return elapsed <= time.Duration(acceptAllShare*float64(d.timeout)) || elapsed+limit <= d.timeout
 }
 
 // ServeHTTP forwards one request. It panics with http.ErrAbortHandler to cut the connection if a
@@ -193,7 +193,7 @@
 		limit = min(limit, x.req.Timeout)
 	}
 	x.deadline = x.started + limit
-	if l := x.f.draining.Load(); l != nil && !l.accepts(x.started, limit) {
+	if drain := x.f.draining.Load(); drain != nil && !drain.accepts(x.started, limit) {
 		return notExecuted(ReasonDraining, retrySoon)
 	}
 	return x.readBody()
--- a/internal/edge/forward/permit_test.go
+++ b/internal/edge/forward/permit_test.go
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// crowd is one router before engines of one service, whose other requests a test sets.
+// testRouter is a router with the engines of one service. Tests set the loads of the other routers.
 type testRouter struct {
 	f          *Forwarder
 	snapshot   *catalog.Snapshot
@@ -26,45 +26,45 @@
 	owner      *flow.Owner
 }
 
-// inCrowd runs a test on a fake clock, with n engines that have 64 places each.
-func withTestRouter(t *testing.T, n int, test func(c *testRouter)) {
+// withTestRouter runs a test on a fake clock, with n engines of 64 slots each.
+func withTestRouter(t *testing.T, n int, test func(tr *testRouter)) {
 	synctest.Test(t, func(t *testing.T) {
 		started := time.Now()
 		clock := func() time.Duration { return time.Minute + time.Since(started) }
-		c := &testRouter{snapshot: newSnapshot(n), otherLoads: make(map[string]feed.EngineLoad)}
-		engines := NewEngines("site", func() map[string]feed.EngineLoad { return c.otherLoads }, clock, rand.New(rand.NewPCG(1, 2)))
-		c.owner = flow.NewOwner(clock, engines.Known, func(string) bool { return false })
+		tr := &testRouter{snapshot: newSnapshot(n), otherLoads: make(map[string]feed.EngineLoad)}
+		engines := NewEngines("site", func() map[string]feed.EngineLoad { return tr.otherLoads }, clock, rand.New(rand.NewPCG(1, 2)))
+		tr.owner = flow.NewOwner(clock, engines.Known, func(string) bool { return false })
 		self := feed.Peer{Name: "self"}
 		places := flow.NewAsker(flow.Options{
-			Self: self.Name, Owner: c.owner, Clock: clock, Log: log.New(io.Discard),
+			Self: self.Name, Owner: tr.owner, Clock: clock, Log: log.New(io.Discard),
 			Live: func() []feed.Peer { return []feed.Peer{self} }, Engines: func() int { return n },
 		})
 		engines.ReleaseBy(places.Release)
-		c.f = New(Options{
-			Snapshot: func() *catalog.Snapshot { return c.snapshot }, Clock: clock, Engines: engines, Places: places,
+		tr.f = New(Options{
+			Snapshot: func() *catalog.Snapshot { return tr.snapshot }, Clock: clock, Engines: engines, Places: places,
 			Log: log.New(io.Discard),
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
-		running.Go(func() { c.owner.Run(ctx) })
-		test(c)
+		running.Go(func() { tr.owner.Run(ctx) })
+		test(tr)
 		cancel()
 		running.Wait()
 	})
 }
 
-// taken says that other routers have so many requests at each engine, without leases.
-func (c *testRouter) setOtherLoads(n int) {
-	for _, e := range c.snapshot.Engines.Of("llm") {
-		c.otherLoads[e.ID] = feed.EngineLoad{InFlight: n}
+// setOtherLoads makes other routers report n requests without permits at each engine.
+func (tr *testRouter) setOtherLoads(n int) {
+	for _, e := range tr.snapshot.Engines.Of("llm") {
+		tr.otherLoads[e.ID] = feed.EngineLoad{InFlight: n}
 	}
 }
 
-func (c *testRouter) newExchange(ctx context.Context) *exchange {
+func (tr *testRouter) newExchange(ctx context.Context) *exchange {
 	r := httptest.NewRequestWithContext(ctx, http.MethodPost, "http://h/a/x", nil)
-	now := c.f.Clock()
+	now := tr.f.Clock()
 	return &exchange{
-		f: c.f, r: r, started: now, deadline: now + 6*time.Second, snapshot: c.snapshot, excluded: map[string]bool{},
+		f: tr.f, r: r, started: now, deadline: now + 6*time.Second, snapshot: tr.snapshot, excluded: map[string]bool{},
 		req: Request{ID: "q", Prompt: []Part{{"dossier", 8000}, {"own", 500}}, PromptTokens: 8500, OutputTokens: 50},
 		route: &catalog.Route{
 			Kind: catalog.Streaming, Prompted: true, Objective: 600 * time.Millisecond, Attempts: 1,
@@ -73,63 +73,63 @@
 	}
 }
 
-// Requests are sent without asking while there is room: asking costs a message each way.
+// While there is spare capacity, requests are sent without a permit, which costs a message each
+// way.
 func TestNoPermitRequestedWithFreeCapacity(t *testing.T) {
-	withTestRouter(t, 3, func(c *testRouter) {
-		c.setOtherLoads(10)
-		choice, refusal := c.newExchange(context.Background()).chooseFirst(nil)
+	withTestRouter(t, 3, func(tr *testRouter) {
+		tr.setOtherLoads(10)
+		choice, refusal := tr.newExchange(context.Background()).chooseFirst(nil)
 		require.Nil(t, refusal)
 		require.Nil(t, choice.permit)
-		require.Zero(t, c.owner.Load().Gates)
-		c.f.Engines.Done(choice)
+		require.Zero(t, tr.owner.Load().Gates)
+		tr.f.Engines.Done(choice)
 	})
 }
 
-// Symptom: callers wait for seconds and leave, while engines work on answers that come too
-// late. Sequence: all places are taken, and more requests come than places become free.
-// Cause handled: a request that could only start too late is refused within its objective,
-// with a promise that it did not run and a time to come back.
+// Guards against callers that wait for seconds and disconnect while engines work on late answers,
+// when more requests arrive than permits become free. A request that could only start too late is
+// refused within its objective, with a promise that it did not execute and a time to retry.
 func TestRequestRefusedWithoutPermitInTime(t *testing.T) {
-	withTestRouter(t, 3, func(c *testRouter) {
-		c.setOtherLoads(80)
-		x := c.newExchange(context.Background())
+	withTestRouter(t, 3, func(tr *testRouter) {
+		tr.setOtherLoads(80)
+		x := tr.newExchange(context.Background())
 		_, refusal := x.chooseFirst(nil)
 		require.NotNil(t, refusal)
 		require.Equal(t, http.StatusServiceUnavailable, refusal.Status)
 		require.Equal(t, ReasonOverload, refusal.Reason)
 		require.Positive(t, refusal.RetryAfter)
-		require.LessOrEqual(t, refusal.RetryAfter, 2*time.Second, "a third of what the caller has left")
-		require.Less(t, c.f.Clock()-x.started, 600*time.Millisecond)
-		require.Zero(t, c.owner.Load().Waiting)
+		require.LessOrEqual(t, refusal.RetryAfter, 2*time.Second, "a third of the remaining time")
+		require.Less(t, tr.f.Clock()-x.started, 600*time.Millisecond)
+		require.Zero(t, tr.owner.Load().Waiting)
 	})
 }
 
-// Symptom: a request is refused although a place is free. Sequence: its own engine is full,
-// another one is not. Cause handled: others are asked, and grant at once.
+// Guards against refusing a request whose preferred engine is full while another one has capacity.
+// The other engine is asked and grants a permit at once.
 func TestPromptMovesToEngineWithFreeCapacity(t *testing.T) {
-	withTestRouter(t, 3, func(c *testRouter) {
-		c.setOtherLoads(80)
-		c.otherLoads["e1"] = feed.EngineLoad{InFlight: 20}
-		choice, refusal := c.newExchange(context.Background()).chooseFirst(nil)
+	withTestRouter(t, 3, func(tr *testRouter) {
+		tr.setOtherLoads(80)
+		tr.otherLoads["e1"] = feed.EngineLoad{InFlight: 20}
+		choice, refusal := tr.newExchange(context.Background()).chooseFirst(nil)
 		require.Nil(t, refusal)
 		require.Equal(t, "e1", choice.Engine.ID)
 		require.NotNil(t, choice.permit)
-		require.Equal(t, 1, c.owner.Load().Leases)
-		c.f.Engines.Done(choice)
-		require.Zero(t, c.owner.Load().Leases)
+		require.Equal(t, 1, tr.owner.Load().Leases)
+		tr.f.Engines.Done(choice)
+		require.Zero(t, tr.owner.Load().Leases)
 	})
 }
 
-// Symptom: requests are sent for callers who have left. Sequence: a caller leaves while its
-// request waits for a place. Cause handled: it stops to wait, and holds no place.
+// Guards against sending requests for callers that disconnected while waiting for a permit. The
+// request stops waiting and holds no permit.
 func TestDisconnectedCallerStopsWaitingForPermit(t *testing.T) {
-	withTestRouter(t, 1, func(c *testRouter) {
-		c.setOtherLoads(80)
-		ctx, leave := context.WithCancel(context.Background())
-		time.AfterFunc(50*time.Millisecond, leave)
-		x := c.newExchange(ctx)
+	withTestRouter(t, 1, func(tr *testRouter) {
+		tr.setOtherLoads(80)
+		ctx, disconnect := context.WithCancel(context.Background())
+		time.AfterFunc(50*time.Millisecond, disconnect)
+		x := tr.newExchange(ctx)
 		_, refusal := x.chooseFirst(nil)
 		require.Equal(t, ReasonCallerLeft, refusal.Reason)
-		require.Zero(t, c.owner.Load().Waiting+c.owner.Load().Leases)
+		require.Zero(t, tr.owner.Load().Waiting+tr.owner.Load().Leases)
 	})
 }
--- a/internal/edge/forward/promptcache_test.go
+++ b/internal/edge/forward/promptcache_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// placer places prompts that share their first part.
+// promptPicker picks engines for prompts that share their first part.
 type promptPicker struct {
 	t       *testing.T
 	now     time.Duration
@@ -25,14 +25,14 @@
 	return p
 }
 
-func (p *promptPicker) pick(s *catalog.Snapshot, dossier int) Choice {
-	choice, ok := p.engines.Pick(s, "llm", []string{"common", fmt.Sprint("dossier-", dossier)}, nil)
+func (p *promptPicker) pick(s *catalog.Snapshot, prompt int) Choice {
+	choice, ok := p.engines.Pick(s, "llm", []string{"common", fmt.Sprint("dossier-", prompt)}, nil)
 	require.True(p.t, ok)
 	p.engines.Done(choice)
 	return choice
 }
 
-// snapshotOf returns a snapshot with n engines of one service.
+// newSnapshot returns a snapshot with n engines of one service.
 func newSnapshot(n int) *catalog.Snapshot {
 	u := catalog.EngineUpdate{Full: true, Upto: uint64(n)}
 	for i := range n {
@@ -45,9 +45,9 @@
 	return s
 }
 
-// Symptom: a part that many prompts share is read again at each engine. Sequence: a
-// prompt is new, its first part is not. Cause: the engine was told to fetch from one
-// that never had anything of the prompt.
+// Guards against processing a shared prompt part again at each engine. If the prompt is new but its
+// first part is not, the engine fetches from one that has that part, not from one that has nothing
+// of the prompt.
 func TestNewPromptFetchesSharedPartFromEngineThatHasIt(t *testing.T) {
 	p := newPromptPicker(t)
 	s := newSnapshot(5)
@@ -62,37 +62,36 @@
 	}
 }
 
-// Symptom: prompts are read again when engines are added. Sequence: an engine comes
-// and takes over prompts of others, which this router has or has not sent. Cause: it
-// is not told who had them.
+// Guards against processing prompts again when an engine is added and takes over prompts of others.
+// It is told which engine had them, by routers that have sent the prompt and by those that have
+// not.
 func TestAddedEngineFetchesFromPreviousEngine(t *testing.T) {
 	p := newPromptPicker(t)
 	before := newSnapshot(5)
-	had := make(map[int]Choice)
+	previous := make(map[int]Choice)
 	for i := range 40 {
-		had[i] = p.pick(before, i)
+		previous[i] = p.pick(before, i)
 	}
 	p.now += 10 * time.Second
 	after := newSnapshot(6)
 	other := newPromptPicker(t)
 	other.pick(before, 99)
 	other.now = p.now
-	taken := 0
+	moved := 0
 	for i := range 40 {
-		choice, unsent := p.pick(after, i), other.pick(after, i)
-		if choice.Engine.ID == had[i].Engine.ID {
+		choice, otherChoice := p.pick(after, i), other.pick(after, i)
+		if choice.Engine.ID == previous[i].Engine.ID {
 			continue
 		}
-		taken++
-		require.Equal(t, had[i].Engine.Address, choice.FetchFrom, "a router that sent it")
-		require.Equal(t, had[i].Engine.Address, unsent.FetchFrom, "a router that did not")
+		moved++
+		require.Equal(t, previous[i].Engine.Address, choice.FetchFrom, "router that sent the prompt")
+		require.Equal(t, previous[i].Engine.Address, otherChoice.FetchFrom, "router that did not send it")
 	}
-	require.Positive(t, taken)
+	require.Positive(t, moved)
 }
 
-// Symptom: requests hang at a healthy engine. Sequence: an engine that holds a prompt
-// fails and is ejected; the prompt goes to another. Cause: that one is told to fetch
-// from the engine that gives nothing.
+// Guards against requests that hang at a healthy engine, because it is told to fetch the prompt
+// from the engine that held it, has failed and is ejected.
 func TestNoFetchFromEjectedEngine(t *testing.T) {
 	p := newPromptPicker(t)
 	s := newSnapshot(5)
@@ -105,14 +104,13 @@
 	require.NotEqual(t, first.Engine.Address, next.FetchFrom)
 }
 
-// Symptom: requests are slow at an engine that has crashed, or told to fetch prompts from it.
-// Sequence: an engine starts again under the ID that it had, with an empty cache; by its ID it
-// seems to hold all that was sent to it, and to have failed. Cause: what is known of an engine
-// went by its ID alone.
+// Guards against slow requests at an engine that has restarted under the same ID with an empty
+// cache, and at engines told to fetch prompts from it. Its cached prompts and its failures from
+// before the restart must be discarded.
 func TestRestartedEngineHasEmptyCache(t *testing.T) {
 	for name, restart := range map[string]func(*catalog.Engine){
-		"another start":          func(e *catalog.Engine) { e.Born += 5000 },
-		"counts that start anew": func(e *catalog.Engine) { e.Orders = 0 },
+		"new start time":       func(e *catalog.Engine) { e.Born += 5000 },
+		"order count restarts": func(e *catalog.Engine) { e.Orders = 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newPromptPicker(t)
@@ -125,7 +123,7 @@
 			}
 			first := p.pick(s, 1)
 			p.engines.RecordOutcome(first.Engine.ID, false)
-			require.Empty(t, p.pick(s, 1).FetchFrom, "it holds the prompt")
+			require.Empty(t, p.pick(s, 1).FetchFrom, "the engine has the prompt")
 
 			for i := range engines {
 				if engines[i].ID == first.Engine.ID {
@@ -138,15 +136,15 @@
 			require.Equal(t, []string{first.Engine.ID}, restarted)
 			require.Zero(t, p.engines.Own()[first.Engine.ID].Evidence)
 			require.False(t, p.engines.promptCaches.contains(first.Engine.ID, "dossier-1", p.now))
-			require.True(t, p.engines.recentlyStarted(first.Engine.ID, p.now), "others may hold its prompts")
+			require.True(t, p.engines.recentlyStarted(first.Engine.ID, p.now), "other engines may have its prompts")
 			p.engines.Review(s)
 			require.Len(t, restarted, 1)
 		})
 	}
 }
 
-// Guards against prompts that are read again after an evacuation: the engines of the site may have
-// been emptied, and fetch from those that served meanwhile.
+// Guards against processing prompts again after an evacuation. The engines of the site may have
+// been emptied, and fetch from those that served in the meantime.
 func TestEngineFetchesPromptAfterEvacuationEnds(t *testing.T) {
 	p := newPromptPicker(t)
 	s := coldSnapshot(6, 0, 5)
--- a/internal/edge/forward/stream.go
+++ b/internal/edge/forward/stream.go
@@ -30,22 +30,22 @@
 
 // add appends bytes of the stream and returns the complete events among the pending bytes. The
 // slice is valid until the next call.
-func (v *eventSplitter) add(b []byte) []byte {
-	v.pending = append(v.pending, b...)
-	end := bytes.LastIndex(v.pending, eventEnd)
+func (s *eventSplitter) add(b []byte) []byte {
+	s.pending = append(s.pending, b...)
+	end := bytes.LastIndex(s.pending, eventEnd)
 	if end < 0 {
 		return nil
 	}
-	whole := v.pending[:end+len(eventEnd)]
-	v.pending = append([]byte(nil), v.pending[len(whole):]...)
-	v.recordLastID(whole)
+	whole := s.pending[:end+len(eventEnd)]
+	s.pending = append([]byte(nil), s.pending[len(whole):]...)
+	s.recordLastID(whole)
 	return whole
 }
 
-func (v *eventSplitter) recordLastID(whole []byte) {
+func (s *eventSplitter) recordLastID(whole []byte) {
 	for line := range bytes.SplitSeq(whole, []byte("\n")) {
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
-			v.lastID = string(bytes.TrimSpace(id))
+			s.lastID = string(bytes.TrimSpace(id))
 		}
 	}
 }
