--- a/internal/edge/forward/cold.go
+++ b/internal/edge/forward/cold.go
@@ -7,82 +7,85 @@
 	"damaskrouter.example/damaskrouter/internal/edge/catalog"
 )
 
-// ColdLimits bound what a cold engine may get in one second: Over times the rate that its service
-// states, and Slack.
+// ColdLimits limit the requests that a cold engine may receive in one second: Over times the rate
+// stated by its service, plus Slack.
 type ColdLimits struct{ Over, Slack float64 }
 
-// sighting is an engine as it was last seen, and when its present life was seen first.
-type sighting struct {
-	engine catalog.Engine
-	first  time.Duration
-	// evacuation is the revision of the newest evacuation of its site that was seen.
-	evacuation uint64
-	// coldUntil is until when the engine is taken to be cold.
+// engineState is an engine as last observed, and the boot time at which its current start, or its
+// return from an evacuation, was first observed.
+type engineState struct {
+	engine    catalog.Engine
+	firstSeen time.Duration
+	// evacuationRevision is the newest observed revision of an evacuation of the engine's site.
+	evacuationRevision uint64
+	// coldUntil is the boot time until which the engine counts as cold.
 	coldUntil time.Duration
 }
 
-// chill notes how long an engine is cold: by its entry, and after the evacuation of its site has
-// ended, since engines may have been emptied meanwhile and tell so only later. known says whether
-// the engine was seen before: a router that starts knows nothing of when an evacuation ended. It
-// returns whether the engine may have been emptied.
-func (v *sighting) chill(s *catalog.Snapshot, start, now time.Duration, known, news bool) (emptied bool) {
-	if news {
-		v.coldUntil = max(v.coldUntil, now+v.engine.ColdFor)
+// updateCold updates how long the engine counts as cold: for the period in its entry, and after the
+// end of an evacuation of its site for coldStart, because engines may have been emptied during the
+// evacuation and report that only later. known means that the engine was observed before; a router
+// that has just started does not know when an evacuation ended. entryChanged means that the entry
+// is new or newer than the last one. It reports whether the engine may have been emptied.
+func (e *engineState) updateCold(s *catalog.Snapshot, coldStart, now time.Duration, known, entryChanged bool) (emptied bool) {
+	if entryChanged {
+		e.coldUntil = max(e.coldUntil, now+e.engine.ColdFor)
 	}
-	evacuation := s.Evacuations.Of(v.engine.Site)
-	ended := evacuation.Revision > v.evacuation && !evacuation.Active
+	evacuation := s.Evacuations.Of(e.engine.Site)
+	ended := evacuation.Revision > e.evacuationRevision && !evacuation.Active
 	emptied = known && ended
 	if emptied {
-		v.coldUntil = max(v.coldUntil, now+start)
-		v.first = now
+		e.coldUntil = max(e.coldUntil, now+coldStart)
+		e.firstSeen = now
 	}
-	v.evacuation = max(v.evacuation, evacuation.Revision)
+	e.evacuationRevision = max(e.evacuationRevision, evacuation.Revision)
 	return emptied
 }
 
-// SetColdLimits says what bounds the requests to cold engines. The default is the rate that their
-// service states.
+// SetColdLimits sets the limits on requests to cold engines. The default is the rate stated by
+// their service. It must be called before the first request.
 func (p *Engines) SetColdLimits(limits func() ColdLimits) { p.coldLimits = limits }
 
-// coldLeft is how much longer an engine is cold, as far as this router knows, zero if it is not, or
-// if its service does not say what a cold engine bears. The caller holds the mutex.
-func (p *Engines) coldLeft(service *catalog.Service, engine string, now time.Duration) time.Duration {
+// coldRemaining returns how much longer an engine counts as cold, or zero if it is not cold or its
+// service states no rate for cold engines. The caller holds the mutex.
+func (p *Engines) coldRemaining(service *catalog.Service, engine string, now time.Duration) time.Duration {
 	if service == nil || service.ColdRate <= 0 {
 		return 0
 	}
-	return max(p.seen[engine].coldUntil-now, 0)
+	return max(p.states[engine].coldUntil-now, 0)
 }
 
-// Cold returns how much longer each cold engine is taken to be cold, by its ID.
+// Cold returns the remaining cold time of each cold engine by engine ID.
 func (p *Engines) Cold(s *catalog.Snapshot) map[string]time.Duration {
 	now := p.clock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make(map[string]time.Duration)
-	for id, v := range p.seen {
+	for id, v := range p.states {
 		if s.Config == nil {
 			break
 		}
-		if left := p.coldLeft(s.Config.Service(v.engine.Service), id, now); left > 0 {
-			out[id] = left
+		if remaining := p.coldRemaining(s.Config.Service(v.engine.Service), id, now); remaining > 0 {
+			out[id] = remaining
 		}
 	}
 	return out
 }
 
-// paceOf is the pace at which an engine may be sent requests. The caller holds the mutex.
-func (p *Engines) paceOf(service *catalog.Service, engine string, now time.Duration) gate.Pace {
-	left := p.coldLeft(service, engine, now)
-	if left == 0 {
+// pace returns the rate limit for requests to an engine; the zero Pace means no limit. The caller
+// holds the mutex.
+func (p *Engines) pace(service *catalog.Service, engine string, now time.Duration) gate.Pace {
+	remaining := p.coldRemaining(service, engine, now)
+	if remaining == 0 {
 		return gate.Pace{}
 	}
 	limits := p.coldLimits()
-	most := max(limits.Over, 1)*service.ColdRate + limits.Slack
-	return gate.PaceFor(most, limits.Slack, left)
+	maxRate := max(limits.Over, 1)*service.ColdRate + limits.Slack
+	return gate.PaceFor(maxRate, limits.Slack, remaining)
 }
 
-// coldStartOf is how long engines of a service are cold after their start.
-func coldStartOf(s *catalog.Snapshot, service string) time.Duration {
+// coldStartDuration returns how long engines of a service are cold after their start.
+func coldStartDuration(s *catalog.Snapshot, service string) time.Duration {
 	if s.Config == nil {
 		return 0
 	}
--- a/internal/edge/forward/engines.go
+++ b/internal/edge/forward/engines.go
@@ -14,115 +14,115 @@
 	"damaskrouter.example/damaskrouter/internal/edge/health"
 )
 
-// Engines is what a router knows of the engines by its own requests: how many it
-// has at each, and which fail. It is safe for concurrent use.
+// Engines tracks the requests of this router at each engine and how they end, and chooses engines
+// for requests. It is safe for concurrent use.
 type Engines struct {
 	site string
-	// others returns the other routers' loads by engine ID.
-	others func() map[string]feed.EngineLoad
-	clock  func() time.Duration
-	rng    *rand.Rand
-	// release gives a place back.
+	// otherLoads returns the loads reported by the other routers, by engine ID.
+	otherLoads func() map[string]feed.EngineLoad
+	clock      func() time.Duration
+	rng        *rand.Rand
+	// release returns a permit to its gate.
 	release func(*flow.Permit)
 
-	mu  sync.Mutex
-	own map[string]*ownLoad
-	// ejected holds the engines that get no requests, by ID, for the log.
+	mu       sync.Mutex
+	ownLoads map[string]*ownLoad
+	// ejected holds the IDs of ejected engines, so that Review returns only changes.
 	ejected map[string]bool
-	// holders is which engines hold which parts of prompts, as far as this router
-	// has sent them.
-	holders holders
-	// seen is each engine as it was last among the engines, and since when this router
-	// knows any.
-	seen  map[string]sighting
-	since time.Duration
-	// restarted is told of engines that have started again.
-	restarted func(engine string)
-	// coldLimits bound the requests to cold engines.
+	// promptCaches records which engines this router has sent which prompt parts.
+	promptCaches promptCaches
+	// states holds the last observation of each engine by ID. knownSince is the boot time at which
+	// this router first knew any engine.
+	states     map[string]engineState
+	knownSince time.Duration
+	// onRestart is called with the ID of each engine that has restarted.
+	onRestart func(engine string)
+	// coldLimits returns the limits on requests to cold engines.
 	coldLimits func() ColdLimits
-	// crowdedUntil is until when requests of a service ask for places, and holds how
-	// long they have them in the mean.
-	crowdedUntil map[string]time.Duration
-	holds        map[string]time.Duration
+	// congestedUntil is, by service, the boot time until which requests need a permit. meanHolds
+	// is, by service, the mean time that a request occupies an engine.
+	congestedUntil map[string]time.Duration
+	meanHolds      map[string]time.Duration
 }
 
-// ownLoad is what this router knows of one engine by its own requests.
+// ownLoad is this router's requests at one engine and how they have ended.
 type ownLoad struct {
-	// inFlight is how many requests are there, leased how many of them have a lease of
-	// a gate.
+	// inFlight is the number of requests in progress, and leased the number of these that hold a
+	// permit.
 	inFlight, leased int
 	record           health.Record
 }
 
-// NewEngines returns an Engines for a router in a site.
+// NewEngines returns an Engines for a router in a site. The function others returns the loads
+// reported by the other routers, by engine ID.
 func NewEngines(site string, others func() map[string]feed.EngineLoad, clock func() time.Duration, rng *rand.Rand) *Engines {
 	return &Engines{
-		site: site, others: others, clock: clock, rng: rng, holders: newHolders(),
-		own:          make(map[string]*ownLoad),
-		seen:         make(map[string]sighting),
-		ejected:      make(map[string]bool),
-		coldLimits:   func() ColdLimits { return ColdLimits{} },
-		crowdedUntil: make(map[string]time.Duration), holds: make(map[string]time.Duration),
+		site: site, otherLoads: others, clock: clock, rng: rng, promptCaches: newPromptCaches(),
+		ownLoads:       make(map[string]*ownLoad),
+		states:         make(map[string]engineState),
+		ejected:        make(map[string]bool),
+		coldLimits:     func() ColdLimits { return ColdLimits{} },
+		congestedUntil: make(map[string]time.Duration), meanHolds: make(map[string]time.Duration),
 	}
 }
 
-// ReleaseBy says how places are given back.
+// ReleaseBy sets the function that releases permits. It must be called before the first request.
 func (p *Engines) ReleaseBy(release func(*flow.Permit)) { p.release = release }
 
-// OnRestart says who is told of engines that have started again. It must not block.
-func (p *Engines) OnRestart(restarted func(engine string)) { p.restarted = restarted }
+// OnRestart sets the function that is called with the ID of each restarted engine. The function
+// runs while the mutex is held, so it must neither block nor call methods of p.
+func (p *Engines) OnRestart(restarted func(engine string)) { p.onRestart = restarted }
 
-// Own returns what this router knows of the engines.
+// Own returns this router's load and outcome counts by engine ID.
 func (p *Engines) Own() map[string]feed.EngineLoad {
 	now := p.clock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make(map[string]feed.EngineLoad, len(p.own))
-	for id, l := range p.own {
+	out := make(map[string]feed.EngineLoad, len(p.ownLoads))
+	for id, l := range p.ownLoads {
 		out[id] = feed.EngineLoad{InFlight: l.inFlight, Leased: l.leased, Evidence: l.record.At(now)}
 	}
 	return out
 }
 
-// of returns the engine's load. The caller holds the mutex.
-func (p *Engines) of(engine string) *ownLoad {
-	l := p.own[engine]
+// load returns the engine's load and creates it if needed. The caller holds the mutex.
+func (p *Engines) load(engine string) *ownLoad {
+	l := p.ownLoads[engine]
 	if l == nil {
 		l = &ownLoad{}
-		p.own[engine] = l
+		p.ownLoads[engine] = l
 	}
 	return l
 }
 
-// Choice is where a request goes.
+// Choice is the engine selected for a request.
 type Choice struct {
 	Engine catalog.Engine
-	// FetchFrom is the address of an engine from whose cache the chosen one
-	// should fetch what it lacks of the prompt; empty for none. Fetching costs
-	// less than reading the prompt again, in time and in load.
+	// FetchFrom is the address of an engine from whose cache the chosen one should fetch the
+	// missing parts of the prompt, or empty. Fetching takes less time and load than processing the
+	// prompt again.
 	FetchFrom string
 
-	// permit is the place that was granted; nil if none was asked for.
+	// permit is the granted permit, or nil if none was requested.
 	permit *flow.Permit
-	// taken is the boot time since which the request counts.
-	taken time.Duration
+	// startedAt is the boot time since which the request counts.
+	startedAt time.Duration
 }
 
-// Pick chooses an engine of the service and counts a request to it until Done.
-// shared are the parts of the prompt that other requests may have too, in order.
-// Engines in avoid are passed over, and cold ones, which need a grant. It returns false if there is
-// none.
-func (p *Engines) Pick(s *catalog.Snapshot, service string, shared []string, avoid map[string]bool) (Choice, bool) {
+// Pick chooses an engine of the service and counts a request to it until Done is called. shared are
+// the IDs of the prompt parts that other requests may have too, in order. Pick skips the engines in
+// excluded, and cold ones, which require a permit. It returns false if there is no engine left.
+func (p *Engines) Pick(s *catalog.Snapshot, service string, shared []string, excluded map[string]bool) (Choice, bool) {
 	now := p.clock()
-	others := p.others()
+	others := p.otherLoads()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	engines, candidates := p.candidates(s, service, avoid, others, now)
+	engines, candidates := p.candidates(s, service, excluded, others, now)
 	candidates = choose.WithoutCold(candidates)
-	return p.settle(engines, candidates, p.placement(candidates, shared), shared, now)
+	return p.commit(engines, candidates, p.placement(candidates, shared), shared, now)
 }
 
-// placement chooses among candidates. The caller holds the mutex.
+// placement chooses among the candidates. The caller holds the mutex.
 func (p *Engines) placement(candidates []choose.Engine, shared []string) choose.Placement {
 	if len(shared) == 0 {
 		return choose.Placement{Engine: choose.Plain(candidates, p.rng), Holder: choose.None}
@@ -130,58 +130,61 @@
 	return choose.Prompted(candidates, rendezvous.ID(shared[len(shared)-1]), p.rng)
 }
 
-// settle takes a placement. The caller holds the mutex.
-func (p *Engines) settle(engines []catalog.Engine, candidates []choose.Engine, at choose.Placement, shared []string, now time.Duration) (Choice, bool) {
-	choice, ok := p.take(engines, at.Engine, now)
+// commit counts a request at the engine of a placement and records its prompt parts there. The
+// caller holds the mutex.
+func (p *Engines) commit(engines []catalog.Engine, candidates []choose.Engine, placement choose.Placement, shared []string, now time.Duration) (Choice, bool) {
+	choice, ok := p.start(engines, placement.Engine, now)
 	if !ok || len(shared) == 0 {
 		return choice, ok
 	}
-	choice.FetchFrom = p.fetchFrom(engines, candidates, at, shared, now)
-	p.holders.note(choice.Engine.ID, shared, now)
+	choice.FetchFrom = p.fetchSource(engines, candidates, placement, shared, now)
+	p.promptCaches.add(choice.Engine.ID, shared, now)
 	return choice, true
 }
 
-// take counts a request to an engine.
-func (p *Engines) take(engines []catalog.Engine, i int, now time.Duration) (Choice, bool) {
+// start counts a request at the i-th engine. The caller holds the mutex.
+func (p *Engines) start(engines []catalog.Engine, i int, now time.Duration) (Choice, bool) {
 	if i == choose.None {
 		return Choice{}, false
 	}
-	p.of(engines[i].ID).inFlight++
-	return Choice{Engine: engines[i], taken: now}, true
+	p.load(engines[i].ID).inFlight++
+	return Choice{Engine: engines[i], startedAt: now}, true
 }
 
-// fetchFrom returns the address of the engine that holds most of the prompt, or
-// nothing if the chosen engine has it: asking costs a few milliseconds. What this
-// router has sent goes before what the order of the engines says, and that before
-// shorter parts.
-func (p *Engines) fetchFrom(engines []catalog.Engine, candidates []choose.Engine, at choose.Placement, shared []string, now time.Duration) string {
-	chosen := engines[at.Engine].ID
+// fetchSource returns the address of the engine to fetch the prompt from, or an empty string if the
+// chosen engine has the longest part already, because asking another engine costs a few
+// milliseconds. It tries in this order: the engine to which this router last sent the longest part,
+// the engine that had the prompt before according to the hash order, and the engines to which this
+// router last sent shorter parts. If none qualifies, it falls back to the first other engine of the
+// hash order. The caller holds the mutex.
+func (p *Engines) fetchSource(engines []catalog.Engine, candidates []choose.Engine, placement choose.Placement, shared []string, now time.Duration) string {
+	chosen := engines[placement.Engine].ID
 	longest := len(shared) - 1
-	if p.holders.has(chosen, shared[longest], now) {
+	if p.promptCaches.contains(chosen, shared[longest], now) {
 		return ""
 	}
-	if address, ok := p.addressOf(engines, candidates, chosen, shared[longest], now); ok {
+	if address, ok := p.sourceAddress(engines, candidates, chosen, shared[longest], now); ok {
 		return address
 	}
-	if at.Holder != choose.None && at.Moved {
-		return engines[at.Holder].Address
+	if placement.Holder != choose.None && placement.Moved {
+		return engines[placement.Holder].Address
 	}
-	for i := longest - 1; i >= 0 && !p.holders.has(chosen, shared[i], now); i-- {
-		if address, ok := p.addressOf(engines, candidates, chosen, shared[i], now); ok {
+	for i := longest - 1; i >= 0 && !p.promptCaches.contains(chosen, shared[i], now); i-- {
+		if address, ok := p.sourceAddress(engines, candidates, chosen, shared[i], now); ok {
 			return address
 		}
 	}
-	if at.Holder == choose.None {
+	if placement.Holder == choose.None {
 		return ""
 	}
-	return engines[at.Holder].Address
+	return engines[placement.Holder].Address
 }
 
-// addressOf returns the address of the engine, other than the chosen one, that this
-// router last sent the part to, unless it is ejected: a request would wait for an
-// engine that gives nothing.
-func (p *Engines) addressOf(engines []catalog.Engine, candidates []choose.Engine, chosen, part string, now time.Duration) (string, bool) {
-	holder, ok := p.holders.other(chosen, part, now)
+// sourceAddress returns the address of the engine, other than the chosen one, to which this router
+// last sent the part. It returns false for an ejected engine: a request would wait for an engine
+// that does not respond. The caller holds the mutex.
+func (p *Engines) sourceAddress(engines []catalog.Engine, candidates []choose.Engine, chosen, part string, now time.Duration) (string, bool) {
+	holder, ok := p.promptCaches.otherEngine(chosen, part, now)
 	if !ok {
 		return "", false
 	}
@@ -193,22 +196,24 @@
 	return "", false
 }
 
-func (p *Engines) candidates(s *catalog.Snapshot, service string, avoid map[string]bool, others map[string]feed.EngineLoad, now time.Duration) ([]catalog.Engine, []choose.Engine) {
+// candidates returns the engines of the service that are not excluded, and the same engines in the
+// same order as package choose needs them. It observes each of them. The caller holds the mutex.
+func (p *Engines) candidates(s *catalog.Snapshot, service string, excluded map[string]bool, others map[string]feed.EngineLoad, now time.Duration) ([]catalog.Engine, []choose.Engine) {
 	var engines []catalog.Engine
 	var out []choose.Engine
 	var evidence []health.Evidence
 	config := s.Config.Service(service)
 	for _, e := range s.Engines.Of(service) {
-		if avoid[e.ID] {
+		if excluded[e.ID] {
 			continue
 		}
-		p.sight(s, e, now)
+		p.observe(s, e, now)
 		slots := e.Slots
 		if slots == 0 && config != nil {
 			slots = config.Slots
 		}
 		load := others[e.ID]
-		if own := p.own[e.ID]; own != nil {
+		if own := p.ownLoads[e.ID]; own != nil {
 			load.InFlight += own.inFlight
 			load.Evidence = load.Evidence.Add(own.record.At(now))
 		}
@@ -216,9 +221,9 @@
 		evidence = append(evidence, load.Evidence)
 		out = append(out, choose.Engine{
 			ID: e.ID, Key: rendezvous.ID(e.ID), InFlight: load.InFlight, Slots: slots,
-			Near: e.Site == p.site, Leaving: !s.TakesRequests(e), Fresh: p.fresh(e.ID, now),
-			Came: p.seen[e.ID].first,
-			Cold: p.coldLeft(config, e.ID, now) > 0,
+			Near: e.Site == p.site, Leaving: !s.TakesRequests(e), Fresh: p.recentlyStarted(e.ID, now),
+			Came: p.states[e.ID].firstSeen,
+			Cold: p.coldRemaining(config, e.ID, now) > 0,
 		})
 	}
 	for i, share := range health.Shares(evidence) {
@@ -227,53 +232,55 @@
 	return engines, out
 }
 
-// sight notes an engine that is there. One that has started again under its ID holds
-// nothing, and how its requests ended before says nothing of it. The caller holds the mutex.
-func (p *Engines) sight(s *catalog.Snapshot, e catalog.Engine, now time.Duration) {
-	if len(p.seen) == 0 {
-		p.since = now
+// observe records an engine of the current snapshot. For an engine that has restarted under the
+// same ID, it discards the prompt parts and outcomes recorded before the restart. The caller holds
+// the mutex.
+func (p *Engines) observe(s *catalog.Snapshot, e catalog.Engine, now time.Duration) {
+	if len(p.states) == 0 {
+		p.knownSince = now
 	}
-	last, known := p.seen[e.ID]
-	again := known && e.RestartOf(last.engine)
-	next := last
-	next.engine = e
-	if !known || again {
-		next.first = now
+	previous, known := p.states[e.ID]
+	restarted := known && e.RestartOf(previous.engine)
+	current := previous
+	current.engine = e
+	if !known || restarted {
+		current.firstSeen = now
 	}
-	news := !known || e.Revision > last.engine.Revision
-	emptied := next.chill(s, coldStartOf(s, e.Service), now, known, news)
-	p.seen[e.ID] = next
+	entryChanged := !known || e.Revision > previous.engine.Revision
+	emptied := current.updateCold(s, coldStartDuration(s, e.Service), now, known, entryChanged)
+	p.states[e.ID] = current
 	if emptied {
-		p.holders.forget(e.ID, now)
+		p.promptCaches.markEmpty(e.ID, now)
 	}
-	if !again {
+	if !restarted {
 		return
 	}
-	p.of(e.ID).record = health.Record{}
-	p.holders.forget(e.ID, now)
-	if p.restarted != nil {
-		p.restarted(e.ID)
+	p.load(e.ID).record = health.Record{}
+	p.promptCaches.markEmpty(e.ID, now)
+	if p.onRestart != nil {
+		p.onRestart(e.ID)
 	}
 }
 
-// fresh says whether an engine came a short time ago, and not before this router
-// did. The caller holds the mutex.
-func (p *Engines) fresh(engine string, now time.Duration) bool {
-	first := p.seen[engine].first
-	return first > p.since+settleTime && now-first <= heldFor
+// recentlyStarted reports whether the engine was added within the last promptCacheTTL, and after
+// the engines that this router found at its own start. The caller holds the mutex.
+func (p *Engines) recentlyStarted(engine string, now time.Duration) bool {
+	firstSeen := p.states[engine].firstSeen
+	return firstSeen > p.knownSince+startupSettleTime && now-firstSeen <= promptCacheTTL
 }
 
-// HasRoom says whether an engine of the service, other than those in avoid, takes
-// requests and has a free place.
-func (p *Engines) HasRoom(s *catalog.Snapshot, service string, avoid map[string]bool) bool {
-	others := p.others()
+// HasFreeSlot reports whether any engine of the service, other than those in excluded, accepts
+// requests and has a free slot.
+func (p *Engines) HasFreeSlot(s *catalog.Snapshot, service string, excluded map[string]bool) bool {
+	others := p.otherLoads()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_, candidates := p.candidates(s, service, avoid, others, p.clock())
+	_, candidates := p.candidates(s, service, excluded, others, p.clock())
 	return slices.ContainsFunc(candidates, choose.Engine.HasRoom)
 }
 
-// Done ends the count of a request, and gives its place back.
+// Done ends the count of a request and releases its permit. It must be called once for each choice
+// that Pick, Plan or StartLeased has counted.
 func (p *Engines) Done(choice Choice) {
 	if choice.permit != nil {
 		p.release(choice.permit)
@@ -281,73 +288,73 @@
 	now := p.clock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	load := p.of(choice.Engine.ID)
+	load := p.load(choice.Engine.ID)
 	load.inFlight--
 	if choice.permit != nil {
 		load.leased--
 	}
-	p.noteHold(choice.Engine.Service, now-choice.taken)
+	p.recordHold(choice.Engine.Service, now-choice.startedAt)
 }
 
-// Known is what this router and the others' reports say of an engine's load.
+// Known returns an engine's load from this router's own requests and the reports of the others.
 func (p *Engines) Known(engine string) flow.Known {
-	load := p.others()[engine]
+	load := p.otherLoads()[engine]
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if own := p.own[engine]; own != nil {
+	if own := p.ownLoads[engine]; own != nil {
 		load.InFlight += own.inFlight
 		load.Leased += own.leased
 	}
 	return flow.Known{Unasked: max(load.InFlight-load.Leased, 0), Leased: load.Leased}
 }
 
-// Note adds how a request at an engine ended.
-func (p *Engines) Note(engine string, good bool) {
+// RecordOutcome records whether a request at an engine ended well.
+func (p *Engines) RecordOutcome(engine string, good bool) {
 	now := p.clock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.of(engine).record.Note(good, now)
+	p.load(engine).record.Note(good, now)
 }
 
-// Verdict is a change of the judgement on an engine.
-type Verdict struct {
+// EjectionChange reports that an engine was ejected or restored.
+type EjectionChange struct {
 	Engine, Service string
 	// Ejected engines get no requests.
 	Ejected  bool
 	Evidence health.Evidence
 }
 
-// Review forgets the engines that have left, and returns whose judgement has
-// changed since the last call.
-func (p *Engines) Review(s *catalog.Snapshot) []Verdict {
-	others := p.others()
+// Review drops the state of removed engines, and returns the engines that were ejected or restored
+// since the last call.
+func (p *Engines) Review(s *catalog.Snapshot) []EjectionChange {
+	others := p.otherLoads()
 	now := p.clock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, l := range p.own {
+	for id, l := range p.ownLoads {
 		if _, present := s.Engines.ByID[id]; !present && l.inFlight == 0 {
-			delete(p.own, id)
+			delete(p.ownLoads, id)
 			delete(p.ejected, id)
 		}
 	}
-	for id := range p.seen {
+	for id := range p.states {
 		if _, ok := s.Engines.ByID[id]; !ok {
-			delete(p.seen, id)
-			p.holders.gone(id)
+			delete(p.states, id)
+			p.promptCaches.remove(id)
 		}
 	}
 	if s.Config == nil {
 		return nil
 	}
-	var out []Verdict
+	var out []EjectionChange
 	for i := range s.Config.Services {
 		service := s.Config.Services[i].Name
 		_, candidates := p.candidates(s, service, nil, others, now)
 		for _, c := range candidates {
 			if ejected := c.Share == 0; ejected != p.ejected[c.ID] {
 				p.ejected[c.ID] = ejected
-				evidence := others[c.ID].Evidence.Add(p.of(c.ID).record.At(now))
-				out = append(out, Verdict{Engine: c.ID, Service: service, Ejected: ejected, Evidence: evidence})
+				evidence := others[c.ID].Evidence.Add(p.load(c.ID).record.At(now))
+				out = append(out, EjectionChange{Engine: c.ID, Service: service, Ejected: ejected, Evidence: evidence})
 			}
 		}
 	}
--- /dev/null
+++ b/internal/edge/forward/permit.go
@@ -0,0 +1,184 @@
+package forward
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"damaskrouter.example/damaskrouter/internal/decide/gate"
+	"damaskrouter.example/damaskrouter/internal/decide/rendezvous"
+	"damaskrouter.example/damaskrouter/internal/edge/catalog"
+	"damaskrouter.example/damaskrouter/internal/edge/flow"
+)
+
+// chooseFirst finds the engine for the first send: directly while the service has spare capacity,
+// and by requesting a permit otherwise. It returns a choice that must be passed to Engines.Done, or
+// a refusal; if there is no engine, the refusal is last.
+func (x *exchange) chooseFirst(last *Refusal) (Choice, *Refusal) {
+	var shared []string
+	if x.route.Prompted {
+		shared = x.req.SharedParts()
+	}
+	for _, service := range x.serviceOrder(shared) {
+		plan, ok := x.f.Engines.Plan(x.snapshot, service, shared, x.excluded)
+		switch {
+		case !ok:
+		case len(plan.Ask) == 0:
+			x.recordTimeout(service)
+			return plan.Choice, nil
+		default:
+			return x.requestPermit(service, plan, shared)
+		}
+	}
+	return Choice{}, last
+}
+
+// requestPermit requests a permit at one candidate engine after the other.
+func (x *exchange) requestPermit(service string, plan Plan, shared []string) (Choice, *Refusal) {
+	ctx, cancel := context.WithTimeout(x.r.Context(), x.remaining())
+	defer cancel()
+	refused := false
+	x.recordTimeout(service)
+	x.late = x.f.callerTimeouts.isLate(x.route.Name, x.req.Timeout, x.route.Objective)
+	key := throttleKey{service: service, urgency: x.urgency(), late: x.late}
+	if !plan.Warm && x.f.throttles.shouldRefuse(key, x.f.Clock()) {
+		return Choice{}, x.overloadRefusal(service)
+	}
+	for i, candidate := range plan.Ask {
+		age := x.f.Clock() - x.started
+		maxWait := gate.MaxWait(x.route.Prompted, i, len(plan.Ask), x.route.Objective, age)
+		if plan.Warm {
+			maxWait = min(maxWait, gate.ColdWait(x.route.Objective))
+		}
+		permit, answer, err := x.f.Places.Ask(ctx, x.permitRequest(candidate, plan, maxWait))
+		x.late = x.late || answer.Late
+		refused = refused || flow.ErrRefused.Has(err)
+		switch {
+		case err == nil && x.stillAccepts(candidate.Choice.Engine):
+			choice := candidate.Choice
+			choice.permit = permit
+			x.f.throttles.record(key, true, x.f.Clock())
+			return x.f.Engines.StartLeased(choice, shared), nil
+		case err == nil:
+			x.f.Places.Release(permit)
+		case x.callerDisconnected():
+			return Choice{}, x.disconnectRefusal()
+		case x.remaining() <= 0:
+			return Choice{}, x.timeoutRefusal()
+		}
+		x.deniedPermits++
+		x.predictedWait = answer.Wait
+		if x.late && x.route.Prompted && refused {
+			// At another engine, the late request would take a permit that an on-time request can
+			// still use.
+			break
+		}
+	}
+	if !refused || plan.Warm {
+		return x.chooseWithoutPermit()
+	}
+	x.f.throttles.record(key, false, x.f.Clock())
+	return Choice{}, x.overloadRefusal(service)
+}
+
+// overloadRefusal refuses a request that can't get a permit in time, and suggests when to retry.
+func (x *exchange) overloadRefusal(service string) *Refusal {
+	return notExecuted(ReasonOverload, x.f.overloads.retryAfter(service, x.route.Objective, x.remaining(), x.f.Clock()))
+}
+
+// stillAccepts updates the snapshot and reports whether requests may be sent to the engine
+// according to it. The site may have been evacuated while the request waited for a permit.
+func (x *exchange) stillAccepts(e catalog.Engine) bool {
+	x.snapshot = x.f.Snapshot()
+	current, known := x.snapshot.Engines.ByID[e.ID]
+	return known && x.snapshot.TakesRequests(current)
+}
+
+// recordTimeout records the caller's timeout while the service refuses no requests. Without
+// refusals there are no retries, so the timeout is the full one that callers use.
+func (x *exchange) recordTimeout(service string) {
+	if x.f.overloads.ended(service, x.f.Clock()) {
+		x.f.callerTimeouts.record(x.route.Name, x.req.Timeout)
+	}
+}
+
+// permitRequest returns the request to the owner of an engine's gate.
+func (x *exchange) permitRequest(a PermitCandidate, plan Plan, maxWait time.Duration) flow.Ask {
+	out := flow.Ask{
+		Engine: a.Choice.Engine.ID, Places: a.MaxInFlight, Urgency: x.urgency(), Weight: x.req.Cost(),
+		MaxWait: maxWait, Lease: x.remaining(), Hold: plan.Hold,
+		Subject: x.req.RetryKey(), Attempt: rendezvous.ID(x.req.ID), Slack: gate.StartWithin(x.route.Objective), Late: x.late,
+		Pace: a.Pace,
+	}
+	if x.account != nil {
+		out.Account = x.account.Name
+	}
+	return out
+}
+
+// chooseWithoutPermit chooses an engine by the known loads, as with spare capacity. It is used if
+// no owner of a gate could be reached, or if only cold engines were asked and others are available.
+func (x *exchange) chooseWithoutPermit() (Choice, *Refusal) {
+	if choice, ok := x.pickEngine(); ok {
+		return choice, nil
+	}
+	return Choice{}, notExecuted(ReasonNoEngine, retryLater)
+}
+
+// callerTimeouts records the timeouts that callers of each route usually set. It is safe for
+// concurrent use.
+type callerTimeouts struct {
+	mu      sync.Mutex
+	byRoute map[string]*gate.Usual
+}
+
+// record adds the timeout of a request that arrived while nothing was refused.
+func (l *callerTimeouts) record(route string, limit time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	usual := l.byRoute[route]
+	if usual == nil {
+		usual = &gate.Usual{}
+		l.byRoute[route] = usual
+	}
+	usual.Note(limit)
+}
+
+// isLate reports whether a caller with this timeout has retried too late to be served on time.
+func (l *callerTimeouts) isLate(route string, limit, objective time.Duration) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	usual := l.byRoute[route]
+	return usual != nil && usual.Late(limit, objective)
+}
+
+// overloads records since when each service has refused requests. It is safe for concurrent use.
+type overloads struct {
+	mu        sync.Mutex
+	random    func() float64
+	byService map[string]*gate.Overload
+}
+
+// retryAfter records a refusal and returns how long the caller should wait before it retries.
+func (o *overloads) retryAfter(service string, objective, left, now time.Duration) time.Duration {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.state(service).ComeBack(objective, left, now, o.random())
+}
+
+// ended reports whether the service has refused no request for a while.
+func (o *overloads) ended(service string, now time.Duration) bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.state(service).Over(now)
+}
+
+// state returns the overload state of a service. The caller holds the mutex.
+func (o *overloads) state(service string) *gate.Overload {
+	state := o.byService[service]
+	if state == nil {
+		state = &gate.Overload{}
+		o.byService[service] = state
+	}
+	return state
+}
