--- a/internal/base/bootclock/bootclock.go
+++ b/internal/base/bootclock/bootclock.go
@@ -1,4 +1,4 @@
-// Package bootclock reads the clock that counts the time a VM is suspended.
+// Package bootclock reads a clock that keeps counting while the VM is suspended.
 package bootclock
 
 import (
@@ -7,13 +7,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now is the time since the VM booted, suspends included. Leases are measured
-// by it: the monotonic clock of package time stands still while a VM is
-// suspended, and the time of day may jump.
+// Now returns the time since the VM booted, including time spent suspended.
+// Leases are measured with it: the monotonic clock of package time stops while
+// a VM is suspended, and the wall clock may jump.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// The kernel has had this clock since 2.6.39.
+		// Linux has had CLOCK_BOOTTIME since 2.6.39.
 		panic(err)
 	}
 	return time.Duration(ts.Nano())
--- a/internal/base/engineconn/conn.go
+++ b/internal/base/engineconn/conn.go
@@ -15,41 +15,42 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection, if Options don't. Within a site
-	// it takes about two milliseconds; a lost packet costs a second, in which another
-	// engine would have answered.
-	dialTimeout = 300 * time.Millisecond
-	// unackedTimeout ends a connection whose other end acknowledges nothing.
-	// A VM without power neither answers nor resets, and without this the
-	// request would wait until its own time limit. It is shorter than the
-	// second after which packets of a healthy but lossy link are sent the
-	// third time.
-	unackedTimeout = 1200 * time.Millisecond
-	// Keep-alive probes find an engine that is gone while a request waits for
-	// its answer, when nothing is unacknowledged.
-	probeIdle     = time.Second
-	probeInterval = 500 * time.Millisecond
-	probeCount    = 3
-	// readBuffer holds the header of an answer and some events of a stream.
-	readBuffer = 4 << 10
+	// defaultDialTimeout bounds the opening of a connection, unless Options sets
+	// another bound. Within a site it takes about two milliseconds; a lost packet
+	// costs a second, in which another engine would have answered.
+	defaultDialTimeout = 300 * time.Millisecond
+	// userTimeout ends a connection on which the peer acknowledges nothing. A VM
+	// without power neither answers nor resets, and without this bound the request
+	// would wait until its own deadline. On a healthy but lossy link a packet is
+	// sent for the third time after about a second.
+	userTimeout = 1200 * time.Millisecond
+	// Keep-alive probes detect a dead engine while a request waits for its
+	// response and nothing is unacknowledged.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveCount    = 3
+	// readBufferSize fits the header of a response and some events of a stream, in
+	// bytes.
+	readBufferSize = 4 << 10
 )
 
-// Traffic counts the bytes of some requests and their answers, as they pass the
-// connection.
+// Traffic counts the bytes of requests (Out) and their responses (In) as they
+// pass the connection.
 type Traffic struct{ In, Out atomic.Int64 }
 
 // conn is one connection to an engine.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// traffic counts the bytes of the request that has the connection; nil for none.
+	// traffic counts the bytes of the current request; nil if they are not
+	// counted.
 	traffic atomic.Pointer[Traffic]
-	// opened is the boot time at which it was opened, idleSince of its return to the
-	// pool.
-	opened, idleSince time.Duration
-	// keep is how long it may stay idle.
-	keep time.Duration
-	// reused means that an earlier request had it.
+	// openedAt and idleSince are the boot times of the opening and of the last
+	// return to the pool.
+	openedAt, idleSince time.Duration
+	// idleTimeout is how long the connection may stay idle.
+	idleTimeout time.Duration
+	// reused is set if an earlier request used the connection.
 	reused bool
 }
 
@@ -62,8 +63,8 @@
 	return n, err
 }
 
-// Write implements net.Conn. It counts first: the answer may be read before the writer
-// goes on.
+// Write implements net.Conn. It counts before it writes, since the response may
+// be read before the writing goroutine continues.
 func (c *conn) Write(b []byte) (int, error) {
 	t := c.traffic.Load()
 	if t == nil {
@@ -75,21 +76,24 @@
 	return n, err
 }
 
-// abandon closes a connection whose request has no answer. Bytes that the other end has not
-// acknowledged are dropped: the kernel would go on sending them, and an engine that is cut off would
-// get the request seconds after everybody has given it up. Where all has arrived, an ordinary close
-// tells the engine to stop its work, also if packets are lost.
-func (c *conn) abandon() {
+// abort closes a connection whose request has no response. If the peer has not
+// acknowledged all data, the rest is discarded and the connection reset:
+// otherwise the kernel would keep sending, and an engine that was unreachable
+// would receive the request seconds after everyone gave it up. If all data has
+// arrived, an ordinary close tells the engine to stop working, even if packets
+// are lost.
+func (c *conn) abort() {
 	tcp, ok := c.Conn.(*net.TCPConn)
-	if ok && c.unacknowledged(tcp) {
-		// The error says that the connection is closed already.
+	if ok && c.hasUnackedData(tcp) {
+		// An error means that the connection is already closed.
 		_ = tcp.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-// unacknowledged says whether bytes are under way, or can't be told not to be.
-func (c *conn) unacknowledged(tcp *net.TCPConn) bool {
+// hasUnackedData reports whether the peer has yet to acknowledge data. It also
+// reports true if the kernel fails to tell for an open connection.
+func (c *conn) hasUnackedData(tcp *net.TCPConn) bool {
 	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return false
@@ -102,13 +106,13 @@
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// dialTCP opens a connection on which an end that is gone is noticed.
+// dialTCP opens a TCP connection that detects a dead peer.
 func dialTCP(ctx context.Context, network, address string) (net.Conn, error) {
 	d := net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount,
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
-		Control: limitUnacked,
+		Control: setUserTimeout,
 	}
 	return d.DialContext(ctx, network, address)
 }
@@ -121,23 +125,23 @@
 	if err != nil {
 		return nil, ErrNotSent.Wrap(err)
 	}
-	c := &conn{Conn: raw, opened: p.opts.Clock()}
-	c.reader = bufio.NewReaderSize(c, readBuffer)
+	c := &conn{Conn: raw, openedAt: p.opts.Clock()}
+	c.reader = bufio.NewReaderSize(c, readBufferSize)
 	return c, nil
 }
 
-func limitUnacked(_, _ string, raw syscall.RawConn) error {
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var setErr error
 	err := raw.Control(func(fd uintptr) {
-		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	return errors.Join(err, setErr)
 }
 
-// clean says whether the idle connection is open and has nothing to read. An
-// engine may have closed it, or sent bytes that belong to no request, such as a
-// second answer to an earlier one.
-func (c *conn) clean() bool {
+// reusable reports whether the idle connection is open and has no data to read.
+// The engine may have closed it, or sent bytes that belong to no request, such
+// as a second response to an earlier one.
+func (c *conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -151,17 +155,18 @@
 	}
 	quiet := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, peekErr := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		var buf [1]byte
+		_, _, peekErr := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		quiet = errors.Is(peekErr, unix.EAGAIN)
 		return true
 	})
 	return err == nil && quiet
 }
 
-// keepFor reads how long an idle connection is kept by the other end, from a
-// Keep-Alive header; zero means that it doesn't say.
-func keepFor(header string) time.Duration {
+// parseKeepAlive returns the timeout of a Keep-Alive header, for which the peer
+// keeps an idle connection open. It returns zero if the header has no valid
+// timeout.
+func parseKeepAlive(header string) time.Duration {
 	for part := range strings.SplitSeq(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
--- a/internal/base/engineconn/errors.go
+++ b/internal/base/engineconn/errors.go
@@ -1,24 +1,26 @@
-// Package engineconn sends requests to engines and plain services over
-// connections of its own, and says of each failure whether the request may have
-// executed. It never sends a request a second time by itself: net/http's
-// Transport does so after some failures, which would execute a non-idempotent
-// request twice.
+// Package engineconn sends requests to engines and plain services over its own
+// connection pool, and reports for each failure whether the request may have
+// been executed. It never resends a request by itself: net/http's Transport
+// does so after some failures, which would execute a non-idempotent request
+// twice.
 package engineconn
 
 import "github.com/zeebo/errs"
 
-// Errors of Pool.Send and of reading an answer.
+// Errors of Pool.Send and of reading a response.
 var (
 	// ErrNotSent means that no byte of the request left the router.
 	ErrNotSent = errs.Class("engine: not sent")
 	// ErrNoAnswer means that the request was sent, wholly or in part, and the
-	// connection ended or its deadline passed before an answer began.
-	ErrNoAnswer = errs.Class("engine: no answer")
-	// ErrReused is around ErrNoAnswer and ErrMalformed where the connection had carried
-	// another request before: it may have gone silent since, and others with it.
-	ErrReused = errs.Class("engine: on a connection used before")
-	// ErrMalformed means that what came back is not an answer to the request.
-	ErrMalformed = errs.Class("engine: malformed answer")
-	// ErrCut means that an answer ended before it was complete.
-	ErrCut = errs.Class("engine: answer cut short")
+	// connection ended or its deadline passed before a response began.
+	ErrNoAnswer = errs.Class("engine: no response")
+	// ErrReused wraps ErrNoAnswer and ErrMalformed if the connection had carried
+	// another request before: it may have gone dead since, and other idle
+	// connections with it.
+	ErrReused = errs.Class("engine: on a reused connection")
+	// ErrMalformed means that the received bytes are not a response to the
+	// request.
+	ErrMalformed = errs.Class("engine: malformed response")
+	// ErrCut means that a response ended before it was complete.
+	ErrCut = errs.Class("engine: response truncated")
 )
--- a/internal/base/engineconn/pool.go
+++ b/internal/base/engineconn/pool.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// defaultKeep is how long an idle connection is kept where the engine
-	// doesn't say.
-	defaultKeep = 8 * time.Second
-	// keepMargin is taken off what the engine says, so that a connection is
-	// not used at the moment at which the engine closes it.
-	keepMargin = time.Second
-	// sweepAfter is how many sends pass between two looks for engines whose
-	// connections are all too old.
-	sweepAfter = 512
+	// defaultIdleTimeout is how long an idle connection is kept if the engine
+	// names no timeout.
+	defaultIdleTimeout = 8 * time.Second
+	// idleTimeoutMargin is subtracted from the timeout that the engine names, so
+	// that a connection is not used just as the engine closes it.
+	idleTimeoutMargin = time.Second
+	// sweepEvery is the number of sends between two searches for idle connections
+	// past their timeout.
+	sweepEvery = 512
 )
 
-// Options set up a Pool. Zero fields take the defaults.
+// Options configures a Pool. Zero fields take the defaults.
 type Options struct {
-	// Clock reads the time since the VM booted, suspends included. It must be set.
+	// Clock returns the time since the VM booted, suspends included. It must be
+	// set.
 	Clock func() time.Duration
-	// Dial opens connections; the default dials TCP and notices ends that are gone.
+	// Dial opens connections; the default dials TCP and detects dead peers.
 	Dial DialFunc
 	// DialTimeout bounds the opening of a connection. The default is 300 ms.
 	DialTimeout time.Duration
-	// MaxAge is how long after its opening a connection may be used again. The
-	// default is not to bound it.
+	// MaxAge is how long after its opening a connection may be reused. The default
+	// is no bound.
 	MaxAge time.Duration
 }
 
@@ -38,42 +39,42 @@
 		o.Dial = dialTCP
 	}
 	if o.DialTimeout == 0 {
-		o.DialTimeout = dialTimeout
+		o.DialTimeout = defaultDialTimeout
 	}
 	return o
 }
 
-// Target is the engine that a request goes to.
+// Target is the engine that a request is sent to.
 type Target struct {
-	// ID names the engine; connections are kept for each.
+	// ID identifies the engine; connections are pooled per ID.
 	ID string
-	// Address is where it listens, "ip:port".
+	// Address is where the engine listens, "ip:port".
 	Address string
 }
 
-// Request is what is sent to an engine.
+// Request is a request to an engine.
 type Request struct {
 	Method string
-	// Target is the path and query as the caller sent them.
+	// Target is the path and query as the client sent them.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// MaxIdle is the longest time that a kept connection may have been idle
-	// to be used. A connection that the engine has dropped loses what is sent
-	// on it, and the longer it was idle, the likelier that is. Less than zero asks
-	// for a new connection.
+	// MaxIdle is the longest time that a pooled connection may have been idle to
+	// be reused. Data sent on a connection that the engine has dropped is lost, and
+	// a drop becomes likelier the longer a connection was idle. A negative value
+	// forces a new connection.
 	MaxIdle time.Duration
-	// Keep is how many idle connections to the engine may be kept.
+	// Keep is the maximum number of idle connections to the engine.
 	Keep int
-	// Own says whether an answer belongs to the request. An engine may send a
-	// second answer to an earlier request of the connection.
+	// Own reports whether a response with the header belongs to the request. An
+	// engine may send a second response to an earlier request of the connection.
 	Own func(http.Header) bool
-	// Traffic counts the bytes of the exchange; nil for not to count them.
+	// Traffic counts the bytes of the exchange; nil disables counting.
 	Traffic *Traffic
 }
 
-// Pool keeps connections to engines. It is safe for concurrent use.
+// Pool keeps idle connections to engines. It is safe for concurrent use.
 type Pool struct {
 	opts Options
 
@@ -88,102 +89,106 @@
 	return &Pool{opts: o.withDefaults(), idle: make(map[string][]*conn)}
 }
 
-// Dials is how many connections have been opened.
+// Dials returns how many connections the pool has tried to open.
 func (p *Pool) Dials() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dials
 }
 
-// take returns a usable idle connection to the engine, or nil.
-func (p *Pool) take(engine string, maxIdle time.Duration) *conn {
+// takeIdle returns a reusable idle connection to the engine, or nil.
+func (p *Pool) takeIdle(engine string, maxIdle time.Duration) *conn {
 	for {
-		c, drop := p.pop(engine, maxIdle)
-		for _, old := range drop {
+		c, expired := p.popIdle(engine, maxIdle)
+		for _, old := range expired {
 			_ = old.Close()
 		}
-		if c == nil || c.clean() {
+		if c == nil || c.reusable() {
 			return c
 		}
 		_ = c.Close()
 	}
 }
 
-// pop takes the connection that was used last, which is the least likely to
-// have been dropped, and those that have become too old.
-func (p *Pool) pop(engine string, maxIdle time.Duration) (c *conn, drop []*conn) {
+// popIdle removes and returns the most recently used idle connection, which is
+// the least likely to have been dropped, and the expired ones, which the caller
+// closes.
+func (p *Pool) popIdle(engine string, maxIdle time.Duration) (c *conn, expired []*conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sends++
-	if p.sends%sweepAfter == 0 {
-		drop = p.sweep()
+	if p.sends%sweepEvery == 0 {
+		expired = p.sweep()
 	}
 	now := p.opts.Clock()
-	list := p.idle[engine]
-	if len(list) == 0 {
-		return nil, drop
+	conns := p.idle[engine]
+	if len(conns) == 0 {
+		return nil, expired
 	}
-	c = list[len(list)-1]
+	c = conns[len(conns)-1]
 	idle := now - c.idleSince
-	if idle > c.keep || p.aged(c, now) {
-		// All others have been idle for longer, and are about as old.
+	if idle > c.idleTimeout || p.pastMaxAge(c, now) {
+		// All others have been idle for longer, and are of about the same age.
 		delete(p.idle, engine)
-		return nil, append(drop, list...)
+		return nil, append(expired, conns...)
 	}
 	if idle > maxIdle {
-		return nil, drop
+		return nil, expired
 	}
-	p.idle[engine] = list[:len(list)-1]
-	return c, drop
+	p.idle[engine] = conns[:len(conns)-1]
+	return c, expired
 }
 
-// aged says whether the connection is too old to be used again.
-func (p *Pool) aged(c *conn, now time.Duration) bool {
-	return p.opts.MaxAge > 0 && now-c.opened >= p.opts.MaxAge
+// pastMaxAge reports whether the connection is too old to be reused.
+func (p *Pool) pastMaxAge(c *conn, now time.Duration) bool {
+	return p.opts.MaxAge > 0 && now-c.openedAt >= p.opts.MaxAge
 }
 
-// Drop closes the idle connections to an engine: where one of them has fallen silent
-// the others most likely have too, and each would cost a request its time limit.
+// Drop closes the idle connections to an engine. If one connection has gone
+// dead, the others most likely have too, and each would cost a request its time
+// limit.
 func (p *Pool) Drop(engine string) {
 	p.mu.Lock()
-	list := p.idle[engine]
+	conns := p.idle[engine]
 	delete(p.idle, engine)
 	p.mu.Unlock()
-	for _, c := range list {
+	for _, c := range conns {
 		_ = c.Close()
 	}
 }
 
-// sweep removes the connections that may not be used any more, such as those to
-// engines that have left. The caller holds the mutex and closes them.
-func (p *Pool) sweep() (drop []*conn) {
+// sweep removes and returns the connections that were idle for longer than their
+// timeout, such as those to engines that are gone. The caller holds the mutex
+// and closes them.
+func (p *Pool) sweep() (expired []*conn) {
 	now := p.opts.Clock()
-	for engine, list := range p.idle {
-		list = slices.DeleteFunc(list, func(c *conn) bool {
-			old := now-c.idleSince > c.keep
+	for engine, conns := range p.idle {
+		conns = slices.DeleteFunc(conns, func(c *conn) bool {
+			old := now-c.idleSince > c.idleTimeout
 			if old {
-				drop = append(drop, c)
+				expired = append(expired, c)
 			}
 			return old
 		})
-		if p.idle[engine] = list; len(list) == 0 {
+		if p.idle[engine] = conns; len(conns) == 0 {
 			delete(p.idle, engine)
 		}
 	}
-	return drop
+	return expired
 }
 
-// put keeps a connection for later, unless there are enough.
-func (p *Pool) put(engine string, c *conn, most int) {
+// putIdle returns a connection to the pool, or closes it if the pool has
+// maxConns idle connections to the engine.
+func (p *Pool) putIdle(engine string, c *conn, maxConns int) {
 	c.idleSince = p.opts.Clock()
-	if c.keep == 0 {
-		c.keep = defaultKeep
+	if c.idleTimeout == 0 {
+		c.idleTimeout = defaultIdleTimeout
 	}
 	p.mu.Lock()
-	list := p.idle[engine]
-	room := len(list) < most
+	conns := p.idle[engine]
+	room := len(conns) < maxConns
 	if room {
-		p.idle[engine] = append(list, c)
+		p.idle[engine] = append(conns, c)
 	}
 	p.mu.Unlock()
 	if !room {
@@ -191,9 +196,9 @@
 	}
 }
 
-// open returns a kept connection, or a new one. Errors: ErrNotSent.
-func (p *Pool) open(ctx context.Context, to Target, maxIdle time.Duration) (*conn, error) {
-	if c := p.take(to.ID, maxIdle); c != nil {
+// connect returns an idle connection, or opens a new one. Errors: ErrNotSent.
+func (p *Pool) connect(ctx context.Context, to Target, maxIdle time.Duration) (*conn, error) {
+	if c := p.takeIdle(to.ID, maxIdle); c != nil {
 		c.reused = true
 		return c, nil
 	}
@@ -207,8 +212,8 @@
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for engine, list := range p.idle {
-		for _, c := range list {
+	for engine, conns := range p.idle {
+		for _, c := range conns {
 			_ = c.Close()
 		}
 		delete(p.idle, engine)
--- a/internal/base/engineconn/send_test.go
+++ b/internal/base/engineconn/send_test.go
@@ -16,16 +16,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// peer is an engine whose connections are handled by a function.
-type peer struct {
-	engine Target
+// testEngine is an engine whose connections are handled by a function.
+type testEngine struct {
+	target Target
 }
 
-func newPeer(t *testing.T, handle func(conn *net.TCPConn, n int)) *peer {
+// newTestEngine listens until the test ends; n counts the connections from 1.
+func newTestEngine(t *testing.T, handle func(conn *net.TCPConn, n int)) *testEngine {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
-	p := &peer{engine: Target{ID: "e", Address: ln.Addr().String()}}
+	e := &testEngine{target: Target{ID: "e", Address: ln.Addr().String()}}
 	go func() {
 		for n := 1; ; n++ {
 			conn, err := ln.Accept()
@@ -35,41 +36,41 @@
 			go handle(conn.(*net.TCPConn), n)
 		}
 	}()
-	return p
+	return e
 }
 
 const idHeader = "X-Id"
 
-func request(id string, body int) *Request {
+func request(id string, bodyLen int) *Request {
 	return &Request{
-		Method: http.MethodPost, Target: "/x", Host: "h", Header: http.Header{idHeader: {id}}, Body: bytes.Repeat([]byte("b"), body),
+		Method: http.MethodPost, Target: "/x", Host: "h", Header: http.Header{idHeader: {id}}, Body: bytes.Repeat([]byte("b"), bodyLen),
 		MaxIdle: time.Minute, Keep: 4, Own: func(h http.Header) bool { return h.Get(idHeader) == id },
 	}
 }
 
 func clock() time.Duration { return time.Second }
 
-func answerTo(conn io.Writer, id, body string) {
+func writeResponse(conn io.Writer, id, body string) {
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", idHeader, id, len(body), body)
 }
 
-// Symptom: a request that may run once runs twice. Sequence: the engine resets the
-// connection while the request is being written. Cause: a write that failed was taken
-// for one that had not begun.
-func TestWriteThatFailsHalfWayMayHaveExecuted(t *testing.T) {
-	p := newPeer(t, func(conn *net.TCPConn, _ int) {
+// Guards against a request that may run only once being executed twice: the engine resets
+// the connection while the request is written, and the failed write is taken for one that
+// had not started.
+func TestPartialWriteIsNotReportedAsNotSent(t *testing.T) {
+	e := newTestEngine(t, func(conn *net.TCPConn, _ int) {
 		_, _ = io.ReadFull(conn, make([]byte, 1000))
 		_ = conn.SetLinger(0)
 		_ = conn.Close()
 	})
-	_, err := NewPool(Options{Clock: clock}).Send(t.Context(), p.engine, request("r", 32<<20))
+	_, err := NewPool(Options{Clock: clock}).Send(t.Context(), e.target, request("r", 32<<20))
 	require.Error(t, err)
 	require.False(t, ErrNotSent.Has(err), "%v", err)
 	require.True(t, ErrNoAnswer.Has(err) || ErrMalformed.Has(err), "%v", err)
 }
 
-// Only where no connection was made is it sure that nothing was sent.
-func TestNoConnectionMeansNotSent(t *testing.T) {
+// A connection that could not be opened proves that nothing was sent.
+func TestFailedDialIsReportedAsNotSent(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, ln.Close())
@@ -77,59 +78,59 @@
 	require.True(t, ErrNotSent.Has(err), "%v", err)
 }
 
-// Symptom: a caller gets the answer to another request. Sequence: an engine sends a
-// second answer, late, where the answer to the next request of the connection is
-// expected. Cause: whatever came first was taken.
-func TestSecondAnswerOnAKeptConnectionIsPassedOver(t *testing.T) {
-	p := newPeer(t, func(conn *net.TCPConn, _ int) {
+// Guards against a client getting the response to another request: an engine sends a late
+// second response where the response to the next request on the connection is expected, and
+// whatever arrives first is taken.
+func TestStrayResponseOnReusedConnectionIsSkipped(t *testing.T) {
+	e := newTestEngine(t, func(conn *net.TCPConn, _ int) {
 		reader := bufio.NewReader(conn)
-		for last := ""; ; {
+		for lastID := ""; ; {
 			r, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
 			_, _ = io.Copy(io.Discard, r.Body)
-			if last != "" {
-				answerTo(conn, last, "again")
+			if lastID != "" {
+				writeResponse(conn, lastID, "again")
 			}
-			last = r.Header.Get(idHeader)
-			answerTo(conn, last, "answer to "+last)
+			lastID = r.Header.Get(idHeader)
+			writeResponse(conn, lastID, "answer to "+lastID)
 		}
 	})
 	pool := NewPool(Options{Clock: clock})
 	defer pool.Close()
 	for i := range 5 {
 		id := fmt.Sprint("r", i)
-		answer, err := pool.Send(t.Context(), p.engine, request(id, 1))
+		resp, err := pool.Send(t.Context(), e.target, request(id, 1))
 		require.NoError(t, err)
-		body, err := io.ReadAll(answer)
+		body, err := io.ReadAll(resp)
 		require.NoError(t, err)
-		answer.Close()
+		resp.Close()
 		require.Equal(t, "answer to "+id, string(body))
 	}
 }
 
-// Symptom: half an answer is passed on as a whole one. Sequence: the engine closes the
-// connection before the end that it has announced.
-func TestAnswerThatEndsEarlyIsCut(t *testing.T) {
-	p := newPeer(t, func(conn *net.TCPConn, _ int) {
+// Guards against a partial response passed on as a complete one: the engine closes the
+// connection before the announced length.
+func TestTruncatedResponseIsReported(t *testing.T) {
+	e := newTestEngine(t, func(conn *net.TCPConn, _ int) {
 		_, _ = http.ReadRequest(bufio.NewReader(conn))
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: r\r\nContent-Length: 10\r\n\r\nhalf", idHeader)
 		_ = conn.Close()
 	})
-	answer, err := NewPool(Options{Clock: clock}).Send(t.Context(), p.engine, request("r", 1))
+	resp, err := NewPool(Options{Clock: clock}).Send(t.Context(), e.target, request("r", 1))
 	require.NoError(t, err)
-	defer answer.Close()
-	body, err := io.ReadAll(answer)
+	defer resp.Close()
+	body, err := io.ReadAll(resp)
 	require.True(t, ErrCut.Has(err), "%v", err)
 	require.Equal(t, "half", string(body))
 }
 
-// Symptom: engines work on for callers that have left. Sequence: the context ends while
-// the engine works, or while its answer is read. Cause: the connection stayed open.
-func TestEndOfTheContextClosesTheConnection(t *testing.T) {
+// Guards against engines working on for clients that have disconnected: the context ends
+// while the engine works or while its response is read, and the connection stays open.
+func TestContextEndClosesConnection(t *testing.T) {
 	closed := make(chan struct{}, 2)
-	p := newPeer(t, func(conn *net.TCPConn, n int) {
+	e := newTestEngine(t, func(conn *net.TCPConn, n int) {
 		_, _ = http.ReadRequest(bufio.NewReader(conn))
 		if n == 2 {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: r\r\nContent-Length: 10\r\n\r\nhalf", idHeader)
@@ -138,27 +139,26 @@
 		closed <- struct{}{}
 	})
 	pool := NewPool(Options{Clock: clock})
-	ctx, leave := context.WithCancel(t.Context())
-	time.AfterFunc(20*time.Millisecond, leave)
-	_, err := pool.Send(ctx, p.engine, request("r", 1))
+	ctx, cancel := context.WithCancel(t.Context())
+	time.AfterFunc(20*time.Millisecond, cancel)
+	_, err := pool.Send(ctx, e.target, request("r", 1))
 	require.True(t, ErrNoAnswer.Has(err), "%v", err)
 	<-closed
 
-	ctx, leave = context.WithCancel(t.Context())
-	answer, err := pool.Send(ctx, p.engine, request("r", 1))
+	ctx, cancel = context.WithCancel(t.Context())
+	resp, err := pool.Send(ctx, e.target, request("r", 1))
 	require.NoError(t, err)
-	defer answer.Close()
-	leave()
-	_, err = io.ReadAll(answer)
+	defer resp.Close()
+	cancel()
+	_, err = io.ReadAll(resp)
 	require.Error(t, err)
 	<-closed
 }
 
-// Symptom: the first request after a pause is lost. Sequence: an engine drops a
-// connection that was idle for longer than the sender allows, without being heard.
-// Cause: it was used all the same.
-func TestConnectionThatWasIdleForTooLongIsNotUsed(t *testing.T) {
-	p := newPeer(t, func(conn *net.TCPConn, _ int) {
+// Guards against losing the first request after a pause: the engine silently drops a
+// connection that was idle for longer than MaxIdle, and the pool uses it all the same.
+func TestConnectionIdleTooLongIsNotReused(t *testing.T) {
+	e := newTestEngine(t, func(conn *net.TCPConn, _ int) {
 		reader := bufio.NewReader(conn)
 		for {
 			r, err := http.ReadRequest(reader)
@@ -166,7 +166,7 @@
 				return
 			}
 			_, _ = io.Copy(io.Discard, r.Body)
-			answerTo(conn, r.Header.Get(idHeader), "x")
+			writeResponse(conn, r.Header.Get(idHeader), "x")
 		}
 	})
 	now := time.Second
@@ -175,11 +175,11 @@
 	send := func() {
 		r := request("r", 1)
 		r.MaxIdle = 300 * time.Millisecond
-		answer, err := pool.Send(t.Context(), p.engine, r)
+		resp, err := pool.Send(t.Context(), e.target, r)
 		require.NoError(t, err)
-		_, err = io.ReadAll(answer)
+		_, err = io.ReadAll(resp)
 		require.NoError(t, err)
-		answer.Close()
+		resp.Close()
 	}
 	send()
 	send()
@@ -189,47 +189,45 @@
 	require.Equal(t, 2, pool.Dials())
 }
 
-// Symptom: connections to fast engines are closed after one request, and each request
-// pays for a new one. Sequence: the answer is in and read before the goroutine that
-// wrote the request gets a processor again. Cause: a request that nobody had yet said
-// to be written whole was taken for one that was still being written.
-func TestConnectionOfAFastEngineIsKept(t *testing.T) {
-	p := newPeer(t, func(conn *net.TCPConn, _ int) {
+// Guards against closing the connection to a fast engine after each request: the response
+// is read before the goroutine that wrote the request is scheduled again, and the request is
+// taken for one that is still being written.
+func TestConnectionToFastEngineIsReused(t *testing.T) {
+	e := newTestEngine(t, func(conn *net.TCPConn, _ int) {
 		_, _ = io.Copy(io.Discard, conn)
 	})
-	c, err := NewPool(Options{Clock: clock}).dial(t.Context(), p.engine.Address)
+	c, err := NewPool(Options{Clock: clock}).dial(t.Context(), e.target.Address)
 	require.NoError(t, err)
 	defer func() { _ = c.Close() }()
-	require.True(t, write(t.Context(), c, request("r", 1)).finished())
+	require.True(t, startWrite(t.Context(), c, request("r", 1)).finished())
 }
 
-// Symptom: "did not run" for a request that is written a moment later. Sequence: the
-// caller's time ends between the connection and the first write. Cause handled: nothing is
-// begun after that, and what was not begun is not sent.
-func TestNothingIsWrittenAfterItsTime(t *testing.T) {
+// Guards against reporting a request as not sent and writing it a moment later: the context
+// ends between the opening of the connection and the first write. No write may start then.
+func TestNothingIsWrittenAfterContextEnd(t *testing.T) {
 	got := make(chan int, 1)
-	p := newPeer(t, func(conn *net.TCPConn, _ int) {
+	e := newTestEngine(t, func(conn *net.TCPConn, _ int) {
 		n, _ := io.Copy(io.Discard, conn)
 		got <- int(n)
 	})
 	pool := NewPool(Options{Clock: clock, Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
-		// The connection is there although the time is over.
+		// The connection opens although the context has ended.
 		return dialTCP(context.WithoutCancel(ctx), network, address)
 	}})
-	ctx, end := context.WithCancel(t.Context())
-	end()
-	_, err := pool.Send(ctx, p.engine, request("r", 1))
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	_, err := pool.Send(ctx, e.target, request("r", 1))
 	require.True(t, ErrNotSent.Has(err), "%v", err)
 	require.Zero(t, <-got)
 }
 
-// Symptom: "did not run" for a request that ran. Sequence: the caller's time ends while
-// the request is being written, and the write says that it took nothing. Cause handled:
-// only the kernel's refusal proves it.
-func TestWriteThatIsCutShortHereMayHaveExecuted(t *testing.T) {
+// Guards against reporting an executed request as not sent: the context ends while the
+// request is written, and the write returns zero bytes. Only an error from the kernel proves
+// that nothing was sent.
+func TestInterruptedWriteIsNotReportedAsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pool := NewPool(Options{Clock: clock, Dial: func(context.Context, string, string) (net.Conn, error) {
-			// Nobody reads the other end.
+			// The other end is never read.
 			client, _ := net.Pipe()
 			return client, nil
 		}})
@@ -241,20 +239,20 @@
 	})
 }
 
-// Guards against an engine that runs a request seconds after everybody has given it up: what it has
-// not acknowledged is dropped with the connection.
-func TestAbandonedRequestDoesNotArriveLater(t *testing.T) {
+// Guards against an engine that executes a request seconds after everyone gave it up:
+// unacknowledged data must be discarded with the connection.
+func TestAbortedRequestDoesNotArriveLater(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	abandoned, got := make(chan struct{}), make(chan error, 1)
-	p := newPeer(t, func(conn *net.TCPConn, _ int) {
+	aborted, got := make(chan struct{}), make(chan error, 1)
+	e := newTestEngine(t, func(conn *net.TCPConn, _ int) {
 		_, _ = io.ReadFull(conn, make([]byte, 1<<20))
 		cancel()
-		<-abandoned
+		<-aborted
 		_, err := io.Copy(io.Discard, conn)
 		got <- err
 	})
-	_, err := NewPool(Options{Clock: clock}).Send(ctx, p.engine, request("r", 32<<20))
+	_, err := NewPool(Options{Clock: clock}).Send(ctx, e.target, request("r", 32<<20))
 	require.True(t, ErrNoAnswer.Has(err), "%v", err)
-	close(abandoned)
+	close(aborted)
 	require.ErrorIs(t, <-got, syscall.ECONNRESET)
 }
--- a/internal/base/hangup/hangup.go
+++ b/internal/base/hangup/hangup.go
@@ -1,8 +1,9 @@
-// Package hangup catches SIGHUP from the first moment at which a process can.
+// Package hangup catches SIGHUP from the earliest point in the life of a
+// process.
 //
-// A SIGHUP that nobody catches ends the process. One that arrives while the
-// other packages are being initialized, some milliseconds after the start, would
-// end it without a line in its log. This package depends on nothing else of the
+// An uncaught SIGHUP terminates the process. One that arrives while other
+// packages are being initialized, a few milliseconds after the start, would
+// terminate it without a log line. This package imports nothing else of the
 // project, so that it is initialized among the first.
 package hangup
 
@@ -12,11 +13,11 @@
 	"syscall"
 )
 
-// caught receives the signals. One that arrives before Signals is read waits.
-var caught = make(chan os.Signal, 1)
+// signals holds one SIGHUP until it is read from Signals.
+var signals = make(chan os.Signal, 1)
 
-func init() { signal.Notify(caught, syscall.SIGHUP) }
+func init() { signal.Notify(signals, syscall.SIGHUP) }
 
-// Signals returns the channel on which hangups arrive, those since the start of
-// the process included.
-func Signals() <-chan os.Signal { return caught }
+// Signals returns the channel that delivers SIGHUPs, including one received
+// since the start of the process.
+func Signals() <-chan os.Signal { return signals }
--- a/internal/base/pause/pause.go
+++ b/internal/base/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits within a context.
+// Package pause sleeps until a time has passed or a context ends.
 package pause
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits for d, or until ctx ends. It reports whether the whole time passed;
-// a d of zero or less has passed at once.
+// For waits for d, or until ctx ends. It reports whether the whole of d passed;
+// if d is zero or negative it returns true at once.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/base/pause/pause_test.go
+++ b/internal/base/pause/pause_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestForWaitsForTheWholeTime(t *testing.T) {
+func TestForWaitsForFullDuration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		require.True(t, For(t.Context(), time.Hour))
@@ -19,10 +19,9 @@
 	})
 }
 
-// Symptom: a process takes as long to stop as its longest period.
-// Sequence: a loop waits for its next turn; the process is told to stop.
-// Cause: a wait that doesn't watch the context.
-func TestForEndsWithTheContext(t *testing.T) {
+// Guards against a slow shutdown: a loop that waits for its next iteration
+// without watching the context delays the exit by its whole interval.
+func TestForReturnsWhenContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
--- a/internal/base/version/version.go
+++ b/internal/base/version/version.go
@@ -1,9 +1,10 @@
-// Package version names the build.
+// Package version identifies the running build.
 package version
 
 import "runtime/debug"
 
-// String returns the module's version and, where known, the commit.
+// String returns the module's version, the commit if it is known, and the Go
+// version.
 func String() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
