--- a/internal/edge/logsink/logsink.go
+++ b/internal/edge/logsink/logsink.go
@@ -1,9 +1,9 @@
-// Package logsink takes log lines from request handlers without ever making
-// them wait, and bounds how many are written.
+// Package logsink buffers the log lines of request handlers, never blocks them,
+// and limits the rate of lines written.
 //
-// Standard output may be read slowly or not at all. Were it written directly, a
-// reader that stops would stop the requests, and a storm of failures would
-// become a storm of writes just when there is least time for it.
+// Standard output may be read slowly or not at all. If handlers wrote to it
+// directly, a stalled reader would stall requests, and a burst of failures would
+// become a burst of writes just when the router has the least time for it.
 package logsink
 
 import (
@@ -17,43 +17,44 @@
 )
 
 const (
-	// queued is how many lines may wait for the writer; at the usual length
+	// queueSize is how many lines may wait for the writer; at the usual length
 	// they take about a megabyte.
-	queued = 2048
-	// linesPerSecond bounds what is written over time. A router with a tenth
-	// of a core serves about as many requests a second.
+	queueSize = 2048
+	// linesPerSecond limits the sustained rate of lines. A router with a tenth
+	// of a core serves about as many requests per second.
 	linesPerSecond = 300
-	// burst is how many lines may come at once, as at a failure of many
-	// requests.
-	burst = 1500
-	// reportInterval is how often dropped lines are counted in the log.
+	// burstLines is how many lines may arrive at once, as when many requests
+	// fail together.
+	burstLines = 1500
+	// reportInterval is how often the number of dropped lines is logged.
 	reportInterval = time.Second
 )
 
-// Sink is an io.Writer of whole lines. It is safe for concurrent use.
+// Sink is an io.Writer that takes one whole line per Write. It is safe for concurrent use.
 type Sink struct {
-	out     io.Writer
-	lines   chan []byte
-	limit   *rate.Limiter
-	dropped atomic.Int64
-	done    chan struct{}
-	closing sync.Once
-	stop    chan struct{}
+	out       io.Writer
+	lines     chan []byte
+	limiter   *rate.Limiter
+	dropped   atomic.Int64
+	done      chan struct{}
+	closeOnce sync.Once
+	stop      chan struct{}
 }
 
 // New returns a Sink that writes to out until Close.
 func New(out io.Writer) *Sink {
 	s := &Sink{
-		out: out, lines: make(chan []byte, queued), limit: rate.NewLimiter(linesPerSecond, burst),
+		out: out, lines: make(chan []byte, queueSize), limiter: rate.NewLimiter(linesPerSecond, burstLines),
 		done: make(chan struct{}), stop: make(chan struct{}),
 	}
 	go s.run()
 	return s
 }
 
-// Write queues a line, or drops and counts it. It never blocks and never fails.
+// Write queues a copy of the line, or drops and counts it if the rate limit or the
+// queue is exceeded. It never blocks and never fails.
 func (s *Sink) Write(line []byte) (int, error) {
-	if !s.limit.Allow() {
+	if !s.limiter.Allow() {
 		s.dropped.Add(1)
 		return len(line), nil
 	}
@@ -72,7 +73,7 @@
 	for {
 		select {
 		case line := <-s.lines:
-			s.emit(line)
+			s.writeLine(line)
 		case <-ticker.C:
 			s.report()
 		case <-s.stop:
@@ -82,12 +83,12 @@
 	}
 }
 
-// flush writes what is queued.
+// flush writes the queued lines.
 func (s *Sink) flush() {
 	for {
 		select {
 		case line := <-s.lines:
-			s.emit(line)
+			s.writeLine(line)
 		default:
 			s.report()
 			return
@@ -97,19 +98,20 @@
 
 func (s *Sink) report() {
 	if n := s.dropped.Swap(0); n > 0 {
-		s.emit(fmt.Appendf(nil, `{"level":"warn","msg":"log lines dropped","count":%d}`+"\n", n))
+		s.writeLine(fmt.Appendf(nil, `{"level":"warn","msg":"log lines dropped","count":%d}`+"\n", n))
 	}
 }
 
-// emit writes a line. There is nowhere to report that the log can't be written.
-func (s *Sink) emit(line []byte) { _, _ = s.out.Write(line) }
+// writeLine writes a line. A failure is ignored: there is nowhere else to report
+// it.
+func (s *Sink) writeLine(line []byte) { _, _ = s.out.Write(line) }
 
-// closeTimeout bounds how long Close waits for a reader that does not read.
+// closeTimeout bounds how long Close waits for a stalled reader.
 const closeTimeout = 200 * time.Millisecond
 
-// Close writes what is queued, as far as the reader takes it in time.
+// Close writes the queued lines, unless the reader takes longer than closeTimeout.
 func (s *Sink) Close() {
-	s.closing.Do(func() { close(s.stop) })
+	s.closeOnce.Do(func() { close(s.stop) })
 	select {
 	case <-s.done:
 	case <-time.After(closeTimeout):
--- a/internal/edge/logsink/logsink_test.go
+++ b/internal/edge/logsink/logsink_test.go
@@ -11,6 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// buffer is a bytes.Buffer that is safe for concurrent writes.
 type buffer struct {
 	mu sync.Mutex
 	bytes.Buffer
@@ -22,12 +23,12 @@
 	return b.Buffer.Write(p)
 }
 
-// Symptom: requests stop because nobody reads the log. Sequence: standard output
-// is a pipe that is full. Cause handled: Write never waits.
+// Guards against stalled requests when standard output is a full pipe that nobody
+// reads.
 func TestWriteNeverBlocks(t *testing.T) {
 	r, w := io.Pipe()
 	s := New(w)
-	for range 10 * queued {
+	for range 10 * queueSize {
 		_, err := s.Write([]byte("line\n"))
 		require.NoError(t, err)
 	}
@@ -35,9 +36,9 @@
 	s.Close()
 }
 
-// Symptom: a storm of failures floods the log. Cause handled: lines beyond the
-// rate are dropped, and counted in the log.
-func TestVolumeIsBoundedAndLossesAreSaid(t *testing.T) {
+// Guards against a burst of failures flooding the log: lines beyond the rate limit
+// must be dropped, and the log must report how many.
+func TestLogRateIsLimitedAndDroppedLinesAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &buffer{}
 		s := New(out)
@@ -49,7 +50,7 @@
 		}
 		s.Close()
 		lines := bytes.Count(out.Bytes(), []byte("line\n"))
-		require.LessOrEqual(t, lines, burst+20*linesPerSecond)
+		require.LessOrEqual(t, lines, burstLines+20*linesPerSecond)
 		require.Contains(t, out.String(), "log lines dropped")
 	})
 }
--- a/internal/edge/settings/check.go
+++ b/internal/edge/settings/check.go
@@ -13,14 +13,14 @@
 	"github.com/goccy/go-yaml"
 )
 
-// The checks that the validator does not have.
+// The tags of the custom checks.
 const (
-	// checkHostPort wants an IP address and a port.
+	// checkHostPort requires an IP address and a port other than zero.
 	checkHostPort = "hostport"
-	// checkDuration wants a duration from minDuration to maxDuration.
+	// checkDuration requires a duration from minDuration to maxDuration.
 	checkDuration = "duration"
-	// checkPorts wants the first and the last port of a range.
-	checkPorts = "portrange"
+	// checkPortRange requires the first and the last port of a range.
+	checkPortRange = "portrange"
 )
 
 func newValidator() *validator.Validate {
@@ -30,11 +30,11 @@
 		return name
 	})
 	for tag, check := range map[string]validator.Func{
-		checkHostPort: isHostPort,
-		checkDuration: isDuration,
-		checkPorts:    isPortRange,
+		checkHostPort:  isHostPort,
+		checkDuration:  isDuration,
+		checkPortRange: isPortRange,
 	} {
-		// The tag is not empty and the function not nil, the only reasons to fail.
+		// Registration fails only for an empty tag or a nil function.
 		_ = v.RegisterValidation(tag, check)
 	}
 	return v
@@ -55,24 +55,24 @@
 }
 
 func isPortRange(f validator.FieldLevel) bool {
-	const most = 1<<16 - 1
+	const maxPort = 1<<16 - 1
 	ports, ok := f.Field().Interface().([]int)
-	return ok && len(ports) == 2 && 0 < ports[0] && ports[0] <= ports[1] && ports[1] <= most
+	return ok && len(ports) == 2 && 0 < ports[0] && ports[0] <= ports[1] && ports[1] <= maxPort
 }
 
-// fieldError names every field that is wrong, its line, and what it should be.
+// fieldError returns an ErrField that lists every invalid field with its line and what is allowed.
 func fieldError(data []byte, invalid validator.ValidationErrors) error {
 	var problems []string
 	for _, f := range invalid {
 		_, name, _ := strings.Cut(f.Namespace(), ".")
-		problems = append(problems, lineOf(data, name)+name+" "+problemOf(f))
+		problems = append(problems, linePrefix(data, name)+name+" "+describeProblem(f))
 	}
 	return ErrField.New("%s", strings.Join(problems, "; "))
 }
 
-// problemOf says what is wrong with a field. The value of a secret is not told; the checks of
-// secrets are min and required.
-func problemOf(f validator.FieldError) string {
+// describeProblem returns what is wrong with a field. It never includes the value of a secret; secrets
+// are checked only by min and required, whose messages omit it.
+func describeProblem(f validator.FieldError) string {
 	text, isText := f.Value().(string)
 	switch f.ActualTag() {
 	case "required":
@@ -83,7 +83,7 @@
 		return fmt.Sprintf("is %q, not an IP address", text)
 	case checkDuration:
 		return fmt.Sprintf("is %v, not between %s and %s", f.Value(), minDuration, maxDuration)
-	case checkPorts:
+	case checkPortRange:
 		return fmt.Sprintf("is %v, not the first and the last port of a range", f.Value())
 	case "oneof":
 		return fmt.Sprintf("is %q, not one of %s", text, f.Param())
@@ -98,9 +98,9 @@
 	return fmt.Sprintf("fails the check %s=%s", f.ActualTag(), f.Param())
 }
 
-// lineOf returns where a field stands in a file, as a prefix of a message; nothing if it is
-// missing there.
-func lineOf(data []byte, field string) string {
+// linePrefix returns the line of a field in the file as a prefix of a message, or an empty string if
+// the file doesn't have the field.
+func linePrefix(data []byte, field string) string {
 	path, err := yaml.PathString("$." + field)
 	if err != nil {
 		return ""
--- a/internal/edge/settings/duration.go
+++ b/internal/edge/settings/duration.go
@@ -5,36 +5,38 @@
 	"time"
 )
 
-// The range of all durations. Shorter ones than a millisecond can't be kept, and longer ones than
-// a day are mistakes: a unit too much, or a number that has run over.
+// The range of all durations. The router can't keep to less than a millisecond, and more than a
+// day is a mistake: a wrong unit, or a number that has overflowed.
 const (
 	minDuration = time.Millisecond
 	maxDuration = 24 * time.Hour
 )
 
-// Milliseconds is a duration that is written as a number of milliseconds.
+// Milliseconds is a duration written in YAML as a number of milliseconds.
 type Milliseconds time.Duration
 
 // UnmarshalYAML implements yaml.InterfaceUnmarshaler.
 func (m *Milliseconds) UnmarshalYAML(unmarshal func(any) error) error {
-	return scaled(unmarshal, time.Millisecond, (*time.Duration)(m))
+	return unmarshalScaled(unmarshal, time.Millisecond, (*time.Duration)(m))
 }
 
 // String implements fmt.Stringer.
 func (m Milliseconds) String() string { return time.Duration(m).String() }
 
-// Seconds is a duration that is written as a number of seconds.
+// Seconds is a duration written in YAML as a number of seconds.
 type Seconds time.Duration
 
 // UnmarshalYAML implements yaml.InterfaceUnmarshaler.
 func (s *Seconds) UnmarshalYAML(unmarshal func(any) error) error {
-	return scaled(unmarshal, time.Second, (*time.Duration)(s))
+	return unmarshalScaled(unmarshal, time.Second, (*time.Duration)(s))
 }
 
 // String implements fmt.Stringer.
 func (s Seconds) String() string { return time.Duration(s).String() }
 
-func scaled(unmarshal func(any) error, unit time.Duration, out *time.Duration) error {
+// unmarshalScaled decodes a number of units into out. Errors: ErrRead if the result overflows or is
+// not a number.
+func unmarshalScaled(unmarshal func(any) error, unit time.Duration, out *time.Duration) error {
 	var n float64
 	if err := unmarshal(&n); err != nil {
 		return err
--- a/internal/edge/settings/fields.go
+++ b/internal/edge/settings/fields.go
@@ -9,13 +9,13 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Field is one setting, as operators are told of it.
+// Field is one setting as operators see it.
 type Field struct {
-	// Path is its name in the file, "bounds.revoke_ms".
+	// Path is the name of the setting in the file, "bounds.revoke_ms".
 	Path string
-	// Value is its value as text; that of a secret is never told.
+	// Value is the value as text; the value of a secret is never included.
 	Value string
-	// Own fields differ from router to router: its name, its addresses.
+	// Own fields differ between routers, such as names and addresses.
 	Own bool
 	// Live fields take effect without a restart.
 	Live bool
@@ -30,39 +30,39 @@
 	Live bool
 }
 
-// secretValue stands for the value of a secret.
-const secretValue = "(secret)"
+// redactedValue replaces the value of a secret.
+const redactedValue = "(secret)"
 
-// The tags of a setting beside its name and its checks.
+// The struct tags of a setting besides its name and its checks.
 const (
-	// tagApply is "restart" for a field that takes effect at the next start only.
-	tagApply   = "apply"
-	atRestart  = "restart"
-	tagScope   = "scope"
-	scopeOwn   = "own"
-	tagSecret  = "secret"
-	secretMark = "yes"
+	// tagApply is "restart" for a field that takes effect only at the next start.
+	tagApply     = "apply"
+	applyRestart = "restart"
+	tagScope     = "scope"
+	scopeOwn     = "own"
+	tagSecret    = "secret"
+	secretYes    = "yes"
 )
 
-// leaf is a setting and where it is in a Settings.
+// leaf is a single setting within a Settings.
 type leaf struct {
 	path  string
 	tag   reflect.StructTag
 	value reflect.Value
 }
 
-func (l leaf) secret() bool { return l.tag.Get(tagSecret) == secretMark }
-func (l leaf) own() bool    { return l.tag.Get(tagScope) == scopeOwn }
-func (l leaf) live() bool   { return l.tag.Get(tagApply) != atRestart }
+func (l leaf) isSecret() bool { return l.tag.Get(tagSecret) == secretYes }
+func (l leaf) isOwn() bool    { return l.tag.Get(tagScope) == scopeOwn }
+func (l leaf) isLive() bool   { return l.tag.Get(tagApply) != applyRestart }
 
 func (l leaf) text() string {
-	if l.secret() {
-		return secretValue
+	if l.isSecret() {
+		return redactedValue
 	}
 	return fmt.Sprint(l.value.Interface())
 }
 
-// leaves returns all settings of a struct in the order of its fields.
+// leaves returns all settings of a struct and its nested structs in the order of the fields.
 func leaves(v reflect.Value, prefix string) []leaf {
 	var out []leaf
 	for i := range v.NumField() {
@@ -81,13 +81,14 @@
 func (s *Settings) Fields() []Field {
 	var out []Field
 	for _, l := range leaves(reflect.ValueOf(s).Elem(), "") {
-		out = append(out, Field{Path: l.path, Value: l.text(), Own: l.own(), Live: l.live()})
+		out = append(out, Field{Path: l.path, Value: l.text(), Own: l.isOwn(), Live: l.isLive()})
 	}
 	return out
 }
 
-// Digest tells settings apart that routers share. Routers with the same one behave alike; their
-// names, addresses and secrets are not in it.
+// Digest returns a hash of the settings that routers share. Routers with equal digests behave alike.
+// Fields that differ between routers, such as names and addresses, and the values of secrets are not
+// part of it.
 func (s *Settings) Digest() string {
 	h := xxh3.New()
 	for _, f := range s.Fields() {
@@ -104,19 +105,19 @@
 	after := leaves(reflect.ValueOf(to).Elem(), "")
 	for i, before := range leaves(reflect.ValueOf(from).Elem(), "") {
 		if !reflect.DeepEqual(before.value.Interface(), after[i].value.Interface()) {
-			out = append(out, Change{Path: before.path, From: before.text(), To: after[i].text(), Live: before.live()})
+			out = append(out, Change{Path: before.path, From: before.text(), To: after[i].text(), Live: before.isLive()})
 		}
 	}
 	return out
 }
 
-// Effective returns what is in force once a router that runs with some settings is given others:
-// of those that take effect at a restart only, the ones that it runs with.
+// Effective returns the settings in force after a running router is given new ones: the new values,
+// except for fields that take effect only at a restart, which keep the running values.
 func Effective(running, given *Settings) *Settings {
 	out := *given
 	kept := leaves(reflect.ValueOf(running).Elem(), "")
 	for i, l := range leaves(reflect.ValueOf(&out).Elem(), "") {
-		if !l.live() {
+		if !l.isLive() {
 			l.value.Set(kept[i].value)
 		}
 	}
--- a/internal/edge/settings/settings_test.go
+++ b/internal/edge/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const good = `
+const validSettings = `
 name: r1
 site: x
 listen: {callers: "10.0.0.1:1", ready: "10.0.0.1:2", directory: "10.0.0.1:3", control: "10.0.0.1:4", ports: [7340, 7355]}
@@ -21,14 +21,14 @@
 `
 
 func TestParse(t *testing.T) {
-	s, err := Parse([]byte(good))
+	s, err := Parse([]byte(validSettings))
 	require.NoError(t, err)
 	require.Equal(t, 5*time.Second, time.Duration(s.Bounds.Revoke))
 	require.Equal(t, 8*time.Second, time.Duration(s.Bounds.Stop))
 	require.Equal(t, "info", s.LogLevel)
 }
 
-func TestProblemsNameTheirField(t *testing.T) {
+func TestParseErrorNamesField(t *testing.T) {
 	for _, tc := range []struct{ old, new, field string }{
 		{"name: r1", "", "name"},
 		{`callers: "10.0.0.1:1"`, `callers: "nowhere"`, "listen.callers"},
@@ -36,13 +36,13 @@
 		{"revoke_ms: 5000", "revoke_ms: 0", "bounds.revoke_ms"},
 		{`"10.0.0.2:4"`, `"seed"`, "seeds"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, tc.old, tc.new, 1)))
+		_, err := Parse([]byte(strings.Replace(validSettings, tc.old, tc.new, 1)))
 		require.True(t, ErrField.Has(err), tc.field)
 		require.ErrorContains(t, err, tc.field)
 	}
-	_, err := Parse([]byte(strings.Replace(good, "revoke_ms: 5000", "revoke_ms: 0", 1)))
+	_, err := Parse([]byte(strings.Replace(validSettings, "revoke_ms: 5000", "revoke_ms: 0", 1)))
 	require.ErrorContains(t, err, "line 9: bounds.revoke_ms is 0s, not between 1ms and 24h0m0s")
-	_, err = Parse([]byte(strings.Replace(good, "memory_mb: 284", "memory_mb: [3", 1)))
+	_, err = Parse([]byte(strings.Replace(validSettings, "memory_mb: 284", "memory_mb: [3", 1)))
 	require.ErrorContains(t, err, "[8:")
 	_, err = Parse([]byte("a: [1"))
 	require.True(t, ErrRead.Has(err))
@@ -50,10 +50,10 @@
 	require.True(t, ErrRead.Has(err))
 }
 
-// Symptom: a router starts with settings that mean something else than was written, or says only
-// that a check failed. Cause handled: what is out of its range is refused, and the message has the
-// line, the field, its value and what is allowed; never that of a secret.
-func TestProblemsSayWhatIsAllowed(t *testing.T) {
+// Guards against a router that starts with settings that differ from what was written, or reports
+// only that a check failed. Values out of range must be rejected with the line, the field, its value
+// and what is allowed; the value of a secret must not appear.
+func TestParseErrorStatesAllowedValues(t *testing.T) {
 	for _, tc := range []struct{ old, new, problem string }{
 		{"name: r1", "", "name is missing"},
 		{`store: "10.0.0.9:80"`, `store: "10.0.0.9:http"`, `line 7: store is "10.0.0.9:http", not an IP address and a port`},
@@ -72,14 +72,14 @@
 		{"fleet_key: 0123456789abcdef", "fleet_key: short", "fleet_key is shorter than 16 bytes"},
 		{"name: r1", "name: r1\nlog_level: loud", `log_level is "loud", not one of debug info warn error`},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, tc.old, tc.new, 1)))
+		_, err := Parse([]byte(strings.Replace(validSettings, tc.old, tc.new, 1)))
 		require.ErrorContains(t, err, tc.problem)
 	}
 }
 
-// Every field can be told to operators, and says whether it takes effect at once.
-func TestFieldsAreNamedAndSecretsAreNotTold(t *testing.T) {
-	s, err := Parse([]byte(good))
+// Every field has a path and says whether it takes effect at once; no value reveals a secret.
+func TestFieldsOmitSecretValues(t *testing.T) {
+	s, err := Parse([]byte(validSettings))
 	require.NoError(t, err)
 	seen := make(map[string]Field)
 	for _, f := range s.Fields() {
@@ -88,14 +88,14 @@
 	}
 	require.Equal(t, Field{Path: "bounds.stop_s", Value: "8s", Live: true}, seen["bounds.stop_s"])
 	require.Equal(t, Field{Path: "name", Value: "r1", Own: true}, seen["name"])
-	require.Equal(t, Field{Path: "fleet_key", Value: secretValue, Live: true}, seen["fleet_key"])
+	require.Equal(t, Field{Path: "fleet_key", Value: redactedValue, Live: true}, seen["fleet_key"])
 }
 
-// Symptom: operators can't tell which routers run which settings. Cause handled: routers whose
-// shared settings are equal have one digest, whatever their names, addresses and VMs.
-func TestDigestIsOfWhatRoutersShare(t *testing.T) {
+// Routers whose shared settings are equal must have the same digest, whatever their names, addresses
+// and VMs. Otherwise operators can't tell which routers run which settings.
+func TestDigestCoversOnlySharedSettings(t *testing.T) {
 	digest := func(old, new string) string {
-		s, err := Parse([]byte(strings.Replace(good, old, new, 1)))
+		s, err := Parse([]byte(strings.Replace(validSettings, old, new, 1)))
 		require.NoError(t, err)
 		return s.Digest()
 	}
@@ -103,18 +103,18 @@
 	require.Equal(t, same, digest("name: r1", "name: r2"))
 	require.Equal(t, same, digest("10.0.0.1:1", "10.0.0.7:1"))
 	require.Equal(t, same, digest("memory_mb: 284", "memory_mb: 536"))
-	require.Equal(t, same, digest("0123456789abcdef", "0123456789abcdefg"), "a secret is not in it")
+	require.Equal(t, same, digest("0123456789abcdef", "0123456789abcdefg"), "the digest must not cover secrets")
 	require.NotEqual(t, same, digest("revoke_ms: 5000", "revoke_ms: 5001"))
 	require.NotEqual(t, same, digest("10.0.0.9:80", "10.0.0.9:81"))
 	require.NotEqual(t, same, digest("ports: [7340, 7355]", "ports: [7341, 7355]"))
 }
 
-// Symptom: a router is half changed: it says one thing and does another. Cause handled: what takes
-// effect at a restart only stays as it is, and is named.
-func TestWhatNeedsARestartIsNotInForce(t *testing.T) {
-	running, err := Parse([]byte(good))
+// Guards against a router that reports settings it doesn't run with. Fields that take effect only at
+// a restart must keep their values and be listed as changed.
+func TestRestartOnlyChangesAreNotApplied(t *testing.T) {
+	running, err := Parse([]byte(validSettings))
 	require.NoError(t, err)
-	given, err := Parse([]byte(strings.NewReplacer("stop_s: 8", "stop_s: 9", "site: x", "site: y", "fleet_key: 0", "fleet_key: 9").Replace(good)))
+	given, err := Parse([]byte(strings.NewReplacer("stop_s: 8", "stop_s: 9", "site: x", "site: y", "fleet_key: 0", "fleet_key: 9").Replace(validSettings)))
 	require.NoError(t, err)
 	effective := Effective(running, given)
 	require.Equal(t, 9*time.Second, time.Duration(effective.Bounds.Stop))
@@ -122,14 +122,14 @@
 	require.Equal(t, "x", running.Site)
 	require.Equal(t, []Change{
 		{Path: "site", From: "x", To: "y"},
-		{Path: "fleet_key", From: secretValue, To: secretValue, Live: true},
+		{Path: "fleet_key", From: redactedValue, To: redactedValue, Live: true},
 		{Path: "bounds.stop_s", From: "8s", To: "9s", Live: true},
 	}, Changes(running, given))
 	require.Equal(t, []Change{{Path: "site", From: "x", To: "y"}}, Changes(effective, given))
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Add([]byte("a: [1"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, err := Parse(data)
--- a/internal/edge/settings/watch.go
+++ b/internal/edge/settings/watch.go
@@ -13,31 +13,32 @@
 	"damaskrouter.example/damaskrouter/internal/base/pause"
 )
 
-// ErrTorn means that a file changes while it is read, or ends in the middle of a line.
-var ErrTorn = errs.Class("settings: half written")
+// ErrIncomplete means that a file ends in the middle of a line, as while it is being written.
+var ErrIncomplete = errs.Class("settings: half written")
 
 const (
-	// pollInterval is how often the file is looked at: it may change without a signal, and
-	// operators wait for a second or two at most.
+	// pollInterval is how often the file is checked for changes: it may change without a
+	// signal, and operators should wait for at most a second or two.
 	pollInterval = time.Second
-	// settleFor is how long a changed file must stay as it is before it is taken: whoever
-	// writes it in place is done by then.
-	settleFor = 100 * time.Millisecond
+	// settleTime is how long a changed file must stay unchanged before it is applied: a
+	// process that writes it in place has finished by then.
+	settleTime = 100 * time.Millisecond
 )
 
-// Watcher takes over changes of a settings file. A file that can't be used changes nothing.
+// Watcher applies changes of a settings file. A file that is not usable changes nothing.
 type Watcher struct {
 	File string
-	// Apply takes checked settings. It is called by one goroutine.
+	// Apply puts checked settings in force. It is called only by the goroutine of Run.
 	Apply func(*Settings)
 	Log   *log.Logger
 
-	// handled is the content that was taken or refused last.
-	handled []byte
-	problem atomic.Pointer[string]
+	// lastContent is the content that was applied or rejected last.
+	lastContent []byte
+	problem     atomic.Pointer[string]
 }
 
-// Problem says what is wrong with the file as it is now, empty if nothing is.
+// Problem returns what is wrong with the current file, or an empty string. It is safe for concurrent
+// use.
 func (w *Watcher) Problem() string {
 	if p := w.problem.Load(); p != nil {
 		return *p
@@ -45,71 +46,72 @@
 	return ""
 }
 
-// Run watches until the context ends; a value from hangups asks to look at once. The content is
-// the one that the router was started with.
-func (w *Watcher) Run(ctx context.Context, started []byte, hangups <-chan os.Signal) {
-	w.handled = started
+// Run watches the file until the context ends; a value from hangups requests an immediate check.
+// Initial is the content with which the router was started.
+func (w *Watcher) Run(ctx context.Context, initial []byte, hangups <-chan os.Signal) {
+	w.lastContent = initial
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
-		asked := false
+		signaled := false
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangups:
-			asked = true
+			signaled = true
 		case <-ticker.C:
 		}
-		w.look(ctx, asked)
+		w.poll(ctx, signaled)
 	}
 }
 
-// look takes the file if it has changed. Asked means that somebody says so.
-func (w *Watcher) look(ctx context.Context, asked bool) {
+// poll applies the file if it has changed. Signaled means that a signal requested the check; an
+// unchanged file is then logged.
+func (w *Watcher) poll(ctx context.Context, signaled bool) {
 	content, err := os.ReadFile(w.File)
 	switch {
 	case err != nil:
-		w.refuse(nil, ErrRead.Wrap(err))
+		w.reject(nil, ErrRead.Wrap(err))
 		return
-	case bytes.Equal(content, w.handled):
-		if asked {
+	case bytes.Equal(content, w.lastContent):
+		if signaled {
 			w.Log.Info("settings have not changed", "file", w.File, "usable", w.Problem() == "")
 		}
 		return
 	}
-	if !pause.For(ctx, settleFor) {
+	if !pause.For(ctx, settleTime) {
 		return
 	}
-	again, err := os.ReadFile(w.File)
-	if err != nil || !bytes.Equal(content, again) {
-		// The next look finds it as it is then.
+	reread, err := os.ReadFile(w.File)
+	if err != nil || !bytes.Equal(content, reread) {
+		// It is still changing; the next poll checks it again.
 		return
 	}
-	set, err := ParseWhole(content)
+	s, err := ParseWhole(content)
 	if err != nil {
-		w.refuse(content, err)
+		w.reject(content, err)
 		return
 	}
-	w.handled = content
+	w.lastContent = content
 	w.problem.Store(nil)
-	w.Apply(set)
+	w.Apply(s)
 }
 
-// refuse keeps what is in force, and says so once for each content.
-func (w *Watcher) refuse(content []byte, err error) {
+// reject records and logs the problem, once for each content. The settings in force stay.
+func (w *Watcher) reject(content []byte, err error) {
 	text := err.Error()
-	if known := w.problem.Swap(&text); known != nil && *known == text && bytes.Equal(content, w.handled) {
+	if previous := w.problem.Swap(&text); previous != nil && *previous == text && bytes.Equal(content, w.lastContent) {
 		return
 	}
-	w.handled = content
+	w.lastContent = content
 	w.Log.Warn("settings changed and are not usable; those before stay in force", "file", w.File, "cause", err)
 }
 
-// ParseWhole checks settings that may be half written: the last line must have its end. Errors:
-// ErrTorn, ErrRead, ErrField.
+// ParseWhole parses settings that may be incompletely written: the last line must end with a newline.
+// Errors: ErrIncomplete, ErrRead, ErrField.
 func ParseWhole(data []byte) (*Settings, error) {
 	if !bytes.HasSuffix(data, []byte("\n")) {
-		return nil, ErrTorn.New("the file does not end with the end of a line")
+		return nil, ErrIncomplete.New("the file does not end with the end of a line")
 	}
 	return Parse(data)
 }
--- a/internal/edge/settings/watch_test.go
+++ b/internal/edge/settings/watch_test.go
@@ -15,8 +15,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// watched is a settings file that a test writes, and what the watcher makes of it.
-type watched struct {
+// watchTest is a settings file that a test writes, its watcher, and the settings that the watcher
+// applied.
+type watchTest struct {
 	t       *testing.T
 	file    string
 	hangups chan os.Signal
@@ -25,14 +26,15 @@
 	watcher *Watcher
 }
 
-func inWatch(t *testing.T, test func(w *watched)) {
+// runWatchTest runs a test in a synctest bubble with a watcher of a valid file.
+func runWatchTest(t *testing.T, test func(w *watchTest)) {
 	file := filepath.Join(t.TempDir(), "settings.yaml")
-	require.NoError(t, os.WriteFile(file, []byte(good), 0o600))
+	require.NoError(t, os.WriteFile(file, []byte(validSettings), 0o600))
 	synctest.Test(t, func(t *testing.T) {
-		w := &watched{t: t, file: file, hangups: make(chan os.Signal)}
+		w := &watchTest{t: t, file: file, hangups: make(chan os.Signal)}
 		w.watcher = &Watcher{File: file, Log: log.New(&w.log), Apply: func(s *Settings) { w.applied = append(w.applied, s) }}
 		ctx, cancel := context.WithCancel(context.Background())
-		go w.watcher.Run(ctx, []byte(good), w.hangups)
+		go w.watcher.Run(ctx, []byte(validSettings), w.hangups)
 		synctest.Wait()
 		test(w)
 		cancel()
@@ -40,42 +42,43 @@
 	})
 }
 
-func (w *watched) write(content string) {
+func (w *watchTest) write(content string) {
 	require.NoError(w.t, os.WriteFile(w.file, []byte(content), 0o600))
 }
 
-func (w *watched) hangup() {
+// hangup delivers a SIGHUP to the watcher and waits until the file is handled.
+func (w *watchTest) hangup() {
 	w.hangups <- syscall.SIGHUP
-	time.Sleep(2 * settleFor)
+	time.Sleep(2 * settleTime)
 }
 
-func with(old, new string) string { return strings.Replace(good, old, new, 1) }
+func replaceSetting(old, new string) string { return strings.Replace(validSettings, old, new, 1) }
 
-// Symptom: operators change settings and nothing happens until a restart. Cause handled: a changed
-// file is taken on SIGHUP, and also without a signal.
-func TestChangedFileIsTaken(t *testing.T) {
-	inWatch(t, func(w *watched) {
-		w.write(with("revoke_ms: 5000", "revoke_ms: 6000"))
+// Guards against settings that change only at a restart: a changed file must be applied on SIGHUP,
+// and also without a signal.
+func TestChangedFileIsApplied(t *testing.T) {
+	runWatchTest(t, func(w *watchTest) {
+		w.write(replaceSetting("revoke_ms: 5000", "revoke_ms: 6000"))
 		w.hangup()
 		require.Len(t, w.applied, 1)
-		w.write(with("revoke_ms: 5000", "revoke_ms: 7000"))
-		time.Sleep(pollInterval + 2*settleFor)
+		w.write(replaceSetting("revoke_ms: 5000", "revoke_ms: 7000"))
+		time.Sleep(pollInterval + 2*settleTime)
 		require.Len(t, w.applied, 2)
 		require.Equal(t, 7*time.Second, time.Duration(w.applied[1].Bounds.Revoke))
 		for range 5 {
 			w.hangup()
 		}
 		time.Sleep(5 * pollInterval)
-		require.Len(t, w.applied, 2, "what has not changed is not taken again")
+		require.Len(t, w.applied, 2, "an unchanged file must not be applied again")
 	})
 }
 
-// Symptom: a router runs with a part of its settings. Sequence: the file is read while it is
-// written: empty, cut in the middle of a line or a number. Cause handled: it is taken once it is
-// whole, and what was in force stays until then.
-func TestHalfWrittenFileIsNotTaken(t *testing.T) {
-	inWatch(t, func(w *watched) {
-		next := with("retry_slack: 58", "retry_slack: 630")
+// Guards against a router that runs with a part of its settings: the file is read while it is
+// written, and is empty or ends in the middle of a line or a number. It must be applied only once it
+// is complete; until then the settings in force stay.
+func TestIncompleteFileIsNotApplied(t *testing.T) {
+	runWatchTest(t, func(w *watchTest) {
+		next := replaceSetting("retry_slack: 58", "retry_slack: 630")
 		for _, cut := range []int{0, 10, len(next) / 2, strings.Index(next, "max_ttl_s") + 12, len(next) - 1} {
 			w.write(next[:cut])
 			w.hangup()
@@ -83,34 +86,35 @@
 			require.NotEmpty(t, w.watcher.Problem())
 		}
 		w.write(next)
-		time.Sleep(pollInterval + 2*settleFor)
+		time.Sleep(pollInterval + 2*settleTime)
 		require.Len(t, w.applied, 1)
 		require.Empty(t, w.watcher.Problem())
 	})
 }
 
-// Symptom: the same, where the file is renamed into place or missing for a moment.
-func TestFileIsReplacedByRename(t *testing.T) {
-	inWatch(t, func(w *watched) {
+// Like TestIncompleteFileIsNotApplied, for a file that is missing for a moment and then renamed into
+// place.
+func TestFileReplacedByRenameIsApplied(t *testing.T) {
+	runWatchTest(t, func(w *watchTest) {
 		require.NoError(t, os.Remove(w.file))
 		w.hangup()
 		require.Empty(t, w.applied)
 		require.NotEmpty(t, w.watcher.Problem())
 		other := w.file + ".new"
-		require.NoError(t, os.WriteFile(other, []byte(with("stop_s: 8", "stop_s: 9")), 0o600))
+		require.NoError(t, os.WriteFile(other, []byte(replaceSetting("stop_s: 8", "stop_s: 9")), 0o600))
 		require.NoError(t, os.Rename(other, w.file))
-		time.Sleep(pollInterval + 2*settleFor)
+		time.Sleep(pollInterval + 2*settleTime)
 		require.Len(t, w.applied, 1)
 		require.Empty(t, w.watcher.Problem())
 	})
 }
 
-// Symptom: operators learn of a mistake when routers restart. Cause handled: a file with a mistake
-// is refused with its file, line and field, once, and the problem stays to be seen until it is
-// mended.
-func TestMistakeIsSaidOnceAndStays(t *testing.T) {
-	inWatch(t, func(w *watched) {
-		w.write(with("revoke_ms: 5000", "revoke_ms: 0"))
+// Guards against mistakes that operators discover only at the next restart: an invalid file must be
+// rejected and logged once with its file, line and field, and the problem reported until the file is
+// corrected.
+func TestInvalidFileIsLoggedOnceAndReported(t *testing.T) {
+	runWatchTest(t, func(w *watchTest) {
+		w.write(replaceSetting("revoke_ms: 5000", "revoke_ms: 0"))
 		w.hangup()
 		time.Sleep(10 * pollInterval)
 		require.Empty(t, w.applied)
@@ -118,9 +122,9 @@
 		require.Contains(t, w.log.String(), "line 9: bounds.revoke_ms")
 		require.Contains(t, w.log.String(), filepath.Base(w.file))
 		require.Contains(t, w.watcher.Problem(), "bounds.revoke_ms")
-		w.write(good)
+		w.write(validSettings)
 		w.hangup()
 		require.Empty(t, w.watcher.Problem())
-		require.Len(t, w.applied, 1, "what is as before is taken, and changes nothing")
+		require.Len(t, w.applied, 1, "a corrected file must be applied, even if it equals the settings in force")
 	})
 }
