--- a/internal/edge/node/apply.go
+++ b/internal/edge/node/apply.go
@@ -11,98 +11,98 @@
 	"github.com/charmbracelet/log"
 )
 
-// inForce are the settings that a router runs with. It is immutable.
-type inForce struct {
-	set *settings.Settings
-	// digest tells them apart from those of other routers; since is the boot time at which
-	// they took effect.
+// activeSettings are the settings in force at a router. It is immutable.
+type activeSettings struct {
+	settings *settings.Settings
+	// digest allows a comparison with the settings of other routers; since is the boot time
+	// at which the settings took effect.
 	digest string
 	since  time.Duration
-	// waiting are the fields of the file that take effect at the next start.
-	waiting []string
+	// pendingRestart are the fields of the file that take effect at the next start.
+	pendingRestart []string
 }
 
-// set returns the settings in force.
-func (r *Router) set() *settings.Settings { return r.inForce.Load().set }
+// settings returns the settings in force.
+func (r *Router) settings() *settings.Settings { return r.active.Load().settings }
 
-// Watch takes over changes of the settings file until the context ends. Started is the content
-// with which the router was made; a value from hangups asks to look at the file at once.
-func (r *Router) Watch(ctx context.Context, file string, started []byte, hangups <-chan os.Signal) {
+// Watch applies changes of the settings file until the context ends. Initial is the content with
+// which the router was made; a value from hangups requests an immediate check of the file.
+func (r *Router) Watch(ctx context.Context, file string, initial []byte, hangups <-chan os.Signal) {
 	w := &settings.Watcher{File: file, Apply: r.Apply, Log: r.log}
 	r.watcher.Store(w)
-	w.Run(ctx, started, hangups)
+	w.Run(ctx, initial, hangups)
 }
 
-// Apply puts changed settings in force, without cutting anything. What takes effect at a restart
-// only is said, and stays as it is. It is called by one goroutine.
+// Apply puts changed settings in force without interrupting requests. Changes that take effect only
+// at a restart are logged and not applied. It must not be called concurrently.
 func (r *Router) Apply(given *settings.Settings) {
-	before := r.inForce.Load()
-	next := &inForce{set: settings.Effective(before.set, given), since: before.since}
-	next.digest = next.set.Digest()
-	waiting := settings.Changes(next.set, given)
-	for _, c := range waiting {
-		next.waiting = append(next.waiting, c.Path)
+	before := r.active.Load()
+	next := &activeSettings{settings: settings.Effective(before.settings, given), since: before.since}
+	next.digest = next.settings.Digest()
+	pending := settings.Changes(next.settings, given)
+	for _, c := range pending {
+		next.pendingRestart = append(next.pendingRestart, c.Path)
 	}
-	live := settings.Changes(before.set, next.set)
+	live := settings.Changes(before.settings, next.settings)
 	if len(live) > 0 {
 		next.since = bootclock.Now()
 	}
-	r.inForce.Store(next)
-	r.logChanges(live, waiting, next)
-	r.follow(live, next.set)
+	r.active.Store(next)
+	r.logChanges(live, pending, next)
+	r.propagate(live, next.settings)
 }
 
-// logChanges writes what has changed, one line a field.
-func (r *Router) logChanges(live, waiting []settings.Change, next *inForce) {
+// logChanges logs the changes, one line per field.
+func (r *Router) logChanges(live, pending []settings.Change, next *activeSettings) {
 	for _, c := range live {
 		r.log.Info("setting changed", "setting", c.Path, "from", c.From, "to", c.To, "in_force", true)
 	}
-	for _, c := range waiting {
+	for _, c := range pending {
 		r.log.Warn("setting takes effect at the next start", "setting", c.Path, "from", c.From, "to", c.To, "in_force", false)
 	}
-	r.log.Info("settings read", "settings", next.digest, "changed", len(live), "wait_for_restart", len(waiting))
+	r.log.Info("settings read", "settings", next.digest, "changed", len(live), "wait_for_restart", len(pending))
 }
 
-// follow makes what does not look at the settings each time follow them.
-func (r *Router) follow(changes []settings.Change, set *settings.Settings) {
+// propagate passes changes to the components that don't read the settings at each use.
+func (r *Router) propagate(changes []settings.Change, current *settings.Settings) {
 	for _, c := range changes {
 		switch c.Path {
 		case "log_level":
-			r.setLogLevel(set.LogLevel)
+			r.setLogLevel(current.LogLevel)
 		case "store":
-			r.store.move(set.Store)
+			r.store.setAddress(current.Store)
 		case "seeds":
-			r.followed(c.Path, r.gossip.SetSeeds(r.seedAddresses()))
+			r.logApplyError(c.Path, r.gossip.SetSeeds(r.seedAddresses()))
 		case "fleet_key", "other_fleet_key":
-			r.followed(c.Path, r.gossip.SetKeys(r.gossipKeys()))
+			r.logApplyError(c.Path, r.gossip.SetKeys(r.gossipKeys()))
 		case "limits.memory_mb":
 			r.limitMemory()
 		case "bounds.beat_ms":
-			r.board.SetBeat(time.Duration(set.Bounds.Beat))
+			r.board.SetBeat(time.Duration(current.Bounds.Beat))
 		case "listen.ready", "listen.directory", "listen.control", "listen.metrics":
-			r.followed(c.Path, r.openMounts())
+			r.logApplyError(c.Path, r.openMounts())
 		}
 	}
 }
 
-// followed logs a change that could not be made.
-func (r *Router) followed(setting string, err error) {
+// logApplyError logs that a change could not be applied, unless err is nil.
+func (r *Router) logApplyError(setting string, err error) {
 	if err != nil {
-		r.log.Error("setting changed, but is not in force", "setting", setting, "cause", err)
+		r.log.Error("failed to apply changed setting", "setting", setting, "cause", err)
 	}
 }
 
 func (r *Router) setLogLevel(name string) {
 	level, err := log.ParseLevel(name)
 	if err != nil {
-		// Settings are checked; the names are the library's.
-		r.followed("log_level", err)
+		// Not expected: the settings are checked, and allow only names that the library knows.
+		r.logApplyError("log_level", err)
 		return
 	}
 	r.log.SetLevel(level)
 }
 
-// limitMemory makes the garbage collector work harder near the VM's memory.
+// limitMemory sets the memory limit near which the garbage collector works harder.
 func (r *Router) limitMemory() {
-	debug.SetMemoryLimit(int64(memoryShare * float64(r.set().Limits.MemoryMB) * (1 << 20)))
+	debug.SetMemoryLimit(int64(memoryShare * float64(r.settings().Limits.MemoryMB) * (1 << 20)))
 }
--- a/internal/edge/node/keys.go
+++ b/internal/edge/node/keys.go
@@ -8,25 +8,26 @@
 	"damaskrouter.example/damaskrouter/internal/fleet/peer"
 )
 
-// keyID names a fleet key on the wire, so that both ends of a change of keys mean the same one.
-// It tells eight bits of a hash.
+// keyID returns the ID of a fleet key on the wire, by which both ends select the same key during a
+// rotation. It reveals eight bits of a hash of the key.
 func keyID(secret string) byte {
 	m := hmac.New(sha256.New, []byte(secret))
 	_, _ = m.Write([]byte("damaskrouter fleet key id"))
 	return m.Sum(nil)[0]
 }
 
-// fleetKeys are the keys for calls between routers, the one to use first.
+// fleetKeys returns the accepted keys for calls between routers. The first one is used for outgoing
+// calls.
 func (r *Router) fleetKeys() []peer.FleetKey {
-	set := r.set()
-	out := []peer.FleetKey{{ID: keyID(set.FleetKey), Secret: []byte(set.FleetKey)}}
-	if set.OtherFleetKey != "" {
-		out = append(out, peer.FleetKey{ID: keyID(set.OtherFleetKey), Secret: []byte(set.OtherFleetKey)})
+	current := r.settings()
+	out := []peer.FleetKey{{ID: keyID(current.FleetKey), Secret: []byte(current.FleetKey)}}
+	if current.OtherFleetKey != "" {
+		out = append(out, peer.FleetKey{ID: keyID(current.OtherFleetKey), Secret: []byte(current.OtherFleetKey)})
 	}
 	return out
 }
 
-// gossipKeys are the same for packets.
+// gossipKeys returns the fleet keys for gossip packets.
 func (r *Router) gossipKeys() gossip.Keys {
 	keys := r.fleetKeys()
 	out := gossip.Keys{Active: gossip.Key{ID: keys[0].ID, Secret: keys[0].Secret}}
--- a/internal/edge/node/leave.go
+++ b/internal/edge/node/leave.go
@@ -9,41 +9,43 @@
 )
 
 const (
-	// stayShare is the part of the time to stop for which the router stays at
-	// least: callers that still have its address are served, or told to go
-	// elsewhere, rather than find nobody.
-	stayShare = 0.7
-	// stopMargin is kept free at the end, for the process to exit: on a small
-	// part of a core that takes its time. Where the time to stop is short it is
-	// stopMarginShare of it: operators count what is cut before the last sixth.
-	stopMargin      = 900 * time.Millisecond
-	stopMarginShare = 0.125
-	// drainPoll is how often the requests in progress are counted.
-	drainPoll = 50 * time.Millisecond
+	// minDrainShare is the part of the drain timeout for which the router keeps
+	// serving at least: clients that still hold its address are served or sent
+	// elsewhere, rather than failing to connect.
+	minDrainShare = 0.7
+	// exitMargin is the part of the stop timeout that is kept free for the exit
+	// of the process, which is slow on a small part of a core. If the stop timeout
+	// is short, the margin is exitMarginShare of it: operators count requests that
+	// are cut before the last sixth of the stop timeout.
+	exitMargin      = 900 * time.Millisecond
+	exitMarginShare = 0.125
+	// drainPollInterval is how often the requests in progress are counted.
+	drainPollInterval = 50 * time.Millisecond
 )
 
-// timeToStop is how long requests may go on where the process is killed after limit.
-func timeToStop(limit time.Duration) time.Duration {
-	return limit - min(stopMargin, time.Duration(stopMarginShare*float64(limit)))
+// drainTimeout returns how long requests may continue if the process is killed after stopTimeout.
+func drainTimeout(stopTimeout time.Duration) time.Duration {
+	return stopTimeout - min(exitMargin, time.Duration(exitMarginShare*float64(stopTimeout)))
 }
 
-// Leave takes the router out of service without cutting a request: callers are
-// sent elsewhere first, their connections are closed after an answer, and what
-// runs is let finish within the time to stop.
+// Leave takes the router out of service without cutting requests: it first
+// sends clients to other routers, closes their connections after a response, and
+// lets running requests finish within the drain timeout. It returns early if the
+// context ends.
 func (r *Router) Leave(ctx context.Context) {
-	started := bootclock.Now()
+	start := bootclock.Now()
 	r.leaving.Store(true)
 	r.log.Info("leaving", "in_flight", r.forwarder.InFlight())
-	stop := timeToStop(time.Duration(r.set().Bounds.Stop))
-	r.forwarder.Leave(stop)
+	timeout := drainTimeout(time.Duration(r.settings().Bounds.Stop))
+	r.forwarder.Leave(timeout)
 	if err := r.gossip.Leave(); err != nil {
-		r.log.Warn("leave not announced", "cause", err)
+		r.log.Warn("failed to announce leaving", "cause", err)
 	}
-	pause.For(ctx, time.Duration(stayShare*float64(stop)))
-	for r.forwarder.InFlight() > 0 && bootclock.Now()-started < stop {
-		if !pause.For(ctx, drainPoll) {
+	pause.For(ctx, time.Duration(minDrainShare*float64(timeout)))
+	for r.forwarder.InFlight() > 0 && bootclock.Now()-start < timeout {
+		if !pause.For(ctx, drainPollInterval) {
 			break
 		}
 	}
-	r.log.Info("stopped", "in_flight", r.forwarder.InFlight(), "took", bootclock.Now()-started)
+	r.log.Info("stopped", "in_flight", r.forwarder.InFlight(), "took", bootclock.Now()-start)
 }
--- a/internal/edge/node/leave_test.go
+++ b/internal/edge/node/leave_test.go
@@ -7,14 +7,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: a stream is cut by a planned stop although it had time left. Sequence: the
-// platform gives five seconds to stop; a stream that began just before lasts 4.1 s.
-// Cause: what was kept free for the exit did not depend on the time to stop.
-func TestTimeToStopLeavesTheLastSixthOnly(t *testing.T) {
-	for _, limit := range []time.Duration{time.Second, 2 * time.Second, 5 * time.Second, 8 * time.Second, time.Minute} {
-		stop := timeToStop(limit)
-		require.Greater(t, stop, limit*5/6, "%v", limit)
-		require.Less(t, stop, limit, "%v", limit)
+// Guards against a planned stop that cuts a stream with time left: with a stop timeout of 5 s, a
+// stream that began just before and lasts 4.1 s must finish. The margin for the exit must therefore
+// depend on the stop timeout.
+func TestDrainTimeoutExceedsFiveSixthsOfStopTimeout(t *testing.T) {
+	for _, stopTimeout := range []time.Duration{time.Second, 2 * time.Second, 5 * time.Second, 8 * time.Second, time.Minute} {
+		drain := drainTimeout(stopTimeout)
+		require.Greater(t, drain, stopTimeout*5/6, "%v", stopTimeout)
+		require.Less(t, drain, stopTimeout, "%v", stopTimeout)
 	}
-	require.Equal(t, 7100*time.Millisecond, timeToStop(8*time.Second))
+	require.Equal(t, 7100*time.Millisecond, drainTimeout(8*time.Second))
 }
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -1,4 +1,4 @@
-// Package node assembles a router that serves callers on a platform, and runs
+// Package node assembles a router that serves clients on a platform, and runs
 // its life cycle: start, serve, leave, stop.
 package node
 
@@ -28,33 +28,35 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of failures to start.
+// Error is the class of errors of Router.Start, and of requests for the settings of
+// another router.
 var Error = errs.Class("router")
 
 const (
-	// addressTTL is how long callers may keep an answer about addresses. A
-	// router that leaves is out of use after it.
+	// addressTTL is how long clients may cache the addresses of routers. A router
+	// that leaves gets no more requests after it.
 	addressTTL = 2 * time.Second
 	// leaseShare is the part of the bound for revoked keys for which a
 	// configuration may be used after its last confirmation. The rest covers
-	// what lies between the check and the send, and watches of a store that
-	// hear late.
+	// the time between the check and the send, and late notifications by watches
+	// of the store.
 	leaseShare = 0.7
-	// idleTimeout closes callers' connections that are idle. It is above the
-	// longest that operators allow a caller to reuse a connection after.
+	// idleTimeout is how long a client's connection may be idle before it is
+	// closed. It exceeds the longest idle time after which operators allow a client
+	// to reuse a connection.
 	idleTimeout = 2 * time.Minute
-	// headerTimeout bounds how slowly a request's header may come.
+	// headerTimeout bounds the time to receive the header of a request.
 	headerTimeout = 5 * time.Second
-	// maxHeader bounds a request's header, in bytes.
-	maxHeader = 64 << 10
+	// maxHeaderBytes bounds the header of a request.
+	maxHeaderBytes = 64 << 10
 	// reviewInterval is how often the engines are compared with one another.
 	reviewInterval = 500 * time.Millisecond
-	// memoryShare is the part of the VM's memory at which the garbage
+	// memoryShare is the part of the VM's memory near which the garbage
 	// collector works harder; the rest is for buffers of the kernel.
 	memoryShare = 0.7
 )
 
-// Platform is what the platform's adapter provides.
+// Platform holds the parts that the adapter of the platform provides.
 type Platform struct {
 	Codec          forward.Codec
 	Store          func(address string) Store
@@ -62,66 +64,67 @@
 	MountReady     func(*echo.Echo, func() bool)
 }
 
-// Router is one running router.
+// Router is a running router.
 type Router struct {
-	// inForce are the settings that this router runs with.
-	inForce atomic.Pointer[inForce]
-	// watcher watches the settings file, nil where nobody does.
-	watcher atomic.Pointer[settings.Watcher]
-	log     *log.Logger
-	plat    Platform
-
-	// began is the boot time of the router's making, boot tells it from others of its name.
-	began time.Duration
-	boot  uint64
-
-	store     *currentStore
-	board     *feed.Board
-	loads     *feed.Loads
-	start     *feed.Start
-	reader    *feed.Reader
-	follower  *feed.Follower
-	statuses  *feed.Statuses
-	keeper    *feed.Keeper
-	engines   *forward.Engines
-	gates     *flow.Owner
-	places    *flow.Asker
-	forwarder *forward.Forwarder
-	gossip    *gossip.Driver
-	caller    *peer.Caller
-	calls     *peer.Server
-	counters  peer.Counters
-	mounts    []mount
-	self      feed.Peer
-	// peersAlive are the routers that seem alive and stay, nil until this one is a member.
-	peersAlive atomic.Pointer[[]feed.Peer]
+	// active are the settings in force.
+	active atomic.Pointer[activeSettings]
+	// watcher watches the settings file; nil until Watch is called.
+	watcher  atomic.Pointer[settings.Watcher]
+	log      *log.Logger
+	platform Platform
+
+	// createdAt is the boot time at which the router was created; bootID distinguishes
+	// processes of the same name.
+	createdAt time.Duration
+	bootID    uint64
+
+	store        *storeProxy
+	board        *feed.Board
+	loads        *feed.Loads
+	start        *feed.Start
+	reader       *feed.Reader
+	follower     *feed.Follower
+	statuses     *feed.Statuses
+	keeper       *feed.Keeper
+	engines      *forward.Engines
+	gateOwner    *flow.Owner
+	gateClient   *flow.Asker
+	forwarder    *forward.Forwarder
+	gossip       *gossip.Driver
+	peerClient   *peer.Caller
+	peerServer   *peer.Server
+	peerCounters peer.Counters
+	mounts       []mount
+	self         feed.Peer
+	// livePeers is the result of liveRouters; nil until this router has joined.
+	livePeers atomic.Pointer[[]feed.Peer]
 
 	servers servers
-	// callers bounds the connections of callers.
-	callers *callers.Limit
-	leaving atomic.Bool
-	ctx     context.Context
-	cancel  context.CancelFunc
-	wg      sync.WaitGroup
+	// clientLimit limits the connections of clients.
+	clientLimit *callers.Limit
+	leaving     atomic.Bool
+	ctx         context.Context
+	cancel      context.CancelFunc
+	wg          sync.WaitGroup
 }
 
 // New assembles a router; Start makes it serve.
-func New(set *settings.Settings, plat Platform, logger *log.Logger) *Router {
-	r := &Router{plat: plat, log: logger.With("router", set.Name), began: bootclock.Now(), boot: rand.Uint64()}
-	r.inForce.Store(&inForce{set: set, digest: set.Digest(), since: bootclock.Now()})
+func New(initial *settings.Settings, platform Platform, logger *log.Logger) *Router {
+	r := &Router{platform: platform, log: logger.With("router", initial.Name), createdAt: bootclock.Now(), bootID: rand.Uint64()}
+	r.active.Store(&activeSettings{settings: initial, digest: initial.Digest(), since: bootclock.Now()})
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	r.self = feed.Peer{
-		Name: set.Name, Site: set.Site, Address: r.peerAddress(r.advertised()), Link: uint64(set.Limits.LinkMbps),
+		Name: initial.Name, Site: initial.Site, Address: r.peerAddress(r.clientAddress()), Link: uint64(initial.Limits.LinkMbps),
 	}
 	r.assembleFeed()
 	r.assembleForwarder()
 	return r
 }
 
-// changeBound is how long a change of the configuration, of an engine or of an evacuation may take
+// changeBound returns how long a change of the configuration, an engine or an evacuation may take
 // to be in force at all routers.
 func (r *Router) changeBound() time.Duration {
-	b := r.set().Bounds
+	b := r.settings().Bounds
 	bound := min(b.Config, b.Drain)
 	if b.Evacuate > 0 {
 		bound = min(bound, b.Evacuate)
@@ -129,21 +132,21 @@
 	return time.Duration(bound)
 }
 
-// keyLease is how long after its last confirmation a configuration may be used for requests
+// keyLease returns how long after its last confirmation a configuration may be used for requests
 // with API keys.
 func (r *Router) keyLease() time.Duration {
-	return time.Duration(leaseShare * float64(r.set().Bounds.Revoke))
+	return time.Duration(leaseShare * float64(r.settings().Bounds.Revoke))
 }
 
-// timing follows from the bounds on changes.
+// timing returns the intervals of the feed, which follow from changeBound.
 func (r *Router) timing() feed.Timing { return feed.TimingFor(r.changeBound()) }
 
 func (r *Router) assembleFeed() {
-	r.callers = callers.New(r.mostCallers)
-	r.start = r.startOf()
-	r.store = newCurrentStore(r.plat.Store, r.set().Store)
+	r.clientLimit = callers.New(r.maxClientConns)
+	r.start = r.newStart()
+	r.store = newStoreProxy(r.platform.Store, r.settings().Store)
 	contacts := feed.Contacts{Table: r.store}
-	r.board = feed.NewBoard(bootclock.Now, time.Duration(r.set().Bounds.Beat))
+	r.board = feed.NewBoard(bootclock.Now, time.Duration(r.settings().Bounds.Beat))
 	r.loads = feed.NewLoads(func() map[string]feed.EngineLoad { return r.engines.Own() })
 	r.reader = &feed.Reader{
 		Board: r.board, Store: r.store, Clock: bootclock.Now, Log: r.log,
@@ -153,138 +156,139 @@
 		OthersLost: func() bool { return r.follower.ToldLost() },
 		LostAgo:    func() time.Duration { return r.follower.LostAgo() },
 	}
-	r.caller = peer.NewCaller(r.self.Name, r.fleetKeys, &r.counters)
-	r.calls = peer.NewServer(r.self.Name, r.fleetKeys, &r.counters)
+	r.peerClient = peer.NewCaller(r.self.Name, r.fleetKeys, &r.peerCounters)
+	r.peerServer = peer.NewServer(r.self.Name, r.fleetKeys, &r.peerCounters)
 	r.statuses = feed.NewStatuses(r.status, bootclock.Now)
 	r.follower = &feed.Follower{
 		Self: r.self, Board: r.board, Loads: r.loads, Clock: bootclock.Now, Log: r.log,
-		Timing: r.timing, Start: r.start, Contacts: contacts, Statuses: r.statuses, Live: r.live, StoreLost: r.reader.Lost,
+		Timing: r.timing, Start: r.start, Contacts: contacts, Statuses: r.statuses, Live: r.liveRouters, StoreLost: r.reader.Lost,
 		Call: r.call,
 	}
-	r.keeper = &feed.Keeper{Contacts: contacts, Reads: r.follower.Reads, Live: r.live, Clock: bootclock.Now, Log: r.log}
+	r.keeper = &feed.Keeper{Contacts: contacts, Reads: r.follower.Reads, Live: r.liveRouters, Clock: bootclock.Now, Log: r.log}
 }
 
 // call calls a method of another router.
 func (r *Router) call(ctx context.Context, to feed.Peer, method string, args, reply any) error {
-	return r.caller.Call(ctx, peer.Target{Name: to.Name, Address: to.Address}, method, args, reply)
+	return r.peerClient.Call(ctx, peer.Target{Name: to.Name, Address: to.Address}, method, args, reply)
 }
 
 func (r *Router) assembleForwarder() {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	r.engines = forward.NewEngines(r.self.Site, r.loads.Others, bootclock.Now, rng)
 	r.engines.SetColdLimits(r.coldLimits)
-	r.gates = flow.NewOwner(bootclock.Now, r.engines.Known, r.leaves)
-	r.places = flow.NewAsker(flow.Options{
-		Self: r.self.Name, Owner: r.gates, Clock: bootclock.Now, Call: r.call, Live: r.live,
+	r.gateOwner = flow.NewOwner(bootclock.Now, r.engines.Known, r.refusesRequests)
+	r.gateClient = flow.NewAsker(flow.Options{
+		Self: r.self.Name, Owner: r.gateOwner, Clock: bootclock.Now, Call: r.call, Live: r.liveRouters,
 		Engines: func() int { return len(r.board.Snapshot().Engines.ByID) }, Log: r.log,
 	})
-	r.engines.ReleaseBy(r.places.Release)
+	r.engines.ReleaseBy(r.gateClient.Release)
 	conns := engineconn.NewPool(engineconn.Options{Clock: bootclock.Now})
 	r.engines.OnRestart(func(engine string) {
-		r.log.Info("engine started again", "engine", engine)
+		r.log.Info("engine restarted", "engine", engine)
 		go conns.Drop(engine)
 	})
 	r.forwarder = forward.New(forward.Options{
-		Snapshot: r.board.Snapshot, Clock: bootclock.Now, Codec: r.plat.Codec,
-		Conns: conns, Engines: r.engines, Places: r.places,
+		Snapshot: r.board.Snapshot, Clock: bootclock.Now, Codec: r.platform.Codec,
+		Conns: conns, Engines: r.engines, Places: r.gateClient,
 		Log:       r.log,
 		FreshFor:  r.changeBound,
 		StoreLost: func() bool { return r.follower.Lost() || r.reader.Lost() },
 		KeyLease:  r.keyLease,
-		Settings:  func() string { return r.inForce.Load().digest },
-		Budget:    forward.NewBudgets(r.budgetLimits, r.routers),
-		Routers:   r.routers,
+		Settings:  func() string { return r.active.Load().digest },
+		Budget:    forward.NewBudgets(r.budgetLimits, r.routerCount),
+		Routers:   r.routerCount,
 	})
 }
 
-// leaves says whether an engine is known to take no more requests.
-func (r *Router) leaves(engine string) bool {
-	s := r.board.Snapshot()
-	e, known := s.Engines.ByID[engine]
-	return known && !s.TakesRequests(e)
+// refusesRequests reports whether an engine is known and takes no more requests.
+func (r *Router) refusesRequests(engine string) bool {
+	snapshot := r.board.Snapshot()
+	e, known := snapshot.Engines.ByID[engine]
+	return known && !snapshot.TakesRequests(e)
 }
 
 func (r *Router) coldLimits() forward.ColdLimits {
-	b := r.set().Bounds
+	b := r.settings().Bounds
 	return forward.ColdLimits{Over: b.ColdOver, Slack: b.ColdSlack}
 }
 
 func (r *Router) budgetLimits() forward.BudgetLimits {
-	b := r.set().Bounds
+	b := r.settings().Bounds
 	return forward.BudgetLimits{Ratio: b.RetryRatio, Slack: b.RetrySlack, Window: time.Duration(b.RetryWindow)}
 }
 
-// Start listens and begins to serve.
+// Start begins to listen and serve. If it fails, the router is closed. Errors: Error.
 func (r *Router) Start() error {
 	r.limitMemory()
 	if err := r.listen(); err != nil {
 		r.Close()
 		return Error.Wrap(err)
 	}
-	set := r.set()
-	r.log.Info("started", "site", set.Site, "callers", set.Listen.Callers, "peers", r.self.Address,
-		"seeds", set.Seeds, "store", set.Store, "settings", r.inForce.Load().digest, "version", version.String())
+	current := r.settings()
+	r.log.Info("started", "site", current.Site, "callers", current.Listen.Callers, "peers", r.self.Address,
+		"seeds", current.Seeds, "store", current.Store, "settings", r.active.Load().digest, "version", version.String())
 	return nil
 }
 
 func (r *Router) listen() error {
-	if err := r.startPeers(); err != nil {
+	if err := r.joinFleet(); err != nil {
 		return err
 	}
 	r.goRun(r.board.Run)
 	r.goRun(r.reader.Run)
 	r.goRun(r.follower.Run)
 	r.goRun(r.keeper.Run)
-	r.goRun(r.logFleet)
-	r.goRun(r.review)
-	r.goRun(r.gates.Run)
-	forCallers := r.newServer(r.forwarder)
-	r.callers.Attach(forCallers)
-	if err := r.servers.open(r, listenCallers, r.set().Listen.Callers, forCallers); err != nil {
+	r.goRun(r.logFleetSize)
+	r.goRun(r.reviewEngines)
+	r.goRun(r.gateOwner.Run)
+	clientServer := r.newServer(r.forwarder)
+	r.clientLimit.Attach(clientServer)
+	if err := r.servers.open(r, listenerClients, r.settings().Listen.Callers, clientServer); err != nil {
 		return err
 	}
-	r.mounts = r.mount()
+	r.mounts = r.newMounts()
 	return r.openMounts()
 }
 
-// The listeners, as logged.
+// The names of the listeners in logs.
 const (
-	listenCallers   = "callers"
-	listenDirectory = "directory"
-	listenReady     = "ready"
-	listenControl   = "control"
-	listenMetrics   = "metrics"
+	listenerClients   = "callers"
+	listenerDirectory = "directory"
+	listenerReady     = "ready"
+	listenerControl   = "control"
+	listenerMetrics   = "metrics"
 )
 
-// mount is a handler and where it is served, which settings may change.
+// mount is a handler and its listen address in the settings, which may change.
 type mount struct {
 	name    string
 	handler http.Handler
 	address func(settings.Listen) string
 }
 
-func (r *Router) mount() []mount {
+func (r *Router) newMounts() []mount {
 	directory, ready, control, metrics := newEcho(), newEcho(), newEcho(), newEcho()
-	r.plat.MountDirectory(directory, r.addresses)
-	r.plat.MountReady(ready, r.ready)
+	r.platform.MountDirectory(directory, r.resolve)
+	r.platform.MountReady(ready, r.ready)
 	vars := r.vars()
 	for _, e := range []*echo.Echo{control, metrics} {
 		mountMetrics(e, vars)
-		r.mountOperators(e)
+		r.mountOperatorPaths(e)
 	}
 	return []mount{
-		{listenDirectory, directory, func(l settings.Listen) string { return l.Directory }},
-		{listenReady, ready, func(l settings.Listen) string { return l.Ready }},
-		{listenControl, control, func(l settings.Listen) string { return l.Control }},
-		{listenMetrics, metrics, func(l settings.Listen) string { return l.Metrics }},
+		{listenerDirectory, directory, func(l settings.Listen) string { return l.Directory }},
+		{listenerReady, ready, func(l settings.Listen) string { return l.Ready }},
+		{listenerControl, control, func(l settings.Listen) string { return l.Control }},
+		{listenerMetrics, metrics, func(l settings.Listen) string { return l.Metrics }},
 	}
 }
 
-// openMounts serves each handler where the settings in force say.
+// openMounts serves each handler at its address in the settings in force. It tries all of them; the
+// errors are joined.
 func (r *Router) openMounts() error {
 	var errs []error
 	for _, m := range r.mounts {
-		errs = append(errs, r.servers.open(r, m.name, m.address(r.set().Listen), r.newServer(m.handler)))
+		errs = append(errs, r.servers.open(r, m.name, m.address(r.settings().Listen), r.newServer(m.handler)))
 	}
 	return errors.Join(errs...)
 }
@@ -295,6 +299,7 @@
 	return e
 }
 
+// goRun runs f in a goroutine, with a context that Close ends. Close waits for it.
 func (r *Router) goRun(f func(context.Context)) {
 	r.wg.Add(1)
 	go func() {
@@ -303,11 +308,12 @@
 	}()
 }
 
-// review logs the changes of the judgement on engines.
-func (r *Router) review(ctx context.Context) {
+// reviewEngines compares the engines every reviewInterval, and logs which of them are ejected,
+// readmitted, cold or warm again.
+func (r *Router) reviewEngines(ctx context.Context) {
 	cold := map[string]time.Duration{}
 	for pause.For(ctx, reviewInterval) {
-		cold = r.logCold(cold)
+		cold = r.logColdEngines(cold)
 		for _, v := range r.engines.Review(r.board.Snapshot()) {
 			r.log.Info("engine judged", "engine", v.Engine, "service", v.Service, "ejected", v.Ejected,
 				"good", v.Evidence.Good, "bad", v.Evidence.Bad)
@@ -315,8 +321,9 @@
 	}
 }
 
-// logCold logs which engines are cold now and were not before, and the reverse.
-func (r *Router) logCold(before map[string]time.Duration) map[string]time.Duration {
+// logColdEngines logs the engines that became cold or warm, and returns the cold ones with the time
+// for which they will still be treated as cold.
+func (r *Router) logColdEngines(before map[string]time.Duration) map[string]time.Duration {
 	now := r.engines.Cold(r.board.Snapshot())
 	for id, left := range now {
 		if _, was := before[id]; !was {
@@ -331,34 +338,35 @@
 	return now
 }
 
-// addresses answers a caller. A router that leaves sends callers to the others;
-// one that knows no other names itself.
-func (r *Router) addresses(q entry.Question) entry.Answer {
+// resolve answers a client's query for addresses of routers. A router that
+// leaves names only the others, or itself if it knows no other.
+func (r *Router) resolve(q entry.Question) entry.Answer {
 	var routers []entry.Router
-	for _, p := range r.live() {
+	for _, p := range r.liveRouters() {
 		if p.Name == r.self.Name && r.leaving.Load() {
 			continue
 		}
-		routers = append(routers, entry.Router{Name: p.Name, Site: p.Site, Address: r.callersAddress(p.Address)})
+		routers = append(routers, entry.Router{Name: p.Name, Site: p.Site, Address: r.clientAddressOf(p.Address)})
 	}
 	if len(routers) == 0 {
-		routers = []entry.Router{{Name: r.self.Name, Site: r.self.Site, Address: r.advertised()}}
+		routers = []entry.Router{{Name: r.self.Name, Site: r.self.Site, Address: r.clientAddress()}}
 	}
-	return entry.Answers(r.self.Name, routers, q, min(addressTTL, time.Duration(r.set().Bounds.MaxTTL)))
+	return entry.Answers(r.self.Name, routers, q, min(addressTTL, time.Duration(r.settings().Bounds.MaxTTL)))
 }
 
-// ready says whether callers' requests can be served.
+// ready reports whether requests of clients can be served.
 func (r *Router) ready() bool {
-	s := r.board.Snapshot()
-	return !r.leaving.Load() && s.Config != nil && s.ConfigAge(bootclock.Now()) < r.keyLease()
+	snapshot := r.board.Snapshot()
+	return !r.leaving.Load() && snapshot.Config != nil && snapshot.ConfigAge(bootclock.Now()) < r.keyLease()
 }
 
-// Close stops at once; Leave comes first in a graceful shutdown.
+// Close stops the router at once and waits for its goroutines. For a graceful shutdown, call Leave
+// before.
 func (r *Router) Close() {
 	r.servers.close()
 	r.cancel()
-	r.calls.Close()
-	r.caller.Close()
+	r.peerServer.Close()
+	r.peerClient.Close()
 	if r.gossip != nil {
 		r.gossip.Close()
 	}
--- a/internal/edge/node/peers.go
+++ b/internal/edge/node/peers.go
@@ -15,60 +15,63 @@
 	"damaskrouter.example/damaskrouter/internal/fleet/membership"
 )
 
-// peerAddress is where the router of a VM answers other routers: the first free
-// port, which is the same on all VMs.
+// peerAddress returns the address at which the router on the VM of address
+// serves other routers: the first port of the range, which is the same on all
+// VMs. It returns an empty string if address is malformed.
 func (r *Router) peerAddress(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return ""
 	}
-	return net.JoinHostPort(host, strconv.Itoa(r.set().Listen.PortRange[0]))
+	return net.JoinHostPort(host, strconv.Itoa(r.settings().Listen.PortRange[0]))
 }
 
-// advertised is where callers reach this router.
-func (r *Router) advertised() string {
-	_, port, err := net.SplitHostPort(r.set().Listen.Callers)
-	if r.set().Listen.Advertise == "" || err != nil {
-		return r.set().Listen.Callers
+// clientAddress returns the address at which clients reach this router.
+func (r *Router) clientAddress() string {
+	_, port, err := net.SplitHostPort(r.settings().Listen.Callers)
+	if r.settings().Listen.Advertise == "" || err != nil {
+		return r.settings().Listen.Callers
 	}
-	return net.JoinHostPort(r.set().Listen.Advertise, port)
+	return net.JoinHostPort(r.settings().Listen.Advertise, port)
 }
 
-// callersAddress is where the router behind a peer address serves callers.
-func (r *Router) callersAddress(peerAddress string) string {
+// clientAddressOf returns the address at which the router with a peer address
+// serves clients, or an empty string if an address is malformed.
+func (r *Router) clientAddressOf(peerAddress string) string {
 	host, _, err := net.SplitHostPort(peerAddress)
-	_, port, portErr := net.SplitHostPort(r.set().Listen.Callers)
+	_, port, portErr := net.SplitHostPort(r.settings().Listen.Callers)
 	if err != nil || portErr != nil {
 		return ""
 	}
 	return net.JoinHostPort(host, port)
 }
 
-// routers is how many routers there are, this one included.
-func (r *Router) routers() int { return max(len(r.live()), 1) }
+// routerCount returns the number of live routers, including this one.
+func (r *Router) routerCount() int { return max(len(r.liveRouters()), 1) }
 
-// live returns the routers that seem alive and stay. The slice must not be modified.
-func (r *Router) live() []feed.Peer {
-	if peers := r.peersAlive.Load(); peers != nil {
+// liveRouters returns the routers that are alive or suspected to be dead, and not leaving. The slice
+// must not be modified.
+func (r *Router) liveRouters() []feed.Peer {
+	if peers := r.livePeers.Load(); peers != nil {
 		return *peers
 	}
 	return []feed.Peer{r.self}
 }
 
-// noteMembers remembers the routers of a snapshot that seem alive and stay.
-func (r *Router) noteMembers(members []membership.Member) {
+// updateLiveRouters sets the live routers from a snapshot of the membership.
+func (r *Router) updateLiveRouters(members []membership.Member) {
 	out := make([]feed.Peer, 0, len(members))
 	for _, m := range members {
 		if m.State == membership.StateAlive || m.State == membership.StateSuspect {
 			out = append(out, feed.Peer{Name: m.Name, Site: m.Site, Address: m.Address, Link: m.Link})
 		}
 	}
-	r.peersAlive.Store(&out)
+	r.livePeers.Store(&out)
 }
 
-// startPeers joins the membership and answers other routers.
-func (r *Router) startPeers() error {
-	listen := r.peerAddress(r.set().Listen.Callers)
+// joinFleet joins the membership and serves other routers.
+func (r *Router) joinFleet() error {
+	listen := r.peerAddress(r.settings().Listen.Callers)
 	ln, err := net.Listen("tcp4", listen)
 	if err != nil {
 		return err
@@ -77,7 +80,7 @@
 	r.gossip, err = gossip.Listen(gossip.Config{
 		Listen: listen,
 		Self: membership.Member{
-			Name: r.self.Name, Address: r.self.Address, HTTP: r.advertised(), Site: r.self.Site,
+			Name: r.self.Name, Address: r.self.Address, HTTP: r.clientAddress(), Site: r.self.Site,
 			Link: r.self.Link,
 		},
 		Options: r.gossipOptions(),
@@ -93,25 +96,25 @@
 		StoreLost: r.reader.Lost, LostAgo: r.follower.LostAgo, Failures: r.follower.Failures,
 		Chain: r.follower.Chain, Log: r.log,
 	}
-	if err := r.calls.Register(feed.RelayName, relay); err != nil {
+	if err := r.peerServer.Register(feed.RelayName, relay); err != nil {
 		return err
 	}
-	if err := r.calls.Register(flow.ServiceName, &flow.Service{Owner: r.gates}); err != nil {
+	if err := r.peerServer.Register(flow.ServiceName, &flow.Service{Owner: r.gateOwner}); err != nil {
 		return err
 	}
-	if err := r.calls.Register(operatorsName, &Operators{r}); err != nil {
+	if err := r.peerServer.Register(operatorServiceName, &OperatorService{r}); err != nil {
 		return err
 	}
-	r.goRun(func(context.Context) { r.calls.Serve(ln) })
-	return errors.Join(r.gossip.OnChange(r.noteMembers), r.gossip.OnEvent(r.logMember))
+	r.goRun(func(context.Context) { r.peerServer.Serve(ln) })
+	return errors.Join(r.gossip.OnChange(r.updateLiveRouters), r.gossip.OnEvent(r.logMemberEvent))
 }
 
 const (
-	// contactPeriod is how often a seed that is no live member is asked by packets. Routers
-	// that start together must find one another within seconds.
+	// contactPeriod is how often a seed that is not a live member is contacted by gossip
+	// packets. Routers that start together must find one another within seconds.
 	contactPeriod = time.Second
-	// contactDelay is how long after the start packets do so. By then calls have, which
-	// tell all members at once.
+	// contactDelay is how long after the start the packets begin to do so. By then calls
+	// have contacted the seeds; their replies list all members at once.
 	contactDelay = time.Second
 )
 
@@ -123,45 +126,47 @@
 	return opts
 }
 
-// seedAddresses are where the seeds answer other routers.
+// seedAddresses returns the addresses at which the seeds serve other routers.
 func (r *Router) seedAddresses() []string {
 	var out []string
-	for _, seed := range r.set().Seeds {
+	for _, seed := range r.settings().Seeds {
 		out = append(out, r.peerAddress(seed))
 	}
 	return out
 }
 
-// startOf is how this router becomes one of the fleet.
-func (r *Router) startOf() *feed.Start {
-	out := feed.StartOptions{FirstOfAll: r.set().FirstStart}
+// newStart returns a Start for this router, which controls how it joins the fleet.
+func (r *Router) newStart() *feed.Start {
+	opts := feed.StartOptions{FirstOfAll: r.settings().FirstStart}
 	for _, address := range r.seedAddresses() {
 		if address == r.self.Address {
-			out.Seed = true
+			opts.Seed = true
 			continue
 		}
-		out.Seeds = append(out.Seeds, address)
+		opts.Seeds = append(opts.Seeds, address)
 	}
-	return feed.NewStart(out, bootclock.Now())
+	return feed.NewStart(opts, bootclock.Now())
 }
 
-func (r *Router) logMember(e membership.Event) {
+// logMemberEvent logs a membership event, and drops the permits of a router that is dead or has just
+// joined.
+func (r *Router) logMemberEvent(e membership.Event) {
 	if e.Type == membership.EventDead || e.Type == membership.EventJoined {
-		// Nobody gives back the places of a process that is gone; one that joins has none.
-		r.gates.Gone(e.Member.Name)
+		// A process that is gone releases no permits, and one that joins holds none.
+		r.gateOwner.Gone(e.Member.Name)
 	}
 	if e.Type == membership.EventJoined && !r.start.Settled(bootclock.Now()) {
-		// Three hundred routers that start together would write 87,000 such lines; see
-		// logFleet.
+		// 300 routers that start together would write 87,000 such lines; logFleetSize
+		// logs one line instead.
 		return
 	}
 	r.log.Info("member "+e.Type.String(), "member", e.Member.Name, "site", e.Member.Site,
 		"incarnation", e.Member.Incarnation)
 }
 
-// logFleet writes whom this router has met while it started.
-func (r *Router) logFleet(ctx context.Context) {
+// logFleetSize logs how many routers this router knows once its start has settled.
+func (r *Router) logFleetSize(ctx context.Context) {
 	if pause.For(ctx, feed.SettleTime) {
-		r.log.Info("fleet met", "routers", r.routers())
+		r.log.Info("fleet met", "routers", r.routerCount())
 	}
 }
--- a/internal/edge/node/servers.go
+++ b/internal/edge/node/servers.go
@@ -11,83 +11,89 @@
 	"github.com/charmbracelet/log"
 )
 
-// closeWithin is how long the answers under way at an address that is given up may take.
-const closeWithin = 5 * time.Second
+// shutdownTimeout is how long the responses in progress may take at an address that is no longer
+// served.
+const shutdownTimeout = 5 * time.Second
 
-// servers are the listeners of a router, by what they serve. It is safe for concurrent use.
+// servers holds the HTTP servers of a router by the name of what they serve. It is safe for
+// concurrent use.
 type servers struct {
 	mu     sync.Mutex
-	byName map[string]*listening
+	byName map[string]*boundServer
 }
 
-// listening is a listener and where it listens.
-type listening struct {
+// boundServer is a server and its listen address.
+type boundServer struct {
 	address string
 	server  *http.Server
 }
 
-// open makes a new server serve at an address, and gives up the one where the same was served
-// before: answers under way there are finished. An empty address is not to serve it. If the new
-// address can't be had, the old one stays; if it is the old one, nothing changes.
+// open starts a new server at an address and shuts down the previous server of that name, which
+// finishes the responses in progress. With an empty address the name is no longer served. If listening
+// at the new address fails, the previous server stays. If the address is unchanged, open does nothing.
+// Errors: Error.
 func (s *servers) open(r *Router, name, address string, server *http.Server) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := s.byName[name]
-	if before != nil && before.address == address {
+	previous := s.byName[name]
+	if previous != nil && previous.address == address {
 		return nil
 	}
 	if s.byName == nil {
-		s.byName = make(map[string]*listening)
+		s.byName = make(map[string]*boundServer)
 	}
 	delete(s.byName, name)
 	if address != "" {
 		if err := r.serve(name, address, server); err != nil {
-			if before != nil {
-				s.byName[name] = before
+			if previous != nil {
+				s.byName[name] = previous
 			}
 			return err
 		}
-		s.byName[name] = &listening{address: address, server: server}
+		s.byName[name] = &boundServer{address: address, server: server}
 	}
-	if before != nil {
-		r.goRun(func(ctx context.Context) { giveUp(ctx, before.server) })
+	if previous != nil {
+		r.goRun(func(ctx context.Context) { shutDown(ctx, previous.server) })
 	}
 	return nil
 }
 
-// giveUp stops listening and waits for the answers under way.
-func giveUp(ctx context.Context, server *http.Server) {
-	ctx, cancel := context.WithTimeout(ctx, closeWithin)
+// shutDown stops listening and waits for the responses in progress, up to shutdownTimeout.
+func shutDown(ctx context.Context, server *http.Server) {
+	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
 	if server.Shutdown(ctx) != nil {
 		_ = server.Close()
 	}
 }
 
-// close stops all at once.
+// close closes all servers at once, with the requests in progress.
 func (s *servers) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, l := range s.byName {
-		_ = l.server.Close()
+	for _, b := range s.byName {
+		_ = b.server.Close()
 	}
 }
 
-// callersShare is the part of the descriptors that callers' connections may take. Each request has
-// one to an engine besides; what is left is for files, the store and other routers.
-const callersShare = 0.4
+// clientConnShare is the part of the file descriptors that connections of clients may use. Each
+// request uses another one to an engine; the rest is for files, the store and other routers.
+const clientConnShare = 0.4
 
-// mostCallers is how many connections callers may have.
-func (r *Router) mostCallers() int { return int(callersShare * float64(r.set().Limits.MaxFiles)) }
+// maxClientConns returns how many connections clients may have.
+func (r *Router) maxClientConns() int {
+	return int(clientConnShare * float64(r.settings().Limits.MaxFiles))
+}
 
 func (r *Router) newServer(handler http.Handler) *http.Server {
 	return &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
+		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		DisableGeneralOptionsHandler: true,
 		ErrorLog:                     r.log.StandardLog(log.StandardLogOptions{ForceLevel: log.DebugLevel}),
 	}
 }
 
+// serve listens at an address and serves there in a goroutine. Errors: Error.
 func (r *Router) serve(name, address string, server *http.Server) error {
 	ln, err := net.Listen("tcp4", address)
 	if err != nil {
--- a/internal/edge/node/status.go
+++ b/internal/edge/node/status.go
@@ -12,27 +12,27 @@
 	"github.com/labstack/echo/v4"
 )
 
-// Where operators ask, at the addresses of metrics and of control.
+// The paths for operators, served at the addresses of metrics and of control.
 const (
 	PathFleet    = "/fleet"
 	PathSettings = "/settings"
-	// QueryRouter names the router whose settings are asked for; the default is the one
-	// that is asked.
+	// QueryRouter is the query parameter that names the router whose settings are returned; the
+	// default is the router that serves the request.
 	QueryRouter = "router"
 )
 
-// status is what this router says of itself to operators.
+// status returns the status of this router for operators.
 func (r *Router) status() feed.Status {
 	now := bootclock.Now()
-	in, s := r.inForce.Load(), r.board.Snapshot()
+	active, snapshot := r.active.Load(), r.board.Snapshot()
 	out := feed.Status{
 		Router: r.self.Name, Site: r.self.Site, State: r.state(),
-		Settings: in.digest, SettingsAge: now - in.since, Waiting: in.waiting, Problem: r.settingsProblem(),
-		Evacuated: s.Evacuations.Sites(),
-		Version:   version.String(), UpFor: now - r.began, Boot: r.boot,
+		Settings: active.digest, SettingsAge: now - active.since, Waiting: active.pendingRestart, Problem: r.settingsProblem(),
+		Evacuated: snapshot.Evacuations.Sites(),
+		Version:   version.String(), UpFor: now - r.createdAt, Boot: r.bootID,
 	}
-	if s.Config != nil {
-		out.Config, out.ConfigAge = s.Config.Version, s.ConfigAge(now)
+	if snapshot.Config != nil {
+		out.Config, out.ConfigAge = snapshot.Config.Version, snapshot.ConfigAge(now)
 	}
 	return out
 }
@@ -49,6 +49,7 @@
 	return feed.StateServing
 }
 
+// settingsProblem returns what is wrong with the settings file, or an empty string.
 func (r *Router) settingsProblem() string {
 	if w := r.watcher.Load(); w != nil {
 		return w.Problem()
@@ -57,38 +58,38 @@
 }
 
 const (
-	// operatorsName is the name to register Operators under.
-	operatorsName = "Operators"
-	// SettingsMethod is the name under which Operators.Settings is called.
-	SettingsMethod = operatorsName + ".Settings"
+	// operatorServiceName is the name under which OperatorService is registered.
+	operatorServiceName = "Operators"
+	// SettingsMethod is the name of the method OperatorService.Settings in calls.
+	SettingsMethod = operatorServiceName + ".Settings"
 )
 
-// Operators answers other routers what operators ask them. Its methods are called by net/rpc;
+// OperatorService answers other routers on behalf of operators. Its methods are called by net/rpc;
 // their errors are always nil.
-type Operators struct{ router *Router }
+type OperatorService struct{ router *Router }
 
-// SettingsArgs asks for the settings in force.
+// SettingsArgs requests the settings in force.
 type SettingsArgs struct{}
 
-// SettingsReply is the answer: all fields, without the values of secrets.
+// SettingsReply is the reply to SettingsArgs: all fields, without the values of secrets.
 type SettingsReply struct {
 	Router string           `json:"router"`
 	Digest string           `json:"digest"`
 	Fields []settings.Field `json:"fields"`
 }
 
-// Settings answers with the settings in force.
-func (o *Operators) Settings(_ SettingsArgs, reply *SettingsReply) error {
-	in := o.router.inForce.Load()
-	*reply = SettingsReply{Router: o.router.self.Name, Digest: in.digest, Fields: in.set.Fields()}
+// Settings returns the settings in force.
+func (o *OperatorService) Settings(_ SettingsArgs, reply *SettingsReply) error {
+	active := o.router.active.Load()
+	*reply = SettingsReply{Router: o.router.self.Name, Digest: active.digest, Fields: active.settings.Fields()}
 	return nil
 }
 
-// askTimeout bounds a question to another router on behalf of an operator.
-const askTimeout = 2 * time.Second
+// settingsTimeout bounds a call for the settings of another router.
+const settingsTimeout = 2 * time.Second
 
-// mountOperators serves what operators ask.
-func (r *Router) mountOperators(e *echo.Echo) {
+// mountOperatorPaths serves the paths for operators.
+func (r *Router) mountOperatorPaths(e *echo.Echo) {
 	e.GET(PathFleet, func(c echo.Context) error {
 		return c.JSON(http.StatusOK, r.follower.Fleet(c.Request().Context()))
 	})
@@ -101,17 +102,17 @@
 	})
 }
 
-// settingsOf returns the settings of a router, this one if no name is given. Errors: Error.
+// settingsOf returns the settings in force at a router, by default at this one. Errors: Error.
 func (r *Router) settingsOf(ctx context.Context, name string) (SettingsReply, error) {
 	var reply SettingsReply
 	if name == "" || name == r.self.Name {
-		return reply, (&Operators{r}).Settings(SettingsArgs{}, &reply)
+		return reply, (&OperatorService{r}).Settings(SettingsArgs{}, &reply)
 	}
-	for _, p := range r.live() {
+	for _, p := range r.liveRouters() {
 		if p.Name != name {
 			continue
 		}
-		ctx, cancel := context.WithTimeout(ctx, askTimeout)
+		ctx, cancel := context.WithTimeout(ctx, settingsTimeout)
 		defer cancel()
 		err := r.call(ctx, p, SettingsMethod, SettingsArgs{}, &reply)
 		return reply, Error.Wrap(err)
--- a/internal/edge/node/store.go
+++ b/internal/edge/node/store.go
@@ -10,67 +10,67 @@
 	"damaskrouter.example/damaskrouter/internal/store/platform"
 )
 
-// Store is the platform's store: what operators and engines keep there, and rows of the
-// project's own.
+// Store is the platform's store. It holds what operators and engines write there, and the project's
+// own rows.
 type Store interface {
 	feed.Store
 	platform.Table
 }
 
-// currentStore is the store at the address that the settings in force name. The store may move;
-// its versions go on. It is safe for concurrent use.
-type currentStore struct {
-	dial func(address string) Store
-	now  atomic.Pointer[Store]
+// storeProxy forwards calls to the store at the address in the settings. The address may change; the
+// versions of the data continue. It is safe for concurrent use.
+type storeProxy struct {
+	dial  func(address string) Store
+	store atomic.Pointer[Store]
 }
 
-var _ Store = (*currentStore)(nil)
+var _ Store = (*storeProxy)(nil)
 
-func newCurrentStore(dial func(address string) Store, address string) *currentStore {
-	c := &currentStore{dial: dial}
-	c.move(address)
-	return c
+func newStoreProxy(dial func(address string) Store, address string) *storeProxy {
+	p := &storeProxy{dial: dial}
+	p.setAddress(address)
+	return p
 }
 
-// move makes all calls from now on go to an address.
-func (c *currentStore) move(address string) {
-	store := c.dial(address)
-	c.now.Store(&store)
+// setAddress sends all further calls to the store at the address.
+func (p *storeProxy) setAddress(address string) {
+	store := p.dial(address)
+	p.store.Store(&store)
 }
 
-func (c *currentStore) at() Store { return *c.now.Load() }
+func (p *storeProxy) current() Store { return *p.store.Load() }
 
 // ReadConfig implements feed.Store.
-func (c *currentStore) ReadConfig(ctx context.Context) (feed.ConfigRead, error) {
-	return c.at().ReadConfig(ctx)
+func (p *storeProxy) ReadConfig(ctx context.Context) (feed.ConfigRead, error) {
+	return p.current().ReadConfig(ctx)
 }
 
 // WatchConfig implements feed.Store.
-func (c *currentStore) WatchConfig(ctx context.Context, since uint64, wait time.Duration) (feed.ConfigRead, error) {
-	return c.at().WatchConfig(ctx, since, wait)
+func (p *storeProxy) WatchConfig(ctx context.Context, since uint64, wait time.Duration) (feed.ConfigRead, error) {
+	return p.current().WatchConfig(ctx, since, wait)
 }
 
 // ReadEngines implements feed.Store.
-func (c *currentStore) ReadEngines(ctx context.Context) (catalog.EngineUpdate, error) {
-	return c.at().ReadEngines(ctx)
+func (p *storeProxy) ReadEngines(ctx context.Context) (catalog.EngineUpdate, error) {
+	return p.current().ReadEngines(ctx)
 }
 
 // WatchEngines implements feed.Store.
-func (c *currentStore) WatchEngines(ctx context.Context, since uint64, wait time.Duration) (catalog.EngineUpdate, error) {
-	return c.at().WatchEngines(ctx, since, wait)
+func (p *storeProxy) WatchEngines(ctx context.Context, since uint64, wait time.Duration) (catalog.EngineUpdate, error) {
+	return p.current().WatchEngines(ctx, since, wait)
 }
 
 // Commit implements platform.Table.
-func (c *currentStore) Commit(ctx context.Context, use platform.Use, writes ...platform.Write) ([]platform.Row, error) {
-	return c.at().Commit(ctx, use, writes...)
+func (p *storeProxy) Commit(ctx context.Context, use platform.Use, writes ...platform.Write) ([]platform.Row, error) {
+	return p.current().Commit(ctx, use, writes...)
 }
 
 // Get implements platform.Table.
-func (c *currentStore) Get(ctx context.Context, use platform.Use, table, key string) (platform.Row, error) {
-	return c.at().Get(ctx, use, table, key)
+func (p *storeProxy) Get(ctx context.Context, use platform.Use, table, key string) (platform.Row, error) {
+	return p.current().Get(ctx, use, table, key)
 }
 
 // Scan implements platform.Table.
-func (c *currentStore) Scan(ctx context.Context, use platform.Use, table, from, to string, limit int) ([]platform.Row, error) {
-	return c.at().Scan(ctx, use, table, from, to, limit)
+func (p *storeProxy) Scan(ctx context.Context, use platform.Use, table, from, to string, limit int) ([]platform.Row, error) {
+	return p.current().Scan(ctx, use, table, from, to, limit)
 }
