--- a/internal/edge/feed/changes.go
+++ b/internal/edge/feed/changes.go
@@ -8,8 +8,8 @@
 // sourceStore is the logged source of changes that this router read from the store itself.
 const sourceStore = "store"
 
-// logEngineChanges logs each engine that started draining, became doubtful or was removed, with the
-// source that reported it: sourceStore or another router.
+// logEngineChanges logs each engine that started draining, became doubtful or was removed. source
+// is sourceStore or the router that reported the changes.
 func logEngineChanges(l *log.Logger, source string, changes catalog.EngineChanges) {
 	for _, e := range changes.Draining {
 		l.Info("engine draining", "engine", e.ID, "revision", e.Revision, "source", source)
--- a/internal/edge/feed/contacts.go
+++ b/internal/edge/feed/contacts.go
@@ -11,28 +11,29 @@
 	"github.com/charmbracelet/log"
 )
 
-// Contact is a router that others ask when they start.
+// Contact is a router that other routers contact when they start.
 type Contact struct {
 	Name    string `json:"name"`
 	Site    string `json:"site"`
 	Address string `json:"address"`
 }
 
-// Contacts is a list of a few routers in the platform's store. The seeds of a router's settings
-// may be gone, or start later than it does after a loss of power; without another way to find
-// the fleet, three hundred routers that start at once would each read all from the store, and a
+// Contacts accesses a short list of routers in the platform's store. The seeds in a router's
+// settings may be gone, or may start later than the router after a power loss. Without another way
+// to find the fleet, 300 routers starting at once would each read everything from the store, and a
 // router whose seeds were all replaced would never find the others.
 type Contacts struct {
 	Table platform.Table
 }
 
-// The row that holds the list, as JSON.
+// The row that holds the list as JSON.
 const (
 	contactsTable = "fleet"
 	contactsKey   = "contacts"
 )
 
-// Read returns the list, empty if there is none. Errors: platform.ErrUnavailable, ErrMalformed.
+// Read returns the list, or an empty one if none is stored. Errors: platform.ErrUnavailable,
+// ErrMalformed.
 func (c Contacts) Read(ctx context.Context) ([]Contact, error) {
 	row, err := c.Table.Get(ctx, platform.UseFleet, contactsTable, contactsKey)
 	if platform.ErrNotFound.Has(err) {
@@ -48,8 +49,8 @@
 	return out, nil
 }
 
-// Write replaces the list. Whoever writes last wins: any list of routers that are there will do.
-// Errors: platform.ErrUnavailable, platform.ErrOutcomeUnknown.
+// Write replaces the list. The last write wins, since any list of live routers is valid. Errors:
+// platform.ErrUnavailable, platform.ErrOutcomeUnknown.
 func (c Contacts) Write(ctx context.Context, list []Contact) error {
 	value, err := json.Marshal(list)
 	if err != nil {
@@ -62,18 +63,18 @@
 }
 
 const (
-	// wantedContacts is how many routers the list has where there are enough: after a loss
-	// of power some of them are up at any moment, and each reads all from the store.
-	wantedContacts = 16
-	// worthChange is the part of the list that must be missing before it is written anew.
-	worthChange = 0.25
+	// maxContacts is the length of the list if the fleet has enough routers. After a power loss
+	// some of them are up at any moment. Each of them reads everything from the store.
+	maxContacts = 16
+	// rewriteShare is the share of the list that must be missing before the list is rewritten.
+	rewriteShare = 0.25
 )
 
-// NextContacts returns the list for the routers that are alive, and whether it is worth to be
-// written. Those that are listed stay; others are taken from each site in turn, those with the
-// best links first.
-func NextContacts(listed []Contact, live []Peer) ([]Contact, bool) {
-	wanted := min(wantedContacts, len(live))
+// SelectContacts returns the list for the live routers and whether it is worth writing. Live
+// routers already listed are kept. Others are added from each site in turn, those with the fastest
+// links first.
+func SelectContacts(listed []Contact, live []Peer) ([]Contact, bool) {
+	wanted := min(maxContacts, len(live))
 	var out []Contact
 	for _, c := range listed {
 		alive := slices.ContainsFunc(live, func(p Peer) bool { return p.Name == c.Name && p.Address == c.Address })
@@ -82,7 +83,7 @@
 		}
 	}
 	missing := wanted - len(out)
-	for _, p := range bySites(live) {
+	for _, p := range interleaveSites(live) {
 		if len(out) == wanted {
 			break
 		}
@@ -90,34 +91,34 @@
 			out = append(out, Contact{Name: p.Name, Site: p.Site, Address: p.Address})
 		}
 	}
-	return out, float64(missing) > worthChange*float64(wanted)
+	return out, float64(missing) > rewriteShare*float64(wanted)
 }
 
-// bySites returns the first router of each site, then the second of each, and so on.
-func bySites(live []Peer) []Peer {
+// interleaveSites returns the first router of each site, then the second of each site, and so on.
+func interleaveSites(live []Peer) []Peer {
 	sorted := slices.Clone(live)
 	slices.SortFunc(sorted, ComparePeers)
-	rank := make(map[string]int)
-	place := make(map[string]int, len(sorted))
+	siteCounts := make(map[string]int)
+	positions := make(map[string]int, len(sorted))
 	for _, p := range sorted {
-		place[p.Name] = rank[p.Site]
-		rank[p.Site]++
+		positions[p.Name] = siteCounts[p.Site]
+		siteCounts[p.Site]++
 	}
-	slices.SortStableFunc(sorted, func(a, b Peer) int { return place[a.Name] - place[b.Name] })
+	slices.SortStableFunc(sorted, func(a, b Peer) int { return positions[a.Name] - positions[b.Name] })
 	return sorted
 }
 
 const (
-	// keepInterval is how often the reader of the store looks at the list.
-	keepInterval = 2 * time.Second
-	// keepAfter is how long a router has been the reader before it does so: a fleet that
-	// starts has several for a moment.
-	keepAfter = 5 * time.Second
-	// contactsTimeout bounds a call for the list.
+	// contactsCheckInterval is how often the router that reads the store checks the list.
+	contactsCheckInterval = 2 * time.Second
+	// contactsCheckDelay is how long a router must have been the reader before it checks the list.
+	// A starting fleet briefly has several readers.
+	contactsCheckDelay = 5 * time.Second
+	// contactsTimeout bounds a read and write of the list.
 	contactsTimeout = time.Second
 )
 
-// Keeper keeps the list current while this router reads the store.
+// Keeper keeps the list of contacts current while this router reads the store.
 type Keeper struct {
 	Contacts Contacts
 	Reads    func() bool
@@ -125,47 +126,47 @@
 	Clock    Clock
 	Log      *log.Logger
 
-	// reader is the boot time since which this router has been the reader, zero if it is
+	// readerSince is the boot time since which this router has been the reader, or zero if it is
 	// not.
-	reader time.Duration
-	// known means that listed is what the store has.
-	known  bool
+	readerSince time.Duration
+	// loaded is set if listed matches the stored list.
+	loaded bool
 	listed []Contact
 }
 
-// Run keeps the list until the context ends.
+// Run keeps the list current until the context is canceled.
 func (k *Keeper) Run(ctx context.Context) {
-	for pause.For(ctx, keepInterval) {
-		if err := k.keep(ctx); err != nil {
-			k.known = false
-			k.Log.Warn("list of contacts not kept", "cause", err)
+	for pause.For(ctx, contactsCheckInterval) {
+		if err := k.update(ctx); err != nil {
+			k.loaded = false
+			k.Log.Warn("list of contacts not updated", "cause", err)
 		}
 	}
 }
 
-func (k *Keeper) keep(ctx context.Context) error {
+func (k *Keeper) update(ctx context.Context) error {
 	now := k.Clock()
 	if !k.Reads() {
-		k.reader, k.known = 0, false
+		k.readerSince, k.loaded = 0, false
 		return nil
 	}
-	if k.reader == 0 {
-		k.reader = now
+	if k.readerSince == 0 {
+		k.readerSince = now
 	}
-	if now-k.reader < keepAfter {
+	if now-k.readerSince < contactsCheckDelay {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, contactsTimeout)
 	defer cancel()
-	if !k.known {
+	if !k.loaded {
 		listed, err := k.Contacts.Read(ctx)
 		if err != nil && !ErrMalformed.Has(err) {
 			return err
 		}
-		k.listed, k.known = listed, true
+		k.listed, k.loaded = listed, true
 	}
-	next, worth := NextContacts(k.listed, k.Live())
-	if !worth {
+	next, rewrite := SelectContacts(k.listed, k.Live())
+	if !rewrite {
 		return nil
 	}
 	if err := k.Contacts.Write(ctx, next); err != nil {
--- a/internal/edge/feed/exchange.go
+++ b/internal/edge/feed/exchange.go
@@ -8,126 +8,126 @@
 	"damaskrouter.example/damaskrouter/internal/base/pause"
 )
 
-// ExchangeMethod is the name under which Relay.Exchange is called.
+// ExchangeMethod is the RPC name of Relay.Exchange.
 const ExchangeMethod = RelayName + ".Exchange"
 
-// LoadArgs is a router's half of an exchange of loads with the one above it.
+// LoadArgs is the request of a load exchange, sent by a router to its parent.
 type LoadArgs struct {
-	// From is the asker's name.
+	// From is the name of the requesting router.
 	From string
-	// Report is the asker's loads, with those of the routers below it; nil if the last
-	// ones still count.
+	// Report is the load of the requesting router and of its descendants. It is nil if the last
+	// report still applies.
 	Report *LoadReport
-	// Have is the state of the fleet's loads that the asker has from the one asked;
-	// zero for none.
+	// Have is the sequence number of the fleet's loads that the requesting router holds from this
+	// parent, or zero for none.
 	Have uint64
-	// Gone means that the asker exchanges loads with another router from now on.
+	// Gone means that the requesting router exchanges loads with another router from now on.
 	Gone bool
 }
 
-// LoadReply is the other half.
+// LoadReply is the reply of a load exchange.
 type LoadReply struct {
-	// Report is the loads of the whole fleet without what the asker reported; nil if
-	// the last ones still count.
+	// Report is the load of the whole fleet except what the requesting router reported. It is nil
+	// if the last report still applies.
 	Report *LoadReport
-	// Heard is the state of the asker's loads that the one asked has; zero for none.
+	// Heard is the sequence number of the requesting router's loads that the parent holds, or zero
+	// for none.
 	Heard uint64
 }
 
-// loadLink is the state of the exchange of loads with the router above this one. It is
-// safe for concurrent use.
-type loadLink struct {
+// parentExchange is the state of the load exchange with the parent. It is safe for concurrent use.
+type parentExchange struct {
 	mu     sync.Mutex
 	parent Peer
-	// have is the state of the fleet's loads that the parent has told, told the state
-	// of this router's that the parent has; zero for none.
-	have, told uint64
-	reporter   reporter
-}
-
-// follow takes a router for the one above, or none, and returns the one before if that was
-// another.
-func (l *loadLink) follow(parent Peer) (before Peer, changed bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.parent.Name == parent.Name {
+	// have is the sequence number of the fleet's loads received from the parent, acked that of this
+	// router's loads held by the parent. Both are zero for none.
+	have, acked uint64
+	reporter    reporter
+}
+
+// setParent sets the parent, which is empty for none. If it differs from the previous one,
+// setParent resets the exchange and returns the previous parent and true.
+func (e *parentExchange) setParent(parent Peer) (previous Peer, changed bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.parent.Name == parent.Name {
 		return Peer{}, false
 	}
-	before, l.parent = l.parent, parent
-	l.have, l.told = 0, 0
-	return before, true
+	previous, e.parent = e.parent, parent
+	e.have, e.acked = 0, 0
+	return previous, true
 }
 
-// ask returns what to send to a parent at now, nil if it is not the present one.
-func (l *loadLink) ask(self, parent string, loads *Loads, now time.Duration) *LoadArgs {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.parent.Name == "" || l.parent.Name != parent {
+// request returns the request to send to a parent at now, or nil if it is not the current parent.
+func (e *parentExchange) request(self, parent string, loads *Loads, now time.Duration) *LoadArgs {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.parent.Name == "" || e.parent.Name != parent {
 		return nil
 	}
-	report := l.reporter.report(parent, l.told, loads.Size(), now, func() LoadReport { return loads.Below(now) })
-	return &LoadArgs{From: self, Report: report, Have: l.have}
+	report := e.reporter.report(parent, e.acked, loads.EngineCount(), now, func() LoadReport { return loads.Subtree(now) })
+	return &LoadArgs{From: self, Report: report, Have: e.have}
 }
 
-// answered takes a parent's half.
-func (l *loadLink) answered(parent string, args *LoadArgs, reply *LoadReply, loads *Loads, now time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.parent.Name != parent {
+// handleReply applies the reply of a parent. Replies of earlier parents are ignored.
+func (e *parentExchange) handleReply(parent string, args *LoadArgs, reply *LoadReply, loads *Loads, now time.Duration) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.parent.Name != parent {
 		return
 	}
 	if args.Report != nil {
-		l.told = reply.Heard
+		e.acked = reply.Heard
 	}
 	if reply.Report == nil {
 		return
 	}
-	l.have = 0
+	e.have = 0
 	if loads.FromParent(*reply.Report, now) {
-		l.have = reply.Report.Seq
+		e.have = reply.Report.Seq
 	}
 }
 
-// failed notes that it is not known whether the parent got a report; the next one is
-// whole.
-func (l *loadLink) failed() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.told = 0
+// resetAcked makes the next report a complete one. It is called after a failed call, when it is
+// unknown whether the parent got the report.
+func (e *parentExchange) resetAcked() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.acked = 0
 }
 
-// loadsParent returns the router with which this one exchanges loads, and false for the
-// first of the fleet.
+// loadsParent returns the router with which this one exchanges loads, and false for the first
+// router of the fleet.
 //
-// It depends on who is there and on nothing else, and always comes before this router in
-// an order that all compute alike. Who is asked for the catalog changes while the store is
-// lost, and routers then ask one another in circles; sums that went round with the answers
-// grew to hundreds of times the truth within seconds, so that every engine seemed full.
+// The parent depends only on the set of live routers and always precedes this router in an order
+// that all routers compute alike. The parent of catalog pulls changes while the store is lost, and
+// routers may then pull from each other in a cycle. Load sums carried along such cycles grew to
+// hundreds of times the real load within seconds, so that every engine seemed full.
 func (f *Follower) loadsParent() (Peer, bool) {
 	return ParentOf(f.Self, f.Live(), nil, f.Clock())
 }
 
-// exchangeLoads exchanges loads while they do not go with the pulls of the catalog, until
-// the context ends.
+// exchangeLoads exchanges loads by separate calls, as long as they are not carried by catalog
+// pulls, until the context is canceled.
 func (f *Follower) exchangeLoads(ctx context.Context) {
 	for pause.For(ctx, pullWait) {
-		parent, ok := f.followLoads(ctx)
-		if !ok || f.asked.Load() == parent.Name {
+		parent, ok := f.updateLoadsParent(ctx)
+		if !ok || f.pulledFrom.Load() == parent.Name {
 			continue
 		}
 		f.exchange(ctx, parent)
 	}
 }
 
-// followLoads finds the router with which loads are exchanged; false for none.
+// updateLoadsParent updates and returns the router with which loads are exchanged, or false for
+// none.
 //
-// Whoever exchanges them with another one from now on says so to the one before, and forgets
-// what that told: sums that are counted on two ways are wrong until they lapse. A router that
-// starts waits until it knows the others. 295 routers that started together changed the one
-// above three times each, and for two seconds each took the loads of all for seven times what
-// they were: engines seemed full, and 2,600 requests were refused with three fifths of the
-// places free.
-func (f *Follower) followLoads(ctx context.Context) (Peer, bool) {
+// A router that changes its parent notifies the previous one and drops what it reported, because
+// loads counted along two paths stay wrong until they expire. A starting router waits until it
+// knows the other routers. When 295 routers started together, each changed its parent three times,
+// and for two seconds each saw seven times the real load of the fleet: engines seemed full, and
+// 2,600 requests were rejected while three fifths of the slots were free.
+func (f *Follower) updateLoadsParent(ctx context.Context) (Peer, bool) {
 	if !f.Start.Settled(f.Clock()) {
 		return Peer{}, false
 	}
@@ -135,27 +135,28 @@
 	if !ok {
 		parent = Peer{}
 	}
-	before, changed := f.link.follow(parent)
+	previous, changed := f.parentExchange.setParent(parent)
 	if changed {
-		f.Loads.ForgetAbove()
+		f.Loads.ClearParent()
 	}
-	if changed && before.Name != "" {
-		go f.sayGone(ctx, before)
+	if changed && previous.Name != "" {
+		go f.notifyGone(ctx, previous)
 	}
 	return parent, ok
 }
 
-// sayGone tells the router above that was before. If it does not hear it, what it has lapses.
-func (f *Follower) sayGone(ctx context.Context, before Peer) {
+// notifyGone tells the previous parent that this router left it. If the call fails, the reports
+// held by that parent expire.
+func (f *Follower) notifyGone(ctx context.Context, previous Peer) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	if err := f.Call(ctx, before, ExchangeMethod, LoadArgs{From: f.Self.Name, Gone: true}, &LoadReply{}); err != nil {
-		f.Log.Debug("source of loads not told of the change", "router", before.Name, "cause", err)
+	if err := f.Call(ctx, previous, ExchangeMethod, LoadArgs{From: f.Self.Name, Gone: true}, &LoadReply{}); err != nil {
+		f.Log.Debug("previous load parent not notified", "router", previous.Name, "cause", err)
 	}
 }
 
 func (f *Follower) exchange(ctx context.Context, parent Peer) {
-	args := f.link.ask(f.Self.Name, parent.Name, f.Loads, f.Clock())
+	args := f.parentExchange.request(f.Self.Name, parent.Name, f.Loads, f.Clock())
 	if args == nil {
 		return
 	}
@@ -163,14 +164,14 @@
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	if err := f.Call(ctx, parent, ExchangeMethod, *args, &reply); err != nil {
-		// Pulls and gossip log a router that gives no answer.
-		f.link.failed()
+		// Pulls and gossip log unresponsive routers.
+		f.parentExchange.resetAcked()
 		return
 	}
-	f.link.answered(parent.Name, args, &reply, f.Loads, f.Clock())
+	f.parentExchange.handleReply(parent.Name, args, &reply, f.Loads, f.Clock())
 }
 
-// Exchange answers an exchange of loads. It is called by net/rpc; the error is always nil.
+// Exchange handles a load exchange. It is called by net/rpc; the error is always nil.
 func (r *Relay) Exchange(args LoadArgs, reply *LoadReply) error {
 	*reply = *r.exchange(&args, r.Clock())
 	return nil
@@ -178,25 +179,26 @@
 
 func (r *Relay) exchange(args *LoadArgs, now time.Duration) *LoadReply {
 	if args.Gone {
-		r.Loads.Forget(args.From, now)
+		r.Loads.RemoveChild(args.From, now)
 		return &LoadReply{}
 	}
-	heard := r.hear(args, now)
-	return r.tell(args, heard, now)
+	acked := r.receiveReport(args, now)
+	return r.loadReply(args, acked, now)
 }
 
-// hear takes the asker's loads, and returns the state of them that this router has then.
-func (r *Relay) hear(args *LoadArgs, now time.Duration) uint64 {
-	if args.Report == nil || !r.Loads.Heard(args.From, *args.Report, now) {
+// receiveReport applies the load report of the requesting router and returns the sequence number
+// held afterwards, or zero if there was no report or it did not apply.
+func (r *Relay) receiveReport(args *LoadArgs, now time.Duration) uint64 {
+	if args.Report == nil || !r.Loads.FromChild(args.From, *args.Report, now) {
 		return 0
 	}
 	return args.Report.Seq
 }
 
-// tell returns what is due to the asker.
-func (r *Relay) tell(args *LoadArgs, heard uint64, now time.Duration) *LoadReply {
-	report := r.reporter.report(args.From, args.Have, r.Loads.Size(), now, func() LoadReport {
-		return r.Loads.Without(args.From, now)
+// loadReply returns the reply to the requesting router, with a report if one is due.
+func (r *Relay) loadReply(args *LoadArgs, acked uint64, now time.Duration) *LoadReply {
+	report := r.reporter.report(args.From, args.Have, r.Loads.EngineCount(), now, func() LoadReport {
+		return r.Loads.WithoutChild(args.From, now)
 	})
-	return &LoadReply{Report: report, Heard: heard}
+	return &LoadReply{Report: report, Heard: acked}
 }
--- a/internal/edge/feed/feed_test.go
+++ b/internal/edge/feed/feed_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-func quiet() *log.Logger { return log.New(io.Discard) }
+func discardLogger() *log.Logger { return log.New(io.Discard) }
 
-func peers(sites ...string) []Peer {
+func peersIn(sites ...string) []Peer {
 	var out []Peer
 	for i, site := range sites {
 		out = append(out, Peer{Name: string(rune('a' + i)), Site: site})
@@ -23,11 +23,11 @@
 	return out
 }
 
-// Symptom: changes are late, and routers refuse what they can't confirm. Sequence: a
-// configuration of thousands of routes goes out from a VM with a small link. Cause: the
-// router that reads, or the first of a site, was any of them.
-func TestBestLinksReadAndPassOn(t *testing.T) {
-	live := peers("x", "x", "x", "y", "y", "y")
+// Guards against late changes and requests rejected for lack of a confirmed configuration, which
+// occurred when a VM with a slow link distributed thousands of routes. The reader and the first
+// router of each site must have the fastest links.
+func TestRoutersWithBestLinksAreParents(t *testing.T) {
+	live := peersIn("x", "x", "x", "y", "y", "y")
 	live[1].Link, live[2].Link = 200, 10
 	live[4].Link, live[5].Link = 1000, 10
 	for _, self := range live {
@@ -44,10 +44,10 @@
 	}
 }
 
-// Whoever computes it, exactly one router reads the store, and every chain of
-// parents ends there.
-func TestOneRouterReadsAndAllChainsEndThere(t *testing.T) {
-	live := peers("x", "x", "y", "y", "z", "x", "z")
+// Guards against zero or several readers: as computed by each router, exactly one router reads the
+// store, and every chain of parents ends there.
+func TestOneRouterReadsStoreAndAllChainsEndThere(t *testing.T) {
+	live := peersIn("x", "x", "y", "y", "z", "x", "z")
 	readers := 0
 	for _, self := range live {
 		at := self
@@ -66,8 +66,8 @@
 	require.Equal(t, 1, readers)
 }
 
-func TestDistrustedParentIsPassedOverAndComesBack(t *testing.T) {
-	live := peers("x", "x", "x")
+func TestDistrustedParentIsSkippedUntilDistrustEnds(t *testing.T) {
+	live := peersIn("x", "x", "x")
 	var child Peer
 	var parent Peer
 	for _, p := range live {
@@ -86,18 +86,17 @@
 	require.True(t, d.trusted(parent.Name, time.Second+minDistrust+2*minDistrust))
 }
 
-// Symptom: while the store is away for all, every router calls it. Sequence: the
-// readers fail one after the other. Cause handled: after some of them the store
-// counts as away, and the usual order holds again.
-func TestStoreAwayForAllRestoresTheOrder(t *testing.T) {
-	live := peers("x", "x", "x", "x", "x", "x", "x", "x", "x")
+// Guards against calls from every router while the store is down for all. After some readers have
+// failed in turn, the store counts as down and the default order applies again.
+func TestStoreOutageForAllRestoresDefaultOrder(t *testing.T) {
+	live := peersIn("x", "x", "x", "x", "x", "x", "x", "x", "x")
 	self := live[0]
 	want, _ := ParentOf(self, live, nil, 0)
 	d := make(Distrust)
 	n := 0
 	for _, p := range live {
-		if n < maxReaders {
-			d.AddLost(p.Name, 0)
+		if n < maxFailedReaders {
+			d.AddStoreLost(p.Name, 0)
 			n++
 		}
 	}
@@ -105,11 +104,11 @@
 	require.Equal(t, want, got)
 }
 
-// testTiming is for the users' present bounds on drains and configuration.
+// testTiming applies the current default bounds on drains and configuration.
 var testTiming = TimingFor(2 * time.Second)
 
-func TestChangeReachesAllRoutersAndFewCallTheStore(t *testing.T) {
-	inFleet(t, sameStore, func(f *fakeFleet, s *fakeStore) {
+func TestChangeReachesAllRoutersWithFewStoreCalls(t *testing.T) {
+	runFleet(t, sameStore, func(f *fakeFleet, s *fakeStore) {
 		f.requireVersion(t, 1)
 		before := s.calls.Load()
 		time.Sleep(10 * time.Second)
@@ -123,11 +122,11 @@
 	})
 }
 
-// Symptom: a large configuration fills the links of small routers twice. Sequence: a
-// router takes over what its source sent, and asks again before its own board has
-// it. Cause handled: handing over waits for the board.
-func TestChangeIsSentOnceToEachRouter(t *testing.T) {
-	inFleet(t, sameStore, func(f *fakeFleet, s *fakeStore) {
+// Guards against sending a large configuration twice over slow links: a router that pulled again
+// before its board held the first reply got the same update twice. Applying a reply waits for the
+// board.
+func TestConfigIsSentOnceToEachRouter(t *testing.T) {
+	runFleet(t, sameStore, func(f *fakeFleet, s *fakeStore) {
 		f.sent.Clear()
 		s.update(func(s *fakeStore) { s.config = catalog.NewConfig(catalog.Config{Version: 7}) })
 		time.Sleep(time.Second)
@@ -139,14 +138,13 @@
 	})
 }
 
-// Symptom: a version is in force too late. Sequence: the store turns the reading
-// router away (or falls silent towards it) and serves the others; a change
-// follows. Cause handled: the reader says so, and the next one reads.
-func TestStoreTurnsTheReaderAway(t *testing.T) {
+// Guards against a late configuration when the store rejects only the reader, or does not answer
+// it, while it serves the other routers. The reader reports this and the next router reads.
+func TestReaderRejectedByStoreIsReplaced(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		var bad *fakeStore
 		var reader string
-		split := func(live []Peer, good *fakeStore) map[string]*fakeStore {
+		stores := func(live []Peer, good *fakeStore) map[string]*fakeStore {
 			bad = newFakeStore()
 			out := sameStore(live, good)
 			for _, p := range live {
@@ -157,7 +155,7 @@
 			}
 			return out
 		}
-		inFleet(t, split, func(f *fakeFleet, s *fakeStore) {
+		runFleet(t, stores, func(f *fakeFleet, s *fakeStore) {
 			bad.update(func(b *fakeStore) { b.down, b.silent = !silent, silent })
 			s.update(func(s *fakeStore) { s.config = catalog.NewConfig(catalog.Config{Version: 7}) })
 			time.Sleep(3 * time.Second)
@@ -167,19 +165,18 @@
 	}
 }
 
-// Symptom: a request reaches an engine 3.2 s after it left, and requests with keys are
-// refused. Sequence: the router that reads the store is cut off from it, and so are the
-// next two in the order. Cause: each hung for the whole time of a watch before the next
-// one tried. Handled: the first call of a new reader is answered at once, or not at all.
-func TestThreeReadersInARowAreCutOff(t *testing.T) {
+// Guards against late engine updates when the store is unreachable for three successive readers.
+// Each of them hung for a whole watch before the next one tried, and a request reached an engine
+// 3.2 s after it had left. The first call of a new reader must succeed or fail quickly.
+func TestThreeReadersInARowCutOffFromStore(t *testing.T) {
 	var bad *fakeStore
-	split := func(live []Peer, good *fakeStore) map[string]*fakeStore {
+	stores := func(live []Peer, good *fakeStore) map[string]*fakeStore {
 		bad = newFakeStore()
 		bad.update(func(b *fakeStore) { b.config, b.engines = good.config, good.engines })
 		out := sameStore(live, good)
 		ordered := slices.Clone(live)
 		slices.SortFunc(ordered, func(a, b Peer) int {
-			if before(a, b) {
+			if precedes(a, b) {
 				return -1
 			}
 			return 1
@@ -189,7 +186,7 @@
 		}
 		return out
 	}
-	inFleet(t, split, func(f *fakeFleet, s *fakeStore) {
+	runFleet(t, stores, func(f *fakeFleet, s *fakeStore) {
 		bad.update(func(b *fakeStore) { b.silent = true })
 		s.update(func(s *fakeStore) { s.config = catalog.NewConfig(catalog.Config{Version: 7}) })
 		time.Sleep(2800 * time.Millisecond)
@@ -197,18 +194,17 @@
 	})
 }
 
-// Symptom: nobody reads the store for seconds. Sequence: two routers are turned
-// away; one passes itself over and asks the other, which still asks the first.
-// Cause handled: the answer names its chain, and whoever finds itself in it goes
-// on alone.
-func TestTwoRoutersThatAreTurnedAwayDoNotAskOneAnother(t *testing.T) {
+// Guards against seconds without a reader: the store rejects two routers, one distrusts itself and
+// pulls from the other, which still pulls from the first. The chain in the reply reveals the cycle,
+// and the router that finds itself in it continues alone.
+func TestTwoRejectedReadersDoNotPullFromEachOther(t *testing.T) {
 	var bad *fakeStore
-	split := func(live []Peer, good *fakeStore) map[string]*fakeStore {
+	stores := func(live []Peer, good *fakeStore) map[string]*fakeStore {
 		bad = newFakeStore()
 		out := sameStore(live, good)
 		sorted := slices.Clone(live)
 		slices.SortFunc(sorted, func(a, b Peer) int {
-			if before(a, b) {
+			if precedes(a, b) {
 				return -1
 			}
 			return 1
@@ -216,7 +212,7 @@
 		out[sorted[0].Name], out[sorted[1].Name] = bad, bad
 		return out
 	}
-	inFleet(t, split, func(f *fakeFleet, s *fakeStore) {
+	runFleet(t, stores, func(f *fakeFleet, s *fakeStore) {
 		bad.update(func(b *fakeStore) { b.down = true })
 		time.Sleep(3 * time.Second)
 		s.update(func(s *fakeStore) { s.config = catalog.NewConfig(catalog.Config{Version: 9}) })
@@ -225,11 +221,10 @@
 	})
 }
 
-// Symptom: an outage of the store becomes a storm of calls. Sequence: the store
-// refuses all for ten seconds. Cause handled: few try, and its return is noticed
-// within a second or two.
-func TestOutageOfTheStoreIsNotAStorm(t *testing.T) {
-	inFleet(t, sameStore, func(f *fakeFleet, s *fakeStore) {
+// Guards against a call storm when the store rejects all routers for ten seconds. Few routers try,
+// and they notice the recovery within two seconds.
+func TestStoreOutageCausesNoCallStorm(t *testing.T) {
+	runFleet(t, sameStore, func(f *fakeFleet, s *fakeStore) {
 		s.update(func(s *fakeStore) { s.down = true })
 		before := s.calls.Load()
 		time.Sleep(10 * time.Second)
@@ -243,11 +238,10 @@
 	})
 }
 
-// Symptom: an engine that left while history was dropped still gets requests.
-// Sequence: the watch is told that its history is gone. Cause handled: all is
-// read, and what is missing is gone.
-func TestHistoryLostInTheMiddleOfALeave(t *testing.T) {
-	inFleet(t, sameStore, func(f *fakeFleet, s *fakeStore) {
+// Guards against requests to an engine that was removed while the store dropped its history. The
+// watch fails with ErrHistoryLost, and the complete read must remove the engine.
+func TestEngineRemovedWhileHistoryIsLost(t *testing.T) {
+	runFleet(t, sameStore, func(f *fakeFleet, s *fakeStore) {
 		s.update(func(s *fakeStore) {
 			s.historyLost = true
 			s.engines = nil
@@ -261,11 +255,10 @@
 	})
 }
 
-// Symptom: a router that other routers can't reach serves an old version.
-// Sequence: it is cut off from them, and reaches the store. Cause handled: it
-// reads for itself.
-func TestRouterCutOffFromOthersReadsForItself(t *testing.T) {
-	inFleet(t, sameStore, func(f *fakeFleet, s *fakeStore) {
+// Guards against an old configuration on a router that is cut off from the others but reaches the
+// store. It must read for itself.
+func TestRouterCutOffFromOthersReadsStoreItself(t *testing.T) {
+	runFleet(t, sameStore, func(f *fakeFleet, s *fakeStore) {
 		var leaf string
 		for _, p := range f.live {
 			if parent, ok := ParentOf(p, f.live, nil, 0); ok && parent.Site == p.Site {
@@ -280,15 +273,14 @@
 	})
 }
 
-// Symptom: a router that reaches the store handles requests by a configuration that was
-// replaced more than two seconds ago. Sequence: the reader loses the store and says so;
-// a moment later it and the first router of each site are cut off; the configuration
-// changes. Cause: what was last heard of the store, that it is lost, kept routers from
-// reading it themselves while they asked one dead router after the other.
-func TestOldWordOfALostStoreKeepsNobodyFromReading(t *testing.T) {
+// Guards against a configuration used more than two seconds after its replacement by routers that
+// reach the store. The reader reports the store as lost; then it and the first router of each site
+// are cut off and the configuration changes. That outdated report kept the others from reading
+// while they tried one unreachable router after the other.
+func TestOutdatedStoreLostReportDoesNotBlockReading(t *testing.T) {
 	var bad *fakeStore
 	var cut []string
-	split := func(live []Peer, good *fakeStore) map[string]*fakeStore {
+	stores := func(live []Peer, good *fakeStore) map[string]*fakeStore {
 		bad = newFakeStore()
 		bad.update(func(b *fakeStore) { b.config, b.engines = good.config, good.engines })
 		out := sameStore(live, good)
@@ -303,7 +295,7 @@
 		}
 		return out
 	}
-	inFleet(t, split, func(f *fakeFleet, s *fakeStore) {
+	runFleet(t, stores, func(f *fakeFleet, s *fakeStore) {
 		require.Len(t, cut, 3)
 		bad.update(func(b *fakeStore) { b.down = true })
 		time.Sleep(250 * time.Millisecond)
@@ -320,11 +312,10 @@
 	})
 }
 
-// Symptom: revoked keys are accepted too long. Sequence: a pull is held, the
-// parent's confirmation is old. Cause handled: the age counts from the sending of
-// the pull less what it was held, never from the arrival of the answer.
-func TestAgeOfRelayedConfirmationIsNeverTooYoung(t *testing.T) {
-	inFleet(t, sameStore, func(f *fakeFleet, s *fakeStore) {
+// Guards against accepting revoked keys for too long: the age of a relayed confirmation counts from
+// the sending of the pull plus the time it was held, not from the arrival of the reply.
+func TestRelayedAgeIsNeverUnderstated(t *testing.T) {
+	runFleet(t, sameStore, func(f *fakeFleet, s *fakeStore) {
 		s.update(func(s *fakeStore) { s.down = true })
 		down := f.clock()
 		time.Sleep(8 * time.Second)
@@ -334,13 +325,13 @@
 	})
 }
 
-func TestLoadsAddUpAndFadeOut(t *testing.T) {
+func TestLoadsAddUpAndExpire(t *testing.T) {
 	l := NewLoads(func() map[string]EngineLoad { return map[string]EngineLoad{"e": {InFlight: 1}} })
-	l.Heard("b", LoadReport{Engines: map[string]EngineLoad{"e": {InFlight: 5, Evidence: health.Evidence{Bad: 4}}}}, 0)
+	l.FromChild("b", LoadReport{Engines: map[string]EngineLoad{"e": {InFlight: 5, Evidence: health.Evidence{Bad: 4}}}}, 0)
 	l.FromParent(LoadReport{Engines: map[string]EngineLoad{"e": {InFlight: 7}}}, 0)
 	require.Equal(t, 12, l.Others()["e"].InFlight)
-	require.Equal(t, 8, l.Without("b", 0).Engines["e"].InFlight)
-	require.Equal(t, 6, l.Below(0).Engines["e"].InFlight)
-	require.InDelta(t, 2, l.Below(1500 * time.Millisecond).Engines["e"].Evidence.Bad, 1e-9)
-	require.Equal(t, 1, l.Below(2 * time.Second).Engines["e"].InFlight)
+	require.Equal(t, 8, l.WithoutChild("b", 0).Engines["e"].InFlight)
+	require.Equal(t, 6, l.Subtree(0).Engines["e"].InFlight)
+	require.InDelta(t, 2, l.Subtree(1500 * time.Millisecond).Engines["e"].Evidence.Bad, 1e-9)
+	require.Equal(t, 1, l.Subtree(2 * time.Second).Engines["e"].InFlight)
 }
--- a/internal/edge/feed/fleet_test.go
+++ b/internal/edge/feed/fleet_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeStore is a store whose content and failures a test sets.
+// fakeStore is a store whose content and failures are set by a test.
 type fakeStore struct {
 	mu      sync.Mutex
 	config  *catalog.Config
@@ -29,11 +29,11 @@
 	evacuations map[string]catalog.Evacuation
 	down        bool
 	silent      bool
-	// historyLost makes the next watches ask for a whole read.
+	// historyLost makes watches fail with ErrHistoryLost.
 	historyLost bool
 	calls       atomic.Int64
 	changed     chan struct{}
-	// rows are what routers keep there, by key.
+	// rows holds the rows written by routers, by key.
 	rows map[string][]byte
 }
 
@@ -54,7 +54,7 @@
 	s.changed = make(chan struct{})
 }
 
-// answer applies the store's failures.
+// answer simulates the failures of the store.
 func (s *fakeStore) answer(ctx context.Context) error {
 	s.calls.Add(1)
 	s.mu.Lock()
@@ -100,7 +100,7 @@
 	return nil, nil
 }
 
-// Scan implements platform.Table. Nothing here uses it.
+// Scan implements platform.Table. It is not used by these tests.
 func (s *fakeStore) Scan(context.Context, platform.Use, string, string, string, int) ([]platform.Row, error) {
 	return nil, platform.ErrInvalid.New("not supported")
 }
@@ -201,38 +201,37 @@
 	return u, nil
 }
 
-// ownInFlight is how many requests each router has at the engine e1.
+// ownInFlight is how many requests each router has in progress at engine e1.
 const ownInFlight = 4
 
-// errUnreachable is what a call to a router that is cut off returns.
+// errUnreachable is returned by a call to an unreachable router.
 var errUnreachable = errors.New("unreachable")
 
-// fakeFleet is some routers that call one another in memory.
+// fakeFleet is a fleet of routers that call one another in memory.
 type fakeFleet struct {
 	// ctx is canceled at the end of the test.
 	ctx  context.Context
 	live []Peer
 	cut  sync.Map
-	// gone are the routers that all know to be gone.
+	// gone holds the routers that all others know to be gone.
 	gone   sync.Map
 	nodes  map[string]*fakeNode
 	origin time.Time
-	// sent counts the configurations that were sent to each router, calls all calls
-	// between routers.
+	// sent counts the configurations sent to each router, calls the calls between routers.
 	sent  sync.Map
 	calls atomic.Int64
-	// seeds are the names of the routers to ask at the start; nil if all know all.
+	// seeds holds the names of the seeds, or is nil if all routers know each other.
 	seeds []string
 	// firstOfAll means that the fleet starts for the first time.
 	firstOfAll bool
 	mu         sync.Mutex
 }
 
-// oneWay is how long a call between routers takes in each direction.
+// oneWay is the latency of a call between routers in each direction.
 const oneWay = 500 * time.Microsecond
 
 type fakeNode struct {
-	// settings is the digest of the router's settings.
+	// settings is the digest of the settings of the router.
 	settings atomic.Value
 	statuses *Statuses
 	roster   *fakeRoster
@@ -257,7 +256,7 @@
 
 // restart starts a stopped router again, without its previous state.
 func (f *fakeFleet) restart(p Peer, store *fakeStore) {
-	n := f.node(f.ctx, p, store)
+	n := f.newNode(f.ctx, p, store)
 	f.mu.Lock()
 	f.nodes[p.Name] = n
 	f.mu.Unlock()
@@ -267,12 +266,12 @@
 
 func (f *fakeFleet) clock() time.Duration { return time.Hour + time.Since(f.origin) }
 
-// start runs a router for each peer; stores may differ, as where the store
-// turns some routers away.
+// startFleet starts a router for each peer. The stores may differ, for example if the store rejects
+// some routers.
 func startFleet(ctx context.Context, live []Peer, stores map[string]*fakeStore) *fakeFleet {
 	f := &fakeFleet{ctx: ctx, live: live, nodes: make(map[string]*fakeNode), origin: time.Now()}
 	for _, p := range live {
-		f.nodes[p.Name] = f.node(ctx, p, stores[p.Name])
+		f.nodes[p.Name] = f.newNode(ctx, p, stores[p.Name])
 	}
 	for _, n := range f.nodes {
 		n.run(ctx)
@@ -288,7 +287,7 @@
 	go n.keeper.Run(ctx)
 }
 
-func (f *fakeFleet) node(ctx context.Context, self Peer, store *fakeStore) *fakeNode {
+func (f *fakeFleet) newNode(ctx context.Context, self Peer, store *fakeStore) *fakeNode {
 	n := &fakeNode{store: store, board: NewBoard(f.clock, 1200*time.Millisecond), roster: newFakeRoster(self)}
 	n.settings.Store("a")
 	n.statuses = NewStatuses(func() Status {
@@ -299,26 +298,26 @@
 		}
 		return out
 	}, f.clock)
-	live := f.known
+	live := f.notGone
 	start := NewStart(StartOptions{}, f.clock())
 	if f.seeds != nil {
 		live = n.roster.live
-		start = f.startOf(self)
+		start = f.newStart(self)
 	}
 	loads := NewLoads(func() map[string]EngineLoad { return map[string]EngineLoad{"e1": {InFlight: ownInFlight}} })
 	n.loads = loads
-	n.reader = &Reader{Board: n.board, Store: store, Clock: f.clock, Timing: func() Timing { return testTiming }, Start: start, Log: quiet(),
+	n.reader = &Reader{Board: n.board, Store: store, Clock: f.clock, Timing: func() Timing { return testTiming }, Start: start, Log: discardLogger(),
 		Reads: func() bool { return n.follower.Reads() }, OthersLost: func() bool { return n.follower.ToldLost() },
 		LostAgo: func() time.Duration { return n.follower.LostAgo() }}
-	n.follower = &Follower{Self: self, Board: n.board, Loads: loads, Clock: f.clock, Timing: func() Timing { return testTiming }, Log: quiet(),
-		Start: start, Roster: n.roster, Contacts: Contacts{Table: store}, Statuses: n.statuses, Live: live, StoreLost: n.reader.Lost, Call: f.call(self)}
-	n.keeper = &Keeper{Contacts: Contacts{Table: store}, Reads: n.follower.Reads, Live: live, Clock: f.clock, Log: quiet()}
-	n.relay = &Relay{Board: n.board, Loads: loads, Roster: n.roster, Statuses: n.statuses, Clock: f.clock, Done: ctx.Done(), Log: quiet(),
+	n.follower = &Follower{Self: self, Board: n.board, Loads: loads, Clock: f.clock, Timing: func() Timing { return testTiming }, Log: discardLogger(),
+		Start: start, Roster: n.roster, Contacts: Contacts{Table: store}, Statuses: n.statuses, Live: live, StoreLost: n.reader.Lost, Call: f.caller(self)}
+	n.keeper = &Keeper{Contacts: Contacts{Table: store}, Reads: n.follower.Reads, Live: live, Clock: f.clock, Log: discardLogger()}
+	n.relay = &Relay{Board: n.board, Loads: loads, Roster: n.roster, Statuses: n.statuses, Clock: f.clock, Done: ctx.Done(), Log: discardLogger(),
 		StoreLost: n.reader.Lost, LostAgo: n.follower.LostAgo, Failures: n.follower.Failures, Chain: n.follower.Chain}
 	return n
 }
 
-func (f *fakeFleet) call(from Peer) Call {
+func (f *fakeFleet) caller(from Peer) Call {
 	return func(ctx context.Context, to Peer, _ string, args, reply any) error {
 		name := to.Name
 		if name == "" {
@@ -355,16 +354,16 @@
 	}
 }
 
-// known are the routers that are not known to be gone.
-func (f *fakeFleet) known() []Peer {
+// notGone returns the routers not marked as gone.
+func (f *fakeFleet) notGone() []Peer {
 	return slices.DeleteFunc(slices.Clone(f.live), func(p Peer) bool {
 		_, gone := f.gone.Load(p.Name)
 		return gone
 	})
 }
 
-// first is the name of the router that none comes before.
-func (f *fakeFleet) first() (name string) {
+// firstRouter returns the name of the first router of the fleet, which reads the store.
+func (f *fakeFleet) firstRouter() (name string) {
 	for _, p := range f.live {
 		if _, ok := ParentOf(p, f.live, nil, 0); !ok {
 			name = p.Name
@@ -395,12 +394,11 @@
 	}
 }
 
-// inFleet runs a test with a fleet of nine routers in three sites, on a fake
-// clock.
-func inFleet(t *testing.T, stores func([]Peer, *fakeStore) map[string]*fakeStore, test func(*fakeFleet, *fakeStore)) {
+// runFleet runs a test with a fleet of nine routers in three sites, on a fake clock.
+func runFleet(t *testing.T, stores func([]Peer, *fakeStore) map[string]*fakeStore, test func(*fakeFleet, *fakeStore)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		live := peers("x", "x", "x", "y", "y", "y", "z", "z", "z")
+		live := peersIn("x", "x", "x", "y", "y", "y", "z", "z", "z")
 		s := newFakeStore()
 		s.update(func(s *fakeStore) {
 			s.config = catalog.NewConfig(catalog.Config{Version: 1})
@@ -410,7 +408,7 @@
 		time.Sleep(3 * time.Second)
 		defer func() {
 			cancel()
-			// Calls under way return.
+			// Calls in progress return.
 			time.Sleep(time.Second)
 			synctest.Wait()
 		}()
--- a/internal/edge/feed/follower.go
+++ b/internal/edge/feed/follower.go
@@ -14,74 +14,70 @@
 )
 
 const (
-	// pullWait is how long a pull is held. The age of what a router knows grows by it
-	// at each level of the tree, and so does that of the loads. Of a bound of one second
-	// twice as much leaves too little: routers then read the store for themselves (4,000
-	// calls a day of 34 s and 88 routers in place of 1,100).
+	// pullWait is how long a pull is held. Each level of the tree adds it to the age of the catalog
+	// and of the loads. Twice as much leaves too little of a bound of one second: routers then read
+	// the store themselves (4,000 calls in a scenario of 34 s with 88 routers, instead of 1,100).
 	pullWait = 150 * time.Millisecond
-	// pullTimeout bounds a whole pull: its wait, and a packet that TCP sends
-	// again.
+	// pullTimeout bounds a whole pull: its wait and one TCP retransmission.
 	pullTimeout = pullWait + 350*time.Millisecond
-	// newParentGrace is how long a new parent may still give old answers: it
-	// may itself have to find out first that it is the one to read.
+	// newParentGrace is how long a new parent may return old data: it may first have to find out
+	// that it is the reader.
 	newParentGrace = 400 * time.Millisecond
-	// retryPause spaces pulls after a failure.
+	// retryPause is the pause after a failed pull.
 	retryPause = 50 * time.Millisecond
 )
 
-// Call calls a method of another router.
+// Call calls an RPC method of another router.
 type Call func(ctx context.Context, to Peer, method string, args, reply any) error
 
-// Follower keeps the board current by asking the router's parent.
+// Follower keeps the board current by pulling from the parent of this router.
 type Follower struct {
 	Self  Peer
 	Board *Board
 	Loads *Loads
 	Clock Clock
-	// Timing follows from the bounds on changes.
+	// Timing returns the timing derived from the bounds on changes.
 	Timing func() Timing
 	Call   Call
-	// Start is how this router becomes one of the fleet, Roster who is there as far as it
-	// knows.
+	// Start is the state of joining the fleet. Roster is the known membership.
 	Start    *Start
 	Roster   Roster
 	Contacts Contacts
 	Statuses *Statuses
-	// Live returns the routers that seem alive.
+	// Live returns the routers believed to be alive.
 	Live func() []Peer
 	Log  *log.Logger
-	// StoreLost says whether this router reads the store and can't.
+	// StoreLost reports whether this router is the reader and cannot reach the store.
 	StoreLost func() bool
 
-	distrust Distrust
-	parent   Peer
-	since    time.Duration
-	// misses counts the pulls from the parent that failed in a row.
-	misses int
-	// link is the exchange of loads, asked the name of the router whose pulls it goes
-	// with, empty for none.
-	link  loadLink
-	asked atomic.Value
-	// parentLost means that the parent has said that it can't reach the store.
-	parentLost bool
-	reading    atomic.Bool
-	// chain names the routers through which the catalog comes, the reader of
-	// the store last.
+	distrust    Distrust
+	parent      Peer
+	parentSince time.Duration
+	// failedPulls counts consecutive failed pulls from the parent.
+	failedPulls int
+	// parentExchange is the state of the load exchange. pulledFrom is the name of the router whose
+	// pulls carry it, or empty for none.
+	parentExchange parentExchange
+	pulledFrom     atomic.Value
+	// parentStoreLost is set if the parent reported that it cannot reach the store.
+	parentStoreLost bool
+	readsStore      atomic.Bool
+	// chain names the routers through which the catalog arrives, the reader of the store last.
 	chain atomic.Pointer[[]string]
-	// lostAt is the boot time at which a reader, this router or another, was
-	// last known to fail to reach the store.
-	lostAt atomic.Int64
-	// answeredAt is the boot time at which another router last answered.
-	answeredAt atomic.Int64
-	// known are the routers that can't reach the store, as of a boot time.
-	known atomic.Pointer[knownFailures]
+	// storeLostAt is the boot time at which a reader, this router or another, is last known to have
+	// failed to reach the store.
+	storeLostAt atomic.Int64
+	// lastAnswerAt is the boot time of the last answer from another router.
+	lastAnswerAt atomic.Int64
+	// failures holds the routers that could not reach the store as of a boot time.
+	failures atomic.Pointer[knownFailures]
 }
 
-// Reads says whether this router is the one to read the store.
-func (f *Follower) Reads() bool { return f.reading.Load() }
+// Reads reports whether this router is the one that reads the store.
+func (f *Follower) Reads() bool { return f.readsStore.Load() }
 
-// Chain names the routers through which this one's catalog comes, itself first
-// and the reader of the store last.
+// Chain names the routers through which the catalog of this router arrives, this router first and
+// the reader of the store last.
 func (f *Follower) Chain() []string {
 	out := []string{f.Self.Name}
 	if rest := f.chain.Load(); rest != nil && !f.Reads() {
@@ -90,50 +86,50 @@
 	return out
 }
 
-// lostMemory is how long a failure of a reader counts. The next reader has
-// failed too by then, or its news has arrived.
-const lostMemory = 2 * time.Second
+// storeLostMemory is how long a failure of a reader counts. By then the next reader has failed too,
+// or its data has arrived.
+const storeLostMemory = 2 * time.Second
 
-// LostAgo is how long ago a reader last failed to reach the store, as known.
+// LostAgo returns the time since a reader is last known to have failed to reach the store.
 func (f *Follower) LostAgo() time.Duration {
-	return f.Clock() - time.Duration(f.lostAt.Load())
+	return f.Clock() - time.Duration(f.storeLostAt.Load())
 }
 
-// Lost says whether what is old here is so because the store can't be reached.
-func (f *Follower) Lost() bool { return f.LostAgo() < lostMemory }
+// Lost reports whether the data of this router is old because the store cannot be reached.
+func (f *Follower) Lost() bool { return f.LostAgo() < storeLostMemory }
 
-// heardWithin is how long ago another router must have answered for its word on the
-// store to count: two pulls, one of which may be lost.
-const heardWithin = 2 * pullTimeout
+// maxAnswerAge is the age of the last answer from another router up to which its report on the
+// store counts. It covers two pulls, one of which may be lost.
+const maxAnswerAge = 2 * pullTimeout
 
-// ToldLost says whether other routers say that the store can't be reached, and still
-// answer. The word of one that has fallen silent is no reason to leave the store alone:
-// this router may be the only one left that could find out that it is back.
+// ToldLost reports whether other routers report the store as unreachable and still answer. The
+// report of a router that went silent does not count: this router may be the only one left that can
+// notice when the store is reachable again.
 func (f *Follower) ToldLost() bool {
-	return f.Lost() && f.Clock()-time.Duration(f.answeredAt.Load()) < heardWithin
+	return f.Lost() && f.Clock()-time.Duration(f.lastAnswerAt.Load()) < maxAnswerAge
 }
 
-// noteLost records that a reader failed at a boot time.
-func (f *Follower) noteLost(at time.Duration) {
-	if at > time.Duration(f.lostAt.Load()) {
-		f.lostAt.Store(int64(at))
+// recordStoreLost records that a reader failed to reach the store at a boot time.
+func (f *Follower) recordStoreLost(at time.Duration) {
+	if at > time.Duration(f.storeLostAt.Load()) {
+		f.storeLostAt.Store(int64(at))
 	}
 }
 
-// knownFailures are failures as of a boot time.
+// knownFailures holds failures as of a boot time.
 type knownFailures struct {
 	at   time.Duration
 	list []Failure
 }
 
-// publish makes what is known of failures visible to the relay.
-func (f *Follower) publish(now time.Duration) {
-	f.known.Store(&knownFailures{at: now, list: f.distrust.Failures(now)})
+// publishFailures makes the known failures visible to the relay.
+func (f *Follower) publishFailures(now time.Duration) {
+	f.failures.Store(&knownFailures{at: now, list: f.distrust.Failures(now)})
 }
 
-// Failures returns which routers can't reach the store, as known.
+// Failures returns the routers known to be unable to reach the store.
 func (f *Follower) Failures() []Failure {
-	k := f.known.Load()
+	k := f.failures.Load()
 	if k == nil {
 		return nil
 	}
@@ -141,61 +137,61 @@
 	var out []Failure
 	for _, failure := range k.list {
 		failure.Ago += passed
-		if failure.Ago < lostDistrust {
+		if failure.Ago < storeLostDistrust {
 			out = append(out, failure)
 		}
 	}
 	return out
 }
 
-// hear takes over what another router knows of failures as of a boot time.
-func (f *Follower) hear(failures []Failure, at time.Duration) {
+// mergeFailures adds the failures reported by another router as of a boot time.
+func (f *Follower) mergeFailures(failures []Failure, at time.Duration) {
 	for _, failure := range failures {
-		f.distrust.AddLost(failure.Router, at-failure.Ago)
+		f.distrust.AddStoreLost(failure.Router, at-failure.Ago)
 	}
 	if len(failures) > 0 {
-		f.publish(f.Clock())
+		f.publishFailures(f.Clock())
 	}
 }
 
-// Run asks until the context ends.
+// Run joins the fleet and then pulls until the context is canceled.
 func (f *Follower) Run(ctx context.Context) {
 	f.distrust = make(Distrust)
-	f.asked.Store("")
+	f.pulledFrom.Store("")
 	var others sync.WaitGroup
 	defer others.Wait()
 	others.Go(func() { f.exchangeLoads(ctx) })
-	others.Go(func() { f.meet(ctx) })
+	others.Go(func() { f.exchangeMembers(ctx) })
 	f.join(ctx)
 	for ctx.Err() == nil {
 		now := f.Clock()
-		f.distrust.Forget(now)
-		f.judgeSelf(now)
+		f.distrust.Prune(now)
+		f.distrustSelf(now)
 		parent, ok := ParentOf(f.Self, f.Live(), f.distrust, now)
-		f.reading.Store(!ok)
+		f.readsStore.Store(!ok)
 		if !ok {
-			f.follow(f.Self, now)
+			f.setParent(f.Self, now)
 			pause.For(ctx, retryPause)
 			continue
 		}
-		f.follow(parent, now)
+		f.setParent(parent, now)
 		f.pull(ctx, parent)
 	}
 }
 
-// judgeSelf passes this router over if it is to read the store and can't.
-func (f *Follower) judgeSelf(now time.Duration) {
-	if !f.reading.Load() || !f.StoreLost() {
+// distrustSelf distrusts this router as the reader if it cannot reach the store.
+func (f *Follower) distrustSelf(now time.Duration) {
+	if !f.readsStore.Load() || !f.StoreLost() {
 		return
 	}
-	f.noteLost(now)
+	f.recordStoreLost(now)
 	if f.distrust.trusted(f.Self.Name, now) {
-		f.suspect(f.Self, whyStoreLost, nil)
+		f.distrustRouter(f.Self, reasonStoreLost, nil)
 	}
 }
 
-// follow notes a change of parent.
-func (f *Follower) follow(parent Peer, now time.Duration) {
+// setParent records and logs a change of the parent.
+func (f *Follower) setParent(parent Peer, now time.Duration) {
 	if f.parent.Name == parent.Name {
 		return
 	}
@@ -204,43 +200,44 @@
 		"engines_revision", s.Engines.Upto}
 	f.Log.Info("catalog source changed", append(fields, s.AgeFields(now)...)...)
 	f.parent = parent
-	f.since = now
-	f.misses = 0
-	f.parentLost = false
-	f.asked.Store(parent.Name)
+	f.parentSince = now
+	f.failedPulls = 0
+	f.parentStoreLost = false
+	f.pulledFrom.Store(parent.Name)
 }
 
-// pull asks the parent for what is new.
+// pull requests changes from the parent and applies the reply.
 func (f *Follower) pull(ctx context.Context, parent Peer) {
-	a := answer{to: parent, sent: f.Clock()}
-	a.args = f.pullArgs(parent, a.sent)
+	result := pullResult{to: parent, sent: f.Clock()}
+	result.args = f.pullArgs(parent, result.sent)
 	callCtx, cancel := context.WithTimeout(ctx, pullTimeout)
-	a.err = f.Call(callCtx, parent, PullMethod, a.args, &a.reply)
+	result.err = f.Call(callCtx, parent, PullMethod, result.args, &result.reply)
 	cancel()
-	if err := f.answered(ctx, a); err != nil {
-		f.unanswered(parent, err)
+	if err := f.handleResult(ctx, result); err != nil {
+		f.recordFailedPull(parent, err)
 		pause.For(ctx, retryPause)
 		return
 	}
-	f.misses = 0
+	f.failedPulls = 0
 }
 
-// answered takes over what another router has told, and judges it.
-func (f *Follower) answered(ctx context.Context, a answer) error {
-	if a.err != nil {
-		f.Roster.RosterFailed(a.to.Address)
-		f.link.failed()
-		f.Statuses.failed()
-		return a.err
+// handleResult applies the result of a pull and checks the router that sent it. It returns the
+// error of the pull.
+func (f *Follower) handleResult(ctx context.Context, result pullResult) error {
+	if result.err != nil {
+		f.Roster.RosterFailed(result.to.Address)
+		f.parentExchange.resetAcked()
+		f.Statuses.resetSent()
+		return result.err
 	}
-	f.answeredAt.Store(int64(f.Clock()))
-	f.parentLost = a.reply.StoreLost
-	f.Roster.RosterReplied(a.to.Address, a.reply.Roster)
-	if a.args.Loads != nil && a.reply.Loads != nil {
-		f.link.answered(a.to.Name, a.args.Loads, a.reply.Loads, f.Loads, f.Clock())
+	f.lastAnswerAt.Store(int64(f.Clock()))
+	f.parentStoreLost = result.reply.StoreLost
+	f.Roster.RosterReplied(result.to.Address, result.reply.Roster)
+	if result.args.Loads != nil && result.reply.Loads != nil {
+		f.parentExchange.handleReply(result.to.Name, result.args.Loads, result.reply.Loads, f.Loads, f.Clock())
 	}
-	f.take(ctx, cmp.Or(a.to.Name, a.to.Address), a.reply, a.sent)
-	f.judge(ctx, a.to, a.reply)
+	f.applyReply(ctx, cmp.Or(result.to.Name, result.to.Address), result.reply, result.sent)
+	f.checkParent(ctx, result.to, result.reply)
 	return nil
 }
 
@@ -248,21 +245,21 @@
 	s := f.Board.Snapshot()
 	args := PullArgs{
 		From: f.Self.Name, EnginesUpto: s.Engines.Upto, Evacuations: s.Evacuations.Upto(), Wait: pullWait,
-		KnowsLost: f.parentLost || !f.distrust.trusted(to.Name, now),
+		KnowsLost: f.parentStoreLost || !f.distrust.trusted(to.Name, now),
 		Roster:    f.Roster.RosterAsk(to.Address),
 	}
 	if s.Config != nil {
 		args.ConfigVersion = s.Config.Version
 	}
-	args.Loads = f.link.ask(f.Self.Name, to.Name, f.Loads, now)
+	args.Loads = f.parentExchange.request(f.Self.Name, to.Name, f.Loads, now)
 	if to.Name != "" {
-		args.Statuses = f.Statuses.due(to.Name)
+		args.Statuses = f.Statuses.nextUpdate(to.Name)
 	}
 	return args
 }
 
-// config returns the configuration that the reply speaks of, nil for none. Errors:
-// ErrMalformed, also if the reply leads on from one that this router does not have.
+// config returns the configuration that the reply refers to, or nil for none. Errors: ErrMalformed,
+// also if the reply is an update based on a version that this router does not hold.
 func (f *Follower) config(reply PullReply) (*catalog.Config, error) {
 	have := f.Board.Snapshot().Config
 	if reply.Config == nil {
@@ -277,46 +274,45 @@
 	}
 	c, ok := update.Apply(have)
 	if !ok {
-		return nil, ErrMalformed.New("update from version %d, which is not the one here", update.Base)
+		return nil, ErrMalformed.New("update is based on version %d, which is not the current one", update.Base)
 	}
 	return c, nil
 }
 
-// maxUnanswered is how many pulls in a row may fail before the parent is
-// distrusted: one may be due to a lost packet or a connection that was cut.
-const maxUnanswered = 2
+// maxFailedPulls is how many consecutive pulls may fail before the parent is distrusted. A single
+// failure may be a lost packet or a cut connection.
+const maxFailedPulls = 2
 
-// unanswered counts a failed pull.
-func (f *Follower) unanswered(parent Peer, err error) {
-	f.misses++
-	if f.misses >= maxUnanswered {
-		f.suspect(parent, whyNoAnswer, err)
+// recordFailedPull counts a failed pull and distrusts the parent at the limit.
+func (f *Follower) recordFailedPull(parent Peer, err error) {
+	f.failedPulls++
+	if f.failedPulls >= maxFailedPulls {
+		f.distrustRouter(parent, reasonNoAnswer, err)
 	}
 }
 
-// take hands over what the parent said. Ages are counted back from the moment
-// at which the pull was sent, and the time that the parent held it: whatever the
-// parent said, it said later.
-func (f *Follower) take(ctx context.Context, source string, reply PullReply, sent time.Duration) {
-	said := sent + reply.Held
+// applyReply applies the reply of a router to the board. Ages count back from the time the pull was
+// sent plus the time it was held, since the reply cannot be older than that.
+func (f *Follower) applyReply(ctx context.Context, source string, reply PullReply, sent time.Duration) {
+	asOf := sent + reply.Held
 	f.chain.Store(&reply.Chain)
-	f.noteLost(said - reply.LostAgo)
-	f.hear(reply.Failures, said)
+	f.recordStoreLost(asOf - reply.LostAgo)
+	f.mergeFailures(reply.Failures, asOf)
 	c, err := f.config(reply)
 	if err != nil {
-		f.Log.Warn("configuration update not taken", "version", reply.ConfigVersion, "cause", err)
-		// The next answer would come at once, and be the same.
+		f.Log.Warn("configuration update not applied", "version", reply.ConfigVersion, "cause", err)
+		// The next reply would arrive at once with the same update.
 		pause.For(ctx, retryPause)
 	}
 	logEvacuations(f.Log, "evacuation heard", f.Board.Snapshot().Evacuations.StateChanges(reply.Evacuations))
-	f.Board.PutConfig(ctx, c, reply.Evacuations, said-reply.ConfigAge)
+	f.Board.PutConfig(ctx, c, reply.Evacuations, asOf-reply.ConfigAge)
 	if reply.Engines.Upto == 0 {
 		return
 	}
 	engines := reply.Engines
 	if reply.AllEngines != nil {
 		if engines, err = reply.AllEngines.unpack(); err != nil {
-			f.Log.Warn("engines not taken", "upto", reply.Engines.Upto, "cause", err)
+			f.Log.Warn("engine update not applied", "upto", reply.Engines.Upto, "cause", err)
 			pause.For(ctx, retryPause)
 			return
 		}
@@ -324,41 +320,40 @@
 	if engines.Full {
 		f.Log.Info("full engine list received", "source", source, "engines", len(engines.Present), "engines_revision", engines.Upto)
 	}
-	changes := f.Board.PutEngines(ctx, engines, said-reply.EnginesAge, f.LostAgo())
+	changes := f.Board.PutEngines(ctx, engines, asOf-reply.EnginesAge, f.LostAgo())
 	logEngineChanges(f.Log, source, changes)
 }
 
-// judge distrusts a parent that can't reach the store, whose knowledge has grown
-// old, or that asks this router, directly or through others: then none of them
-// reads. The last shows in the parent's chain.
-func (f *Follower) judge(ctx context.Context, parent Peer, reply PullReply) {
+// checkParent distrusts a parent that cannot reach the store, returns stale data, or pulls from
+// this router directly or through others, in which case none of them reads the store. Such a cycle
+// shows in the chain of the reply.
+func (f *Follower) checkParent(ctx context.Context, parent Peer, reply PullReply) {
 	switch {
 	case parent.Name == "":
-		// It was asked at the start, and is nobody's parent by that.
+		// A router contacted while joining is not a parent.
 	case slices.Contains(reply.Chain, f.Self.Name):
-		// A router that has passed itself over waits for the others to do so
-		// too; whoever of the circle still trusts itself goes on alone.
+		// A router that distrusts itself waits for the others of the cycle to do so too. The one
+		// that still trusts itself becomes the reader.
 		if f.distrust.trusted(f.Self.Name, f.Clock()) {
-			f.suspect(parent, whyCircle, nil)
+			f.distrustRouter(parent, reasonCycle, nil)
 		}
-		// The answer was not held, and the next one may not be either.
+		// The reply was not held, and the next one may not be held either.
 		pause.For(ctx, retryPause)
-	case f.Clock()-f.since <= newParentGrace:
+	case f.Clock()-f.parentSince <= newParentGrace:
 	case reply.StoreLost:
-		f.suspect(parent, whyStoreLost, nil)
+		f.distrustRouter(parent, reasonStoreLost, nil)
 	case f.Lost():
-		// Readers further up fail; it is for those next to them to find
-		// another.
-	case f.stale(reply):
-		f.suspect(parent, whyStale, nil)
+		// A reader further up failed. The routers next to it select another one.
+	case f.isStale(reply):
+		f.distrustRouter(parent, reasonStale, nil)
 	}
 }
 
-// stale says whether what the parent knows is too old. What it has never heard of is as old as
-// the wait for it: all may have started just now.
-func (f *Follower) stale(reply PullReply) bool {
+// isStale reports whether the data of the parent is too old. The age of data that the parent never
+// received counts from the change to this parent, because the whole fleet may have just started.
+func (f *Follower) isStale(reply PullReply) bool {
 	configAge, enginesAge := reply.ConfigAge, reply.EnginesAge
-	waited := f.Clock() - f.since
+	waited := f.Clock() - f.parentSince
 	if reply.ConfigVersion == 0 {
 		configAge = waited
 	}
@@ -368,23 +363,23 @@
 	return max(configAge, enginesAge) > f.Timing().StaleAfter
 }
 
-// Why a source is distrusted, as logged.
+// Logged reasons for distrusting a source.
 const (
-	whyNoAnswer  = "no answer"
-	whyCircle    = "circle"
-	whyStoreLost = "store lost"
-	whyStale     = "stale"
+	reasonNoAnswer  = "no answer"
+	reasonCycle     = "circle"
+	reasonStoreLost = "store lost"
+	reasonStale     = "stale"
 )
 
-func (f *Follower) suspect(parent Peer, why string, cause error) {
+func (f *Follower) distrustRouter(router Peer, reason string, cause error) {
 	now := f.Clock()
-	if why == whyStoreLost {
-		f.distrust.AddLost(parent.Name, now)
+	if reason == reasonStoreLost {
+		f.distrust.AddStoreLost(router.Name, now)
 	} else {
-		f.distrust.Add(parent.Name, now)
+		f.distrust.Add(router.Name, now)
 	}
-	f.publish(now)
+	f.publishFailures(now)
 	s := f.Board.Snapshot()
-	fields := []any{"source", parent.Name, "why", why, "cause", cause, "engines_revision", s.Engines.Upto}
+	fields := []any{"source", router.Name, "why", reason, "cause", cause, "engines_revision", s.Engines.Upto}
 	f.Log.Warn("catalog source distrusted", append(fields, s.AgeFields(now)...)...)
 }
--- a/internal/edge/feed/join.go
+++ b/internal/edge/feed/join.go
@@ -11,128 +11,128 @@
 	"damaskrouter.example/damaskrouter/internal/fleet/membership"
 )
 
-// A router that starts asks a seed for all that it lacks: the configuration, the engines, and
-// who else is there. If no seed answers at once, it reads a list of contacts from the store,
-// and asks them. Seeds and contacts read the store themselves. Three hundred routers that start
-// at once would otherwise call the store 4,000 times and know of one another after 25 seconds;
-// so they know one another within a second.
+// A starting router requests everything it lacks from a seed: the configuration, the engines and
+// the members. If no seed answers at once, it reads a list of contacts from the store and asks
+// those. Seeds and contacts read the store themselves. Otherwise 300 routers starting at once would
+// make 4,000 store calls and know each other only after 25 seconds; with seeds and contacts they
+// know each other within a second.
 const (
-	// joinTimeout bounds one try: ten times what a router takes that answers a hundred
-	// others at once on the smallest VM.
-	joinTimeout = 300 * time.Millisecond
-	// joinPause spaces tries at routers that refuse connections: processes that start
-	// together are ready some tens of milliseconds apart.
-	joinPause = 25 * time.Millisecond
-	// silentAfter is how long a router may be silent before another one is asked too: one
-	// that is dark must not hold up those that are there. Sooner, each would ask all seeds
-	// of a fleet that starts, and make them slower still.
-	silentAfter = 100 * time.Millisecond
-	// maxTries is how many routers are asked at the same time.
-	maxTries = 6
-	// contactsAfter is how long seeds are asked before the contacts are read: four times
-	// what an answer takes, and little where requests wait.
-	contactsAfter = 40 * time.Millisecond
-	// joinPatience is how long a router tries before it goes on alone, or with whom it has
-	// met if they know nothing either. Where the whole fleet starts for the first time
-	// there are no contacts, and no callers yet: firstPatience.
-	joinPatience  = 600 * time.Millisecond
-	firstPatience = 3 * time.Second
-	// meetFor is how long after its start a router goes on to ask who else has come,
-	// and meetInterval how often: of those that start after it, it hears by its source in
-	// the tree, which it may not know yet.
-	meetFor      = 3 * time.Second
-	meetInterval = 300 * time.Millisecond
-	// SettleTime is how long after its start a router that has met others may take itself
-	// for the one to read the store: it may have met few of those that start with it.
-	// Seeds have read for all by then.
+	// joinCallTimeout bounds one call: ten times what a router on the smallest VM takes to answer
+	// while it answers a hundred others.
+	joinCallTimeout = 300 * time.Millisecond
+	// joinRetryPause is the pause between calls to routers that refuse connections. Processes that
+	// start together become ready some tens of milliseconds apart.
+	joinRetryPause = 25 * time.Millisecond
+	// nextCallDelay is how long a call may go unanswered before another router is called too, so
+	// that an unresponsive router does not delay the join. With a shorter delay each router of a
+	// starting fleet would call all seeds and slow them down further.
+	nextCallDelay = 100 * time.Millisecond
+	// maxJoinCalls limits concurrent calls.
+	maxJoinCalls = 6
+	// contactsDelay is how long seeds are called before the contacts are read: four times the time
+	// of an answer, and little compared to how long requests may wait.
+	contactsDelay = 40 * time.Millisecond
+	// joinDeadline is how long a router tries to join before it continues alone, or with the
+	// routers it reached if they have no catalog either. firstStartJoinDeadline applies instead
+	// where the whole fleet starts for the first time: there are no contacts and no clients yet.
+	joinDeadline           = 600 * time.Millisecond
+	firstStartJoinDeadline = 3 * time.Second
+	// memberExchangePeriod is how long after its start a router keeps asking for new members, and
+	// memberExchangeInterval how often. It learns of routers that start later from its parent,
+	// which it may not know yet.
+	memberExchangePeriod   = 3 * time.Second
+	memberExchangeInterval = 300 * time.Millisecond
+	// SettleTime is how long after its start a router that reached others may consider itself the
+	// reader of the store. Before that it may know only a few of the routers starting with it. By
+	// then the seeds have read the store for the fleet.
 	SettleTime = 500 * time.Millisecond
 )
 
-// StartOptions say how a router starts.
+// StartOptions configures how a router starts.
 type StartOptions struct {
-	// Seeds are the addresses of other routers to ask first.
+	// Seeds holds the addresses of the routers to contact first.
 	Seeds []string
-	// Seed means that this router is a seed itself: others ask it before it has anybody
-	// to ask, so that it reads the store at once.
+	// Seed means that this router is a seed itself. Others contact it before it has anyone to
+	// contact, so it reads the store at once.
 	Seed bool
 	// FirstOfAll means that the whole fleet starts for the first time.
 	FirstOfAll bool
 }
 
-// Start is how a router becomes one of the fleet. It is safe for concurrent use.
+// Start is the state of a router joining the fleet. It is safe for concurrent use.
 type Start struct {
 	StartOptions
-	began time.Duration
-	state atomic.Int32
-	// by is the address of the router that answered first, contacts those of the list.
-	by, contacts atomic.Value
+	startedAt time.Duration
+	state     atomic.Int32
+	// joinedVia is the address of the router that answered first, contacts those of the list.
+	joinedVia, contacts atomic.Value
 }
 
-// NewStart returns the start of a router that began at a boot time.
-func NewStart(o StartOptions, began time.Duration) *Start {
-	s := &Start{StartOptions: o, began: began}
+// NewStart returns the state of a router that started at a boot time.
+func NewStart(o StartOptions, startedAt time.Duration) *Start {
+	s := &Start{StartOptions: o, startedAt: startedAt}
 	if s.Seed || len(s.Seeds) == 0 {
-		s.state.Store(reading)
+		s.state.Store(stateReading)
 	}
 	return s
 }
 
-// The states of a start.
+// States of a start.
 const (
-	// joining routers ask others.
-	joining int32 = iota
-	// joined ones have an answer.
-	joined
-	// reading ones read the store without waiting for anybody: seeds, contacts, and those
-	// that found nobody.
-	reading
+	// stateJoining means that the router is contacting others.
+	stateJoining int32 = iota
+	// stateJoined means that another router has answered.
+	stateJoined
+	// stateReading means that the router reads the store without waiting for others, because it is
+	// a seed or a contact or reached no other router.
+	stateReading
 )
 
-func (s *Start) age(now time.Duration) time.Duration { return now - s.began }
+func (s *Start) age(now time.Duration) time.Duration { return now - s.startedAt }
 
-// readsFirst says whether this router is to read the store without waiting for anybody.
-func (s *Start) readsFirst() bool { return s.state.Load() == reading }
+// readsAtStart reports whether this router reads the store without waiting for others.
+func (s *Start) readsAtStart() bool { return s.state.Load() == stateReading }
 
-// Settled says whether this router knows enough of the others to take itself for the one to
-// read the store.
+// Settled reports whether this router knows enough members to consider itself the reader of the
+// store.
 func (s *Start) Settled(now time.Duration) bool {
-	return s.state.Load() != joining && s.age(now) >= SettleTime
+	return s.state.Load() != stateJoining && s.age(now) >= SettleTime
 }
 
-// join asks seeds and contacts until one has told all that there is, or patience is over.
+// join calls seeds and contacts until this router has a catalog or the deadline passes.
 func (f *Follower) join(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if f.Start.readsFirst() {
+	if f.Start.readsAtStart() {
 		return
 	}
-	j := &join{f: f, queue: shuffled(f.Start.Seeds), answers: make(chan answer), contacts: make(chan []Contact, 1)}
+	j := &joinRun{follower: f, queue: shuffled(f.Start.Seeds), results: make(chan pullResult), contacts: make(chan []Contact, 1)}
 	j.run(ctx)
-	if f.Start.state.CompareAndSwap(joining, reading) {
+	if f.Start.state.CompareAndSwap(stateJoining, stateReading) {
 		f.Log.Warn("no router reached; reading the store", "seeds", f.Start.Seeds)
 	}
 }
 
-// informed says whether this router knows a configuration and engines.
-func (f *Follower) informed() bool {
+// hasCatalog reports whether this router holds a configuration and engines.
+func (f *Follower) hasCatalog() bool {
 	s := f.Board.Snapshot()
 	return s.Config != nil && s.Engines.Upto > 0
 }
 
-// join is the state of a join.
-type join struct {
-	f *Follower
-	// queue are the addresses to ask, the next one first; asking is how many are being
-	// asked, the last one since asked.
-	queue    []string
-	asking   int
-	asked    time.Duration
-	answers  chan answer
-	contacts chan []Contact
+// joinRun is the state of one run of join.
+type joinRun struct {
+	follower *Follower
+	// queue holds the addresses to call, the next one first. inFlight counts the calls in progress,
+	// the latest of which began at lastCallAt.
+	queue      []string
+	inFlight   int
+	lastCallAt time.Duration
+	results    chan pullResult
+	contacts   chan []Contact
 }
 
-// answer is the end of a question to another router.
-type answer struct {
+// pullResult is the result of a pull from another router.
+type pullResult struct {
 	to    Peer
 	args  PullArgs
 	sent  time.Duration
@@ -140,150 +140,154 @@
 	err   error
 }
 
-func (j *join) run(ctx context.Context) {
-	start := j.f.Start
-	next := time.NewTicker(joinPause)
-	defer next.Stop()
-	patience := time.NewTimer(joinPatience)
-	defer patience.Stop()
+func (j *joinRun) run(ctx context.Context) {
+	start := j.follower.Start
+	retry := time.NewTicker(joinRetryPause)
+	defer retry.Stop()
+	deadline := time.NewTimer(joinDeadline)
+	defer deadline.Stop()
 	if !start.FirstOfAll {
-		read := time.AfterFunc(contactsAfter, func() { j.readContacts(ctx) })
-		defer read.Stop()
+		contactsTimer := time.AfterFunc(contactsDelay, func() { j.readContacts(ctx) })
+		defer contactsTimer.Stop()
 	}
-	j.askNext(ctx)
-	for !start.readsFirst() && !j.f.informed() {
+	j.callNext(ctx)
+	for !start.readsAtStart() && !j.follower.hasCatalog() {
 		select {
 		case <-ctx.Done():
 			return
-		case <-patience.C:
-			if !start.FirstOfAll || start.state.Load() != joining || start.age(j.f.Clock()) >= firstPatience {
+		case <-deadline.C:
+			if !start.FirstOfAll || start.state.Load() != stateJoining || start.age(j.follower.Clock()) >= firstStartJoinDeadline {
 				return
 			}
-			patience.Reset(firstPatience - joinPatience)
-		case <-next.C:
-			if j.asking == 0 || j.f.Clock()-j.asked >= silentAfter {
-				j.askNext(ctx)
+			deadline.Reset(firstStartJoinDeadline - joinDeadline)
+		case <-retry.C:
+			if j.inFlight == 0 || j.follower.Clock()-j.lastCallAt >= nextCallDelay {
+				j.callNext(ctx)
 			}
 		case list := <-j.contacts:
-			j.take(list)
-			j.askNext(ctx)
-		case a := <-j.answers:
-			j.answered(ctx, a)
+			j.queueContacts(list)
+			j.callNext(ctx)
+		case result := <-j.results:
+			j.handleResult(ctx, result)
 		}
 	}
 }
 
-// askNext asks the next router.
-func (j *join) askNext(ctx context.Context) {
-	if j.asking >= maxTries || len(j.queue) == 0 {
+// callNext calls the next router of the queue, unless maxJoinCalls are in progress.
+func (j *joinRun) callNext(ctx context.Context) {
+	if j.inFlight >= maxJoinCalls || len(j.queue) == 0 {
 		return
 	}
 	to := Peer{Address: j.queue[0]}
 	j.queue = j.queue[1:]
-	j.asking++
-	j.asked = j.f.Clock()
-	a := answer{to: to, sent: j.f.Clock()}
-	a.args = j.f.pullArgs(to, a.sent)
-	if j.f.Start.state.Load() == joining {
-		// Whether it is there matters more than what it may know in a moment.
-		a.args.Wait = 0
+	j.inFlight++
+	j.lastCallAt = j.follower.Clock()
+	result := pullResult{to: to, sent: j.follower.Clock()}
+	result.args = j.follower.pullArgs(to, result.sent)
+	if j.follower.Start.state.Load() == stateJoining {
+		// Reaching any router matters more than waiting for what it may learn.
+		result.args.Wait = 0
 	}
 	go func() {
-		callCtx, cancel := context.WithTimeout(ctx, joinTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, joinCallTimeout)
 		defer cancel()
-		a.err = j.f.Call(callCtx, to, PullMethod, a.args, &a.reply)
+		result.err = j.follower.Call(callCtx, to, PullMethod, result.args, &result.reply)
 		select {
-		case j.answers <- a:
+		case j.results <- result:
 		case <-ctx.Done():
 		}
 	}()
 }
 
-// answered takes an answer. Whoever has answered is asked again at once: it knows little as
-// yet, but more each time; one that has not is asked again after the others.
-func (j *join) answered(ctx context.Context, a answer) {
-	j.asking--
-	err := j.f.answered(ctx, a)
+// handleResult processes the result of a call. A router that answered is called again at once,
+// since its data may be incomplete and grows while the fleet starts. One that failed goes to the
+// end of the queue.
+func (j *joinRun) handleResult(ctx context.Context, result pullResult) {
+	j.inFlight--
+	err := j.follower.handleResult(ctx, result)
 	if err != nil {
-		j.f.Log.Debug("router not reached", "address", a.to.Address, "cause", err)
-		j.queue = append(j.queue, a.to.Address)
+		j.follower.Log.Debug("router not reached; retrying later", "address", result.to.Address, "cause", err)
+		j.queue = append(j.queue, result.to.Address)
 		return
 	}
-	j.queue = slices.Insert(j.queue, 0, a.to.Address)
-	if j.f.Start.state.CompareAndSwap(joining, joined) {
-		j.f.Start.by.Store(a.to.Address)
-		now := j.f.Clock()
-		fields := []any{"by", a.to.Address, "after", j.f.Start.age(now), "routers", len(j.f.Live())}
-		j.f.Log.Info("joined", append(fields, j.f.Board.Snapshot().AgeFields(now)...)...)
+	j.queue = slices.Insert(j.queue, 0, result.to.Address)
+	if j.follower.Start.state.CompareAndSwap(stateJoining, stateJoined) {
+		j.follower.Start.joinedVia.Store(result.to.Address)
+		now := j.follower.Clock()
+		fields := []any{"by", result.to.Address, "after", j.follower.Start.age(now), "routers", len(j.follower.Live())}
+		j.follower.Log.Info("joined", append(fields, j.follower.Board.Snapshot().AgeFields(now)...)...)
 	}
-	j.askNext(ctx)
+	j.callNext(ctx)
 }
 
-// readContacts reads the list of contacts if nobody has answered yet.
-func (j *join) readContacts(ctx context.Context) {
-	if j.f.Start.state.Load() != joining {
+// readContacts reads the list of contacts if no router has answered yet.
+func (j *joinRun) readContacts(ctx context.Context) {
+	if j.follower.Start.state.Load() != stateJoining {
 		return
 	}
-	list, err := j.f.Contacts.Read(ctx)
+	list, err := j.follower.Contacts.Read(ctx)
 	if err != nil {
-		j.f.Log.Warn("list of contacts not read", "cause", err)
+		j.follower.Log.Warn("list of contacts not read", "cause", err)
 		return
 	}
 	j.contacts <- list
 }
 
-// take asks the contacts before the seeds. A router that is a contact itself reads the store,
-// since others ask it; so does one that finds no list, as nobody has kept one.
-func (j *join) take(list []Contact) {
-	self := slices.ContainsFunc(list, func(c Contact) bool { return c.Name == j.f.Self.Name })
+// queueContacts puts the contacts ahead of the seeds. A router that is a contact itself reads the
+// store, since others ask it. So does one that finds an empty list, which means that no router has
+// written one.
+func (j *joinRun) queueContacts(list []Contact) {
+	selfListed := slices.ContainsFunc(list, func(c Contact) bool { return c.Name == j.follower.Self.Name })
 	var addresses []string
 	for _, c := range list {
-		if c.Name != j.f.Self.Name {
+		if c.Name != j.follower.Self.Name {
 			addresses = append(addresses, c.Address)
 		}
 	}
-	j.f.Start.contacts.Store(addresses)
-	j.f.Log.Info("list of contacts read", "contacts", len(list), "self", self, "after", j.f.Start.age(j.f.Clock()))
-	if self || len(list) == 0 {
-		j.f.Start.state.Store(reading)
+	j.follower.Start.contacts.Store(addresses)
+	j.follower.Log.Info("list of contacts read", "contacts", len(list), "self", selfListed, "after", j.follower.Start.age(j.follower.Clock()))
+	if selfListed || len(list) == 0 {
+		j.follower.Start.state.Store(stateReading)
 		return
 	}
 	j.queue = append(shuffled(addresses), j.queue...)
 }
 
-// shuffled returns addresses in a random order, so that those that start together share them.
+// shuffled returns the addresses in random order, so that routers starting together spread their
+// calls.
 func shuffled(addresses []string) []string {
 	out := slices.Clone(addresses)
 	rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 	return out
 }
 
-// MeetMethod is the name under which Relay.Meet is called.
+// MeetMethod is the RPC name of Relay.Meet.
 const MeetMethod = RelayName + ".Meet"
 
-// Meet answers an exchange of members. It is called by net/rpc; the error is always nil.
+// Meet handles an exchange of members. It is called by net/rpc; the error is always nil.
 func (r *Relay) Meet(ask membership.RosterAsk, reply *membership.RosterReply) error {
 	*reply = r.Roster.RosterAnswer(ask)
 	return nil
 }
 
-// meet goes on to exchange members for a while.
-func (f *Follower) meet(ctx context.Context) {
-	for i := 0; f.Start.age(f.Clock()) < meetFor; i++ {
-		if to, ok := f.Start.toMeet(i); ok {
-			f.meetOne(ctx, to)
+// exchangeMembers exchanges members with other routers for memberExchangePeriod after the start.
+func (f *Follower) exchangeMembers(ctx context.Context) {
+	for i := 0; f.Start.age(f.Clock()) < memberExchangePeriod; i++ {
+		if to, ok := f.Start.memberExchangeTarget(i); ok {
+			f.exchangeMembersWith(ctx, to)
 		}
-		if !pause.For(ctx, meetInterval) {
+		if !pause.For(ctx, memberExchangeInterval) {
 			return
 		}
 	}
 }
 
-// toMeet returns whom to ask the i-th time: whoever answered first, as each other one would tell
-// all members once more; where nobody has, all seeds and contacts in turn.
-func (s *Start) toMeet(i int) (string, bool) {
-	if by, ok := s.by.Load().(string); ok {
-		return by, true
+// memberExchangeTarget returns the address for the i-th exchange: the router that answered first,
+// since each other one would send all members again. If none has answered, it cycles through the
+// seeds and contacts.
+func (s *Start) memberExchangeTarget(i int) (string, bool) {
+	if address, ok := s.joinedVia.Load().(string); ok {
+		return address, true
 	}
 	contacts, _ := s.contacts.Load().([]string)
 	all := append(slices.Clone(s.Seeds), contacts...)
@@ -293,14 +297,14 @@
 	return all[i%len(all)], true
 }
 
-func (f *Follower) meetOne(ctx context.Context, seed string) {
-	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
+func (f *Follower) exchangeMembersWith(ctx context.Context, address string) {
+	ctx, cancel := context.WithTimeout(ctx, joinCallTimeout)
 	defer cancel()
 	var reply membership.RosterReply
-	if err := f.Call(ctx, Peer{Address: seed}, MeetMethod, f.Roster.RosterAsk(seed), &reply); err != nil {
-		f.Roster.RosterFailed(seed)
-		f.Log.Debug("seed not reached", "seed", seed, "cause", err)
+	if err := f.Call(ctx, Peer{Address: address}, MeetMethod, f.Roster.RosterAsk(address), &reply); err != nil {
+		f.Roster.RosterFailed(address)
+		f.Log.Debug("seed not reached", "seed", address, "cause", err)
 		return
 	}
-	f.Roster.RosterReplied(seed, reply)
+	f.Roster.RosterReplied(address, reply)
 }
--- a/internal/edge/feed/join_test.go
+++ b/internal/edge/feed/join_test.go
@@ -15,12 +15,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeRoster is one router's members, without packets.
+// fakeRoster holds the members known to one router, without gossip packets.
 type fakeRoster struct {
-	mu    sync.Mutex
-	det   *membership.Detector
-	links map[string]*membership.RosterLink
-	// peers are those of a revision.
+	mu       sync.Mutex
+	detector *membership.Detector
+	links    map[string]*membership.RosterLink
+	// peers holds the members as of revision.
 	peers    []Peer
 	revision uint64
 }
@@ -28,19 +28,19 @@
 func newFakeRoster(self Peer) *fakeRoster {
 	m := membership.Member{Name: self.Name, ID: rand.Uint64() | 1, Address: self.Name, HTTP: self.Name, Site: self.Site, Link: self.Link}
 	return &fakeRoster{
-		det:   membership.New(m, membership.DefaultOptions(), rand.New(rand.NewSource(1))),
-		links: make(map[string]*membership.RosterLink),
+		detector: membership.New(m, membership.DefaultOptions(), rand.New(rand.NewSource(1))),
+		links:    make(map[string]*membership.RosterLink),
 	}
 }
 
 func (r *fakeRoster) live() []Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.revision == r.det.Revision() && r.peers != nil {
+	if r.revision == r.detector.Revision() && r.peers != nil {
 		return r.peers
 	}
-	r.peers, r.revision = nil, r.det.Revision()
-	for _, m := range r.det.Members() {
+	r.peers, r.revision = nil, r.detector.Revision()
+	for _, m := range r.detector.Members() {
 		r.peers = append(r.peers, Peer{Name: m.Name, Site: m.Site, Address: m.Address, Link: m.Link})
 	}
 	return r.peers
@@ -52,14 +52,14 @@
 	if r.links[address] == nil {
 		r.links[address] = &membership.RosterLink{}
 	}
-	return r.det.RosterAsk(r.links[address])
+	return r.detector.RosterAsk(r.links[address])
 }
 
 func (r *fakeRoster) RosterReplied(address string, reply membership.RosterReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.links[address] != nil {
-		r.det.RosterReplied(r.links[address], reply)
+		r.detector.RosterReplied(r.links[address], reply)
 	}
 }
 
@@ -72,10 +72,10 @@
 func (r *fakeRoster) RosterAnswer(ask membership.RosterAsk) membership.RosterReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.det.RosterAnswer(ask)
+	return r.detector.RosterAnswer(ask)
 }
 
-func (f *fakeFleet) startOf(self Peer) *Start {
+func (f *fakeFleet) newStart(self Peer) *Start {
 	out := StartOptions{FirstOfAll: f.firstOfAll}
 	for _, seed := range f.seeds {
 		if seed == self.Name {
@@ -87,7 +87,7 @@
 	return NewStart(out, f.clock())
 }
 
-// manyPeers are n routers in five sites, a few of them with better links.
+// manyPeers returns n routers in five sites, some of them with faster links.
 func manyPeers(n int) []Peer {
 	var out []Peer
 	for i := range n {
@@ -101,17 +101,17 @@
 	return out
 }
 
-// startingFleet is a fleet whose routers start one by one, on a fake clock.
+// startingFleet is a fleet whose routers are started one by one, on a fake clock.
 type startingFleet struct {
 	*fakeFleet
 	ctx   context.Context
 	store *fakeStore
-	// stop ends the routers that run.
-	stop []context.CancelFunc
+	// cancels stops the running routers.
+	cancels []context.CancelFunc
 }
 
-// inStart runs a test with n routers that have not started yet, three of which are seeds.
-func inStart(t *testing.T, n int, test func(f *startingFleet, live []Peer)) {
+// runStartingFleet runs a test with n routers that have not started, three of which are seeds.
+func runStartingFleet(t *testing.T, n int, test func(f *startingFleet, live []Peer)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		live := manyPeers(n)
@@ -125,7 +125,7 @@
 		})
 		defer func() {
 			cancel()
-			// Calls under way return.
+			// Calls in progress return.
 			time.Sleep(time.Second)
 			synctest.Wait()
 		}()
@@ -136,26 +136,26 @@
 // start starts a router.
 func (f *startingFleet) start(p Peer) {
 	ctx, cancel := context.WithCancel(f.ctx)
-	n := f.node(ctx, p, f.store)
+	n := f.newNode(ctx, p, f.store)
 	f.mu.Lock()
 	f.nodes[p.Name] = n
 	f.mu.Unlock()
-	f.stop = append(f.stop, cancel)
+	f.cancels = append(f.cancels, cancel)
 	n.run(ctx)
 }
 
-// loseAll ends all routers at once.
-func (f *startingFleet) loseAll() {
-	for _, stop := range f.stop {
+// stopAll stops all routers at once.
+func (f *startingFleet) stopAll() {
+	for _, stop := range f.cancels {
 		stop()
 	}
-	f.stop = nil
+	f.cancels = nil
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	clear(f.nodes)
 }
 
-// startAll starts the routers within a span.
+// startAll starts the routers in random order, spread over a time span.
 func (f *startingFleet) startAll(peers []Peer, span time.Duration) {
 	order := rand.New(rand.NewSource(1)).Perm(len(peers))
 	for _, i := range order {
@@ -164,8 +164,7 @@
 	}
 }
 
-// served says how many of the started routers could serve: they have the configuration and
-// the engines.
+// serving returns the number of started routers that hold the configuration and the engines.
 func (f *startingFleet) serving() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -185,33 +184,32 @@
 	}
 }
 
-// Symptom: the start of a fleet costs 4,000 calls to the store, and routers know of one another
-// after 25 s only. Sequence: 295 routers start within 0.3 s; each reads all for itself, twice.
-// Cause handled: seeds read, the others ask them. Calls for a start grow with seeds and
-// with the few that take themselves for the first for a moment, not with the fleet.
-func TestFewReadAtTheStartOfAFleet(t *testing.T) {
+// Guards against a fleet start in which each router reads the store: 295 routers starting within
+// 0.3 s made 4,000 calls and knew each other only after 25 s. The calls must grow with the seeds
+// and the few routers that briefly consider themselves the reader, not with the fleet.
+func TestFleetStartCausesFewStoreCalls(t *testing.T) {
 	for _, n := range []int{8, 89, 295} {
-		inStart(t, n, func(f *startingFleet, live []Peer) {
+		runStartingFleet(t, n, func(f *startingFleet, live []Peer) {
 			f.firstOfAll = true
 			f.startAll(live, 300*time.Millisecond)
 			time.Sleep(200 * time.Millisecond)
-			require.Equal(t, n, f.serving(), "half a second after the first has started")
+			require.Equal(t, n, f.serving(), "half a second after the first start")
 			time.Sleep(700 * time.Millisecond)
 			f.requireAllKnown(t, live)
 			time.Sleep(time.Second)
 			atStart := f.store.calls.Load()
 			require.Less(t, atStart, int64(60), "%d routers", n)
 			time.Sleep(10 * time.Second)
-			require.Less(t, f.store.calls.Load()-atStart, int64(45), "one router reads, as in quiet")
+			require.Less(t, f.store.calls.Load()-atStart, int64(45), "calls of a single reader in a steady state")
 			f.requireVersion(t, 1)
 		})
 	}
 }
 
-// Symptom: a restart costs as many calls as a start. Cause handled: a router that starts is told
-// all by one that serves.
-func TestRestartAsksARouterThatServes(t *testing.T) {
-	inStart(t, 30, func(f *startingFleet, live []Peer) {
+// Guards against a restart that costs as many store calls as a first start: a restarted router gets
+// everything from a router that serves.
+func TestRestartedRouterJoinsViaServingRouter(t *testing.T) {
+	runStartingFleet(t, 30, func(f *startingFleet, live []Peer) {
 		f.startAll(live[:29], 300*time.Millisecond)
 		time.Sleep(5 * time.Second)
 		before := f.store.calls.Load()
@@ -219,22 +217,21 @@
 		time.Sleep(10 * time.Millisecond)
 		require.Equal(t, 30, f.serving())
 		time.Sleep(time.Second)
-		require.Less(t, f.store.calls.Load()-before, int64(6), "as in quiet")
+		require.Less(t, f.store.calls.Load()-before, int64(6), "calls in a steady state")
 		f.requireAllKnown(t, live)
 	})
 }
 
-// Symptom: callers wait for a third of a second longer than need be after all routers lost power,
-// or the store is called 2,000 times at once. Sequence: all start again within 0.1 s, but for the
-// seeds, which come 0.3 s later. Cause handled: a list of contacts in the store names some that
-// are there; each router reads it, and the contacts read all.
-func TestAllComeBackBeforeTheSeeds(t *testing.T) {
+// Guards against requests delayed by a third of a second, or 2,000 store calls at once, after a
+// power loss of all routers when the seeds return 0.3 s after the others. The list of contacts in
+// the store names routers that are up. Each router reads it, and only the contacts read everything.
+func TestFleetRestartsBeforeSeeds(t *testing.T) {
 	for _, n := range []int{8, 89, 295} {
-		inStart(t, n, func(f *startingFleet, live []Peer) {
+		runStartingFleet(t, n, func(f *startingFleet, live []Peer) {
 			f.firstOfAll = true
 			f.startAll(live, 300*time.Millisecond)
 			time.Sleep(15 * time.Second)
-			f.loseAll()
+			f.stopAll()
 			time.Sleep(500 * time.Millisecond)
 			f.firstOfAll = false
 			before := f.store.calls.Load()
@@ -253,17 +250,17 @@
 			f.startAll(seeds, 10*time.Millisecond)
 			time.Sleep(2 * time.Second)
 			f.requireAllKnown(t, live)
-			// Each reads the list; contacts and seeds read configuration and engines,
-			// and so does the reader from then on.
-			require.Less(t, f.store.calls.Load()-before, int64(n+2*(wantedContacts+3)+20), "%d routers", n)
+			// Each router reads the list. Contacts and seeds read configuration and engines, and so
+			// does the reader from then on.
+			require.Less(t, f.store.calls.Load()-before, int64(n+2*(maxContacts+3)+20), "%d routers", n)
 		})
 	}
 }
 
-// Symptom: a router that starts never finds the others. Sequence: the VMs that its settings name
-// as seeds were all replaced. Cause handled: the list of contacts in the store names others.
-func TestSeedsWereReplaced(t *testing.T) {
-	inStart(t, 30, func(f *startingFleet, live []Peer) {
+// Guards against a router that never finds the others because all VMs named as seeds in its
+// settings were replaced. The list of contacts in the store names other routers.
+func TestRouterJoinsWhenSeedsWereReplaced(t *testing.T) {
+	runStartingFleet(t, 30, func(f *startingFleet, live []Peer) {
 		f.startAll(live[:29], 300*time.Millisecond)
 		time.Sleep(15 * time.Second)
 		f.seeds = []string{"gone-1", "gone-2"}
@@ -274,31 +271,32 @@
 	})
 }
 
-// The list is written when a quarter of it is gone, spread over the sites, and not else.
-func TestContactsFollowTheFleet(t *testing.T) {
+// Guards against a list of contacts that is outdated, concentrated in few sites, or rewritten
+// needlessly. It is rewritten if more than a quarter of it is gone.
+func TestContactsAreRewrittenWhenManyAreGone(t *testing.T) {
 	live := manyPeers(40)
-	list, worth := NextContacts(nil, live)
-	require.True(t, worth)
-	require.Len(t, list, wantedContacts)
+	list, rewrite := SelectContacts(nil, live)
+	require.True(t, rewrite)
+	require.Len(t, list, maxContacts)
 	sites := make(map[string]int)
 	for _, c := range list {
 		sites[c.Site]++
 	}
 	for site, n := range sites {
-		require.InDelta(t, wantedContacts/5, n, 1, site)
+		require.InDelta(t, maxContacts/5, n, 1, site)
 	}
 	alive := slices.DeleteFunc(slices.Clone(live), func(p Peer) bool { return p.Name == list[0].Name || p.Name == list[1].Name })
-	again, worth := NextContacts(list, alive)
-	require.False(t, worth, "two of sixteen")
-	require.Len(t, again, wantedContacts)
-	_, worth = NextContacts(list, live[:3])
-	require.True(t, worth)
-	few, worth := NextContacts(list, list2Peers(list[:4]))
-	require.False(t, worth, "all that there are are listed")
+	kept, rewrite := SelectContacts(list, alive)
+	require.False(t, rewrite, "two of sixteen are gone")
+	require.Len(t, kept, maxContacts)
+	_, rewrite = SelectContacts(list, live[:3])
+	require.True(t, rewrite)
+	few, rewrite := SelectContacts(list, peersOf(list[:4]))
+	require.False(t, rewrite, "all live routers are listed")
 	require.Equal(t, list[:4], few)
 }
 
-func list2Peers(list []Contact) []Peer {
+func peersOf(list []Contact) []Peer {
 	var out []Peer
 	for _, c := range list {
 		out = append(out, Peer{Name: c.Name, Site: c.Site, Address: c.Address})
@@ -306,36 +304,34 @@
 	return out
 }
 
-// Symptom: a router does not start. Sequence: the VMs that its settings name as seeds were all
-// replaced. Cause handled: it reads the store itself after a moment.
-func TestSeedsAreGone(t *testing.T) {
-	inStart(t, 30, func(f *startingFleet, live []Peer) {
+// Guards against a router that does not start because all VMs named as seeds in its settings were
+// replaced and no other router runs. It reads the store itself after the deadline.
+func TestRouterStartsWithoutSeeds(t *testing.T) {
+	runStartingFleet(t, 30, func(f *startingFleet, live []Peer) {
 		f.start(live[5])
-		time.Sleep(joinPatience + 100*time.Millisecond)
+		time.Sleep(joinDeadline + 100*time.Millisecond)
 		require.Equal(t, 1, f.serving())
 		require.Less(t, f.store.calls.Load(), int64(10))
 	})
 }
 
-// Symptom: nobody serves after a loss of power. Sequence: all start at once, and the seeds are
-// cut off, silent to all. Cause handled: each goes on alone after a moment; there is nobody who
-// could tell it of the others.
-func TestSeedsAreSilent(t *testing.T) {
-	inStart(t, 30, func(f *startingFleet, live []Peer) {
+// Guards against a fleet that does not serve after a power loss because the seeds are unresponsive.
+// Each router continues alone after the deadline, since none can tell it of the others.
+func TestFleetStartsWithUnresponsiveSeeds(t *testing.T) {
+	runStartingFleet(t, 30, func(f *startingFleet, live []Peer) {
 		for _, seed := range f.seeds {
 			f.cut.Store(seed, true)
 		}
 		f.startAll(live, 300*time.Millisecond)
-		time.Sleep(joinPatience + joinTimeout)
+		time.Sleep(joinDeadline + joinCallTimeout)
 		require.Equal(t, 30, f.serving())
 	})
 }
 
-// Symptom: all of a fleet wait for seeds that can't read the store. Sequence: the store turns
-// the three seeds away and serves the others. Cause handled: the seeds say so, and the next in
-// the order reads.
-func TestSeedsAreTurnedAwayByTheStore(t *testing.T) {
-	inStart(t, 89, func(f *startingFleet, live []Peer) {
+// Guards against a fleet that waits for seeds rejected by the store while the store serves the
+// others. The seeds report this, and the next router in the order reads.
+func TestFleetStartsWhenStoreRejectsSeeds(t *testing.T) {
+	runStartingFleet(t, 89, func(f *startingFleet, live []Peer) {
 		bad, good := newFakeStore(), f.store
 		bad.update(func(s *fakeStore) { s.down = true })
 		for i, p := range live {
@@ -354,11 +350,10 @@
 	})
 }
 
-// Symptom: a configuration is in force that was replaced long ago. Sequence: the store is
-// away; a router starts and is told what others have. Cause handled: what is told has its true
-// age, counted from the call that confirmed it.
-func TestWhatIsToldAtTheStartHasItsTrueAge(t *testing.T) {
-	inStart(t, 20, func(f *startingFleet, live []Peer) {
+// Guards against a configuration used long after its replacement: a router that joins while the
+// store is down must date what it receives by the call that confirmed it.
+func TestStartingRouterGetsTrueAge(t *testing.T) {
+	runStartingFleet(t, 20, func(f *startingFleet, live []Peer) {
 		f.startAll(live[:19], 300*time.Millisecond)
 		time.Sleep(5 * time.Second)
 		f.store.update(func(s *fakeStore) { s.down = true })
@@ -373,10 +368,10 @@
 	})
 }
 
-// Symptom: the first configuration is in force late. Sequence: the operator writes it a moment
-// after the routers have started. Cause handled: the one that reads watches for it.
-func TestConfigurationIsWrittenAfterTheStart(t *testing.T) {
-	inStart(t, 89, func(f *startingFleet, live []Peer) {
+// Guards against a late first configuration when operators write it just after the routers have
+// started. The reader must be watching for it.
+func TestFirstConfigWrittenAfterStartArrives(t *testing.T) {
+	runStartingFleet(t, 89, func(f *startingFleet, live []Peer) {
 		f.firstOfAll = true
 		f.store.update(func(s *fakeStore) { s.config, s.engines = nil, nil })
 		f.startAll(live, 300*time.Millisecond)
--- a/internal/edge/feed/loads.go
+++ b/internal/edge/feed/loads.go
@@ -5,115 +5,114 @@
 	"time"
 )
 
-// loadLifetime is how long another router's report of its loads counts. Pulls
-// come several times a second; three that are missed mean that the router is
-// gone, and its requests with it.
+// loadLifetime is how long a load report of another router counts. Pulls arrive several times a
+// second. If three are missed, the router is considered gone, and its requests with it.
 const loadLifetime = 1500 * time.Millisecond
 
-// Loads joins this router's loads with those that other routers report. It is
-// safe for concurrent use.
+// Loads combines the loads of this router with those reported by others. It is safe for concurrent
+// use.
 type Loads struct {
-	// own returns this router's present loads, in a map of the caller's.
+	// own returns the current loads of this router in a map that the caller may modify.
 	own func() map[string]EngineLoad
 
-	mu     sync.Mutex
-	below  map[string]*heardReport
-	above  heardReport
-	others map[string]EngineLoad
+	mu       sync.Mutex
+	children map[string]*receivedReport
+	parent   receivedReport
+	others   map[string]EngineLoad
 }
 
-// NewLoads returns a Loads; own is called for each report.
+// NewLoads returns a Loads. own is called for each report and must return a new map.
 func NewLoads(own func() map[string]EngineLoad) *Loads {
-	return &Loads{own: own, below: make(map[string]*heardReport)}
+	return &Loads{own: own, children: make(map[string]*receivedReport)}
 }
 
-// Heard takes the report of a router that asks this one. It returns false if a whole
+// FromChild applies the report of a router that pulls from this one. It returns false if a complete
 // report is needed.
-func (l *Loads) Heard(from string, report LoadReport, now time.Duration) bool {
+func (l *Loads) FromChild(from string, report LoadReport, now time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	heard := l.below[from]
-	if heard == nil {
-		heard = &heardReport{}
-		l.below[from] = heard
+	child := l.children[from]
+	if child == nil {
+		child = &receivedReport{}
+		l.children[from] = child
 	}
-	ok := heard.take(report, now)
+	ok := child.apply(report, now)
 	l.refresh(now)
 	return ok
 }
 
-// FromParent takes what the router that this one asks says of the rest of the
-// fleet. It returns false if a whole report is needed.
+// FromParent applies the report of the parent on the rest of the fleet. It returns false if a
+// complete report is needed.
 func (l *Loads) FromParent(report LoadReport, now time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	ok := l.above.take(report, now)
+	ok := l.parent.apply(report, now)
 	l.refresh(now)
 	return ok
 }
 
-// Forget takes a router's report for gone.
-func (l *Loads) Forget(from string, now time.Duration) {
+// RemoveChild drops the report of a child.
+func (l *Loads) RemoveChild(from string, now time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.below, from)
+	delete(l.children, from)
 	l.refresh(now)
 }
 
-// ForgetAbove takes what the router above has told for gone.
-func (l *Loads) ForgetAbove() {
+// ClearParent drops the report of the parent.
+func (l *Loads) ClearParent() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.above = heardReport{}
+	l.parent = receivedReport{}
 }
 
-// Below is this router's load and that of the routers which ask it.
-func (l *Loads) Below(now time.Duration) LoadReport {
+// Subtree returns the load of this router and its descendants.
+func (l *Loads) Subtree(now time.Duration) LoadReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.sum("", now, false)
 }
 
-// Without is the load of the whole fleet less what one router reported.
-func (l *Loads) Without(asker string, now time.Duration) LoadReport {
+// WithoutChild returns the load of the whole fleet except what one child reported.
+func (l *Loads) WithoutChild(child string, now time.Duration) LoadReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.sum(asker, now, true)
+	return l.sum(child, now, true)
 }
 
-// Size is how many engines a report speaks of, about.
-func (l *Loads) Size() int {
+// EngineCount returns the approximate number of engines in a report.
+func (l *Loads) EngineCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.others)
 }
 
-// Others returns the load of all other routers, as last heard, by engine ID.
-// The map must not be modified.
+// Others returns the last known load of all other routers by engine ID. The map must not be
+// modified.
 func (l *Loads) Others() map[string]EngineLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.others
 }
 
-func (l *Loads) sum(without string, now time.Duration, above bool) LoadReport {
+func (l *Loads) sum(exceptChild string, now time.Duration, withParent bool) LoadReport {
 	out := LoadReport{Engines: l.own()}
-	l.addOthers(&out, without, now, above)
-	out.coarsen()
+	l.addOthers(&out, exceptChild, now, withParent)
+	out.round()
 	return out
 }
 
-func (l *Loads) addOthers(out *LoadReport, without string, now time.Duration, above bool) {
-	for name, heard := range l.below {
+func (l *Loads) addOthers(out *LoadReport, exceptChild string, now time.Duration, withParent bool) {
+	for name, child := range l.children {
 		switch {
-		case now-heard.at > loadLifetime:
-			delete(l.below, name)
-		case name != without:
-			out.add(heard.report, now-heard.at)
+		case now-child.receivedAt > loadLifetime:
+			delete(l.children, name)
+		case name != exceptChild:
+			out.add(child.report, now-child.receivedAt)
 		}
 	}
-	if above && now-l.above.at <= loadLifetime {
-		out.add(l.above.report, now-l.above.at)
+	if withParent && now-l.parent.receivedAt <= loadLifetime {
+		out.add(l.parent.report, now-l.parent.receivedAt)
 	}
 }
 
--- a/internal/edge/feed/loads_test.go
+++ b/internal/edge/feed/loads_test.go
@@ -7,15 +7,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: routers refuse requests because all engines seem full, while most are idle; a
-// fleet of eight with three requests at an engine believes in hundreds.
-// Sequence: the store is away for all. Routers that can't read it are passed over one
-// after the other, so that whoever is asked changes, and for a while two routers ask one
-// another, directly or through others.
-// Cause: each adds what the other said of the fleet, its own requests among it, and says
-// the sum again.
-func TestLoadsDoNotEchoWhileSourcesChange(t *testing.T) {
-	inFleet(t, sameStore, func(f *fakeFleet, s *fakeStore) {
+// Guards against loads counted several times while the store is down for all. Routers that cannot
+// read it are skipped in turn, parents change, and routers pull from each other in a cycle. Each
+// added the fleet sum of the other, which included its own requests, so that all engines seemed
+// full while most were idle.
+func TestLoadsAreNotCountedTwiceDuringStoreOutage(t *testing.T) {
+	runFleet(t, sameStore, func(f *fakeFleet, s *fakeStore) {
 		total := ownInFlight * len(f.nodes)
 		highest := 0
 		watch := func(d time.Duration) {
@@ -27,7 +24,7 @@
 			}
 		}
 		watch(2 * time.Second)
-		require.Equal(t, total-ownInFlight, highest, "as long as all is well")
+		require.Equal(t, total-ownInFlight, highest, "before the outage")
 		s.update(func(s *fakeStore) { s.down = true })
 		watch(10 * time.Second)
 		s.update(func(s *fakeStore) { s.down = false })
@@ -36,11 +33,10 @@
 	})
 }
 
-// overcounted is by how much loads that routers know may exceed the true ones: reports are
-// rounded.
-const overcounted = 1.1
+// maxOvercount is the allowed ratio of known to real loads. Reports are rounded.
+const maxOvercount = 1.1
 
-// requireNotOvercounted watches the loads that routers know for a while.
+// requireNotOvercounted checks the loads known to the routers for a while.
 func (f *fakeFleet) requireNotOvercounted(t *testing.T, span time.Duration) {
 	t.Helper()
 	for range span / (20 * time.Millisecond) {
@@ -49,20 +45,19 @@
 		truth := ownInFlight * (len(f.nodes) - 1)
 		for name, n := range f.nodes {
 			known := n.loads.Others()["e1"].InFlight
-			require.LessOrEqual(t, float64(known), overcounted*float64(truth), "%s at %v", name, f.clock())
+			require.LessOrEqual(t, float64(known), maxOvercount*float64(truth), "%s at %v", name, f.clock())
 		}
 		f.mu.Unlock()
 	}
 }
 
-// Symptom: for two seconds after a fleet has started, engines seem to have seven times the
-// requests that they have, and requests are refused with most places free. Sequence: routers
-// learn of one another while they start, and change the one with which they exchange loads;
-// the one before still counts what they told it, and tells it to the one above. Cause handled:
-// routers that start wait until they know the others, and say so when they change.
-func TestLoadsAreNotCountedTwiceWhileAFleetStarts(t *testing.T) {
+// Guards against seven times the real load in the first two seconds of a fleet, and rejected
+// requests while most slots are free. Starting routers learned of each other and changed their
+// parents, and the previous parent still counted and forwarded their reports. Routers wait until
+// they know the others and notify a parent that they leave.
+func TestLoadsAreNotCountedTwiceDuringFleetStart(t *testing.T) {
 	for _, n := range []int{8, 89, 295} {
-		inStart(t, n, func(f *startingFleet, live []Peer) {
+		runStartingFleet(t, n, func(f *startingFleet, live []Peer) {
 			f.startAll(live, 300*time.Millisecond)
 			f.requireNotOvercounted(t, 3*time.Second)
 			for name, node := range f.nodes {
@@ -73,12 +68,12 @@
 	}
 }
 
-// Symptom: the same after the first router of the fleet was lost, or came back. Sequence: the
-// next one takes its place; it holds what the first one told of the rest of the fleet, and gets
-// it from the others as well. Cause handled: what the one above told ends with it.
-func TestLoadsAreNotCountedTwiceWhenTheFirstRouterGoes(t *testing.T) {
-	inFleet(t, sameStore, func(f *fakeFleet, _ *fakeStore) {
-		first := f.first()
+// Guards against loads counted twice after the first router of the fleet fails or returns. Its
+// successor held the first router's report on the rest of the fleet and got the same loads from the
+// others. The report of a parent must be dropped with the parent.
+func TestLoadsAreNotCountedTwiceWhenFirstRouterFails(t *testing.T) {
+	runFleet(t, sameStore, func(f *fakeFleet, _ *fakeStore) {
+		first := f.firstRouter()
 		f.cut.Store(first, true)
 		time.Sleep(time.Second)
 		f.gone.Store(first, true)
--- a/internal/edge/feed/pack.go
+++ b/internal/edge/feed/pack.go
@@ -10,28 +10,28 @@
 	"damaskrouter.example/damaskrouter/internal/edge/catalog"
 )
 
-// PackedConfig is a catalog.ConfigUpdate, encoded and compressed. A change that adds
-// a thousand routes takes 150 KB, and the first router of a site sends it to all
-// others over a link that carries 1.2 MB a second: for as long as that takes nothing
-// is confirmed, and the others turn to the store, which costs them more still.
-// Compressed it takes a tenth.
+// PackedConfig is an encoded and compressed catalog.ConfigUpdate. A change that adds a thousand
+// routes takes 150 KB, and the first router of a site sends it to all others over a link of 1.2
+// MB/s. Nothing is confirmed during the transfer, so the others would read the store, which costs
+// still more. Compression reduces the size to a tenth.
 type PackedConfig struct {
-	// Base is the version that the update leads on from, zero for any.
+	// Base is the version that the update applies to, or zero for any. Version is the resulting
+	// one.
 	Base, Version uint64
 	Data          []byte
 }
 
-// PackedEngines is a catalog.EngineUpdate of all engines, encoded and compressed. A hundred
-// routers that start together ask the same router for it, over a link that may carry 2.5 MB a
-// second; packed, 262 engines take 7 KB in place of 19.
+// PackedEngines is an encoded and compressed catalog.EngineUpdate of all engines. A hundred routers
+// that start together request it from the same router, whose link may have 2.5 MB/s. Packed, 262
+// engines take 7 KB instead of 19 KB.
 type PackedEngines struct {
 	Upto uint64
 	Data []byte
 }
 
-// maxUnpacked bounds what another router sends packed, in bytes: ten times a configuration of
-// 10,000 routes.
-const maxUnpacked = 16 << 20
+// maxUnpackedBytes bounds the decompressed size of data from another router: ten times a
+// configuration of 10,000 routes.
+const maxUnpackedBytes = 16 << 20
 
 // pack encodes and compresses a value. Errors: ErrMalformed.
 func pack(value any) ([]byte, error) {
@@ -49,13 +49,13 @@
 	return buf.Bytes(), nil
 }
 
-// unpack decodes what pack made, into a pointer. Errors: ErrMalformed.
+// unpack decompresses and decodes the output of pack into a pointer. Errors: ErrMalformed.
 func unpack(data []byte, into any) error {
 	r := flate.NewReader(bytes.NewReader(data))
-	return ErrMalformed.Wrap(gob.NewDecoder(io.LimitReader(r, maxUnpacked)).Decode(into))
+	return ErrMalformed.Wrap(gob.NewDecoder(io.LimitReader(r, maxUnpackedBytes)).Decode(into))
 }
 
-// packConfig encodes an update. Errors: ErrMalformed.
+// packConfig packs a configuration update. Errors: ErrMalformed.
 func packConfig(u catalog.ConfigUpdate) (*PackedConfig, error) {
 	data, err := pack(u)
 	if err != nil {
@@ -64,59 +64,62 @@
 	return &PackedConfig{Base: u.Base, Version: u.Version, Data: data}, nil
 }
 
-// unpack decodes the update. Errors: ErrMalformed.
+// unpack returns the update. Errors: ErrMalformed, also if its versions differ from the declared
+// ones.
 func (p *PackedConfig) unpack() (catalog.ConfigUpdate, error) {
 	var u catalog.ConfigUpdate
 	if err := unpack(p.Data, &u); err != nil {
 		return catalog.ConfigUpdate{}, err
 	}
 	if u.Base != p.Base || u.Version != p.Version {
-		return catalog.ConfigUpdate{}, ErrMalformed.New("update from %d to %d, said to be from %d to %d", u.Base, u.Version, p.Base, p.Version)
+		return catalog.ConfigUpdate{}, ErrMalformed.New("update from version %d to %d, declared as from %d to %d", u.Base, u.Version, p.Base, p.Version)
 	}
 	return u, nil
 }
 
-// unpack decodes the update. Errors: ErrMalformed.
+// unpack returns the update. Errors: ErrMalformed, also if it is incomplete or its revision differs
+// from the declared one.
 func (p *PackedEngines) unpack() (catalog.EngineUpdate, error) {
 	var u catalog.EngineUpdate
 	if err := unpack(p.Data, &u); err != nil {
 		return catalog.EngineUpdate{}, err
 	}
 	if u.Upto != p.Upto || !u.Full {
-		return catalog.EngineUpdate{}, ErrMalformed.New("engines up to %d, said to be all up to %d", u.Upto, p.Upto)
+		return catalog.EngineUpdate{}, ErrMalformed.New("engine list up to revision %d, declared as complete up to %d", u.Upto, p.Upto)
 	}
 	return u, nil
 }
 
-// packer packs updates once for all that ask for them. It is safe for concurrent
-// use.
+// packer caches packed updates, so that each is packed once for all routers. It is safe for
+// concurrent use.
 type packer struct {
 	mu sync.Mutex
-	// version is the one that all packed updates lead to, by their base.
+	// byBase holds the packed updates to version by their base version.
 	version uint64
 	byBase  map[uint64]*PackedConfig
-	// all are the engines that were packed last, set what they are of.
-	all *PackedEngines
-	set *catalog.EngineSet
+	// allEngines is the last packed engine list, made from engineSet.
+	allEngines *PackedEngines
+	engineSet  *catalog.EngineSet
 }
 
-// engines returns all engines of a set.
+// engines returns all engines of a set in packed form. Errors: ErrMalformed.
 func (p *packer) engines(set *catalog.EngineSet) (*PackedEngines, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.set == set {
-		return p.all, nil
+	if p.engineSet == set {
+		return p.allEngines, nil
 	}
 	data, err := pack(set.Since(0))
 	if err != nil {
 		return nil, err
 	}
-	p.set, p.all = set, &PackedEngines{Upto: set.Upto, Data: data}
-	return p.all, nil
+	p.engineSet, p.allEngines = set, &PackedEngines{Upto: set.Upto, Data: data}
+	return p.allEngines, nil
 }
 
-// update returns what leads from an older configuration, nil for none, to c.
-func (p *packer) update(c, old *catalog.Config) (*PackedConfig, error) {
+// configUpdate returns the packed update from an older configuration to c. A nil old returns a
+// complete one. Errors: ErrMalformed.
+func (p *packer) configUpdate(c, old *catalog.Config) (*PackedConfig, error) {
 	base := uint64(0)
 	if old != nil {
 		base = old.Version
--- a/internal/edge/feed/pack_test.go
+++ b/internal/edge/feed/pack_test.go
@@ -20,16 +20,16 @@
 	return catalog.NewConfig(c)
 }
 
-// Symptom: routers of a site hear nothing for seconds after routes were added.
-// Sequence: the first router of the site sends the change to each of the others.
-// Cause: 150 KB to each fill its link. Handled: a change is packed, and once for all.
-func TestChangeOfManyRoutesIsSmall(t *testing.T) {
+// Guards against a site without updates for seconds after many routes were added: the first router
+// of the site sent 150 KB to each of the others, which filled its link. An update is compressed,
+// and packed once for all.
+func TestConfigUpdateWithManyRoutesIsSmall(t *testing.T) {
 	var p packer
 	before, after := configOf(1, 200), configOf(2, 1400)
-	packed, err := p.update(after, before)
+	packed, err := p.configUpdate(after, before)
 	require.NoError(t, err)
 	require.Less(t, len(packed.Data), 30_000)
-	again, err := p.update(after, before)
+	again, err := p.configUpdate(after, before)
 	require.NoError(t, err)
 	require.Same(t, packed, again)
 
@@ -39,15 +39,15 @@
 	require.True(t, ok)
 	require.ElementsMatch(t, after.Routes, got.Routes)
 
-	whole, err := p.update(after, nil)
+	whole, err := p.configUpdate(after, nil)
 	require.NoError(t, err)
 	require.Zero(t, whole.Base)
-	next, err := p.update(configOf(3, 1400), after)
+	next, err := p.configUpdate(configOf(3, 1400), after)
 	require.NoError(t, err)
 	require.Less(t, len(next.Data), 2_000)
 }
 
-func TestUpdateOfAnotherVersionIsRefused(t *testing.T) {
+func TestConfigUpdateWithWrongVersionIsRejected(t *testing.T) {
 	packed, err := packConfig(configOf(2, 1).UpdateFrom(nil))
 	require.NoError(t, err)
 	packed.Version = 9
@@ -55,7 +55,7 @@
 	require.True(t, ErrMalformed.Has(err), "%v", err)
 }
 
-// manyEngines are n engines in five sites.
+// manyEngines returns n engines in five sites.
 func manyEngines(n int) catalog.EngineUpdate {
 	rng := rand.New(rand.NewPCG(1, 2))
 	out := catalog.EngineUpdate{Full: true, Upto: uint64(2 * n)}
@@ -68,8 +68,9 @@
 	return out
 }
 
-// All engines are packed once for all that ask, and come out as they went in.
-func TestAllEnginesAreSmall(t *testing.T) {
+// Guards against large or repeatedly packed engine lists at a fleet start, and against lists
+// altered by packing.
+func TestPackedEnginesAreSmall(t *testing.T) {
 	update := manyEngines(262)
 	set, _ := catalog.NewEngineSet().Apply(update, 0)
 	var p packer
--- a/internal/edge/feed/parent.go
+++ b/internal/edge/feed/parent.go
@@ -7,48 +7,46 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Peer is another router, or this one.
+// Peer is a router of the fleet.
 type Peer struct {
 	Name string
 	Site string
-	// Address is where it answers calls of other routers, "ip:port".
+	// Address is where it serves calls of other routers, as "ip:port".
 	Address string
-	// Link is the bandwidth of its link, in megabits a second, 0 if not known.
+	// Link is the bandwidth of its link in Mbit/s, or 0 if unknown.
 	Link uint64
 }
 
 const (
-	// minDistrust is how long a router that gave no answer, or an old one, is
-	// passed over the first time. It covers a restart.
+	// minDistrust is how long a router that did not answer or returned stale data is first skipped.
+	// It covers a restart.
 	minDistrust = 2 * time.Second
-	// maxDistrust bounds the doubling for a router that fails each time it is
-	// asked again. Each new try costs the others some freshness.
+	// maxDistrust bounds the doubling for a router that fails each time it is retried. Each retry
+	// makes the data of the others older.
 	maxDistrust = 8 * time.Second
-	// maxReaders is how many routers try the store one after the other before
-	// it is taken to be away. Each refused call costs; where a third of the
-	// routers are turned away, one in seven hundred times all of so many are.
-	maxReaders = 6
-	// lostDistrust is how long a router that can't reach the store is passed
-	// over.
-	lostDistrust = 4 * time.Second
-	// forgiveAfter is how long after a distrust has ended its length is
-	// remembered.
-	forgiveAfter = 10 * time.Second
+	// maxFailedReaders is how many routers try the store in turn before the store is considered
+	// down. Each rejected call has a cost. If the store rejects a third of the routers, it rejects
+	// this many in a row in one of seven hundred cases.
+	maxFailedReaders = 6
+	// storeLostDistrust is how long a router that cannot reach the store is skipped.
+	storeLostDistrust = 4 * time.Second
+	// distrustMemory is how long the duration of a distrust that ended is remembered for doubling.
+	distrustMemory = 10 * time.Second
 )
 
-// Distrust remembers which routers gave no answer, or only old ones, and until
-// when others are asked in their place. It is not safe for concurrent use.
-type Distrust map[string]distrusted
+// Distrust records the routers that did not answer or returned stale data, and until when they are
+// skipped. It is not safe for concurrent use.
+type Distrust map[string]distrustEntry
 
-type distrusted struct {
+type distrustEntry struct {
 	until  time.Duration
 	length time.Duration
-	// storeLost means that the router was passed over for the store's sake.
+	// storeLost is set if the router was skipped because it could not reach the store.
 	storeLost bool
 }
 
-// Add distrusts a router that gave no answer, or an old one, from now on, for
-// twice as long as the last time.
+// Add distrusts a router that did not answer or returned stale data, starting at now, for twice as
+// long as last time. It has no effect on a router that is already distrusted.
 func (d Distrust) Add(name string, now time.Duration) {
 	if !d.trusted(name, now) {
 		return
@@ -57,108 +55,106 @@
 	if last, ok := d[name]; ok {
 		length = min(2*last.length, maxDistrust)
 	}
-	d[name] = distrusted{until: now + length, length: length}
+	d[name] = distrustEntry{until: now + length, length: length}
 }
 
-// AddLost distrusts a router that could not reach the store at a boot time.
-func (d Distrust) AddLost(name string, at time.Duration) {
-	until := at + lostDistrust
+// AddStoreLost distrusts a router that failed to reach the store at a boot time.
+func (d Distrust) AddStoreLost(name string, at time.Duration) {
+	until := at + storeLostDistrust
 	if last := d[name]; last.until >= until {
 		return
 	}
-	d[name] = distrusted{until: until, length: minDistrust, storeLost: true}
+	d[name] = distrustEntry{until: until, length: minDistrust, storeLost: true}
 }
 
-// Failure is a router's failure to reach the store.
+// Failure is the failure of a router to reach the store.
 type Failure struct {
 	Router string
-	// Ago is how long ago it was noticed.
+	// Ago is the time since the failure was noticed.
 	Ago time.Duration
 }
 
-// Failures returns which routers can't reach the store, as known, for others to
-// hear: were each to find out by itself, all would try a store that is away.
+// Failures returns the routers known to be unable to reach the store, to be reported to others. If
+// each router had to find out by itself, all of them would call a store that is down.
 func (d Distrust) Failures(now time.Duration) []Failure {
 	var out []Failure
 	for name, entry := range d {
 		if entry.storeLost && now < entry.until {
-			out = append(out, Failure{Router: name, Ago: now - (entry.until - lostDistrust)})
+			out = append(out, Failure{Router: name, Ago: now - (entry.until - storeLostDistrust)})
 		}
 	}
 	return out
 }
 
-// trusted says whether the router may be asked at now.
+// trusted reports whether the router may be used as a source at now.
 func (d Distrust) trusted(name string, now time.Duration) bool {
 	return now >= d[name].until
 }
 
-// Forget drops what is long over.
-func (d Distrust) Forget(now time.Duration) {
+// Prune removes entries that no longer affect the duration of a new distrust.
+func (d Distrust) Prune(now time.Duration) {
 	for name, entry := range d {
-		if now >= entry.until+forgiveAfter {
+		if now >= entry.until+distrustMemory {
 			delete(d, name)
 		}
 	}
 }
 
-// storeAway says whether so many routers can't reach the store that the store is
-// away, rather than turning some routers away.
-func (d Distrust) storeAway(now time.Duration) bool {
+// storeDown reports whether enough routers cannot reach the store to consider it down, rather than
+// rejecting some routers.
+func (d Distrust) storeDown(now time.Duration) bool {
 	n := 0
 	for _, entry := range d {
 		if entry.storeLost && now < entry.until {
 			n++
 		}
 	}
-	return n >= maxReaders
+	return n >= maxFailedReaders
 }
 
-// ParentOf returns whom self asks for the catalog, and false if self is the one
-// to read the store.
+// ParentOf returns the router from which self pulls the catalog, or false if self is to read the
+// store.
 //
-// The routers form a tree of two levels: in each site the first trusted router,
-// in an order that all compute alike, is asked by the others of the site, which is
-// why those with the best links stand first; the
-// first of all sites reads the store and is asked by the first ones of the other
-// sites. So the store's calls do not grow with the fleet, a byte crosses between
-// sites once for each site, and whoever is lost or stale is passed over without
-// an election. Routers whose views differ may ask one another in a circle; what
-// they hold then grows old, they distrust each other, and one of them reads.
+// The routers form a tree of two levels. In each site, all routers pull from the first trusted
+// router of the site, in an order that all compute alike; those with the fastest links come first
+// for that reason. The first router of the fleet reads the store, and the first routers of the
+// other sites pull from it. So store calls do not grow with the fleet, each byte crosses between
+// sites once per site, and routers that are lost or stale are skipped without an election. Routers
+// with different views may pull from each other in a cycle. Their data then grows old, they
+// distrust each other, and one of them reads the store.
 //
-// A router that can't reach the store distrusts itself, and asks the next one.
-// While the store is away for all, the order holds as if all were trusted: one
-// router goes on trying, and the others do not add to the calls.
+// A router that cannot reach the store distrusts itself and pulls from the next one. While the
+// store is down for all, the order applies as if all were trusted: one router keeps trying, and the
+// others add no calls.
 func ParentOf(self Peer, live []Peer, d Distrust, now time.Duration) (Peer, bool) {
-	if d.storeAway(now) {
+	if d.storeDown(now) {
 		d = nil
 	}
-	site := first(self, live, d, now, func(p Peer) bool { return p.Site == self.Site })
-	if site.Name != self.Name {
-		return site, true
+	siteFirst := firstTrusted(self, live, d, now, func(p Peer) bool { return p.Site == self.Site })
+	if siteFirst.Name != self.Name {
+		return siteFirst, true
 	}
-	top := first(self, live, d, now, func(Peer) bool { return true })
-	return top, top.Name != self.Name
+	fleetFirst := firstTrusted(self, live, d, now, func(Peer) bool { return true })
+	return fleetFirst, fleetFirst.Name != self.Name
 }
 
-// first returns the first trusted router among those in, or self if there is
-// none.
-func first(self Peer, live []Peer, d Distrust, now time.Duration, in func(Peer) bool) Peer {
+// firstTrusted returns the first trusted router among the eligible ones, or self if there is none.
+func firstTrusted(self Peer, live []Peer, d Distrust, now time.Duration, eligible func(Peer) bool) Peer {
 	best, found := self, d.trusted(self.Name, now)
 	for _, p := range live {
-		if p.Name == self.Name || !in(p) || !d.trusted(p.Name, now) {
+		if p.Name == self.Name || !eligible(p) || !d.trusted(p.Name, now) {
 			continue
 		}
-		if !found || before(p, best) {
+		if !found || precedes(p, best) {
 			best, found = p, true
 		}
 	}
 	return best
 }
 
-func before(a, b Peer) bool { return ComparePeers(a, b) < 0 }
+func precedes(a, b Peer) bool { return ComparePeers(a, b) < 0 }
 
-// ComparePeers orders routers alike everywhere, those with the best links first.
+// ComparePeers orders routers the same way on every router, those with the fastest links first.
 func ComparePeers(a, b Peer) int {
 	return cmp.Or(
 		cmp.Compare(b.Link, a.Link),
--- /dev/null
+++ b/internal/edge/feed/publish.go
@@ -0,0 +1,182 @@
+// Package feed keeps the catalog of each router current. One router reads the platform's store; the
+// others pull changes, with the age of the data, from it or from a router that pulls from it.
+// ParentOf decides which router pulls from which.
+package feed
+
+import (
+	"context"
+	"sync/atomic"
+	"time"
+
+	"damaskrouter.example/damaskrouter/internal/edge/catalog"
+)
+
+// expiryInterval is how often the entries of doubtful engines are checked for expiry.
+const expiryInterval = 100 * time.Millisecond
+
+// Clock returns the time since the VM booted, including time in suspend.
+type Clock func() time.Duration
+
+// Board owns the catalog. One goroutine applies updates and publishes immutable snapshots that any
+// goroutine may read.
+type Board struct {
+	clock Clock
+	// minOutage is the shortest store outage, in nanoseconds, that can expire the entry of a live
+	// engine.
+	minOutage atomic.Int64
+	updates   chan update
+	snapshot  atomic.Pointer[catalog.Snapshot]
+	changed   atomic.Pointer[chan struct{}]
+	// pastConfigs holds the configurations before the current one, oldest first.
+	pastConfigs atomic.Pointer[[]*catalog.Config]
+}
+
+// maxPastConfigs is how many past configurations are kept to compute incremental updates. A router
+// whose configuration is older gets a complete one.
+const maxPastConfigs = 16
+
+// PastConfig returns a past configuration, or nil if it is no longer kept.
+func (b *Board) PastConfig(version uint64) *catalog.Config {
+	for _, c := range *b.pastConfigs.Load() {
+		if c.Version == version {
+			return c
+		}
+	}
+	return nil
+}
+
+// keepPastConfig adds a configuration that is about to be replaced to the past ones.
+func (b *Board) keepPastConfig(c *catalog.Config) {
+	kept := *b.pastConfigs.Load()
+	if n := len(kept) + 1 - maxPastConfigs; n > 0 {
+		kept = kept[n:]
+	}
+	next := append(append([]*catalog.Config(nil), kept...), c)
+	b.pastConfigs.Store(&next)
+}
+
+// minOutageRenewals is how many renewals of an entry an outage must cover to expire it: the next
+// renewal is then the third one missed.
+const minOutageRenewals = 2
+
+// NewBoard returns a Board with an empty catalog. Engines renew their entries every renewInterval.
+// Updates are applied only while Run is running.
+func NewBoard(clock Clock, renewInterval time.Duration) *Board {
+	b := &Board{
+		clock:   clock,
+		updates: make(chan update),
+	}
+	b.SetBeat(renewInterval)
+	b.snapshot.Store(catalog.Empty())
+	b.pastConfigs.Store(&[]*catalog.Config{})
+	changed := make(chan struct{})
+	b.changed.Store(&changed)
+	return b
+}
+
+// SetBeat sets how often engines renew their entries.
+func (b *Board) SetBeat(renewInterval time.Duration) {
+	b.minOutage.Store(int64(minOutageRenewals * renewInterval))
+}
+
+// Snapshot returns the current catalog.
+func (b *Board) Snapshot() *catalog.Snapshot { return b.snapshot.Load() }
+
+// Changed returns a channel that is closed at the next change of the content. A confirmation of
+// known content is not a change.
+func (b *Board) Changed() <-chan struct{} { return *b.changed.Load() }
+
+// Run applies updates until the context is canceled.
+func (b *Board) Run(ctx context.Context) {
+	ticker := time.NewTicker(expiryInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case u := <-b.updates:
+			b.apply(u.change)
+			close(u.applied)
+		case <-ticker.C:
+			b.apply(b.expire)
+		}
+	}
+}
+
+func (b *Board) expire(s *catalog.Snapshot) (*catalog.Snapshot, bool) {
+	set, changed := s.Engines.Expire(b.clock())
+	if !changed {
+		return s, false
+	}
+	next := *s
+	next.Engines = set
+	return &next, true
+}
+
+func (b *Board) apply(update func(*catalog.Snapshot) (*catalog.Snapshot, bool)) {
+	last := b.snapshot.Load()
+	next, changed := update(last)
+	if last.Config != nil && next.Config != last.Config {
+		b.keepPastConfig(last.Config)
+	}
+	b.snapshot.Store(next)
+	if !changed {
+		return
+	}
+	nextChanged := make(chan struct{})
+	close(*b.changed.Swap(&nextChanged))
+}
+
+// PutConfig applies a configuration and an evacuation update that were confirmed by a call sent at
+// asOf. It returns once snapshots contain them or the context is canceled. A writer that continued
+// earlier would request the same data again.
+func (b *Board) PutConfig(ctx context.Context, c *catalog.Config, evacuations catalog.EvacuationUpdate, asOf time.Duration) {
+	b.put(ctx, func(s *catalog.Snapshot) (*catalog.Snapshot, bool) {
+		s, evacuationsChanged := s.WithEvacuations(evacuations)
+		s, configChanged := s.WithConfig(c, asOf)
+		return s, evacuationsChanged || configChanged
+	})
+}
+
+// PutEngines applies an engine update that was confirmed by a call sent at asOf; see PutConfig.
+// lostAgo is the time since a reader is last known to have failed to reach the store. It returns
+// the changes made by the update, or none if the context was canceled before it was applied.
+func (b *Board) PutEngines(ctx context.Context, u catalog.EngineUpdate, asOf, lostAgo time.Duration) catalog.EngineChanges {
+	var changes catalog.EngineChanges
+	applied := b.put(ctx, func(s *catalog.Snapshot) (*catalog.Snapshot, bool) {
+		next, changed := s.WithEngines(u, asOf, time.Duration(b.minOutage.Load()), lostAgo)
+		if changed {
+			changes = s.Engines.ChangesTo(next.Engines)
+		}
+		return next, changed
+	})
+	if !applied {
+		// The goroutine of the board may still be writing to changes.
+		return catalog.EngineChanges{}
+	}
+	return changes
+}
+
+// update is a change to be applied by the goroutine of the board.
+type update struct {
+	change func(*catalog.Snapshot) (*catalog.Snapshot, bool)
+	// applied is closed once snapshots contain the change.
+	applied chan struct{}
+}
+
+// put waits until the change is applied and returns true. It returns false if the context is
+// canceled first; the change may still be applied later.
+func (b *Board) put(ctx context.Context, change func(*catalog.Snapshot) (*catalog.Snapshot, bool)) bool {
+	u := update{change: change, applied: make(chan struct{})}
+	select {
+	case b.updates <- u:
+	case <-ctx.Done():
+		return false
+	}
+	select {
+	case <-u.applied:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
--- a/internal/edge/feed/relay.go
+++ b/internal/edge/feed/relay.go
@@ -9,74 +9,74 @@
 	"github.com/charmbracelet/log"
 )
 
-// PullMethod is the name under which Relay.Pull is called.
+// PullMethod is the RPC name of Relay.Pull.
 const PullMethod = RelayName + ".Pull"
 
-// RelayName is the name to register a Relay under.
+// RelayName is the name under which a Relay is registered with net/rpc.
 const RelayName = "Feed"
 
-// maxPullWait bounds how long a pull may ask to be held.
+// maxPullWait bounds the time for which a pull may ask to be held.
 const maxPullWait = time.Second
 
-// lostCheck is how often a router that holds a pull looks whether it can't reach the
-// store any more. The asker finds another source the sooner.
-const lostCheck = 50 * time.Millisecond
+// storeLostCheckInterval is how often a router that holds a pull checks whether it lost the store.
+// The requesting router then finds another source sooner.
+const storeLostCheckInterval = 50 * time.Millisecond
 
-// PullArgs asks for what is newer than what the asker has.
+// PullArgs requests what is newer than the data of the requesting router.
 type PullArgs struct {
-	// From is the asker's name.
+	// From is the name of the requesting router.
 	From string
-	// ConfigVersion and EnginesUpto are what the asker has; zero for nothing.
+	// ConfigVersion and EnginesUpto are what the requesting router holds, or zero for nothing.
 	ConfigVersion uint64
 	EnginesUpto   uint64
-	// Evacuations is the store version up to which the asker's evacuations are current. Routers
-	// of earlier releases send the revision of their newest change instead.
+	// Evacuations is the store version up to which the evacuations of the requesting router are
+	// current. Routers of earlier releases send the revision of their newest change instead.
 	Evacuations uint64
-	// KnowsLost means that the asker knows that the one asked can't reach the store,
-	// and asks because nobody can.
+	// KnowsLost means that the requesting router knows that the called one cannot reach the store,
+	// and pulls because no router can.
 	KnowsLost bool
-	// Wait is how long the answer may be held until there is something new.
+	// Wait is how long the reply may be held until there is something new.
 	Wait time.Duration
-	// Roster is the asker's half of an exchange of members.
+	// Roster is the request of a member exchange.
 	Roster membership.RosterAsk
-	// Statuses are those of the asker and of the routers below it, as far as they are news.
+	// Statuses holds the changed statuses of the requesting router and its descendants.
 	Statuses []Status
-	// Loads is the asker's half of an exchange of loads; nil if it exchanges them with
+	// Loads is the request of a load exchange, or nil if the requesting router exchanges loads with
 	// another router.
 	Loads *LoadArgs
 }
 
-// PullReply is what is newer, and how old all of it may be.
+// PullReply contains what is newer and the age of the data.
 type PullReply struct {
-	// Config leads on from the asker's version; nil if it is the newest one.
+	// Config is the update from the requested version, or nil if that is the newest one.
 	Config        *PackedConfig
 	ConfigVersion uint64
-	// ConfigAge is the age of the last confirmation, as of the reply.
+	// ConfigAge is the age of the last confirmation when the reply was made.
 	ConfigAge time.Duration
-	// Evacuations holds all known evacuations if the asker may lack any of them, and is empty
-	// otherwise. ConfigAge is also its age.
+	// Evacuations holds all known evacuations if the requesting router may lack any of them, and is
+	// empty otherwise. ConfigAge applies to it too.
 	Evacuations catalog.EvacuationUpdate
-	// Engines leads on from the asker's version; if that can't be, AllEngines has all.
+	// Engines is the update from the requested version. If that version is too old, AllEngines
+	// holds the complete list.
 	Engines    catalog.EngineUpdate
 	AllEngines *PackedEngines
-	// EnginesAge is the age of the last confirmation, as of the reply.
+	// EnginesAge is the age of the last confirmation when the reply was made.
 	EnginesAge time.Duration
-	// StoreLost means that the one asked is to read the store, and can't.
+	// StoreLost means that the replying router is the reader and cannot reach the store.
 	StoreLost bool
-	// LostAgo is how long ago a reader of the store last failed, as far as the
-	// one asked knows.
+	// LostAgo is the time since a reader of the store last failed, as known to the replying router.
 	LostAgo time.Duration
-	// Failures are the routers that can't reach the store, as known.
+	// Failures holds the routers known to be unable to reach the store.
 	Failures []Failure
-	// Chain names the routers through which the answer came, the one asked
-	// first and the reader of the store last.
+	// Chain names the routers through which the data arrived, the replying router first and the
+	// reader of the store last.
 	Chain []string
-	// Held is how long the reply was held. What it says is that much younger
-	// than the pull.
+	// Held is how long the reply was held. The receiver adds it to the time at which it sent the
+	// pull to date the contents of the reply.
 	Held time.Duration
-	// Roster is the other half of an exchange of members.
+	// Roster is the reply of the member exchange.
 	Roster membership.RosterReply
-	// Loads is the other half of an exchange of loads; nil if there was none.
+	// Loads is the reply of the load exchange, or nil if there was none.
 	Loads *LoadReply
 }
 
@@ -87,48 +87,48 @@
 	Roster   Roster
 	Statuses *Statuses
 	Clock    Clock
-	// StoreLost says whether this router is to read the store, and can't.
+	// StoreLost reports whether this router is the reader and cannot reach the store.
 	StoreLost func() bool
-	// LostAgo is how long ago a reader failed to reach the store, as known.
+	// LostAgo returns the time since a reader is last known to have failed to reach the store.
 	LostAgo func() time.Duration
-	// Failures returns which routers can't reach the store, as known.
+	// Failures returns the routers known to be unable to reach the store.
 	Failures func() []Failure
-	// Chain names the routers through which this one's catalog comes.
+	// Chain names the routers through which the catalog of this router arrives.
 	Chain func() []string
-	// Done is closed when pulls are not to be held any more.
+	// Done is closed when pulls must no longer be held.
 	Done <-chan struct{}
 	Log  *log.Logger
 
-	// packer packs updates once for all askers, reporter spaces out what they are told
-	// of loads.
+	// packer packs each update once for all routers. reporter limits how often loads are reported.
 	packer   packer
 	reporter reporter
 }
 
-// Pull answers once the board holds something newer, or after args.Wait, and at
-// once where the asker is the source of what this router knows. It is
-// called by net/rpc; the error is always nil.
+// Pull replies once the board holds something newer, after args.Wait, or when Done is closed. It
+// replies at once if the catalog of this router comes from the requesting one, or if this router
+// cannot reach the store and the requesting one does not know. It is called by net/rpc; the error
+// is always nil.
 func (r *Relay) Pull(args PullArgs, reply *PullReply) error {
 	started := r.Clock()
-	heard := uint64(0)
+	acked := uint64(0)
 	if args.Loads != nil {
-		heard = r.hear(args.Loads, started)
+		acked = r.receiveReport(args.Loads, started)
 	}
-	r.Statuses.hear(args.Statuses)
+	r.Statuses.receive(args.Statuses)
 	roster := r.Roster.RosterAnswer(args.Roster)
 	timer := time.NewTimer(pullHold(args, roster))
 	defer timer.Stop()
-	lost := time.NewTicker(lostCheck)
-	defer lost.Stop()
+	storeLostTicker := time.NewTicker(storeLostCheckInterval)
+	defer storeLostTicker.Stop()
 	for {
 		changed := r.Board.Changed()
-		if r.news(args) || slices.Contains(r.Chain(), args.From) || !args.KnowsLost && r.StoreLost() {
+		if r.hasNewer(args) || slices.Contains(r.Chain(), args.From) || !args.KnowsLost && r.StoreLost() {
 			break
 		}
 		select {
 		case <-changed:
 			continue
-		case <-lost.C:
+		case <-storeLostTicker.C:
 			continue
 		case <-timer.C:
 		case <-r.Done:
@@ -138,17 +138,17 @@
 	*reply = r.reply(args)
 	reply.Roster = roster
 	if args.Loads != nil {
-		reply.Loads = r.tell(args.Loads, heard, r.Clock())
+		reply.Loads = r.loadReply(args.Loads, acked, r.Clock())
 	}
 	reply.Held = r.Clock() - started
 	return nil
 }
 
-// rosterHold is how long a pull is held that brings news of members. More of them are under
-// way while a fleet starts.
+// rosterHold bounds how long a pull is held whose reply contains members. More of them arrive while
+// a fleet starts.
 const rosterHold = 50 * time.Millisecond
 
-// pullHold is how long an answer is held at most.
+// pullHold returns the longest time for which a reply is held.
 func pullHold(args PullArgs, roster membership.RosterReply) time.Duration {
 	hold := min(args.Wait, maxPullWait)
 	if len(roster.Rows) > 0 {
@@ -157,8 +157,8 @@
 	return hold
 }
 
-// news says whether the board holds something that the asker lacks.
-func (r *Relay) news(args PullArgs) bool {
+// hasNewer reports whether the board holds something that the requesting router lacks.
+func (r *Relay) hasNewer(args PullArgs) bool {
 	s := r.Board.Snapshot()
 	if s.Config != nil && s.Config.Version > args.ConfigVersion {
 		return true
@@ -185,14 +185,14 @@
 	if s.Config != nil {
 		out.ConfigVersion = s.Config.Version
 		if s.Config.Version > args.ConfigVersion {
-			out.Config = r.update(s.Config, args.ConfigVersion)
+			out.Config = r.configUpdate(s.Config, args.ConfigVersion)
 		}
 	}
 	r.addEngines(&out, s.Engines, args.EnginesUpto)
 	return out
 }
 
-// addEngines adds what leads from the asker's version to the newest one.
+// addEngines adds the update from the requested version to the newest one.
 func (r *Relay) addEngines(out *PullReply, set *catalog.EngineSet, from uint64) {
 	out.Engines = set.Since(from)
 	if !out.Engines.Full || set.Upto == 0 {
@@ -207,10 +207,10 @@
 	out.Engines.Present = nil
 }
 
-// update returns what leads from the asker's version to the newest one, or nil if it
-// can't be encoded; the asker then reads the store when it finds itself behind.
-func (r *Relay) update(c *catalog.Config, from uint64) *PackedConfig {
-	packed, err := r.packer.update(c, r.Board.Past(from))
+// configUpdate returns the update from a version to c, or nil if it cannot be encoded. The
+// requesting router then reads the store once its data is too old.
+func (r *Relay) configUpdate(c *catalog.Config, from uint64) *PackedConfig {
+	packed, err := r.packer.configUpdate(c, r.Board.PastConfig(from))
 	if err != nil {
 		r.Log.Error("configuration update not encoded", "from", from, "version", c.Version, "cause", err)
 		return nil
--- a/internal/edge/feed/report.go
+++ b/internal/edge/feed/report.go
@@ -9,13 +9,13 @@
 	"damaskrouter.example/damaskrouter/internal/edge/health"
 )
 
-// EngineLoad is what some routers know of one engine by their own requests.
+// EngineLoad is what some routers know of one engine from their own requests.
 type EngineLoad struct {
-	// InFlight is how many requests they have at it.
+	// InFlight is the number of their requests in progress at the engine.
 	InFlight int
-	// Leased is how many of these have a lease of a gate; see package flow.
+	// Leased is how many of these hold a lease of a gate; see package flow.
 	Leased int
-	// Evidence is how their requests at it have ended lately.
+	// Evidence summarizes the recent outcomes of their requests at the engine.
 	Evidence health.Evidence
 }
 
@@ -24,50 +24,48 @@
 }
 
 const (
-	// inFlightStep is the part by which a number of requests must have changed to be
-	// reported again. With it an engine gets 1.98 times the mean at most where the
-	// bound is 1.8; up to nine requests every change counts.
-	inFlightStep = 0.1
-	// goodStep is the same for good ends of requests, badStep for bad ones. Good ends
-	// only matter against bad ones, and go with each report of those.
-	goodStep = 0.5
-	badStep  = 0.25
-	// leastEnds is a change in ends that is too small to matter, as a number of
-	// requests: an eighth of what an engine is taken to have served well before
-	// anything is known of it.
-	leastEnds = 0.25
+	// inFlightChange is the relative change of a request count above which it is reported again.
+	// With it, an engine gets at most 1.98 times the mean load where the bound is 1.8. Up to nine
+	// requests, every change is reported.
+	inFlightChange = 0.1
+	// goodChange is the relative change for successful requests, badChange for failed ones.
+	// Successes matter only in relation to failures and are sent with each report of those.
+	goodChange = 0.5
+	badChange  = 0.25
+	// minOutcomeChange is the change in outcomes below which no report is sent, in requests. It is
+	// an eighth of the successes assumed for an engine about which nothing is known.
+	minOutcomeChange = 0.25
 )
 
-// differs says whether a load is to be reported again after last was.
-func (l EngineLoad) differs(last EngineLoad) bool {
-	return changed(float64(l.InFlight), float64(last.InFlight), inFlightStep, 0) ||
-		changed(float64(l.Leased), float64(last.Leased), inFlightStep, 0) ||
-		changed(l.Evidence.Good, last.Evidence.Good, goodStep, leastEnds) ||
-		changed(l.Evidence.Bad, last.Evidence.Bad, badStep, leastEnds)
+// needsReport reports whether a load must be reported again after last was reported.
+func (l EngineLoad) needsReport(last EngineLoad) bool {
+	return exceedsChange(float64(l.InFlight), float64(last.InFlight), inFlightChange, 0) ||
+		exceedsChange(float64(l.Leased), float64(last.Leased), inFlightChange, 0) ||
+		exceedsChange(l.Evidence.Good, last.Evidence.Good, goodChange, minOutcomeChange) ||
+		exceedsChange(l.Evidence.Bad, last.Evidence.Bad, badChange, minOutcomeChange)
 }
 
-// recountAfter is how long a number of requests that is only a little off may stand. Sums pass
-// through several routers, and each of them may leave out a small change; what is off by less
-// than a step on each way would otherwise be off by several for good.
-const recountAfter = 500 * time.Millisecond
+// smallChangeDelay is how long a request count may differ slightly from the reported one. Sums pass
+// through several routers, each of which may leave out a small change, and these differences would
+// otherwise add up and persist.
+const smallChangeDelay = 500 * time.Millisecond
 
-// miscounts says whether last is off by any number of requests.
-func (l EngineLoad) miscounts(last EngineLoad) bool {
+// countsDiffer reports whether any request count differs from last.
+func (l EngineLoad) countsDiffer(last EngineLoad) bool {
 	return l.InFlight != last.InFlight || l.Leased != last.Leased
 }
 
-// changed says whether a value is more than a part of the last one, and more than
-// least, away from it.
-func changed(value, last, part, least float64) bool {
-	return math.Abs(value-last) > math.Max(part*last, least)
+// exceedsChange reports whether value differs from last by more than a share of last and by more
+// than minimum.
+func exceedsChange(value, last, share, minimum float64) bool {
+	return math.Abs(value-last) > math.Max(share*last, minimum)
 }
 
-// LoadReport is what some routers know of the engines, by the engine's ID.
+// LoadReport is what some routers know of the engines, by engine ID.
 type LoadReport struct {
-	// Seq names the state that the reader has with this report, and Base the one that
-	// it must have had before: a report says only what has changed since, and an entry
-	// without requests is one that is gone. A Base of zero stands for nothing: the
-	// report is whole.
+	// Seq numbers the state that the receiver holds after applying this report, and Base the state
+	// that it must hold before. A report contains only changes; an entry with a zero load removes
+	// an engine. With a Base of zero the report is complete.
 	Base, Seq uint64
 	Engines   map[string]EngineLoad
 }
@@ -80,8 +78,8 @@
 	}
 }
 
-// coarsen drops what says nothing, and rounds: a report is half as long then.
-func (r *LoadReport) coarsen() {
+// round drops zero loads and rounds the others, which halves the size of a report.
+func (r *LoadReport) round() {
 	for id, l := range r.Engines {
 		l.Evidence = l.Evidence.Coarse()
 		if l == (EngineLoad{}) {
@@ -92,49 +90,50 @@
 	}
 }
 
-// reported is what another router has been told. The zero value is nothing.
-type reported struct {
+// reportState is the state that was reported to another router. The zero value means that nothing
+// was reported.
+type reportState struct {
 	seq     uint64
 	engines map[string]EngineLoad
-	// at is when each engine's load was told last.
-	at map[string]time.Duration
+	// sentAt is when the load of each engine was last sent.
+	sentAt map[string]time.Duration
 }
 
-// next returns the report that leads the other router from the state that it says it
-// has to the present one, and takes it for told. If the state is not the one it was
-// last told, because it has started anew or a report was lost, the report is whole.
-func (t *reported) next(have uint64, present LoadReport, now time.Duration) LoadReport {
-	if t.seq == 0 || have != t.seq {
-		// A number that no earlier life of this router has used, and that leaves room
-		// to count.
-		t.seq = rand.Uint64()>>1 | 1
-		t.engines = present.Engines
-		t.at = make(map[string]time.Duration, len(present.Engines))
-		for id := range present.Engines {
-			t.at[id] = now
+// next returns the report that takes the other router from the state have to the current one, and
+// records it as sent. If have is not the last state sent, because the other router restarted or a
+// report was lost, the report is complete.
+func (s *reportState) next(have uint64, current LoadReport, now time.Duration) LoadReport {
+	if s.seq == 0 || have != s.seq {
+		// A random number does not match one from before a restart of this router. Half of the
+		// range is left for counting up.
+		s.seq = rand.Uint64()>>1 | 1
+		s.engines = current.Engines
+		s.sentAt = make(map[string]time.Duration, len(current.Engines))
+		for id := range current.Engines {
+			s.sentAt[id] = now
 		}
-		return LoadReport{Seq: t.seq, Engines: maps.Clone(present.Engines)}
+		return LoadReport{Seq: s.seq, Engines: maps.Clone(current.Engines)}
 	}
-	out := LoadReport{Base: t.seq, Seq: t.seq + 1, Engines: make(map[string]EngineLoad)}
-	for id, l := range present.Engines {
-		last, ok := t.engines[id]
-		if !ok || l.differs(last) || l.miscounts(last) && now-t.at[id] >= recountAfter {
+	out := LoadReport{Base: s.seq, Seq: s.seq + 1, Engines: make(map[string]EngineLoad)}
+	for id, l := range current.Engines {
+		last, ok := s.engines[id]
+		if !ok || l.needsReport(last) || l.countsDiffer(last) && now-s.sentAt[id] >= smallChangeDelay {
 			out.Engines[id] = l
-			t.at[id] = now
+			s.sentAt[id] = now
 		}
 	}
-	for id := range t.engines {
-		if _, ok := present.Engines[id]; !ok {
+	for id := range s.engines {
+		if _, ok := current.Engines[id]; !ok {
 			out.Engines[id] = EngineLoad{}
-			delete(t.at, id)
+			delete(s.sentAt, id)
 		}
 	}
-	t.seq = out.Seq
-	out.applyTo(t.engines)
+	s.seq = out.Seq
+	out.applyTo(s.engines)
 	return out
 }
 
-// applyTo brings loads up to date.
+// applyTo updates the loads with the changes of the report.
 func (r *LoadReport) applyTo(engines map[string]EngineLoad) {
 	for id, l := range r.Engines {
 		if l == (EngineLoad{}) {
@@ -145,27 +144,27 @@
 	}
 }
 
-// heardReport is what another router has told, as of the last report.
-type heardReport struct {
-	report LoadReport
-	at     time.Duration
+// receivedReport is the state reported by another router.
+type receivedReport struct {
+	report     LoadReport
+	receivedAt time.Duration
 }
 
-// take takes a report that came at now. It returns false if the report leads on from a
-// state that is not the one here; it then says nothing.
-func (h *heardReport) take(report LoadReport, now time.Duration) bool {
-	if report.Base != 0 && report.Base != h.report.Seq {
+// apply applies a report that arrived at now. It returns false and has no effect if the report is
+// based on another state than the one held.
+func (r *receivedReport) apply(report LoadReport, now time.Duration) bool {
+	if report.Base != 0 && report.Base != r.report.Seq {
 		return false
 	}
-	h.at = now
+	r.receivedAt = now
 	if report.Base == 0 {
-		h.report = report
-		if h.report.Engines == nil {
-			h.report.Engines = make(map[string]EngineLoad)
+		r.report = report
+		if r.report.Engines == nil {
+			r.report.Engines = make(map[string]EngineLoad)
 		}
 		return true
 	}
-	report.applyTo(h.report.Engines)
-	h.report.Seq = report.Seq
+	report.applyTo(r.report.Engines)
+	r.report.Seq = report.Seq
 	return true
 }
--- a/internal/edge/feed/capacity_test.go
+++ b/internal/edge/feed/report_test.go
@@ -16,35 +16,35 @@
 	"pgregory.net/rapid"
 )
 
-// BenchmarkPull weighs one pull under load: what a router sends of its own loads, and
-// what it gets of the fleet's, when no engine comes or goes. Each router pulls once in
-// pullWait. Run with -bench Pull; it reports bytes as net/rpc sends them on a
-// connection that has sent the types before.
+// BenchmarkPull measures the size of one pull under load: the loads sent by a router and those of
+// the fleet sent back, while no engine comes or goes. Each router pulls once per pullWait. Run with
+// -bench Pull. It reports the bytes that net/rpc sends on a connection on which the types were sent
+// before.
 func BenchmarkPull(b *testing.B) {
 	for _, engines := range []int{9, 60, 850} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
 			now := time.Minute
-			fleet, own := newBusy(engines), newBusy(engines/10)
-			relay, args := quietRelay(engines, func() time.Duration { return now })
+			fleet, own := newLoadedEngines(engines), newLoadedEngines(engines/10)
+			relay, args := newTestRelay(engines, func() time.Duration { return now })
 			relay.Loads = NewLoads(func() map[string]EngineLoad { return map[string]EngineLoad{} })
 			var sent, got bytes.Buffer
 			up, down := gob.NewEncoder(&sent), gob.NewEncoder(&got)
 			var asks reporter
-			told, have := uint64(0), uint64(0)
+			acked, have := uint64(0), uint64(0)
 			pull := func() {
 				var reply PullReply
 				now += pullWait
-				fleet.pass(pullWait, now)
-				own.pass(pullWait, now)
+				fleet.advance(pullWait, now)
+				own.advance(pullWait, now)
 				relay.Loads.FromParent(LoadReport{Engines: fleet.loads(now)}, now)
-				args.Loads = &LoadArgs{From: "child", Have: have, Report: asks.report("parent", told, engines, now, func() LoadReport {
+				args.Loads = &LoadArgs{From: "child", Have: have, Report: asks.report("parent", acked, engines, now, func() LoadReport {
 					return LoadReport{Engines: own.loads(now)}
 				})}
 				require.NoError(b, relay.Pull(args, &reply))
 				require.NoError(b, up.Encode(args))
 				require.NoError(b, down.Encode(reply))
 				if args.Loads.Report != nil {
-					told = reply.Loads.Heard
+					acked = reply.Loads.Heard
 				}
 				if reply.Loads.Report != nil {
 					have = reply.Loads.Report.Seq
@@ -64,32 +64,32 @@
 	}
 }
 
-// What an engine of the fleet that is planned for has: 4,900 requests a second before
-// 850 engines, which last 16 s.
+// The load of an engine in the largest planned fleet: 4,900 requests a second, each of 16 s, on 850
+// engines.
 const (
 	arrivalsPerSecond = 4900.0 / 850
-	requestLasts      = 16 * time.Second
+	requestDuration   = 16 * time.Second
 )
 
-// busy is some engines under load.
-type busy struct {
+// loadedEngines simulates engines under load.
+type loadedEngines struct {
 	rng      *rand.Rand
 	inFlight []int
 	ends     []health.Record
 }
 
-func newBusy(engines int) *busy {
-	b := &busy{rng: rand.New(rand.NewPCG(1, 1)), inFlight: make([]int, engines), ends: make([]health.Record, engines)}
+func newLoadedEngines(engines int) *loadedEngines {
+	b := &loadedEngines{rng: rand.New(rand.NewPCG(1, 1)), inFlight: make([]int, engines), ends: make([]health.Record, engines)}
 	for i := range b.inFlight {
-		b.inFlight[i] = int(arrivalsPerSecond * requestLasts.Seconds())
+		b.inFlight[i] = int(arrivalsPerSecond * requestDuration.Seconds())
 	}
 	return b
 }
 
-// pass lets requests come and end for d, in steps of a millisecond for the first.
-func (b *busy) pass(d, now time.Duration) {
+// advance starts and ends requests for d. Starts are simulated in steps of a millisecond.
+func (b *loadedEngines) advance(d, now time.Duration) {
 	perStep := arrivalsPerSecond / 1000
-	ends := d.Seconds() / requestLasts.Seconds()
+	ends := d.Seconds() / requestDuration.Seconds()
 	for i, n := range b.inFlight {
 		for range d.Milliseconds() {
 			if b.rng.Float64() < perStep {
@@ -105,7 +105,7 @@
 	}
 }
 
-func (b *busy) loads(now time.Duration) map[string]EngineLoad {
+func (b *loadedEngines) loads(now time.Duration) map[string]EngineLoad {
 	out := make(map[string]EngineLoad, len(b.inFlight))
 	for i, n := range b.inFlight {
 		out[fmt.Sprintf("i-%010x", i)] = EngineLoad{InFlight: n, Evidence: b.ends[i].At(now)}
@@ -113,9 +113,9 @@
 	return out
 }
 
-// quietRelay returns the relay of a router with engines under load, and the pull of one
-// that has sent requests to a tenth of them.
-func quietRelay(engines int, clock Clock) (*Relay, PullArgs) {
+// newTestRelay returns the relay of a router with engines under load, and the pull of a router that
+// sent requests to a tenth of them.
+func newTestRelay(engines int, clock Clock) (*Relay, PullArgs) {
 	board := NewBoard(clock, time.Second)
 	done := make(chan struct{})
 	close(done)
@@ -142,14 +142,14 @@
 	return out
 }
 
-// Symptom: links of a large fleet carry little but loads. Sequence: 850 engines; each
-// router is told of all of them with each pull. Cause: the size had no part in
-// how often. A small fleet is told with each pull.
-func TestLargeReportsGoWithSomePullsOnly(t *testing.T) {
+// Guards against load reports that fill the links of a large fleet: with 850 engines, each pull
+// carried the loads of all of them, because the interval did not depend on the size. A small fleet
+// still reports with each pull.
+func TestLargeReportsAreSentWithFewerPulls(t *testing.T) {
 	for engines, want := range map[int]int{60: 10, 850: 3} {
 		now := time.Minute
-		relay, args := quietRelay(engines, func() time.Duration { return now })
-		told := 0
+		relay, args := newTestRelay(engines, func() time.Duration { return now })
+		sent := 0
 		for range 10 {
 			now += pullWait
 			relay.Loads.FromParent(LoadReport{Engines: engineLoads(engines)}, now)
@@ -157,21 +157,21 @@
 			require.NoError(t, relay.Pull(args, &reply))
 			require.NotNil(t, reply.Loads)
 			if report := reply.Loads.Report; report != nil {
-				told++
+				sent++
 				require.Len(t, report.Engines, engines)
 			}
 		}
-		require.InDelta(t, want, told, 1, "%d engines", engines)
+		require.InDelta(t, want, sent, 1, "%d engines", engines)
 	}
 }
 
-// Symptom: routers see loads that nobody has. Sequence: reports are lost, come twice,
-// or reach a router that has started anew, while loads change. Cause handled: a report
-// that leads on from another state is not taken, and the next one is whole.
-func TestReportsLeadToTheSameLoads(t *testing.T) {
+// Guards against wrong loads when reports are lost, repeated or reach a restarted router while
+// loads change. A report based on another state must not be applied, and the next one must be
+// complete.
+func TestLostOrRepeatedReportsDoNotCorruptLoads(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var sender reported
-		var receiver heardReport
+		var sender reportState
+		var receiver receivedReport
 		have := uint64(0)
 		present := map[string]EngineLoad{}
 		for range rapid.IntRange(1, 30).Draw(t, "reports") {
@@ -180,33 +180,32 @@
 				present[id] = EngineLoad{InFlight: rapid.IntRange(0, 9).Draw(t, "in flight")}
 			}
 			report := LoadReport{Engines: maps.Clone(present)}
-			report.coarsen()
+			report.round()
 			report = sender.next(have, report, 0)
 			switch rapid.IntRange(0, 5).Draw(t, "fate") {
 			case 0:
 				continue // The report is lost.
 			case 1:
-				receiver, have = heardReport{}, 0
+				receiver, have = receivedReport{}, 0
 			case 2:
-				sender = reported{}
+				sender = reportState{}
 			}
-			if !receiver.take(report, 0) {
+			if !receiver.apply(report, 0) {
 				have = 0
 				continue
 			}
 			have = report.Seq
 			want := LoadReport{Engines: maps.Clone(present)}
-			want.coarsen()
+			want.round()
 			require.Equal(t, want.Engines, receiver.report.Engines)
 		}
 	})
 }
 
-// Symptom: control traffic of a large fleet over its budget. Sequence: hundreds of
-// engines under even load, whose numbers change a little all the time. Cause handled:
-// only a change that matters is reported, and it is reported.
-func TestOnlyWhatChangedIsReported(t *testing.T) {
-	var sender reported
+// Guards against control traffic over its budget in a fleet of hundreds of engines whose loads vary
+// slightly all the time. Only significant changes are reported, and each of them is.
+func TestOnlySignificantChangesAreReported(t *testing.T) {
+	var sender reportState
 	load := func(n int, good, bad float64) map[string]EngineLoad {
 		return map[string]EngineLoad{"e": {InFlight: n, Evidence: health.Evidence{Good: good, Bad: bad}}}
 	}
@@ -231,13 +230,13 @@
 	}
 }
 
-// Guards against sums that stay off: each router on the way leaves out a small change, and what
-// is left out on several ways adds up to a fifth of the fleet's requests.
-func TestSmallMiscountIsReportedInTime(t *testing.T) {
-	var sender reported
+// Guards against counts that stay wrong: each router on the path leaves out a small change, and the
+// omissions on several paths add up to a fifth of the requests of the fleet.
+func TestSmallCountChangeIsReportedAfterDelay(t *testing.T) {
+	var sender reportState
 	load := func(n int) LoadReport { return LoadReport{Engines: map[string]EngineLoad{"e": {InFlight: n}}} }
 	sender.next(0, load(100), 0)
-	require.Empty(t, sender.next(sender.seq, load(105), recountAfter-1).Engines)
-	require.Equal(t, load(105).Engines, sender.next(sender.seq, load(105), recountAfter).Engines)
-	require.Empty(t, sender.next(sender.seq, load(105), 3*recountAfter).Engines)
+	require.Empty(t, sender.next(sender.seq, load(105), smallChangeDelay-1).Engines)
+	require.Equal(t, load(105).Engines, sender.next(sender.seq, load(105), smallChangeDelay).Engines)
+	require.Empty(t, sender.next(sender.seq, load(105), 3*smallChangeDelay).Engines)
 }
--- a/internal/edge/feed/restart_test.go
+++ b/internal/edge/feed/restart_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	for _, p := range f.live {
 		parent, ok := ParentOf(p, f.live, nil, 0)
-		if ok && parent.Site == p.Site && parent.Name != f.first() {
+		if ok && parent.Site == p.Site && parent.Name != f.firstRouter() {
 			return parent, p
 		}
 	}
@@ -39,7 +39,7 @@
 	t.Helper()
 	for _, p := range f.live {
 		parent, ok := ParentOf(p, f.live, nil, 0)
-		if ok && parent.Site == p.Site && parent.Name == f.first() {
+		if ok && parent.Site == p.Site && parent.Name == f.firstRouter() {
 			return parent, p
 		}
 	}
@@ -47,10 +47,10 @@
 	return Peer{}, Peer{}
 }
 
-// Guards against requests to a removed engine: a router that missed the removal switches to a parent
-// that has just restarted and received a full engine list without the engine.
-func TestRemovalReachesRouterWhoseSourceRestarted(t *testing.T) {
-	inFleet(t, sameStore, func(f *fakeFleet, s *fakeStore) {
+// Guards against requests to a removed engine: a router that missed the removal switches to a
+// parent that has just restarted and received a full engine list without the engine.
+func TestRemovalReachesRouterWhoseParentRestarted(t *testing.T) {
+	runFleet(t, sameStore, func(f *fakeFleet, s *fakeStore) {
 		parent, child := f.siteParent(t)
 		s.update(func(s *fakeStore) {
 			s.engines = append(s.engines, catalog.Engine{ID: "e2", Service: "llm", Revision: s.version + 1})
@@ -80,10 +80,10 @@
 	time.Sleep(2 * time.Second)
 }
 
-// Guards against a site that stays evacuated on a router: the router missed the end and switches to a
-// parent that has just restarted and read the store after the end.
-func TestEndOfEvacuationReachesRouterWhoseSourceRestarted(t *testing.T) {
-	inFleet(t, sameStore, func(f *fakeFleet, s *fakeStore) {
+// Guards against a site that stays evacuated on a router: the router missed the end and switches to
+// a parent that has just restarted and read the store after the end.
+func TestEndOfEvacuationReachesRouterWhoseParentRestarted(t *testing.T) {
+	runFleet(t, sameStore, func(f *fakeFleet, s *fakeStore) {
 		parent, child := f.storeReader(t)
 		s.setEvacuated("y", true)
 		time.Sleep(time.Second)
--- a/internal/edge/feed/roster.go
+++ b/internal/edge/feed/roster.go
@@ -2,8 +2,8 @@
 
 import "damaskrouter.example/damaskrouter/internal/fleet/membership"
 
-// Roster exchanges what routers know of one another; see membership.RosterAsk. Asks are kept
-// apart by the address that they go to, and each is followed by Replied or Failed.
+// Roster exchanges membership information between routers; see membership.RosterAsk. Requests are
+// tracked by destination address. Each RosterAsk must be followed by RosterReplied or RosterFailed.
 type Roster interface {
 	RosterAsk(address string) membership.RosterAsk
 	RosterReplied(address string, reply membership.RosterReply)
--- a/internal/edge/feed/start_bench_test.go
+++ b/internal/edge/feed/start_bench_test.go
@@ -13,33 +13,33 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkStart weighs the answer that a router gets which starts: who is there, the
-// configuration and all engines, at the sizes of the fleets that there are and are planned for.
-// Run with -bench 'Start$' -benchmem. The time of asked is that of the router that is asked, once
-// for each that starts; that of starting is spent by each router by itself. Bytes are those of
-// net/rpc's encoding on a new connection, without its header.
+// BenchmarkStart measures the reply to a starting router, which contains the members, the
+// configuration and all engines, at the sizes of existing and planned fleets. Run with -bench
+// 'Start$' -benchmem. The time of asked is spent by the replying router for each router that
+// starts, that of starting by each starting router. Bytes are those of the net/rpc encoding on a
+// new connection, without its header.
 func BenchmarkStart(b *testing.B) {
 	for _, size := range []struct{ routers, engines, routes int }{{8, 21, 60}, {89, 200, 600}, {295, 262, 1820}, {380, 850, 1820}} {
 		name := fmt.Sprintf("routers=%d", size.routers)
-		asked := startedRelay(b, size.routers, size.engines, size.routes)
+		asked := newFullRelay(b, size.routers, size.engines, size.routes)
 		var encoded []byte
 		b.Run(name+"/asked", func(b *testing.B) {
 			for b.Loop() {
-				encoded = answerTo(b, asked, newFakeRoster(Peer{Name: "new", Address: "new", Site: "site-0"}))
+				encoded = encodedAnswer(b, asked, newFakeRoster(Peer{Name: "new", Address: "new", Site: "site-0"}))
 			}
 			b.ReportMetric(float64(len(encoded)), "B-down/start")
 		})
 		b.Run(name+"/starting", func(b *testing.B) {
 			for b.Loop() {
-				start(b, encoded, size.routers, size.engines, size.routes)
+				applyAnswer(b, encoded, size.routers, size.engines, size.routes)
 			}
 		})
 	}
 }
 
-// startedRelay is the relay of a router that knows all.
-func startedRelay(b *testing.B, routers, engines, routes int) *Relay {
-	relay, _ := quietRelay(engines, func() time.Duration { return time.Minute })
+// newFullRelay returns the relay of a router that holds the complete catalog and all members.
+func newFullRelay(b *testing.B, routers, engines, routes int) *Relay {
+	relay, _ := newTestRelay(engines, func() time.Duration { return time.Minute })
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
 	relay.Board = NewBoard(relay.Clock, time.Second)
@@ -48,20 +48,20 @@
 	relay.Board.PutEngines(ctx, manyEngines(engines), time.Minute, time.Hour)
 	roster := newFakeRoster(Peer{Name: "asked", Address: "asked", Site: "site-0"})
 	for _, p := range manyPeers(routers - 1) {
-		roster.RosterAnswer(membership.RosterAsk{From: 1, Rows: []membership.Member{memberOf(p)}})
+		roster.RosterAnswer(membership.RosterAsk{From: 1, Rows: []membership.Member{aliveMember(p)}})
 	}
 	require.Len(b, roster.live(), routers)
 	relay.Roster = roster
 	return relay
 }
 
-// memberOf is a member that is alive.
-func memberOf(p Peer) membership.Member {
+// aliveMember returns the membership entry of a live router.
+func aliveMember(p Peer) membership.Member {
 	return newFakeRoster(p).RosterAsk("anybody").Rows[0]
 }
 
-// answerTo is the encoded answer to a router that starts.
-func answerTo(b *testing.B, asked *Relay, starting *fakeRoster) []byte {
+// encodedAnswer returns the encoded reply to a starting router.
+func encodedAnswer(b *testing.B, asked *Relay, starting *fakeRoster) []byte {
 	var reply PullReply
 	var out bytes.Buffer
 	require.NoError(b, asked.Pull(PullArgs{From: "new", Wait: pullWait, Roster: starting.RosterAsk("asked")}, &reply))
@@ -69,8 +69,8 @@
 	return out.Bytes()
 }
 
-// start takes over an encoded answer.
-func start(b *testing.B, encoded []byte, routers, engines, routes int) {
+// applyAnswer decodes and applies the encoded reply.
+func applyAnswer(b *testing.B, encoded []byte, routers, engines, routes int) {
 	var reply PullReply
 	require.NoError(b, gob.NewDecoder(bytes.NewReader(encoded)).Decode(&reply))
 	roster := newFakeRoster(Peer{Name: "new", Address: "new", Site: "site-0"})
--- a/internal/edge/feed/status.go
+++ b/internal/edge/feed/status.go
@@ -8,51 +8,52 @@
 	"time"
 )
 
-// State is what a router does at present, for operators.
+// State is the current state of a router, for operators.
 type State string
 
-// The states of a router.
+// States of a router.
 const (
 	StateServing State = "serving"
-	// StateNotReady routers know no configuration that is young enough.
+	// StateNotReady means that the router has no sufficiently recent configuration.
 	StateNotReady State = "not ready"
 	StateLeaving  State = "leaving"
-	// StateStoreLost routers serve, but can't reach the store, or hear that nobody can.
+	// StateStoreLost means that the router serves requests but cannot reach the store, or hears
+	// that no router can.
 	StateStoreLost State = "store lost"
-	// StateUnheard routers are members whose word has not come.
+	// StateUnheard means that the router is a member from which no status has arrived.
 	StateUnheard State = "not heard"
 )
 
-// Status is what a router says of itself, for operators. Ages are as of the moment at which it
-// says so.
+// Status describes a router for operators. Ages are as of the time at which the status was made.
 type Status struct {
 	Router string `json:"router"`
 	Site   string `json:"site"`
 	State  State  `json:"state"`
-	// Settings is the digest of the settings in force, SettingsAge since when they are.
+	// Settings is the digest of the settings in force, SettingsAge the time since they took effect.
 	Settings    string        `json:"settings"`
 	SettingsAge time.Duration `json:"settings_age"`
-	// Waiting are the fields of the settings file that wait for a restart, Problem what is
-	// wrong with the file; empty for nothing.
+	// Waiting lists the fields of the settings file that take effect at a restart. Problem
+	// describes an invalid file and is empty if there is none.
 	Waiting []string `json:"waiting,omitempty"`
 	Problem string   `json:"problem,omitempty"`
-	// Config is the version of the configuration in force, ConfigAge how long ago it was
-	// last confirmed; zero and zero for none.
+	// Config is the version of the configuration in force, ConfigAge the time since it was last
+	// confirmed. Both are zero for none.
 	Config    uint64        `json:"config"`
 	ConfigAge time.Duration `json:"config_age"`
-	// Evacuated are the sites whose engines get no requests from it by an operator's order.
+	// Evacuated lists the sites whose engines get no requests from the router by an operator's
+	// order.
 	Evacuated []string `json:"evacuated,omitempty"`
-	// Version is the program's, UpFor how long the process has run, and Boot tells it from
-	// others of the same name.
+	// Version is the version of the program, UpFor the uptime of the process. Boot distinguishes
+	// processes of the same router.
 	Version string        `json:"version"`
 	UpFor   time.Duration `json:"up_for"`
 	Boot    uint64        `json:"boot"`
-	// Age is how long ago the router said so.
+	// Age is the time since the router made this status.
 	Age time.Duration `json:"age"`
 }
 
-// after is the status as it is told d later.
-func (s Status) after(d time.Duration) Status {
+// agedBy returns the status with its ages increased by d.
+func (s Status) agedBy(d time.Duration) Status {
 	s.SettingsAge += d
 	s.ConfigAge += d
 	s.UpFor += d
@@ -60,71 +61,73 @@
 	return s
 }
 
-// sameAs says whether it says the same as another one but for the time that has passed.
-func (s Status) sameAs(o Status) bool {
+// sameContent reports whether two statuses differ only in their ages.
+func (s Status) sameContent(o Status) bool {
 	return s.Router == o.Router && s.Boot == o.Boot && s.State == o.State && s.Settings == o.Settings &&
 		s.Config == o.Config && s.Problem == o.Problem && slices.Equal(s.Waiting, o.Waiting) &&
 		slices.Equal(s.Evacuated, o.Evacuated)
 }
 
 const (
-	// statusRefresh is how often a status is told again that has not changed: its ages are
-	// known that well, at some ten bytes a second for each router.
+	// statusRefresh is how often an unchanged status is sent again, which bounds the error of its
+	// ages. It costs about ten bytes a second for each router.
 	statusRefresh = 5 * time.Second
-	// statusLifetime is how long a status counts.
+	// statusLifetime is the age up to which a status counts.
 	statusLifetime = 3 * statusRefresh
 )
 
-// Statuses is what a router knows of itself and of those that ask it. It is told upwards with
-// the pulls, so that the first of the fleet knows all. It is safe for concurrent use.
+// Statuses holds the status of this router and those of its descendants. It is sent to the parent
+// with the pulls, so that the first router of the fleet holds all of them. It is safe for
+// concurrent use.
 type Statuses struct {
 	own   func() Status
 	clock Clock
 
-	mu    sync.Mutex
-	below map[string]heardStatus
-	// told is what the router above was told of each router, and when.
+	mu       sync.Mutex
+	received map[string]timedStatus
+	// parent is the router that received the statuses in sent, which holds what was last sent about
+	// each router and when.
 	parent string
-	told   map[string]heardStatus
+	sent   map[string]timedStatus
 }
 
-// heardStatus is a status as of a boot time.
-type heardStatus struct {
+// timedStatus is a status as of a boot time.
+type timedStatus struct {
 	status Status
 	at     time.Duration
 }
 
-// NewStatuses returns a Statuses; own returns what this router says of itself.
+// NewStatuses returns a Statuses. own returns the status of this router.
 func NewStatuses(own func() Status, clock Clock) *Statuses {
-	return &Statuses{own: own, clock: clock, below: make(map[string]heardStatus), told: make(map[string]heardStatus)}
+	return &Statuses{own: own, clock: clock, received: make(map[string]timedStatus), sent: make(map[string]timedStatus)}
 }
 
-// hear takes what another router tells of itself and of those below it.
-func (s *Statuses) hear(list []Status) {
+// receive records the statuses sent by another router about itself and its descendants.
+func (s *Statuses) receive(list []Status) {
 	now := s.clock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, status := range list {
-		have, known := s.below[status.Router]
-		if known && have.status.after(now-have.at).Age < status.Age {
-			// A router that has just changed the one above is told of by both.
+		have, known := s.received[status.Router]
+		if known && have.status.agedBy(now-have.at).Age < status.Age {
+			// A router that just changed its parent is reported by both the old and the new one.
 			continue
 		}
-		s.below[status.Router] = heardStatus{status: status, at: now}
+		s.received[status.Router] = timedStatus{status: status, at: now}
 	}
 }
 
-// All returns this router's status and those of the routers below, by name.
+// All returns the statuses of this router and its descendants, sorted by name.
 func (s *Statuses) All() []Status {
 	own := s.own()
 	now := s.clock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := []Status{own}
-	for name, heard := range s.below {
-		status := heard.status.after(now - heard.at)
+	for name, entry := range s.received {
+		status := entry.status.agedBy(now - entry.at)
 		if status.Age > statusLifetime {
-			delete(s.below, name)
+			delete(s.received, name)
 			continue
 		}
 		if name != own.Router {
@@ -135,65 +138,66 @@
 	return out
 }
 
-// due returns what is to be told to the router above, and takes it for told.
-func (s *Statuses) due(parent string) []Status {
+// nextUpdate returns the statuses to send to the parent and records them as sent.
+func (s *Statuses) nextUpdate(parent string) []Status {
 	all := s.All()
 	now := s.clock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.parent != parent {
 		s.parent = parent
-		clear(s.told)
+		clear(s.sent)
 	}
 	var out []Status
 	for _, status := range all {
-		told, known := s.told[status.Router]
-		if known && told.status.sameAs(status) && now-told.at < statusRefresh {
+		last, known := s.sent[status.Router]
+		if known && last.status.sameContent(status) && now-last.at < statusRefresh {
 			continue
 		}
-		s.told[status.Router] = heardStatus{status: status, at: now}
+		s.sent[status.Router] = timedStatus{status: status, at: now}
 		out = append(out, status)
 	}
 	return out
 }
 
-// failed notes that it is not known whether the router above got what was due.
-func (s *Statuses) failed() {
+// resetSent makes the next update a complete one. It is called after a failed pull, when it is
+// unknown whether the parent got the last update.
+func (s *Statuses) resetSent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	clear(s.told)
+	clear(s.sent)
 }
 
-// FleetMethod is the name under which Relay.Fleet is called.
+// FleetMethod is the RPC name of Relay.Fleet.
 const FleetMethod = RelayName + ".Fleet"
 
-// FleetArgs asks for the statuses that a router knows.
+// FleetArgs requests the statuses that a router holds.
 type FleetArgs struct{}
 
-// FleetReply is the answer to FleetArgs.
+// FleetReply is the reply to FleetArgs.
 type FleetReply struct{ Statuses []Status }
 
-// Fleet answers with the statuses that this router knows. It is called by net/rpc; the error is
+// Fleet replies with the statuses that this router holds. It is called by net/rpc; the error is
 // always nil.
 func (r *Relay) Fleet(_ FleetArgs, reply *FleetReply) error {
 	reply.Statuses = r.Statuses.All()
 	return nil
 }
 
-// Fleet is the whole fleet as one router finds out.
+// Fleet is the state of the whole fleet as determined by one router.
 type Fleet struct {
-	// SeenBy is the router that was asked, ToldBy the one whose list it is.
+	// SeenBy is the router that was queried, ToldBy the one that supplied the list.
 	SeenBy   string   `json:"seen_by"`
 	ToldBy   string   `json:"told_by"`
 	Statuses []Status `json:"routers"`
 }
 
-// fleetTries is how many routers are asked for the list.
-const fleetTries = 3
+// maxFleetCalls is how many routers are called for the list.
+const maxFleetCalls = 3
 
-// Fleet returns the status of all members: from the router at the top of the tree of pulls,
-// which is told of all, or, if that can't be asked, from the next one in the order. Members of
-// whom it has no word are listed as such.
+// Fleet returns the statuses of all members. It requests them from the router at the top of the
+// pull tree, which receives all of them, or from the next routers in the order if that call fails.
+// Members without a status are listed as StateUnheard.
 func (f *Follower) Fleet(ctx context.Context) Fleet {
 	out := Fleet{SeenBy: f.Self.Name, ToldBy: f.Self.Name}
 	chain := f.Chain()
@@ -201,11 +205,11 @@
 	order := slices.Clone(f.Live())
 	slices.SortFunc(order, func(a, b Peer) int {
 		if (a.Name == top) != (b.Name == top) {
-			return boolOrder(a.Name == top)
+			return trueFirst(a.Name == top)
 		}
 		return ComparePeers(a, b)
 	})
-	for _, p := range order[:min(fleetTries, len(order))] {
+	for _, p := range order[:min(maxFleetCalls, len(order))] {
 		if p.Name == f.Self.Name {
 			break
 		}
@@ -217,29 +221,29 @@
 			out.ToldBy, out.Statuses = p.Name, reply.Statuses
 			break
 		}
-		f.Log.Warn("list of routers not had", "from", p.Name, "cause", err)
+		f.Log.Warn("list of routers not received", "from", p.Name, "cause", err)
 	}
 	if out.Statuses == nil {
 		out.Statuses = f.Statuses.All()
 	}
-	out.addUnheard(order)
+	out.addMissing(order)
 	return out
 }
 
-// boolOrder sorts what is true first.
-func boolOrder(isFirst bool) int {
+// trueFirst sorts true before false.
+func trueFirst(isFirst bool) int {
 	if isFirst {
 		return -1
 	}
 	return 1
 }
 
-// addUnheard adds the members of whom there is no word.
-func (l *Fleet) addUnheard(members []Peer) {
+// addMissing adds the members without a status.
+func (f *Fleet) addMissing(members []Peer) {
 	for _, p := range members {
-		if !slices.ContainsFunc(l.Statuses, func(s Status) bool { return s.Router == p.Name }) {
-			l.Statuses = append(l.Statuses, Status{Router: p.Name, Site: p.Site, State: StateUnheard})
+		if !slices.ContainsFunc(f.Statuses, func(s Status) bool { return s.Router == p.Name }) {
+			f.Statuses = append(f.Statuses, Status{Router: p.Name, Site: p.Site, State: StateUnheard})
 		}
 	}
-	slices.SortFunc(l.Statuses, func(a, b Status) int { return strings.Compare(a.Router, b.Router) })
+	slices.SortFunc(f.Statuses, func(a, b Status) int { return strings.Compare(a.Router, b.Router) })
 }
--- a/internal/edge/feed/status_test.go
+++ b/internal/edge/feed/status_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// settingsOf returns how many routers run which settings, as one router finds out.
+// settingsOf returns the number of routers per settings digest, as listed by one router.
 func settingsOf(n *fakeNode) map[string]int {
 	out := make(map[string]int)
 	for _, s := range n.follower.Fleet(context.Background()).Statuses {
@@ -22,12 +22,11 @@
 	return out
 }
 
-// Symptom: operators can't tell which of three hundred routers runs which settings. Sequence: the
-// settings change at half of them. Cause handled: each says what it runs with its pulls, and any
-// router answers for all.
-func TestAnyRouterTellsWhoRunsWhat(t *testing.T) {
+// Guards against operators who cannot tell which of 300 routers runs which settings while the
+// settings change. Each router sends its digest with its pulls, and any router lists all of them.
+func TestAnyRouterListsSettingsOfFleet(t *testing.T) {
 	for _, n := range []int{8, 89, 295} {
-		inStart(t, n, func(f *startingFleet, live []Peer) {
+		runStartingFleet(t, n, func(f *startingFleet, live []Peer) {
 			f.startAll(live, 300*time.Millisecond)
 			time.Sleep(3 * time.Second)
 			for i := range n / 2 {
@@ -41,7 +40,7 @@
 				f.nodes[live[i].Name].settings.Store("b")
 			}
 			time.Sleep(time.Second)
-			require.Equal(t, map[string]int{"b": n}, settingsOf(f.nodes[live[1].Name]), "after the last change all agree")
+			require.Equal(t, map[string]int{"b": n}, settingsOf(f.nodes[live[1].Name]), "all agree after the last change")
 			oldest := time.Duration(0)
 			for _, s := range f.nodes[live[1].Name].follower.Fleet(context.Background()).Statuses {
 				require.EqualValues(t, 1, s.Config)
@@ -52,11 +51,10 @@
 	}
 }
 
-// Symptom: one router runs old settings, and nothing names it. Sequence: it is cut off from the
-// others, or frozen, while settings change. Cause handled: its word grows old, and it is listed as
-// not heard while it is a member.
-func TestRouterThatSaysNothingIsNamed(t *testing.T) {
-	inStart(t, 20, func(f *startingFleet, live []Peer) {
+// Guards against an unnoticed router with old settings: a router that is cut off or frozen while
+// settings change must be listed as not heard once its status expires, as long as it is a member.
+func TestSilentRouterIsListedAsNotHeard(t *testing.T) {
+	runStartingFleet(t, 20, func(f *startingFleet, live []Peer) {
 		f.startAll(live, 300*time.Millisecond)
 		time.Sleep(3 * time.Second)
 		silent := live[7].Name
@@ -70,11 +68,11 @@
 	})
 }
 
-// Symptom: nobody can tell who runs what while the first router of the fleet is lost. Cause
-// handled: routers tell the next one, which is asked then.
-func TestListOfRoutersSurvivesTheFirst(t *testing.T) {
-	inFleet(t, sameStore, func(f *fakeFleet, _ *fakeStore) {
-		first := f.first()
+// Guards against a missing list while the first router of the fleet is down. Statuses are sent to
+// the next router, which then supplies the list.
+func TestStatusListSurvivesLossOfFirstRouter(t *testing.T) {
+	runFleet(t, sameStore, func(f *fakeFleet, _ *fakeStore) {
+		first := f.firstRouter()
 		f.cut.Store(first, true)
 		time.Sleep(3 * time.Second)
 		f.gone.Store(first, true)
@@ -87,9 +85,9 @@
 	})
 }
 
-// What all routers say of themselves takes few bytes: about a hundred once, and the same again
-// every five seconds.
-func TestStatusIsSmall(t *testing.T) {
+// Guards against status traffic that grows: a status takes about a hundred bytes, and the same
+// again every five seconds.
+func TestStatusUpdatesAreSmall(t *testing.T) {
 	now := time.Hour
 	status := Status{
 		Router: "front-ank-a-17", Site: "ank-a", State: StateServing, Settings: "9f2c41aa73de0b65", SettingsAge: 47 * time.Second,
@@ -99,14 +97,14 @@
 	statuses := NewStatuses(func() Status { return status }, func() time.Duration { return now })
 	var sent countingWriter
 	enc := gob.NewEncoder(&sent)
-	require.NoError(t, enc.Encode(statuses.due("parent")))
+	require.NoError(t, enc.Encode(statuses.nextUpdate("parent")))
 	first := sent.n
 	for range 100 {
 		now += 150 * time.Millisecond
-		require.NoError(t, enc.Encode(statuses.due("parent")))
+		require.NoError(t, enc.Encode(statuses.nextUpdate("parent")))
 	}
-	require.Less(t, first, 600, "types included")
-	require.Less(t, sent.n-first, 1500, "fifteen seconds of pulls")
+	require.Less(t, first, 600, "including types")
+	require.Less(t, sent.n-first, 1500, "pulls of fifteen seconds")
 }
 
 type countingWriter struct{ n int }
--- a/internal/edge/feed/timing.go
+++ b/internal/edge/feed/timing.go
@@ -2,32 +2,31 @@
 
 import "time"
 
-// Timing holds the waits and ages that follow from how long a change may take
-// to be in force everywhere. Shorter waits than the bound needs would only cost
-// calls.
+// Timing holds the waits and ages derived from the time within which a change must be in force
+// everywhere. Waits shorter than the bound requires would only cost calls.
 type Timing struct {
-	// Watch is how long the store holds a watch. It sets the age of a
-	// confirmation and the calls in quiet times; changes arrive at once.
+	// Watch is how long the store holds a watch. It determines the age of a confirmation and the
+	// number of calls while nothing changes. Changes arrive at once.
 	Watch time.Duration
-	// StaleAfter is the age from which another parent is looked for. A tree
-	// that works keeps the age below a watch, its gap and two pulls.
+	// StaleAfter is the age above which another parent is selected. A working tree keeps the age
+	// below a watch, the pause after it and two pulls.
 	StaleAfter time.Duration
-	// OwnReadAfter is the age from which a router reads for itself, because
-	// the others are silent or have nothing newer: links between them may be
-	// bad while the store is well.
+	// OwnReadAfter is the age above which a router reads the store itself, because the others are
+	// silent or have nothing newer. The links between routers may be bad while the store is
+	// reachable.
 	OwnReadAfter time.Duration
 }
 
-// The parts of the bound. At a bound of two seconds they are the figures that
-// were measured: 0.6, 1.5 and 1.7 s.
+// Shares of the bound. At a bound of two seconds they give 0.6, 1.5 and 1.7 s, the values found by
+// measurement.
 const (
 	watchShare   = 0.3
 	staleShare   = 0.75
 	ownReadShare = 0.85
 )
 
-// watchSlack is the time beyond its wait after which a watch is given up: a slow
-// store, or a lost packet. A watch on a connection that went silent ends by it.
+// watchSlack is the time beyond its wait after which a watch times out. It allows for a slow store
+// or a lost packet, and ends a watch on a connection that went silent.
 const watchSlack = 400 * time.Millisecond
 
 // TimingFor returns the timing for changes that must be in force within bound.
