--- a/internal/decide/gate/gate.go
+++ b/internal/decide/gate/gate.go
@@ -1,16 +1,19 @@
-// Package gate is the flow control of one engine, kept by the router that owns it.
+// Package gate implements admission control for one engine. The router that owns the engine keeps
+// its Gate.
 //
-// Routers that each look at reports of the others' loads are wrong together: all see the
-// same free place, send to it, and see it taken some tenths of a second later. Engines then
-// queue, preempt what runs, and finish late what they finish. One router that counts all
-// requests at an engine is right at every moment, at the price of a question before each
-// request; many engines have many owners, so that no router answers for all.
+// Routers that decide independently on reports of each other's load all see the same free slot, all
+// send a request to it, and learn only some tenths of a second later that it is taken. The engine
+// then queues requests, preempts running ones, and finishes late those that it does finish. A
+// single router that counts every request at an engine is always right, at the cost of one call
+// before each request. Ownership of the engines is spread over many routers, so that no router has
+// to answer for all of them.
 //
-// A Gate is asked for a place and grants it, lets the request wait, or refuses it at once if
-// its turn would come too late. Order, fairness and prediction are those of package queue.
-// A grant is a lease: it ends when it is released, when its holder is gone, or by its time.
+// A Gate grants a slot to a request, queues it, or refuses it at once if its turn would come too
+// late. Order, fairness and the predicted wait come from package queue. A grant is a lease: it ends
+// when it is released, when its holder is gone, or when it expires.
 //
-// A Gate is not safe for concurrent use and reads no clock; times must not run backwards.
+// A Gate is not safe for concurrent use and reads no clock; the times passed to it must not run
+// backwards.
 package gate
 
 import (
@@ -22,66 +25,68 @@
 )
 
 const (
-	// DefaultWindow is the time constant of the drain rate. A surge lasts seconds; ten
-	// places of an engine are freed in a few tenths of one.
+	// DefaultWindow is the time constant over which the drain rate is averaged. A surge lasts
+	// seconds, and an engine frees ten slots within a few tenths of a second.
 	DefaultWindow = time.Second
-	// reserve is the part of the service that goes to the class below the most pressing
-	// one that waits, so that no kind of request ends altogether while a surge lasts.
-	reserve = 0.05
-	// maxWaiting bounds the requests that wait at one gate. They are refused by their
-	// predicted wait long before; this bounds memory while nothing finishes.
+	// reservedShare is the share of the service that goes to the class below the most urgent
+	// waiting one, so that no class is starved while a surge lasts.
+	reservedShare = 0.05
+	// maxWaiting bounds the queue of one gate. Requests are normally refused by their predicted
+	// wait long before; this bounds the memory while nothing finishes.
 	maxWaiting = 1000
-	// holdWeight is the weight of the newest lease in the mean of how long they last.
-	holdWeight = 1.0 / 16
+	// holdSmoothing is the weight of the newest lease in the moving averages of lease duration and
+	// weight.
+	holdSmoothing = 1.0 / 16
 )
 
-// Config sets up a Gate.
+// Config configures a Gate.
 type Config struct {
-	// Classes is how many classes of urgency there are, the most urgent one first. There
-	// are as many again behind them, for what is late.
+	// Classes is the number of urgency classes, the most urgent one first. The gate adds as many
+	// again behind them for late requests.
 	Classes int
 	// Window is the time constant of the drain rate; zero means DefaultWindow.
 	Window time.Duration
-	// Rand jitters suggested waits; nil means no jitter.
+	// Rand adds jitter to suggested waits; nil means no jitter.
 	Rand *rand.Rand
 }
 
-// Ask asks for a place.
+// Ask is a request for a slot.
 type Ask struct {
-	// ID is unique for each ask, also of other routers.
+	// ID is unique among the requests of all routers.
 	ID string
-	// Holder is the router that asks.
+	// Holder is the router that requests the slot.
 	Holder string
-	// Account is the client account, Class the urgency.
+	// Account is the client account, and Class the urgency class.
 	Account string
 	Class   queue.Class
-	// Late requests can't be answered on time any more. They go behind all others, within
-	// these by their class: nothing is lost by it, and each that went first would make
-	// another one late. In a surge of four times what engines give, the model of package
-	// lab/model earns 0.24 of the benefit with it and 0.18 without, of 0.25 possible.
+	// Late marks a request that can no longer be answered on time. Late requests are served after
+	// all others, by class among themselves: they lose nothing by it, while each one served earlier
+	// would make another request late. In a surge of four times the engines' capacity, the model in
+	// package lab/model earns 0.24 of the benefit with this rule and 0.18 without it, of 0.25
+	// possible.
 	Late bool
-	// Weight is the work of the request, in a unit that all asks share.
+	// Weight is the work of the request, in a unit that all requests share.
 	Weight int64
-	// Latest is the last useful moment for the request to start.
+	// Latest is the last time at which it is useful to start the request.
 	Latest time.Time
-	// Until is when the lease ends if nobody releases it.
+	// Until is when the lease expires unless it is released before.
 	Until time.Time
-	// Hold is how long such a request holds a place in the mean, as far as the asker
-	// knows; it counts until the gate has seen some end.
+	// Hold is the mean time for which such requests hold a slot, as far as the requester knows. It
+	// is used until the gate has seen leases end.
 	Hold time.Duration
-	// Pace bounds how often the engine may be sent requests, as far as the asker knows.
+	// Pace bounds the rate of requests to the engine, as far as the requester knows.
 	Pace Pace
 }
 
-// Verdict is what a gate says of an ask.
+// Verdict is the gate's decision on a request.
 type Verdict struct {
 	ID      string
 	Granted bool
-	// Wait is how long the request would have had to wait, where it was refused.
+	// Wait is how long the request would have had to wait. It is set on a refusal.
 	Wait time.Duration
 }
 
-// lease is a granted place.
+// lease is a granted slot.
 type lease struct {
 	holder  string
 	weight  int64
@@ -89,114 +94,114 @@
 	until   time.Time
 }
 
-// Gate is the flow control of one engine. Use New.
+// Gate is the admission control of one engine. Use New to create one.
 type Gate struct {
 	queue *queue.Queue
-	// classes is how many classes there are on time, and as many late.
+	// classes is the number of classes for requests on time; there are as many for late ones.
 	classes int
-	asks    map[string]Ask
+	waiting map[string]Ask
 	leases  map[string]lease
-	places  int
+	slots   int
 	pacer   pacer
-	// others is how many requests are at the engine without a lease of this gate.
-	others int
-	// hold is the mean time and weight of leases that have ended.
-	hold   time.Duration
-	weight float64
-	// settled are verdicts on waiting asks that the caller has not been given yet.
-	settled []Verdict
+	// unleased is the number of requests at the engine without a lease of this gate.
+	unleased int
+	// meanHold and meanWeight are moving averages over the leases that were released.
+	meanHold   time.Duration
+	meanWeight float64
+	// undelivered holds decisions on queued requests that Settle has not returned yet.
+	undelivered []Verdict
 }
 
-// New returns a gate without places; see SetPlaces.
+// New returns a gate without slots; see SetPlaces.
 func New(cfg Config) *Gate {
 	if cfg.Window <= 0 {
 		cfg.Window = DefaultWindow
 	}
 	return &Gate{
 		queue: queue.New(queue.Config{
-			Limit: maxWaiting, AgeAfter: time.Hour, Classes: 2 * cfg.Classes, Window: cfg.Window, Reserve: reserve, Rand: cfg.Rand,
+			Limit: maxWaiting, AgeAfter: time.Hour, Classes: 2 * cfg.Classes, Window: cfg.Window, Reserve: reservedShare, Rand: cfg.Rand,
 		}),
 		classes: cfg.Classes,
-		asks:    make(map[string]Ask),
+		waiting: make(map[string]Ask),
 		leases:  make(map[string]lease),
 	}
 }
 
-// SetPlaces says how many requests may be at the engine at once.
-func (g *Gate) SetPlaces(n int) { g.places = max(n, 0) }
+// SetPlaces sets how many requests may be at the engine at once.
+func (g *Gate) SetPlaces(n int) { g.slots = max(n, 0) }
 
-// SetOthers says how many requests are at the engine without a lease of this gate: those
-// that were sent while there was no need to ask, or with the lease of another owner.
-func (g *Gate) SetOthers(n int) { g.others = max(n, 0) }
+// SetOthers sets how many requests are at the engine without a lease of this gate: those sent while
+// no lease was needed, or with a lease of another owner.
+func (g *Gate) SetOthers(n int) { g.unleased = max(n, 0) }
 
-// Held is how many leases there are, Waiting how many asks wait.
+// Held returns the number of leases.
 func (g *Gate) Held() int { return len(g.leases) }
 
-// Waiting is how many asks wait.
+// Waiting returns the number of queued requests.
 func (g *Gate) Waiting() int { return g.queue.Len() }
 
-// Idle says whether the gate has nothing to remember.
+// Idle reports whether the gate has neither leases nor queued requests.
 func (g *Gate) Idle() bool { return g.Held() == 0 && g.Waiting() == 0 }
 
-func (g *Gate) room(now time.Time) bool {
-	return len(g.leases)+g.others < g.places && g.pacer.allows(now)
+func (g *Gate) hasFreeSlot(now time.Time) bool {
+	return len(g.leases)+g.unleased < g.slots && g.pacer.allows(now)
 }
 
-// Ask grants a place, lets the ask wait, or refuses it. A verdict on a waiting ask comes out
-// of a later Settle.
-func (g *Gate) Ask(now time.Time, a Ask) (v Verdict, waits bool) {
-	if _, known := g.leases[a.ID]; known {
-		return Verdict{ID: a.ID, Granted: true}, false
+// Ask grants a slot, queues the request, or refuses it. The decision on a queued request is
+// returned by a later call of Settle.
+func (g *Gate) Ask(now time.Time, req Ask) (v Verdict, queued bool) {
+	if _, leased := g.leases[req.ID]; leased {
+		return Verdict{ID: req.ID, Granted: true}, false
 	}
-	g.pacer.set(now, a.Pace)
-	if g.queue.Len() == 0 && g.room(now) {
-		g.grant(now, a)
-		return Verdict{ID: a.ID, Granted: true}, false
+	g.pacer.set(now, req.Pace)
+	if g.queue.Len() == 0 && g.hasFreeSlot(now) {
+		g.grant(now, req)
+		return Verdict{ID: req.ID, Granted: true}, false
 	}
-	g.queue.SetRate(g.rate(now, a))
-	item := queue.Item{ID: a.ID, Account: a.Account, Class: g.class(a), Weight: a.Weight, Deadline: a.Latest}
+	g.queue.SetRate(g.drainRate(now, req))
+	item := queue.Item{ID: req.ID, Account: req.Account, Class: g.queueClass(req), Weight: req.Weight, Deadline: req.Latest}
 	if err := g.queue.Push(now, item); err != nil {
-		return Verdict{ID: a.ID, Wait: g.queue.PredictWait(now, item)}, false
+		return Verdict{ID: req.ID, Wait: g.queue.PredictWait(now, item)}, false
 	}
-	g.asks[a.ID] = a
+	g.waiting[req.ID] = req
 	return Verdict{}, true
 }
 
-// class is the class in which an ask waits.
-func (g *Gate) class(a Ask) queue.Class {
-	class := min(a.Class, queue.Class(g.classes-1))
-	if a.Late {
+// queueClass returns the class in which a request is queued.
+func (g *Gate) queueClass(req Ask) queue.Class {
+	class := min(req.Class, queue.Class(g.classes-1))
+	if req.Late {
 		class += queue.Class(g.classes)
 	}
 	return class
 }
 
-// rate is how much work ends in a second if leases last as they did: the drain that a new
-// backlog is taken to have.
-func (g *Gate) rate(now time.Time, a Ask) float64 {
+// drainRate returns how much work would finish per second if leases lasted as long as they have so
+// far. A new backlog is assumed to drain at this rate.
+func (g *Gate) drainRate(now time.Time, req Ask) float64 {
 	if perSecond, paced := g.pacer.perSecond(now); paced {
-		return min(g.unpacedRate(a), perSecond*float64(max(a.Weight, 1)))
+		return min(g.unpacedDrainRate(req), perSecond*float64(max(req.Weight, 1)))
 	}
-	return g.unpacedRate(a)
+	return g.unpacedDrainRate(req)
 }
 
-func (g *Gate) unpacedRate(a Ask) float64 {
-	hold, weight := g.hold, g.weight
+func (g *Gate) unpacedDrainRate(req Ask) float64 {
+	hold, weight := g.meanHold, g.meanWeight
 	if hold == 0 {
-		hold, weight = a.Hold, float64(max(a.Weight, 1))
+		hold, weight = req.Hold, float64(max(req.Weight, 1))
 	}
 	if hold <= 0 {
 		return 0
 	}
-	return float64(g.places) * weight / hold.Seconds()
+	return float64(g.slots) * weight / hold.Seconds()
 }
 
-func (g *Gate) grant(now time.Time, a Ask) {
-	g.pacer.granted(now)
-	g.leases[a.ID] = lease{holder: a.Holder, weight: max(a.Weight, 1), granted: now, until: a.Until}
+func (g *Gate) grant(now time.Time, req Ask) {
+	g.pacer.recordGrant(now)
+	g.leases[req.ID] = lease{holder: req.Holder, weight: max(req.Weight, 1), granted: now, until: req.Until}
 }
 
-// Release ends a lease, and says whether there was one.
+// Release ends a lease and reports whether there was one.
 func (g *Gate) Release(now time.Time, id string) bool {
 	l, ok := g.leases[id]
 	if !ok {
@@ -204,78 +209,80 @@
 	}
 	delete(g.leases, id)
 	g.queue.Observe(now, l.weight)
-	g.noteHold(now.Sub(l.granted), float64(l.weight))
+	g.recordHold(now.Sub(l.granted), float64(l.weight))
 	return true
 }
 
-func (g *Gate) noteHold(took time.Duration, weight float64) {
-	if g.hold == 0 {
-		g.hold, g.weight = took, weight
+func (g *Gate) recordHold(held time.Duration, weight float64) {
+	if g.meanHold == 0 {
+		g.meanHold, g.meanWeight = held, weight
 		return
 	}
-	g.hold += time.Duration(holdWeight * float64(took-g.hold))
-	g.weight += holdWeight * (weight - g.weight)
+	g.meanHold += time.Duration(holdSmoothing * float64(held-g.meanHold))
+	g.meanWeight += holdSmoothing * (weight - g.meanWeight)
 }
 
-// Withdraw ends an ask whose caller has left, whether it waits or was granted.
+// Withdraw removes a request whose caller has left, whether it is queued or granted.
 func (g *Gate) Withdraw(now time.Time, id string) {
 	if _, ok := g.queue.Remove(id); ok {
-		delete(g.asks, id)
+		delete(g.waiting, id)
 		return
 	}
-	g.settled = slices.DeleteFunc(g.settled, func(v Verdict) bool { return v.ID == id })
+	g.undelivered = slices.DeleteFunc(g.undelivered, func(v Verdict) bool { return v.ID == id })
 	delete(g.leases, id)
 }
 
-// DropHolder ends all leases and asks of a router that is gone: nobody will release them.
+// DropHolder removes all leases and queued requests of a router that is gone and will release none
+// of them.
 func (g *Gate) DropHolder(now time.Time, holder string) {
 	for id, l := range g.leases {
 		if l.holder == holder {
 			delete(g.leases, id)
 		}
 	}
-	for id, a := range g.asks {
-		if a.Holder == holder {
+	for id, req := range g.waiting {
+		if req.Holder == holder {
 			g.Withdraw(now, id)
 		}
 	}
 }
 
-// Settle returns the verdicts on asks that have waited: granted as there is room, refused as
-// it is clear that their turn would come too late. It is to be called after each other call
-// that may make room, and every few milliseconds while asks wait.
+// Settle returns the decisions on queued requests: those granted because slots are free, and those
+// refused because their turn would come too late. It must be called after every other call that may
+// free a slot, and every few milliseconds while requests are queued.
 func (g *Gate) Settle(now time.Time) []Verdict {
-	g.expire(now)
-	for _, it := range g.queue.Expire(now) {
-		g.settled = append(g.settled, Verdict{ID: it.ID, Wait: g.queue.PredictWait(now, it)})
-		delete(g.asks, it.ID)
+	g.expireLeases(now)
+	for _, item := range g.queue.Expire(now) {
+		g.undelivered = append(g.undelivered, Verdict{ID: item.ID, Wait: g.queue.PredictWait(now, item)})
+		delete(g.waiting, item.ID)
 	}
-	for g.room(now) {
-		it, ok := g.queue.Pop(now)
+	for g.hasFreeSlot(now) {
+		item, ok := g.queue.Pop(now)
 		if !ok {
 			break
 		}
-		g.grant(now, g.asks[it.ID])
-		g.settled = append(g.settled, Verdict{ID: it.ID, Granted: true})
-		delete(g.asks, it.ID)
+		g.grant(now, g.waiting[item.ID])
+		g.undelivered = append(g.undelivered, Verdict{ID: item.ID, Granted: true})
+		delete(g.waiting, item.ID)
 	}
-	out := g.settled
-	g.settled = nil
-	return out
+	verdicts := g.undelivered
+	g.undelivered = nil
+	return verdicts
 }
 
-// RefuseAll returns the refusals of all asks that wait: the engine takes no requests any more.
+// RefuseAll refuses all queued requests and returns the decisions. It is used when the engine takes
+// no more requests.
 func (g *Gate) RefuseAll(now time.Time) []Verdict {
-	for id := range g.asks {
+	for id := range g.waiting {
 		g.queue.Remove(id)
-		g.settled = append(g.settled, Verdict{ID: id})
+		g.undelivered = append(g.undelivered, Verdict{ID: id})
 	}
-	clear(g.asks)
+	clear(g.waiting)
 	return g.Settle(now)
 }
 
-// expire ends the leases whose time is over: their release was lost.
-func (g *Gate) expire(now time.Time) {
+// expireLeases ends the leases that are past their time: their release was lost.
+func (g *Gate) expireLeases(now time.Time) {
 	for id, l := range g.leases {
 		if !l.until.IsZero() && now.After(l.until) {
 			delete(g.leases, id)
--- a/internal/decide/gate/overload.go
+++ b/internal/decide/gate/overload.go
@@ -3,33 +3,34 @@
 import "time"
 
 const (
-	// overloadGap is how long after its last refusal an overload is over.
+	// overloadGap is how long after its last refusal an overload has ended.
 	overloadGap = 2 * time.Second
-	// comeBackSpread is by how much of it the time differs from caller to caller, to both
-	// sides, so that they don't return together.
-	comeBackSpread = 0.3
-	// callerShare is the part of the time it has left for which a caller stays away at
-	// most.
-	callerShare = 1.0 / 3
+	// retryJitter is the share by which retry delays vary in both directions, so that refused
+	// callers don't return all at once.
+	retryJitter = 0.3
+	// maxRetryShare bounds the retry delay to this share of the time that the caller has left.
+	maxRetryShare = 1.0 / 3
 )
 
-// Overload remembers since when a service refuses requests. The zero value has refused none.
-type Overload struct{ since, last time.Duration }
+// Overload tracks since when a service has been refusing requests. The zero value has refused none.
+type Overload struct{ firstRefusal, lastRefusal time.Duration }
 
-// Over says whether nobody was refused for a while.
-func (o *Overload) Over(now time.Duration) bool { return o.last == 0 || now-o.last > overloadGap }
+// Over reports whether no request was refused for a while.
+func (o *Overload) Over(now time.Duration) bool {
+	return o.lastRefusal == 0 || now-o.lastRefusal > overloadGap
+}
 
-// ComeBack notes a refusal at now and returns when the caller should come back. How long an
-// overload lasts is not known; the best guess is that it goes on for as long as it has
-// lasted, and for its route's objective at least: so many would otherwise ask again within the
-// time in which all places are taken anyway, and callers that come back soon can't be told from
-// others; see Usual. left is how long the caller still waits, random a number from 0 to 1.
-func (o *Overload) ComeBack(objective, left, now time.Duration, random float64) time.Duration {
+// ComeBack records a refusal at now and returns after how long the caller should retry. The
+// duration of an overload is not known; the best estimate is that it lasts for as long again as it
+// has lasted, and at least for the route's objective. With shorter delays many callers would retry
+// while all slots are still taken, and callers that return soon can't be told from new ones; see
+// Usual. The caller gives up after remaining; random is a number from 0 to 1.
+func (o *Overload) ComeBack(objective, remaining, now time.Duration, random float64) time.Duration {
 	if o.Over(now) {
-		o.since = now
+		o.firstRefusal = now
 	}
-	o.last = now
-	wait := max(now-o.since, orDefault(objective))
-	wait = min(wait, time.Duration(callerShare*float64(left)))
-	return time.Duration((1 - comeBackSpread + 2*comeBackSpread*random) * float64(wait))
+	o.lastRefusal = now
+	wait := max(now-o.firstRefusal, objectiveOrDefault(objective))
+	wait = min(wait, time.Duration(maxRetryShare*float64(remaining)))
+	return time.Duration((1 - retryJitter + 2*retryJitter*random) * float64(wait))
 }
--- a/internal/decide/gate/pace.go
+++ b/internal/decide/gate/pace.go
@@ -2,79 +2,80 @@
 
 import "time"
 
-// Pace bounds how often requests may be sent to an engine that bears few, such as one that has
-// just started. The zero value does not bound.
+// Pace bounds the rate of requests to an engine that can take only few, such as one that has just
+// started. The zero value sets no bound.
 type Pace struct {
-	// PerSecond is how many requests a second may be granted, evenly spaced.
+	// PerSecond is the number of requests granted per second, evenly spaced.
 	PerSecond float64
-	// Burst is how many may be granted at once after a pause; less than 1 counts as 1.
+	// Burst is the number of requests that may be granted at once after a pause; values below 1
+	// count as 1.
 	Burst int
-	// For is how long the pace holds.
+	// For is how long the bound applies.
 	For time.Duration
 }
 
-// window is the span in which the operators count requests to a cold engine.
-const window = time.Second
+// rateWindow is the window in which operators count the requests to a cold engine.
+const rateWindow = time.Second
 
-// jitterShare is the part of the window by which the ways of two requests to an engine may
-// differ: grants of a longer span can arrive within one window.
-const jitterShare = 0.2
+// deliveryJitterShare is the share of the window by which the delivery times of two requests to an
+// engine may differ: grants from a longer span can arrive within one window.
+const deliveryJitterShare = 0.2
 
-// ownersAtOnce is how many routers may take themselves for the owner of the same gate, while they
-// disagree on who is there. Each keeps to its part of the bound.
-const ownersAtOnce = 2
+// maxConcurrentOwners is how many routers may regard themselves as the owner of one gate while they
+// disagree about the members of the fleet. Each grants only its share of the bound.
+const maxConcurrentOwners = 2
 
-// PaceFor returns the pace of one owner that keeps all owners together within most requests in any
-// window, of which slack may come at once.
-func PaceFor(most, slack float64, lasts time.Duration) Pace {
-	burst := max(int(slack/ownersAtOnce), 1)
-	steady := max(most/ownersAtOnce-float64(burst), 0)
-	return Pace{PerSecond: steady / ((1 + jitterShare) * window.Seconds()), Burst: burst, For: lasts}
+// PaceFor returns the pace for one owner, such that all owners together grant at most maxPerWindow
+// requests in any window, slack of which may come at once.
+func PaceFor(maxPerWindow, slack float64, duration time.Duration) Pace {
+	burst := max(int(slack/maxConcurrentOwners), 1)
+	steady := max(maxPerWindow/maxConcurrentOwners-float64(burst), 0)
+	return Pace{PerSecond: steady / ((1 + deliveryJitterShare) * rateWindow.Seconds()), Burst: burst, For: duration}
 }
 
-// pacer spaces grants by a Pace: the generic cell rate algorithm.
+// pacer spaces grants according to a Pace, with the generic cell rate algorithm (GCRA).
 type pacer struct {
-	interval  time.Duration
-	tolerance time.Duration
-	until     time.Time
-	// next is when the next grant is due if all come evenly spaced.
-	next time.Time
+	interval    time.Duration
+	tolerance   time.Duration
+	activeUntil time.Time
+	// nextDue is when the next grant is due if all are evenly spaced.
+	nextDue time.Time
 }
 
-// set puts a pace in force from now on. A pace that holds already is prolonged, never cut short:
-// askers hear at different times how long an engine bears few requests.
+// set applies a pace from now on. It extends a pace in force and never shortens it: routers learn
+// at different times how long an engine is cold.
 func (p *pacer) set(now time.Time, pace Pace) {
 	if pace.PerSecond <= 0 || pace.For <= 0 {
 		return
 	}
 	p.interval = time.Duration(float64(time.Second) / pace.PerSecond)
 	p.tolerance = time.Duration(max(pace.Burst, 1)-1) * p.interval
-	if until := now.Add(pace.For); until.After(p.until) {
-		p.until = until
+	if until := now.Add(pace.For); until.After(p.activeUntil) {
+		p.activeUntil = until
 	}
 }
 
-func (p *pacer) holds(now time.Time) bool { return now.Before(p.until) }
+func (p *pacer) active(now time.Time) bool { return now.Before(p.activeUntil) }
 
-// allows says whether a grant may be given at now.
+// allows reports whether a request may be granted at now.
 func (p *pacer) allows(now time.Time) bool {
-	return !p.holds(now) || !now.Add(p.tolerance).Before(p.next)
+	return !p.active(now) || !now.Add(p.tolerance).Before(p.nextDue)
 }
 
-// granted notes a grant.
-func (p *pacer) granted(now time.Time) {
-	if !p.holds(now) {
+// recordGrant counts a grant at now.
+func (p *pacer) recordGrant(now time.Time) {
+	if !p.active(now) {
 		return
 	}
-	if now.After(p.next) {
-		p.next = now
+	if now.After(p.nextDue) {
+		p.nextDue = now
 	}
-	p.next = p.next.Add(p.interval)
+	p.nextDue = p.nextDue.Add(p.interval)
 }
 
-// perSecond is how many grants a second the pace allows, and false if none holds.
+// perSecond returns the rate of grants that the pace allows, and false if no pace is in force.
 func (p *pacer) perSecond(now time.Time) (float64, bool) {
-	if !p.holds(now) {
+	if !p.active(now) {
 		return 0, false
 	}
 	return 1 / p.interval.Seconds(), true
--- a/internal/decide/gate/pace_test.go
+++ b/internal/decide/gate/pace_test.go
@@ -11,28 +11,28 @@
 	"pgregory.net/rapid"
 )
 
-// pacedAsk is an ask for a place at a cold engine.
-func pacedAsk(id string, now, patience time.Duration, pace Pace) Ask {
-	a := ask(id, now, patience)
-	a.Pace = pace
-	return a
+// newPacedRequest returns a request for a slot at a cold engine.
+func newPacedRequest(id string, now, maxWait time.Duration, pace Pace) Ask {
+	req := newRequest(id, now, maxWait)
+	req.Pace = pace
+	return req
 }
 
-// offer asks for a place for a request that does not wait, releases it at once, and returns how many
-// were granted.
-func (g *Gate) offer(now time.Duration, pace Pace) int {
-	a := pacedAsk("a", now, 0, pace)
-	v, _ := g.Ask(at(now), a)
-	g.Release(at(now), a.ID)
-	g.Withdraw(at(now), a.ID)
+// acquireAndRelease requests a slot without waiting, releases it at once, and returns the number of
+// grants, 0 or 1.
+func (g *Gate) acquireAndRelease(now time.Duration, pace Pace) int {
+	req := newPacedRequest("a", now, 0, pace)
+	v, _ := g.Ask(at(now), req)
+	g.Release(at(now), req.ID)
+	g.Withdraw(at(now), req.ID)
 	if v.Granted {
 		return 1
 	}
 	return 0
 }
 
-// mostIn returns the largest number of times in any span of a second.
-func mostIn(times []time.Duration) int {
+// maxPerSecond returns the largest number of times within any second.
+func maxPerSecond(times []time.Duration) int {
 	slices.Sort(times)
 	most := 0
 	for i, from := range times {
@@ -47,58 +47,59 @@
 	return most
 }
 
-// Guards against a cold engine that gets more requests in one second than it bears: whatever comes,
-// whoever of two routers that both own the gate is asked, and however long grants are on the way.
-func TestColdEngineGetsWhatItBears(t *testing.T) {
+// Guards against a cold engine that gets more requests per second than it can take, whatever the
+// load, whichever of two concurrent owners of its gate is asked, and however long the grants take
+// to arrive.
+func TestColdEngineRateIsBoundedAcrossOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const most, slack = 21.5, 5.0
-		pace := PaceFor(most, slack, time.Minute)
+		const maxPerWindow, slack = 21.5, 5.0
+		pace := PaceFor(maxPerWindow, slack, time.Minute)
 		owners := []*Gate{newGate(64), newGate(64)}
 		var arrivals []time.Duration
 		now := time.Duration(0)
-		arrive := func(verdicts ...Verdict) {
+		recordArrivals := func(verdicts ...Verdict) {
 			for _, v := range verdicts {
 				if v.Granted {
-					way := time.Duration(rapid.IntRange(0, 200).Draw(t, "way")) * time.Millisecond
-					arrivals = append(arrivals, now+way)
+					delay := time.Duration(rapid.IntRange(0, 200).Draw(t, "way")) * time.Millisecond
+					arrivals = append(arrivals, now+delay)
 				}
 			}
 		}
 		for i := range rapid.IntRange(50, 300).Draw(t, "asks") {
 			now += time.Duration(rapid.IntRange(0, 40).Draw(t, "gap")) * time.Millisecond
 			owner := owners[rapid.IntRange(0, 1).Draw(t, "owner")]
-			patience := time.Duration(rapid.IntRange(0, 300).Draw(t, "patience")) * time.Millisecond
-			v, waits := owner.Ask(at(now), pacedAsk(fmt.Sprint(i), now, patience, pace))
-			if !waits {
-				arrive(v)
+			maxWait := time.Duration(rapid.IntRange(0, 300).Draw(t, "patience")) * time.Millisecond
+			v, queued := owner.Ask(at(now), newPacedRequest(fmt.Sprint(i), now, maxWait, pace))
+			if !queued {
+				recordArrivals(v)
 			}
 			for _, g := range owners {
-				arrive(g.Settle(at(now))...)
+				recordArrivals(g.Settle(at(now))...)
 			}
 		}
-		require.LessOrEqual(t, float64(mostIn(arrivals)), most)
+		require.LessOrEqual(t, float64(maxPerSecond(arrivals)), maxPerWindow)
 	})
 }
 
-// Guards against a cold engine that stays empty: it gets most of what it bears.
-func TestColdEngineIsUsed(t *testing.T) {
+// Guards against an idle cold engine: it gets most of the requests it can take.
+func TestColdEngineIsNotLeftIdle(t *testing.T) {
 	g := newGate(64)
 	pace := PaceFor(21.5, 5, time.Minute)
 	granted := 0
 	for ms := range 10_000 {
-		granted += g.offer(time.Duration(ms)*time.Millisecond, pace)
+		granted += g.acquireAndRelease(time.Duration(ms)*time.Millisecond, pace)
 	}
 	require.InDelta(t, 10*pace.PerSecond, granted, 3)
 }
 
-// Guards against requests that wait for an engine which is gone or evacuated: each of them has a
-// verdict at once, and goes elsewhere.
-func TestRefuseAllLeavesNobodyWaiting(t *testing.T) {
+// Guards against requests that wait for an engine that is gone or evacuated: each is refused at
+// once and can go elsewhere.
+func TestRefuseAllLeavesNoRequestQueued(t *testing.T) {
 	g := newGate(1)
-	g.Ask(at(0), ask("running", 0, time.Second))
+	g.Ask(at(0), newRequest("running", 0, time.Second))
 	for i := range 3 {
-		_, waits := g.Ask(at(0), ask(fmt.Sprint(i), 0, time.Minute))
-		require.True(t, waits)
+		_, queued := g.Ask(at(0), newRequest(fmt.Sprint(i), 0, time.Minute))
+		require.True(t, queued)
 	}
 	verdicts := g.RefuseAll(at(0))
 	require.Len(t, verdicts, 3)
@@ -106,17 +107,17 @@
 		require.False(t, v.Granted)
 	}
 	require.Zero(t, g.Waiting())
-	require.Equal(t, 1, g.Held(), "what runs there ends by itself")
+	require.Equal(t, 1, g.Held(), "running requests keep their leases")
 }
 
-// Guards against a pace that outlives its time.
-func TestPaceEnds(t *testing.T) {
+// Guards against a pace that applies beyond its time.
+func TestPaceExpires(t *testing.T) {
 	g := newGate(64)
 	pace := PaceFor(21.5, 5, time.Second)
 	grants := func(now time.Duration, p Pace) int {
 		n := 0
 		for range 30 {
-			n += g.offer(now, p)
+			n += g.acquireAndRelease(now, p)
 		}
 		return n
 	}
--- /dev/null
+++ b/internal/decide/gate/refusals.go
@@ -0,0 +1,68 @@
+package gate
+
+import "time"
+
+const (
+	// refusalTTL is the minimum time for which a refusal is remembered. Callers stay away for a
+	// third of their remaining time at most, which is rarely longer.
+	refusalTTL = 5 * time.Second
+	// maxRefusals bounds the remembered refusals, at about 50 bytes each. Half of it is what one
+	// owner of gates refuses within refusalTTL at 3,000 refusals per second.
+	maxRefusals = 1 << 15
+)
+
+// Refused remembers for a while which requests were refused a slot, so that their retries are
+// recognized: an attempt does not refer to the previous one. The zero value is empty. It is not
+// safe for concurrent use.
+//
+// In a surge half of the requests for a slot are retries, whose answers are late whenever they
+// come. Served in turn with the others they make these late too, until every request is refused
+// once and then served late. See Ask.Late.
+type Refused struct {
+	// recent holds the refusals since recentSince, and older those of the interval before.
+	recent, older map[uint64]refusal
+	recentSince   time.Duration
+}
+
+// refusal is the first refusal of a request.
+type refusal struct {
+	attempt uint64
+	at      time.Duration
+}
+
+// Note records that an attempt at a request was refused at now. The subject is the same for all
+// attempts at a request, and zero if the request can't be told from others.
+func (r *Refused) Note(subject uint64, attempt uint64, now time.Duration) {
+	if subject == 0 {
+		return
+	}
+	if _, known := r.find(subject); known {
+		return
+	}
+	if r.recent == nil || now-r.recentSince > refusalTTL || len(r.recent) >= maxRefusals/2 {
+		r.older, r.recent, r.recentSince = r.recent, make(map[uint64]refusal), now
+	}
+	r.recent[subject] = refusal{attempt: attempt, at: now}
+}
+
+// Forget removes a request that was granted a slot: the next request with the same subject is a new
+// one.
+func (r *Refused) Forget(subject uint64) {
+	delete(r.recent, subject)
+	delete(r.older, subject)
+}
+
+// Late reports whether an earlier attempt at the request was refused so long ago that the request
+// can no longer start within slack of that refusal.
+func (r *Refused) Late(subject uint64, attempt uint64, slack, now time.Duration) bool {
+	first, known := r.find(subject)
+	return known && first.attempt != attempt && now-first.at > slack
+}
+
+func (r *Refused) find(subject uint64) (refusal, bool) {
+	if first, ok := r.recent[subject]; ok {
+		return first, true
+	}
+	first, ok := r.older[subject]
+	return first, ok
+}
--- a/internal/decide/gate/throttle.go
+++ b/internal/decide/gate/throttle.go
@@ -6,51 +6,52 @@
 )
 
 const (
-	// throttleWindow is the time constant in which a Throttle forgets.
+	// throttleWindow is the time constant with which past requests are discounted.
 	throttleWindow = 500 * time.Millisecond
-	// throttleFactor is how many times the places that were granted are asked for. More
-	// than one leaves owners with somebody to grant the next free place to.
+	// throttleFactor is the ratio of slot requests to grants that is let through. Above one, owners
+	// have a request at hand for the next free slot.
 	throttleFactor = 2
-	// throttleSlack is how many asks are always made, so that a router which was refused
-	// everything finds out that places are free again.
+	// throttleSlack is the number of requests let through in any case, so that a router whose
+	// requests were all refused notices when slots are free again.
 	throttleSlack = 3
 )
 
-// Throttle decides whether a request asks for a place at all, by how those before it have ended.
-// The zero value lets all ask. It is not safe for concurrent use.
+// Throttle refuses requests before they ask for a slot, based on the outcomes of earlier ones
+// (client-side adaptive throttling). The zero value lets all requests through. It is not safe for
+// concurrent use.
 //
-// The load that it answers: several times what engines give. Each request asks up to three owners
-// of gates, and is refused; the questions fill the owners' links, so that grants reach the askers
-// late, and places stand granted and unused. What is refused here costs nobody anything.
+// Without it, at several times the engines' capacity each request asks up to three gate owners and
+// is refused by all. These calls fill the owners' links, grants reach the requesters late, and
+// granted slots stand unused. A refusal here costs no call.
 type Throttle struct {
-	asked, granted float64
-	at             time.Duration
+	requests, granted float64
+	updatedAt         time.Duration
 }
 
-// Refuses says whether a request is to be refused without asking; random is a number from 0 to 1.
-// The part that is refused is what was asked beyond throttleFactor times what was granted.
+// Refuses reports whether to refuse a request without asking for a slot; random is a number from 0
+// to 1. The refused share is what exceeds throttleFactor times the grants.
 func (t *Throttle) Refuses(now time.Duration, random float64) bool {
 	t.decay(now)
-	excess := t.asked - throttleFactor*t.granted - throttleSlack
-	return random < excess/(t.asked+1)
+	excess := t.requests - throttleFactor*t.granted - throttleSlack
+	return random < excess/(t.requests+1)
 }
 
-// Note adds a request that came, and whether it was granted a place; one that was refused without
-// asking counts as refused.
+// Note counts a request and whether it was granted a slot. A request refused by Refuses counts as
+// not granted.
 func (t *Throttle) Note(now time.Duration, granted bool) {
 	t.decay(now)
-	t.asked++
+	t.requests++
 	if granted {
 		t.granted++
 	}
 }
 
 func (t *Throttle) decay(now time.Duration) {
-	if now <= t.at {
+	if now <= t.updatedAt {
 		return
 	}
-	keep := math.Exp(-(now - t.at).Seconds() / throttleWindow.Seconds())
-	t.asked *= keep
+	keep := math.Exp(-(now - t.updatedAt).Seconds() / throttleWindow.Seconds())
+	t.requests *= keep
 	t.granted *= keep
-	t.at = now
+	t.updatedAt = now
 }
--- /dev/null
+++ b/internal/decide/gate/wait.go
@@ -0,0 +1,55 @@
+package gate
+
+import "time"
+
+const (
+	// startShare is the share of the objective within which a request must have a slot to be on
+	// time; the rest is for the engine to begin its answer.
+	startShare = 0.6
+	// unpromptedWaitShare is the share of the objective for which a request without a prompt waits
+	// at one engine before the next one is asked.
+	unpromptedWaitShare = 0.2
+	// DefaultObjective is the latency objective of routes that set none.
+	DefaultObjective = time.Second
+)
+
+// objectiveOrDefault returns objective, or DefaultObjective if it is not set.
+func objectiveOrDefault(objective time.Duration) time.Duration {
+	if objective <= 0 {
+		return DefaultObjective
+	}
+	return objective
+}
+
+// StartWithin returns how long after its arrival a request on a route with the given objective must
+// have a slot to be on time.
+func StartWithin(objective time.Duration) time.Duration {
+	return time.Duration(startShare * float64(objectiveOrDefault(objective)))
+}
+
+// MaxWait returns how long a request may wait at the i-th of the n engines that are asked for a
+// slot, given its age since arrival and the route's objective.
+//
+// A request with a prompt waits at the engine that holds it for all of its time. Any other engine
+// would have to fetch the prompt, over links that carry one prompt at a time, so the request goes
+// there only if a slot is free. While all engines are full, moving between them helps no request.
+func MaxWait(prompted bool, i, n int, objective, age time.Duration) time.Duration {
+	remaining := max(StartWithin(objective)-age, 0)
+	switch {
+	case prompted && i > 0:
+		return 0
+	case prompted || i == n-1:
+		return remaining
+	}
+	return min(remaining, time.Duration(unpromptedWaitShare*float64(objectiveOrDefault(objective))))
+}
+
+// coldWaitShare is the share of the objective for which a request waits for a cold engine while
+// other engines would take it at once.
+const coldWaitShare = 0.1
+
+// ColdWait returns how long a request on a route with the given objective may wait for a cold
+// engine while other engines are warm.
+func ColdWait(objective time.Duration) time.Duration {
+	return time.Duration(coldWaitShare * float64(objectiveOrDefault(objective)))
+}
