--- a/internal/decide/limit/cache.go
+++ b/internal/decide/limit/cache.go
@@ -10,115 +10,116 @@
 )
 
 const (
-	// askTimeout is after how long an ask without an answer counts as failed.
-	askTimeout = time.Second
-	// horizon is for how long ahead a router asks for tokens.
-	horizon = time.Second
-	// lowWater is the part of the horizon's demand at which to ask again.
-	lowWater = 0.25
-	// demandWindow is the shortest time over which demand is measured.
+	// requestTimeout is after how long a request to the owner without an answer counts as failed.
+	requestTimeout = time.Second
+	// prefetchHorizon is the length of future demand for which a router requests tokens.
+	prefetchHorizon = time.Second
+	// refillThreshold is the share of the horizon's demand below which more tokens are requested.
+	refillThreshold = 0.25
+	// demandWindow is the shortest interval over which demand is measured.
 	demandWindow = 250 * time.Millisecond
-	// slotRetry is when to ask again for slots after none were free.
-	slotRetry = 200 * time.Millisecond
-	// ownerRetry and ownerRetryMax bound the back-off towards a lost owner.
-	ownerRetry    = 200 * time.Millisecond
-	ownerRetryMax = 2 * time.Second
-	// retryJitter is the random part added to waits that callers are told.
+	// slotRetryDelay is the delay before slots are requested again after too few were free.
+	slotRetryDelay = 200 * time.Millisecond
+	// ownerBackoffBase and ownerBackoffMax bound the exponential backoff towards a lost owner.
+	ownerBackoffBase = 200 * time.Millisecond
+	ownerBackoffMax  = 2 * time.Second
+	// retryJitter is the random share added to retry delays.
 	retryJitter = 0.5
 )
 
-// Verdict is the answer of Take.
+// Verdict is the decision of Take.
 type Verdict struct {
 	// OK admits the request; the caller must call Done when it ends.
 	OK bool
-	// NeedRefill asks the caller to ask the owner. With OK it may do so in the
-	// background. Without OK and Err the request is undecided: Take is to be
-	// called again when the answer is there or the ask has failed.
+	// NeedRefill tells the caller to send a request to the owner, see Ask. With OK it may do so in
+	// the background. Without OK and Err the request is undecided: the caller must call Take again
+	// once the owner has answered or the request to it has failed.
 	NeedRefill bool
 	// Err is a *RateError or a *ConcurrencyError; the request did not run.
 	Err error
 }
 
-// CacheConfig sets up a Cache.
+// CacheConfig configures a Cache.
 type CacheConfig struct {
-	// Self is this router's name in asks.
+	// Self is this router's name in requests to owners.
 	Self string
-	// Limits returns an account's limits by the configuration in force.
+	// Limits returns an account's limits according to the configuration in force.
 	Limits func(account string) Limits
-	// Rand jitters waits; nil means no jitter.
+	// Rand adds jitter to waits; nil means no jitter.
 	Rand *rand.Rand
 }
 
-// Cache is a router's part of the limits. Use NewCache.
+// Cache holds a router's share of the limits of all accounts. Use NewCache to create one.
 type Cache struct {
-	cfg    CacheConfig
-	live   []string
-	seq    uint64
-	shares map[string]*share
+	cfg      CacheConfig
+	live     []string
+	seq      uint64
+	accounts map[string]*accountState
 }
 
-// share is what the router has of one account.
-type share struct {
-	inUse  int
-	used   time.Time
-	tokens int
-	// tokenEnd and leaseEnd are when the tokens and the slots lapse.
-	tokenEnd time.Time
-	leaseEnd time.Time
-	slots    int
-	target   int
-	tight    bool
-	over     bool
-
-	// pending is the seq of the ask under way, 0 if there is none.
-	pending    uint64
-	asked      time.Time
-	askedHeld  int
-	wantTokens int
-	wantSlots  int
-	renewAt    time.Time
-	tokensAt   time.Time
-	slotsAt    time.Time
-
-	// demand and blocked count since the last ask.
-	demand  int
-	blocked int
-	rate    float64
-
-	// failures counts asks that failed in a row.
-	failures int
-	ownerAt  time.Time
-	// static is the fallback's bucket. It fills only while the owner is lost.
-	static     float64
-	staticAt   time.Time
-	staticInit bool
+// accountState is what the router holds and knows of one account.
+type accountState struct {
+	inUse    int
+	lastUsed time.Time
+	tokens   int
+	// tokenExpiry and leaseExpiry are when the tokens and the slots expire.
+	tokenExpiry time.Time
+	leaseExpiry time.Time
+	slots       int
+	target      int
+	contended   bool
+	overLimit   bool
+
+	// pendingSeq is the sequence number of the pending request to the owner, 0 if there is none.
+	pendingSeq    uint64
+	requestedAt   time.Time
+	heldAtRequest int
+	wantTokens    int
+	wantSlots     int
+	renewAt       time.Time
+	tokensRetryAt time.Time
+	slotsRetryAt  time.Time
+
+	// demand and blocked count requests since the last request to the owner.
+	demand     int
+	blocked    int
+	demandRate float64
+
+	// failures is the number of consecutive failed requests to the owner.
+	failures     int
+	ownerRetryAt time.Time
+	// fallbackTokens is the level of the bucket used without an owner. It fills only while the
+	// owner is lost.
+	fallbackTokens     float64
+	fallbackRefilledAt time.Time
+	fallbackStarted    bool
 }
 
-// NewCache returns a cache that holds nothing. The live routers include itself.
+// NewCache returns an empty cache. The live routers include this one.
 func NewCache(cfg CacheConfig, live []string) *Cache {
-	c := &Cache{cfg: cfg, shares: map[string]*share{}}
+	c := &Cache{cfg: cfg, accounts: map[string]*accountState{}}
 	c.SetLive(live)
 	return c
 }
 
-// SetLive tells the cache which routers share the limits, itself included.
+// SetLive sets the routers that share the limits, including this one.
 func (c *Cache) SetLive(live []string) { c.live = slices.Clone(live) }
 
-// InUse returns the account's unfinished requests at this router.
+// InUse returns the number of the account's unfinished requests at this router.
 func (c *Cache) InUse(account string) int {
-	if s, ok := c.shares[account]; ok {
+	if s, ok := c.accounts[account]; ok {
 		return s.inUse
 	}
 	return 0
 }
 
-// Take decides on one request.
+// Take decides whether to admit one request of the account.
 func (c *Cache) Take(now time.Time, account string) Verdict {
 	lim := c.cfg.Limits(account)
-	s := c.share(account)
-	s.used = now
+	s := c.state(account)
+	s.lastUsed = now
 	s.demand++
-	c.lapse(now, s)
+	c.expire(now, s)
 	if lim.Rate <= 0 && lim.Concurrency <= 0 {
 		s.inUse++
 		return Verdict{OK: true}
@@ -126,105 +127,105 @@
 	if !s.leased(now) && !s.ownerLost() {
 		return Verdict{NeedRefill: true}
 	}
-	if lim.Concurrency > 0 && s.inUse >= c.slots(now, account, lim, s) {
+	if lim.Concurrency > 0 && s.inUse >= c.slotLimit(now, account, lim, s) {
 		s.blocked++
-		wait := max(slotRetry, s.slotsAt.Sub(now))
-		return s.refuse(now, s.slotsAt, &ConcurrencyError{account, c.jitter(wait)})
+		wait := max(slotRetryDelay, s.slotsRetryAt.Sub(now))
+		return s.refuse(now, s.slotsRetryAt, &ConcurrencyError{account, c.jitter(wait)})
 	}
 	if lim.Rate > 0 && !c.takeToken(now, lim, s) {
 		wait := c.tokenWait(now, lim, s)
-		return s.refuse(now, s.tokensAt, &RateError{account, c.jitter(wait)})
+		return s.refuse(now, s.tokensRetryAt, &RateError{account, c.jitter(wait)})
 	}
 	s.inUse++
-	return Verdict{OK: true, NeedRefill: s.wantsRefill(now, lim)}
+	return Verdict{OK: true, NeedRefill: s.needsRefill(now, lim)}
 }
 
 // Done ends a request that Take admitted.
 func (c *Cache) Done(account string) {
-	if s, ok := c.shares[account]; ok && s.inUse > 0 {
+	if s, ok := c.accounts[account]; ok && s.inUse > 0 {
 		s.inUse--
 	}
 }
 
-// Ask returns what to send to the account's owner; ok is false while an
-// earlier ask is under way. Every ask must end in Fill or Failed.
-func (c *Cache) Ask(now time.Time, account string) (a Ask, ok bool) {
-	s := c.share(account)
-	c.lapse(now, s)
-	if s.pending != 0 {
+// Ask returns the request to send to the account's owner; ok is false while an earlier one is
+// pending. The caller must pass the outcome of every request to Fill or Failed.
+func (c *Cache) Ask(now time.Time, account string) (req Ask, ok bool) {
+	s := c.state(account)
+	c.expire(now, s)
+	if s.pendingSeq != 0 {
 		return Ask{}, false
 	}
 	c.seq++
-	s.measure(now)
-	s.giveBack()
-	s.pending = c.seq
-	s.asked = now
-	s.askedHeld = s.slots
-	s.wantTokens = max(0, int(math.Ceil(s.rate*horizon.Seconds()))+1-s.tokens)
-	s.wantSlots = max(0, s.inUse+s.blocked+s.reserve()-s.slots)
+	s.updateDemandRate(now)
+	s.releaseIdleSlots()
+	s.pendingSeq = c.seq
+	s.requestedAt = now
+	s.heldAtRequest = s.slots
+	s.wantTokens = max(0, int(math.Ceil(s.demandRate*prefetchHorizon.Seconds()))+1-s.tokens)
+	s.wantSlots = max(0, s.inUse+s.blocked+s.spareSlots()-s.slots)
 	s.blocked = 0
 	return Ask{
-		Report:     Report{Router: c.cfg.Self, Seq: s.pending, Held: s.slots},
+		Report:     Report{Router: c.cfg.Self, Seq: s.pendingSeq, Held: s.slots},
 		WantTokens: s.wantTokens,
 		WantSlots:  s.wantSlots,
 	}, true
 }
 
-// Fill takes in the owner's answer and reports whether it was still awaited.
+// Fill applies the owner's answer and reports whether it belongs to the pending request.
 func (c *Cache) Fill(now time.Time, account string, b Batch) bool {
-	s, ok := c.shares[account]
-	if !ok || s.pending == 0 || s.pending != b.Seq {
-		// An answer to an ask that was given up. The owner learns from the
-		// next ask that these slots were never used.
+	s, ok := c.accounts[account]
+	if !ok || s.pendingSeq == 0 || s.pendingSeq != b.Seq {
+		// The request was given up before this answer came. The owner learns from the next request
+		// that these slots were never used.
 		return false
 	}
 	if b.Stale {
 		c.Failed(now, account, b.Seq)
 		return true
 	}
-	s.pending = 0
+	s.pendingSeq = 0
 	s.failures = 0
 	s.tokens += b.Tokens
-	s.slots = s.askedHeld + b.Slots
+	s.slots = s.heldAtRequest + b.Slots
 	s.target = b.Target
-	s.tight = b.Tight
-	s.over = b.Over
-	// The lease is counted from before the owner saw the ask, so that it ends
-	// here before it ends there.
-	s.leaseEnd = s.asked.Add(b.TTL)
-	s.tokenEnd = s.asked.Add(TokenTTL)
-	s.renewAt = s.asked.Add(b.TTL / 2)
+	s.contended = b.Tight
+	s.overLimit = b.Over
+	// The lease is counted from before the owner received the request, so that it ends here before
+	// it ends at the owner.
+	s.leaseExpiry = s.requestedAt.Add(b.TTL)
+	s.tokenExpiry = s.requestedAt.Add(TokenTTL)
+	s.renewAt = s.requestedAt.Add(b.TTL / 2)
 	if b.Tokens < s.wantTokens {
-		s.tokensAt = now.Add(c.jitter(b.RetryAfter))
+		s.tokensRetryAt = now.Add(c.jitter(b.RetryAfter))
 	}
 	if b.Slots < s.wantSlots {
-		s.slotsAt = now.Add(c.jitter(slotRetry))
+		s.slotsRetryAt = now.Add(c.jitter(slotRetryDelay))
 	}
 	return true
 }
 
-// Failed notes that an ask got no answer. Without a lease the router goes over
+// Failed records that a request to the owner got no answer. Without a lease the router falls back
 // to its static share.
 func (c *Cache) Failed(now time.Time, account string, seq uint64) {
-	s, ok := c.shares[account]
-	if !ok || s.pending == 0 || s.pending != seq {
+	s, ok := c.accounts[account]
+	if !ok || s.pendingSeq == 0 || s.pendingSeq != seq {
 		return
 	}
-	s.fail(now, c)
+	s.failRequest(now, c)
 }
 
-// Due returns, in order, the accounts whose owner should be asked now to keep
-// a lease, and forgets accounts that have fallen idle.
+// Due returns, in order, the accounts whose owner should be asked now to keep a lease. It drops the
+// state of idle accounts.
 func (c *Cache) Due(now time.Time) []string {
 	var due []string
-	for account, s := range c.shares {
-		c.lapse(now, s)
+	for account, s := range c.accounts {
+		c.expire(now, s)
 		if s.idle(now) {
-			// Unused slots return to the owner when the lease is over.
-			delete(c.shares, account)
+			// The owner takes unused slots back when the lease expires.
+			delete(c.accounts, account)
 			continue
 		}
-		if s.pending == 0 && s.dueAt(now) {
+		if s.pendingSeq == 0 && s.renewalDue(now) {
 			due = append(due, account)
 		}
 	}
@@ -232,35 +233,35 @@
 	return due
 }
 
-// OwnerMoved makes the account due at once, so that its new owner learns what
-// this router holds and can end its warm-up.
+// OwnerMoved makes the account due at once, so that its new owner learns what this router holds and
+// can end its warm-up.
 func (c *Cache) OwnerMoved(now time.Time, account string) {
-	s, ok := c.shares[account]
+	s, ok := c.accounts[account]
 	if !ok {
 		return
 	}
-	s.pending = 0
+	s.pendingSeq = 0
 	s.renewAt = now
-	s.ownerAt = now
+	s.ownerRetryAt = now
 }
 
-// slots is how many requests may be unfinished here: what is leased or, without
-// a lease, the static part. A single lost answer must not bring the static part
-// into play: the other routers still hold the whole limit.
-func (c *Cache) slots(now time.Time, account string, lim Limits, s *share) int {
-	if s.leased(now) && s.over {
-		// A busy router never has an idle slot to give back. If each free slot
-		// were used again, a fleet that was beyond the limit would stay there.
+// slotLimit returns how many requests may be unfinished at this router: the leased slots or,
+// without a lease, the static share. A single lost answer must not activate the static share, since
+// the other routers still hold the whole limit.
+func (c *Cache) slotLimit(now time.Time, account string, lim Limits, s *accountState) int {
+	if s.leased(now) && s.overLimit {
+		// A busy router never has an idle slot to give back. If it reused each slot that becomes
+		// free, a fleet above the limit would stay there.
 		return min(s.slots, s.target)
 	}
 	if s.leased(now) {
 		return s.slots
 	}
-	return c.staticSlots(account, lim.Concurrency)
+	return c.fallbackSlots(account, lim.Concurrency)
 }
 
-// takeToken spends a granted token or, while the owner is lost, a static one.
-func (c *Cache) takeToken(now time.Time, lim Limits, s *share) bool {
+// takeToken spends a granted token or, while the owner is lost, a fallback token.
+func (c *Cache) takeToken(now time.Time, lim Limits, s *accountState) bool {
 	if s.tokens >= 1 {
 		s.tokens--
 		return true
@@ -268,36 +269,36 @@
 	if !s.ownerLost() {
 		return false
 	}
-	s.refillStatic(now, lim, c.routers())
-	if s.static < 1 {
+	s.refillFallback(now, lim, c.routers())
+	if s.fallbackTokens < 1 {
 		return false
 	}
-	s.static--
+	s.fallbackTokens--
 	return true
 }
 
-// tokenWait is when the next token can be there.
-func (c *Cache) tokenWait(now time.Time, lim Limits, s *share) time.Duration {
+// tokenWait returns how long it takes until the next token can be available.
+func (c *Cache) tokenWait(now time.Time, lim Limits, s *accountState) time.Duration {
 	if !s.ownerLost() {
-		return max(minAskGap, s.tokensAt.Sub(now))
+		return max(minTokenWait, s.tokensRetryAt.Sub(now))
 	}
-	seconds := (1 - s.static) * c.routers() / lim.Rate
-	seconds = min(seconds, maxAskGap.Seconds())
+	seconds := (1 - s.fallbackTokens) * c.routers() / lim.Rate
+	seconds = min(seconds, maxTokenWait.Seconds())
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// routers is the number of routers that share the limits without an owner.
+// routers returns the number of routers that share the limits without an owner.
 func (c *Cache) routers() float64 { return float64(max(1, len(c.live))) }
 
-// staticSlots is this router's part of the concurrency without an owner. The
-// remainder goes to the routers that rank first for the account, so that the
-// parts add up to the limit and a small limit does not become zero everywhere.
-func (c *Cache) staticSlots(account string, limit int) int {
+// fallbackSlots returns this router's share of the concurrency without an owner. The remainder of
+// the division goes to the routers that rank first for the account, so that the shares add up to
+// the limit and a small limit does not become zero at every router.
+func (c *Cache) fallbackSlots(account string, limit int) int {
 	n := max(1, len(c.live))
 	rank := 0
-	own := xxh3.HashString(account + "\x00" + c.cfg.Self)
+	ownHash := xxh3.HashString(account + "\x00" + c.cfg.Self)
 	for _, r := range c.live {
-		if r != c.cfg.Self && xxh3.HashString(account+"\x00"+r) < own {
+		if r != c.cfg.Self && xxh3.HashString(account+"\x00"+r) < ownHash {
 			rank++
 		}
 	}
@@ -308,37 +309,37 @@
 	return slots
 }
 
-func (c *Cache) share(account string) *share {
-	s, ok := c.shares[account]
+func (c *Cache) state(account string) *accountState {
+	s, ok := c.accounts[account]
 	if !ok {
-		s = &share{}
-		c.shares[account] = s
+		s = &accountState{}
+		c.accounts[account] = s
 	}
 	return s
 }
 
-// lapse ends what has run out: tokens, the lease, an ask without an answer.
-func (c *Cache) lapse(now time.Time, s *share) {
-	if now.After(s.tokenEnd) {
+// expire drops what has run out: tokens, the lease, and a request without an answer.
+func (c *Cache) expire(now time.Time, s *accountState) {
+	if now.After(s.tokenExpiry) {
 		s.tokens = 0
 	}
 	if !s.leased(now) {
 		s.slots = 0
 	}
-	if s.pending != 0 && now.Sub(s.asked) > askTimeout {
-		s.fail(now, c)
+	if s.pendingSeq != 0 && now.Sub(s.requestedAt) > requestTimeout {
+		s.failRequest(now, c)
 	}
 }
 
-// fail ends the ask under way without an answer.
-func (s *share) fail(now time.Time, c *Cache) {
-	s.pending = 0
+// failRequest ends the pending request without an answer.
+func (s *accountState) failRequest(now time.Time, c *Cache) {
+	s.pendingSeq = 0
 	if s.failures == 0 {
-		s.staticAt = now
+		s.fallbackRefilledAt = now
 	}
 	s.failures++
-	wait := min(ownerRetry<<min(s.failures-1, 10), ownerRetryMax)
-	s.ownerAt = now.Add(c.jitter(wait))
+	wait := min(ownerBackoffBase<<min(s.failures-1, 10), ownerBackoffMax)
+	s.ownerRetryAt = now.Add(c.jitter(wait))
 }
 
 func (c *Cache) jitter(d time.Duration) time.Duration {
@@ -348,70 +349,69 @@
 	return d + time.Duration(c.cfg.Rand.Float64()*retryJitter*float64(d))
 }
 
-func (s *share) leased(now time.Time) bool { return now.Before(s.leaseEnd) }
+func (s *accountState) leased(now time.Time) bool { return now.Before(s.leaseExpiry) }
 
-// ownerLost reports whether the last ask got no answer.
-func (s *share) ownerLost() bool { return s.failures > 0 }
+// ownerLost reports whether the last request to the owner failed.
+func (s *accountState) ownerLost() bool { return s.failures > 0 }
 
-// refuse turns a request away, or leaves it undecided if an answer of the
-// owner could still admit it.
-func (s *share) refuse(now, notBefore time.Time, err error) Verdict {
+// refuse refuses a request, or leaves it undecided if an answer of the owner could still admit it.
+func (s *accountState) refuse(now, notBefore time.Time, err error) Verdict {
 	if s.ownerLost() {
-		return Verdict{NeedRefill: s.pending == 0 && !now.Before(s.ownerAt), Err: err}
+		return Verdict{NeedRefill: s.pendingSeq == 0 && !now.Before(s.ownerRetryAt), Err: err}
 	}
-	if s.mayAsk(now, notBefore) {
+	if s.canRequest(now, notBefore) {
 		return Verdict{NeedRefill: true}
 	}
 	return Verdict{Err: err}
 }
 
-// wantsRefill reports whether an admitted request should be followed by an ask.
-func (s *share) wantsRefill(now time.Time, lim Limits) bool {
-	if s.pending != 0 {
+// needsRefill reports whether to send a request to the owner after admitting a request.
+func (s *accountState) needsRefill(now time.Time, lim Limits) bool {
+	if s.pendingSeq != 0 {
 		return false
 	}
-	low := lim.Rate > 0 && float64(s.tokens) < lowWater*s.rate
-	return low && s.mayAsk(now, s.tokensAt) || s.dueAt(now)
+	low := lim.Rate > 0 && float64(s.tokens) < refillThreshold*s.demandRate
+	return low && s.canRequest(now, s.tokensRetryAt) || s.renewalDue(now)
 }
 
-// mayAsk reports whether an ask under way, or one that may be made now, could
-// bring what is missing.
-func (s *share) mayAsk(now, notBefore time.Time) bool {
-	if s.pending != 0 {
+// canRequest reports whether a pending request, or one that may be sent now, could bring what is
+// missing.
+func (s *accountState) canRequest(now, notBefore time.Time) bool {
+	if s.pendingSeq != 0 {
 		return true
 	}
-	return !now.Before(notBefore) && !now.Before(s.ownerAt)
+	return !now.Before(notBefore) && !now.Before(s.ownerRetryAt)
 }
 
-// dueAt reports whether it is time to renew the lease, or to try a lost owner.
-func (s *share) dueAt(now time.Time) bool {
-	return !now.Before(s.renewAt) && !now.Before(s.ownerAt)
+// renewalDue reports whether it is time to renew the lease, or to retry a lost owner.
+func (s *accountState) renewalDue(now time.Time) bool {
+	return !now.Before(s.renewAt) && !now.Before(s.ownerRetryAt)
 }
 
-// idle reports whether the share can be forgotten.
-func (s *share) idle(now time.Time) bool {
-	return s.inUse == 0 && s.pending == 0 && now.Sub(s.used) > DefaultTTL
+// idle reports whether the state can be dropped.
+func (s *accountState) idle(now time.Time) bool {
+	return s.inUse == 0 && s.pendingSeq == 0 && now.Sub(s.lastUsed) > DefaultTTL
 }
 
-// measure moves the estimate of demand on and starts a new interval.
-func (s *share) measure(now time.Time) {
-	dt := now.Sub(s.asked)
-	if s.asked.IsZero() {
-		dt = horizon
+// updateDemandRate updates the estimate of the demand and starts a new interval.
+func (s *accountState) updateDemandRate(now time.Time) {
+	dt := now.Sub(s.requestedAt)
+	if s.requestedAt.IsZero() {
+		dt = prefetchHorizon
 	}
 	rate := float64(s.demand) / max(dt, demandWindow).Seconds()
-	s.rate = (s.rate + rate) / 2
+	s.demandRate = (s.demandRate + rate) / 2
 	s.demand = 0
 }
 
-// reserve is the number of idle slots to keep for the next requests.
-func (s *share) reserve() int { return max(1, s.inUse/4) }
+// spareSlots returns the number of idle slots to keep for the next requests.
+func (s *accountState) spareSlots() int { return max(1, s.inUse/4) }
 
-// giveBack lets go of idle slots. They are out of use from here on, before the
-// owner can hear of it and lease them to another router.
-func (s *share) giveBack() {
-	keep := s.inUse + s.reserve()
-	if (s.tight || s.over) && keep > s.target {
+// releaseIdleSlots gives up idle slots. This router stops using them at once, before the owner can
+// learn of it and lease them to another router.
+func (s *accountState) releaseIdleSlots() {
+	keep := s.inUse + s.spareSlots()
+	if (s.contended || s.overLimit) && keep > s.target {
 		keep = max(s.inUse, s.target)
 	}
 	s.slots = min(s.slots, keep)
@@ -419,18 +419,18 @@
 	s.slots = max(s.slots, s.inUse)
 }
 
-// refillStatic moves the fallback's bucket to now. It starts with at most one
-// request per router, once: a bucket that started anew with each lost answer
-// would let the limit leak on a bad network.
-func (s *share) refillStatic(now time.Time, lim Limits, routers float64) {
-	part := lim.burst() / routers
-	if !s.staticInit {
-		s.staticInit = true
-		s.static = min(1, part)
+// refillFallback refills the fallback bucket up to now. The bucket starts once, with at most one
+// request per router: if it started anew with each lost answer, the account could exceed its limit
+// on a bad network.
+func (s *accountState) refillFallback(now time.Time, lim Limits, routers float64) {
+	burstShare := lim.burst() / routers
+	if !s.fallbackStarted {
+		s.fallbackStarted = true
+		s.fallbackTokens = min(1, burstShare)
 	}
-	if dt := now.Sub(s.staticAt); dt > 0 {
-		s.static += dt.Seconds() * lim.Rate / routers
+	if dt := now.Sub(s.fallbackRefilledAt); dt > 0 {
+		s.fallbackTokens += dt.Seconds() * lim.Rate / routers
 	}
-	s.static = min(s.static, max(1, part))
-	s.staticAt = now
+	s.fallbackTokens = min(s.fallbackTokens, max(1, burstShare))
+	s.fallbackRefilledAt = now
 }
--- a/internal/decide/limit/ledger.go
+++ b/internal/decide/limit/ledger.go
@@ -6,88 +6,91 @@
 )
 
 const (
-	// warmUpShare is the part of the limits that a new owner grants while it
-	// may not know of all that its predecessor granted.
+	// warmUpShare is the share of the limits that a new owner grants while it may not know of all
+	// grants of its predecessor.
 	warmUpShare = 0.5
-	// leaseGrace is the part of the TTL that the owner waits beyond it, for
-	// clocks that run at slightly different speeds.
+	// leaseGrace is the share of the TTL by which the owner extends a lease on its side, since
+	// clocks may run at slightly different rates.
 	leaseGrace = 0.1
-	// minAskGap bounds how often a router asks while tokens are short.
-	minAskGap = 200 * time.Millisecond
-	maxAskGap = 10 * time.Second
+	// minTokenWait and maxTokenWait bound the delay between token requests of a router while tokens
+	// are short.
+	minTokenWait = 200 * time.Millisecond
+	maxTokenWait = 10 * time.Second
 )
 
 // holder is a router with a lease.
 type holder struct {
-	seq     uint64
-	held    int
-	expires time.Time
-	last    Batch
+	seq       uint64
+	held      int
+	expires   time.Time
+	lastBatch Batch
 }
 
-// Ledger is the owner's account book of one client account. Use NewLedger.
+// Ledger tracks, at the owner of one client account, what the routers hold of its limits. Use
+// NewLedger to create one.
 type Ledger struct {
-	limits  Limits
-	ttl     time.Duration
-	level   float64
-	refill  time.Time
-	holders map[string]*holder
-	held    int
-	// starved is when a router last got fewer slots than it wanted.
-	starved   time.Time
-	awaited   map[string]struct{}
-	warmUntil time.Time
-}
-
-// NewLedger returns the book of an account. A router that takes an account
-// over passes the other live routers: until each has reported, or a full lease
-// has passed, the ledger grants half of the limits. A ttl of 0 means DefaultTTL.
+	limits     Limits
+	ttl        time.Duration
+	tokens     float64
+	refilledAt time.Time
+	holders    map[string]*holder
+	held       int
+	// lastShortfall is when a router last got fewer slots than it wanted.
+	lastShortfall time.Time
+	unreported    map[string]struct{}
+	warmUpEnd     time.Time
+}
+
+// NewLedger returns the ledger of an account. A router that takes over an account passes the other
+// live routers: until each has reported, or a full lease has passed, the ledger grants half of the
+// limits. A ttl of 0 means DefaultTTL.
 func NewLedger(now time.Time, limits Limits, ttl time.Duration, live []string) *Ledger {
 	if ttl <= 0 {
 		ttl = DefaultTTL
 	}
 	l := &Ledger{
-		limits:    limits,
-		ttl:       ttl,
-		refill:    now,
-		holders:   map[string]*holder{},
-		awaited:   map[string]struct{}{},
-		warmUntil: now.Add(ttl),
+		limits:     limits,
+		ttl:        ttl,
+		refilledAt: now,
+		holders:    map[string]*holder{},
+		unreported: map[string]struct{}{},
+		warmUpEnd:  now.Add(ttl),
 	}
 	for _, r := range live {
-		l.awaited[r] = struct{}{}
+		l.unreported[r] = struct{}{}
 	}
-	l.level = limits.burst() * l.share(now)
+	l.tokens = limits.burst() * l.grantableShare(now)
 	return l
 }
 
-// WarmingUp reports whether the ledger grants half of the limits.
+// WarmingUp reports whether the ledger grants only half of the limits.
 func (l *Ledger) WarmingUp(now time.Time) bool {
-	return len(l.awaited) > 0 && now.Before(l.warmUntil)
+	return len(l.unreported) > 0 && now.Before(l.warmUpEnd)
 }
 
-// SetLimits puts new limits in force. Slots that are out stay out; no more are
-// granted until they fit.
+// SetLimits changes the limits. Slots already leased stay leased; no more are granted until they
+// fit.
 func (l *Ledger) SetLimits(now time.Time, limits Limits) {
 	l.advance(now)
 	l.limits = limits
-	l.level = min(l.level, limits.burst())
+	l.tokens = min(l.tokens, limits.burst())
 }
 
-// Held returns the number of slots that are leased to routers.
+// Held returns the number of slots leased to routers.
 func (l *Ledger) Held(now time.Time) int {
 	l.advance(now)
 	return l.held
 }
 
-// Idle reports whether no router holds anything and the bucket is full, so
-// that the ledger can be forgotten and made anew without a trace.
+// Idle reports whether no router holds anything and the bucket is full. Such a ledger can be
+// dropped and created again without a difference.
 func (l *Ledger) Idle(now time.Time) bool {
 	l.advance(now)
-	return len(l.holders) == 0 && l.level >= l.limits.burst() && !l.WarmingUp(now)
+	return len(l.holders) == 0 && l.tokens >= l.limits.burst() && !l.WarmingUp(now)
 }
 
-// Report takes in what a router holds; stale tells that a later one came first.
+// Report records what a router holds. It reports whether r is stale, that is, a later report came
+// first.
 func (l *Ledger) Report(now time.Time, r Report) (stale bool) {
 	l.advance(now)
 	h, ok := l.holders[r.Router]
@@ -98,46 +101,47 @@
 		h = &holder{}
 		l.holders[r.Router] = h
 	}
-	delete(l.awaited, r.Router)
+	delete(l.unreported, r.Router)
 	h.seq = r.Seq
-	h.last = Batch{}
+	h.lastBatch = Batch{}
 	h.expires = now.Add(l.ttl + time.Duration(leaseGrace*float64(l.ttl)))
 	l.held += max(r.Held, 0) - h.held
 	h.held = max(r.Held, 0)
 	return false
 }
 
-// Grant answers an ask. A repeated ask gets the answer of the first one.
-func (l *Ledger) Grant(now time.Time, a Ask) Batch {
-	if h, ok := l.holders[a.Router]; ok && h.seq == a.Seq && h.last.Seq == a.Seq {
-		return h.last
+// Grant answers a request for tokens and slots. A repeated request gets the answer of the first
+// one.
+func (l *Ledger) Grant(now time.Time, req Ask) Batch {
+	if h, ok := l.holders[req.Router]; ok && h.seq == req.Seq && h.lastBatch.Seq == req.Seq {
+		return h.lastBatch
 	}
-	if l.Report(now, a.Report) {
-		return Batch{Seq: a.Seq, Stale: true}
+	if l.Report(now, req.Report) {
+		return Batch{Seq: req.Seq, Stale: true}
 	}
-	h := l.holders[a.Router]
-	b := Batch{Seq: a.Seq, TTL: l.ttl, Target: l.target()}
-	b.Slots = l.grantSlots(now, h, a.WantSlots)
-	b.Tight = now.Sub(l.starved) < l.ttl && !l.starved.IsZero()
+	h := l.holders[req.Router]
+	b := Batch{Seq: req.Seq, TTL: l.ttl, Target: l.fairShare()}
+	b.Slots = l.grantSlots(now, h, req.WantSlots)
+	b.Tight = now.Sub(l.lastShortfall) < l.ttl && !l.lastShortfall.IsZero()
 	b.Over = l.limits.Concurrency > 0 && l.held > l.limits.Concurrency
-	b.Tokens = l.grantTokens(a.WantTokens)
-	if b.Tokens < a.WantTokens {
-		b.RetryAfter = l.untilToken(now)
+	b.Tokens = l.grantTokens(req.WantTokens)
+	if b.Tokens < req.WantTokens {
+		b.RetryAfter = l.timeToNextToken(now)
 	}
-	h.last = b
+	h.lastBatch = b
 	return b
 }
 
-// RouterDead stops waiting for a dead router's report. Its slots stay out
-// until the lease is over: it may be alive and only out of reach.
-func (l *Ledger) RouterDead(name string) { delete(l.awaited, name) }
+// RouterDead stops waiting for a dead router's report. Its slots stay leased until the lease
+// expires: the router may be alive and only unreachable.
+func (l *Ledger) RouterDead(name string) { delete(l.unreported, name) }
 
-// advance refills the bucket and ends leases.
+// advance refills the bucket and ends expired leases.
 func (l *Ledger) advance(now time.Time) {
-	if dt := now.Sub(l.refill); dt > 0 {
-		l.refill = now
-		level := l.level + dt.Seconds()*l.limits.Rate*l.share(now)
-		l.level = min(level, l.limits.burst())
+	if dt := now.Sub(l.refilledAt); dt > 0 {
+		l.refilledAt = now
+		tokens := l.tokens + dt.Seconds()*l.limits.Rate*l.grantableShare(now)
+		l.tokens = min(tokens, l.limits.burst())
 	}
 	for name, h := range l.holders {
 		if now.After(h.expires) {
@@ -147,67 +151,67 @@
 	}
 }
 
-// share is the part of the limits that may be granted at present.
-func (l *Ledger) share(now time.Time) float64 {
+// grantableShare returns the share of the limits that may be granted now.
+func (l *Ledger) grantableShare(now time.Time) float64 {
 	if l.WarmingUp(now) {
 		return warmUpShare
 	}
 	return 1
 }
 
-// slotLimit is the number of slots that may be out at present.
+// slotLimit returns the number of slots that may be leased now.
 func (l *Ledger) slotLimit(now time.Time) int {
 	if l.limits.Concurrency <= 0 {
 		return 0
 	}
-	return max(1, int(float64(l.limits.Concurrency)*l.share(now)))
+	return max(1, int(float64(l.limits.Concurrency)*l.grantableShare(now)))
 }
 
-// target is a holder's fair share of the slots.
-func (l *Ledger) target() int {
+// fairShare returns each holder's fair share of the slots.
+func (l *Ledger) fairShare() int {
 	return l.limits.Concurrency / max(1, len(l.holders))
 }
 
-// grantSlots leases up to want slots. Up to its fair share a router gets all
-// that is free; beyond it, half, so that idle slots are lent but a surge at
-// one router leaves some for the next one that asks.
+// grantSlots leases up to want slots. A router gets all free slots up to its fair share, and half
+// of them beyond it: idle slots are lent, but a surge at one router leaves some for the next router
+// that asks.
 func (l *Ledger) grantSlots(now time.Time, h *holder, want int) int {
 	if l.limits.Concurrency <= 0 || want <= 0 {
 		return 0
 	}
 	free := max(0, l.slotLimit(now)-l.held)
 	n := min(want, free)
-	lend := max(l.target()-h.held, (free+1)/2)
-	n = min(n, lend)
+	maxGrant := max(l.fairShare()-h.held, (free+1)/2)
+	n = min(n, maxGrant)
 	if n < want {
-		l.starved = now
+		l.lastShortfall = now
 	}
 	h.held += n
 	l.held += n
 	return n
 }
 
-// grantTokens takes up to want tokens out of the bucket, while it is low no
-// more than half of it, for the same reason.
+// grantTokens takes up to want tokens from the bucket, but no more than half of its level, so that
+// some are left for the next router that asks.
 func (l *Ledger) grantTokens(want int) int {
 	if l.limits.Rate <= 0 || want <= 0 {
 		return 0
 	}
-	whole := math.Floor(l.level)
+	whole := math.Floor(l.tokens)
 	n := min(float64(want), math.Ceil(whole/2))
-	l.level -= n
+	l.tokens -= n
 	return int(n)
 }
 
-// untilToken is how long it takes until another token is there.
-func (l *Ledger) untilToken(now time.Time) time.Duration {
+// timeToNextToken returns how long it takes until another token is available.
+func (l *Ledger) timeToNextToken(now time.Time) time.Duration {
 	if l.limits.Rate <= 0 {
 		return 0
 	}
-	missing := max(0, 1-l.level)
-	seconds := missing / (l.limits.Rate * l.share(now))
-	if seconds >= maxAskGap.Seconds() {
-		return maxAskGap
+	missing := max(0, 1-l.tokens)
+	seconds := missing / (l.limits.Rate * l.grantableShare(now))
+	if seconds >= maxTokenWait.Seconds() {
+		return maxTokenWait
 	}
-	return max(minAskGap, time.Duration(seconds*float64(time.Second)))
+	return max(minTokenWait, time.Duration(seconds*float64(time.Second)))
 }
--- a/internal/decide/limit/limit_test.go
+++ b/internal/decide/limit/limit_test.go
@@ -19,13 +19,13 @@
 	return epoch.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-func ask(router string, seq uint64, held, tokens, slots int) Ask {
+func newRequest(router string, seq uint64, held, tokens, slots int) Ask {
 	return Ask{Report{router, seq, held}, tokens, slots}
 }
 
-// Symptom: slots or tokens are given out twice, or never come back. Sequence:
-// as named by each case. Cause: counting messages instead of what is held.
-func TestLedger(t *testing.T) {
+// Guards against slots or tokens that are granted twice or never come back: the ledger must count
+// what routers hold, not the messages they send.
+func TestLedgerCountsWhatRoutersHold(t *testing.T) {
 	lim := Limits{Rate: 10, Burst: 20, Concurrency: 20}
 	cases := map[string]struct {
 		live []string
@@ -33,55 +33,55 @@
 		at   float64
 		held int
 	}{
-		"one router borrows all that is idle": {nil, func(_ *testing.T, l *Ledger) {
+		"one router borrows all idle slots": {nil, func(_ *testing.T, l *Ledger) {
 			held := 0
 			for seq := uint64(1); seq <= 10; seq++ {
-				held += l.Grant(epoch, ask("a", seq, held, 0, 100)).Slots
+				held += l.Grant(epoch, newRequest("a", seq, held, 0, 100)).Slots
 			}
 		}, 0, 20},
-		"a surge leaves room for the next router": {nil, func(t *testing.T, l *Ledger) {
+		"a surge leaves slots for the next router": {nil, func(t *testing.T, l *Ledger) {
 			l.Report(epoch, Report{"b", 1, 0})
-			assert.Equal(t, 10, l.Grant(epoch, ask("a", 1, 0, 0, 100)).Slots)
-			b := l.Grant(epoch, ask("b", 2, 0, 0, 4))
+			assert.Equal(t, 10, l.Grant(epoch, newRequest("a", 1, 0, 0, 100)).Slots)
+			b := l.Grant(epoch, newRequest("b", 2, 0, 0, 4))
 			assert.Equal(t, 4, b.Slots)
 			assert.True(t, b.Tight)
 			assert.Equal(t, 10, b.Target)
 		}, 0, 14},
-		"repeated ask": {nil, func(t *testing.T, l *Ledger) {
-			first := l.Grant(epoch, ask("a", 1, 0, 5, 5))
-			assert.Equal(t, first, l.Grant(at(1), ask("a", 1, 0, 5, 5)))
+		"repeated request": {nil, func(t *testing.T, l *Ledger) {
+			first := l.Grant(epoch, newRequest("a", 1, 0, 5, 5))
+			assert.Equal(t, first, l.Grant(at(1), newRequest("a", 1, 0, 5, 5)))
 		}, 1, 5},
-		"answer lost, next ask says what is held": {nil, func(_ *testing.T, l *Ledger) {
-			l.Grant(epoch, ask("a", 1, 0, 0, 5))
-			l.Grant(at(1), ask("a", 2, 0, 0, 2))
+		"answer lost, next request reports what is held": {nil, func(_ *testing.T, l *Ledger) {
+			l.Grant(epoch, newRequest("a", 1, 0, 0, 5))
+			l.Grant(at(1), newRequest("a", 2, 0, 0, 2))
 		}, 1, 2},
-		"old ask arrives late": {nil, func(t *testing.T, l *Ledger) {
-			l.Grant(epoch, ask("a", 2, 3, 0, 0))
-			assert.True(t, l.Grant(at(1), ask("a", 1, 9, 5, 5)).Stale)
+		"outdated request arrives late": {nil, func(t *testing.T, l *Ledger) {
+			l.Grant(epoch, newRequest("a", 2, 3, 0, 0))
+			assert.True(t, l.Grant(at(1), newRequest("a", 1, 9, 5, 5)).Stale)
 		}, 1, 3},
-		"router dead, lease not over": {nil, func(_ *testing.T, l *Ledger) {
-			l.Grant(at(5), ask("a", 1, 0, 0, 5))
+		"router dead, lease not expired": {nil, func(_ *testing.T, l *Ledger) {
+			l.Grant(at(5), newRequest("a", 1, 0, 0, 5))
 			l.RouterDead("a")
 		}, 10, 5},
-		"lease over": {nil, func(t *testing.T, l *Ledger) {
-			l.Grant(epoch, ask("a", 1, 0, 0, 5))
+		"lease expired": {nil, func(t *testing.T, l *Ledger) {
+			l.Grant(epoch, newRequest("a", 1, 0, 0, 5))
 			assert.Equal(t, 5, l.Held(at(5.4)))
 		}, 5.6, 0},
 		"new owner grants half": {[]string{"a", "b"}, func(t *testing.T, l *Ledger) {
 			l.Report(epoch, Report{"a", 9, 6})
-			assert.Equal(t, 4, l.Grant(epoch, ask("c", 1, 0, 20, 20)).Slots)
+			assert.Equal(t, 4, l.Grant(epoch, newRequest("c", 1, 0, 20, 20)).Slots)
 			assert.True(t, l.WarmingUp(epoch))
 			l.Report(epoch, Report{"b", 1, 0})
 			assert.False(t, l.WarmingUp(epoch))
-			assert.Equal(t, 5, l.Grant(epoch, ask("c", 2, 4, 0, 20)).Slots)
+			assert.Equal(t, 5, l.Grant(epoch, newRequest("c", 2, 4, 0, 20)).Slots)
 		}, 0, 15},
-		"new owner waits for a lease at most": {[]string{"a"}, func(t *testing.T, l *Ledger) {
+		"new owner warms up for one lease at most": {[]string{"a"}, func(t *testing.T, l *Ledger) {
 			assert.True(t, l.WarmingUp(at(4.9)))
 			assert.False(t, l.WarmingUp(at(5)))
 		}, 5, 0},
 		"holders report more than the limit": {[]string{"a"}, func(t *testing.T, l *Ledger) {
 			l.Report(at(5), Report{"a", 1, 30})
-			assert.Zero(t, l.Grant(at(5), ask("b", 1, 0, 0, 5)).Slots)
+			assert.Zero(t, l.Grant(at(5), newRequest("b", 1, 0, 0, 5)).Slots)
 		}, 5, 30},
 	}
 	for name, c := range cases {
@@ -93,20 +93,20 @@
 	}
 }
 
-// Symptom: an account is shut out, or unbounded, while its owner is lost.
-// Sequence: asks fail, the lease ends, a new owner answers. Cause: no share of
-// its own for a router that reaches no owner.
-func TestCacheFallsBackToAStaticShare(t *testing.T) {
+// Guards against an account that is shut out, or not limited, while its owner is lost: requests to
+// the owner fail, the lease expires, and later a new owner answers. Meanwhile each router uses its
+// static share.
+func TestCacheFallsBackToStaticShareWithoutOwner(t *testing.T) {
 	live := []string{"r0", "r1", "r2"}
 	lim := Limits{Rate: 30, Concurrency: 10}
-	sum := 0
+	totalSlots := 0
 	for _, self := range live {
 		c := NewCache(CacheConfig{Self: self, Limits: func(string) Limits { return lim }}, live)
-		assert.Equal(t, Verdict{NeedRefill: true}, c.Take(epoch, "x"), "undecided until an answer")
-		a, ok := c.Ask(epoch, "x")
+		assert.Equal(t, Verdict{NeedRefill: true}, c.Take(epoch, "x"), "undecided until the owner answers")
+		req, ok := c.Ask(epoch, "x")
 		_, again := c.Ask(epoch, "x")
 		require.True(t, ok && !again)
-		c.Failed(epoch, "x", a.Seq)
+		c.Failed(epoch, "x", req.Seq)
 		admitted := 0
 		for ms := range 1000 {
 			if c.Take(at(float64(ms)/1000), "x").OK {
@@ -115,60 +115,60 @@
 			}
 		}
 		assert.InDelta(t, 10, admitted, 1.1, "a third of the rate")
-		for ; c.Take(at(100+float64(c.InUse("x"))), "x").OK; sum++ {
-			require.Less(t, sum, 20)
+		for ; c.Take(at(100+float64(c.InUse("x"))), "x").OK; totalSlots++ {
+			require.Less(t, totalSlots, 20)
 		}
 		assert.ErrorAs(t, c.Take(at(200), "x").Err, new(*ConcurrencyError))
 
-		a, ok = c.Ask(at(200), "x")
+		req, ok = c.Ask(at(200), "x")
 		require.True(t, ok)
-		assert.Equal(t, c.InUse("x"), a.Held, "what outlived the lease is reported")
-		assert.True(t, c.Fill(at(200.5), "x", Batch{Seq: a.Seq, Slots: 1, Tokens: 1, TTL: DefaultTTL}))
-		assert.False(t, c.Fill(at(200), "x", Batch{Seq: a.Seq, Slots: 1, Tokens: 1, TTL: DefaultTTL}), "repeated")
+		assert.Equal(t, c.InUse("x"), req.Held, "requests that outlived the lease are reported")
+		assert.True(t, c.Fill(at(200.5), "x", Batch{Seq: req.Seq, Slots: 1, Tokens: 1, TTL: DefaultTTL}))
+		assert.False(t, c.Fill(at(200), "x", Batch{Seq: req.Seq, Slots: 1, Tokens: 1, TTL: DefaultTTL}), "repeated")
 		assert.True(t, c.Take(at(200), "x").OK)
 		assert.False(t, c.Take(at(200), "x").OK)
 		c.Done("x")
-		a, _ = c.Ask(at(205), "x")
-		assert.Equal(t, c.InUse("x"), a.Held, "the lease ran from the ask: no idle slot is kept")
+		req, _ = c.Ask(at(205), "x")
+		assert.Equal(t, c.InUse("x"), req.Held, "the lease counts from the request: no idle slot is kept")
 	}
-	assert.Equal(t, lim.Concurrency, sum, "the parts add up to the limit")
+	assert.Equal(t, lim.Concurrency, totalSlots, "the shares add up to the limit")
 }
 
-// scenario is a fleet under an account's surge.
+// scenario describes a fleet under a surge of one account.
 type scenario struct {
 	name string
 	lim  Limits
-	// demand is in requests per second at each router.
+	// demand is the rate of requests per second at each router.
 	demand []float64
-	// changeAt is when a new owner takes over, 0 for never. Each router learns
-	// of it within spread seconds; the old owner is gone, or goes on.
+	// changeAt is when a new owner takes over, in seconds, 0 for never. Each router learns of it
+	// within spread seconds; the old owner is lost, or stays with oldOwnerStays.
 	changeAt, spread float64
-	oldGoesOn        bool
-	// loss is the share of answers that are lost until faultsEnd.
-	loss float64
+	oldOwnerStays    bool
+	// lossRate is the share of answers that are lost until lossEnd.
+	lossRate float64
 }
 
-// result is what a fleet did: excess is by how much the admitted requests
-// exceeded the burst plus the rate times the time, in the worst interval, and
-// peak the most requests unfinished at a time, settled that in the last 10 s.
+// result summarizes a run: excess is by how much the admitted requests exceeded the burst plus the
+// rate times the time, in the worst interval; peak is the highest number of unfinished requests,
+// and settled that of the last 10 s.
 type result struct {
-	admitted, peak, settled, asks int
-	excess                        float64
+	admitted, peak, settled, requests int
+	excess                            float64
 }
 
-const simSeconds, faultsEnd = 40, 25
+const simSeconds, lossEnd = 40, 25
 
 type simRouter struct {
-	cache        *Cache
-	owner        *Ledger
-	learnAt, due float64
-	waiting      int
-	ends         []float64
-	reply        Batch
-	failSeq      uint64
+	cache                    *Cache
+	owner                    *Ledger
+	learnsOwnerAt, demandDue float64
+	waiting                  int
+	endTimes                 []float64
+	reply                    Batch
+	failedSeq                uint64
 }
 
-// run plays a scenario in steps of 10 ms; an answer takes one step.
+// run simulates the scenario in steps of 10 ms; an answer takes one step.
 func (sc scenario) run(seed uint64) result {
 	rnd := rand.New(rand.NewPCG(seed, 5))
 	var live []string
@@ -180,7 +180,7 @@
 	routers := make([]*simRouter, len(live))
 	for i, name := range live {
 		cfg := CacheConfig{Self: name, Limits: func(string) Limits { return sc.lim }, Rand: rnd}
-		routers[i] = &simRouter{cache: NewCache(cfg, live), owner: old, learnAt: sc.changeAt + rnd.Float64()*sc.spread}
+		routers[i] = &simRouter{cache: NewCache(cfg, live), owner: old, learnsOwnerAt: sc.changeAt + rnd.Float64()*sc.spread}
 	}
 	var res result
 	bucket := 0.0
@@ -193,20 +193,20 @@
 		}
 		running := 0
 		for i, r := range routers {
-			if next != nil && r.owner != next && s >= r.learnAt {
+			if next != nil && r.owner != next && s >= r.learnsOwnerAt {
 				r.owner = next
 				r.cache.OwnerMoved(now, "x")
-			} else if next != nil && r.owner == old && !sc.oldGoesOn {
+			} else if next != nil && r.owner == old && !sc.oldOwnerStays {
 				r.owner = nil
 			}
-			r.due += sc.demand[i] / 100
-			for ; r.due >= 1; r.due-- {
+			r.demandDue += sc.demand[i] / 100
+			for ; r.demandDue >= 1; r.demandDue-- {
 				r.waiting++
 			}
-			n := r.step(now, s, rnd, sc.loss, &res)
+			n := r.step(now, s, rnd, sc.lossRate, &res)
 			bucket += float64(n)
 			res.admitted += n
-			running += len(r.ends)
+			running += len(r.endTimes)
 		}
 		res.excess = max(res.excess, bucket-sc.lim.burst())
 		res.peak = max(res.peak, running)
@@ -217,69 +217,69 @@
 	return res
 }
 
-// step lets a router admit what it can, and returns how much that was.
-func (r *simRouter) step(now time.Time, s float64, rnd *rand.Rand, loss float64, res *result) int {
-	// Both are repeated until the next ask; only the first time may count.
+// step lets a router admit what it can, and returns the number of admitted requests.
+func (r *simRouter) step(now time.Time, s float64, rnd *rand.Rand, lossRate float64, res *result) int {
+	// Both are repeated until the next request to the owner; only the first call may have an
+	// effect.
 	r.cache.Fill(now, "x", r.reply)
-	r.cache.Failed(now, "x", r.failSeq)
-	unfinished := len(r.ends)
-	r.ends = slices.DeleteFunc(r.ends, func(end float64) bool { return end <= s })
-	for range unfinished - len(r.ends) {
+	r.cache.Failed(now, "x", r.failedSeq)
+	unfinished := len(r.endTimes)
+	r.endTimes = slices.DeleteFunc(r.endTimes, func(end float64) bool { return end <= s })
+	for range unfinished - len(r.endTimes) {
 		r.cache.Done("x")
 	}
 	n := 0
-	undecided, needAsk := 0, len(r.cache.Due(now)) > 0
+	undecided, needRequest := 0, len(r.cache.Due(now)) > 0
 	for range r.waiting {
 		v := r.cache.Take(now, "x")
-		needAsk = needAsk || v.NeedRefill
+		needRequest = needRequest || v.NeedRefill
 		if v.OK {
 			n++
-			r.ends = append(r.ends, s+0.5+rnd.Float64()*1.5)
+			r.endTimes = append(r.endTimes, s+0.5+rnd.Float64()*1.5)
 		} else if v.Err == nil {
 			undecided++
 		}
 	}
 	r.waiting = undecided
-	if !needAsk {
+	if !needRequest {
 		return n
 	}
-	if a, ok := r.cache.Ask(now, "x"); ok {
-		res.asks++
+	if req, ok := r.cache.Ask(now, "x"); ok {
+		res.requests++
 		if r.owner == nil {
-			r.failSeq = a.Seq
-		} else if b := r.owner.Grant(now, a); rnd.Float64() >= loss || s >= faultsEnd {
+			r.failedSeq = req.Seq
+		} else if b := r.owner.Grant(now, req); rnd.Float64() >= lossRate || s >= lossEnd {
 			r.reply = b
 		}
 	}
 	return n
 }
 
-// Symptom: an account goes beyond its limit, or gets less than it may, while
-// its owner changes. Sequence: nine routers with three times the demand that
-// is allowed; the owner is lost or replaced, and routers learn of the new one
-// at different times. Cause: grants of the old owner, static shares and grants
-// of the new one add up. The test prints the worst of 40 runs each and holds
-// it to what can add up by construction.
-func TestFleetStaysNearTheLimitThroughOwnerChange(t *testing.T) {
+// Guards against an account that exceeds its limit, or gets less than it may, while its owner
+// changes: grants of the old owner, static shares and grants of the new owner add up. Nine routers
+// with three times the allowed demand lose or replace the owner and learn of the new one at
+// different times. The test logs the worst of 40 runs each and bounds it by what can add up by
+// construction.
+func TestLimitOvershootIsBoundedDuringOwnerChange(t *testing.T) {
 	rate := Limits{Rate: 100, Burst: 100}
 	conc := Limits{Concurrency: 60}
-	// saved is what routers hold: what was granted within the life of a token.
-	saved, static := rate.Rate*TokenTTL.Seconds(), 9.0
-	warm, start := rate.Rate*warmUpShare*DefaultTTL.Seconds(), rate.burst()*warmUpShare
+	// unspent is what routers hold: the tokens granted within the lifetime of a token.
+	unspent, fallback := rate.Rate*TokenTTL.Seconds(), 9.0
+	warmUp, initial := rate.Rate*warmUpShare*DefaultTTL.Seconds(), rate.burst()*warmUpShare
 	cases := []struct {
 		scenario
 		excess float64
 		peak   int
 	}{
-		{scenario{name: "rate, 2 % of answers lost", lim: rate, loss: 0.02}, saved + static, 0},
-		{scenario{name: "rate, owner lost, 3 s", lim: rate, changeAt: 15, spread: 3}, saved + start + warm + static, 0},
-		{scenario{name: "rate, two owners, 3 s", lim: rate, changeAt: 15, spread: 3, oldGoesOn: true}, saved + start + warm, 0},
-		{scenario{name: "rate, two owners, 10 s", lim: rate, changeAt: 15, spread: 10, oldGoesOn: true}, saved + start + warm + 5*rate.Rate, 0},
+		{scenario{name: "rate, 2 % of answers lost", lim: rate, lossRate: 0.02}, unspent + fallback, 0},
+		{scenario{name: "rate, owner lost, 3 s", lim: rate, changeAt: 15, spread: 3}, unspent + initial + warmUp + fallback, 0},
+		{scenario{name: "rate, two owners, 3 s", lim: rate, changeAt: 15, spread: 3, oldOwnerStays: true}, unspent + initial + warmUp, 0},
+		{scenario{name: "rate, two owners, 10 s", lim: rate, changeAt: 15, spread: 10, oldOwnerStays: true}, unspent + initial + warmUp + 5*rate.Rate, 0},
 		{scenario{name: "slots, steady", lim: conc}, 0, 60},
-		{scenario{name: "slots, 2 % of answers lost", lim: conc, loss: 0.02}, 0, 120},
+		{scenario{name: "slots, 2 % of answers lost", lim: conc, lossRate: 0.02}, 0, 120},
 		{scenario{name: "slots, owner lost, 3 s", lim: conc, changeAt: 15, spread: 3}, 0, 150},
-		{scenario{name: "slots, two owners, 3 s", lim: conc, changeAt: 15, spread: 3, oldGoesOn: true}, 0, 90},
-		{scenario{name: "slots, two owners, 10 s", lim: conc, changeAt: 15, spread: 10, oldGoesOn: true}, 0, 180},
+		{scenario{name: "slots, two owners, 3 s", lim: conc, changeAt: 15, spread: 3, oldOwnerStays: true}, 0, 90},
+		{scenario{name: "slots, two owners, 10 s", lim: conc, changeAt: 15, spread: 10, oldOwnerStays: true}, 0, 180},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -290,41 +290,42 @@
 				worst.excess = max(worst.excess, r.excess)
 				worst.peak = max(worst.peak, r.peak)
 				worst.settled = max(worst.settled, r.settled)
-				worst.asks = max(worst.asks, r.asks)
+				worst.requests = max(worst.requests, r.requests)
 				least = min(least, r.admitted)
 			}
-			t.Logf("at least %d admitted in %d s; most asks per router %.2f/s",
-				least, simSeconds, float64(worst.asks)/simSeconds/float64(len(c.demand)))
+			t.Logf("at least %d admitted in %d s; at most %.2f requests/s to the owner per router",
+				least, simSeconds, float64(worst.requests)/simSeconds/float64(len(c.demand)))
 			if c.lim.Rate > 0 {
-				t.Logf("beyond burst and rate: %.0f requests, by construction at most %.0f", worst.excess, c.excess)
+				t.Logf("in excess of burst and rate: %.0f requests, by construction at most %.0f", worst.excess, c.excess)
 				assert.LessOrEqual(t, worst.excess, c.excess)
-				assert.Greater(t, least, simSeconds*90, "and what is allowed is used")
+				assert.Greater(t, least, simSeconds*90, "the limit is used")
 				return
 			}
-			t.Logf("most unfinished: %d of %d, by construction at most %d; at the end %d",
+			t.Logf("most unfinished: %d, limit %d, by construction at most %d; at the end %d",
 				worst.peak, c.lim.Concurrency, c.peak, worst.settled)
 			assert.LessOrEqual(t, worst.peak, c.peak)
-			assert.LessOrEqual(t, worst.settled, c.lim.Concurrency, "the fleet comes back to the limit")
-			assert.Greater(t, least, simSeconds*40, "and what is allowed is used")
+			assert.LessOrEqual(t, worst.settled, c.lim.Concurrency, "the fleet returns to the limit")
+			assert.Greater(t, least, simSeconds*40, "the limit is used")
 		})
 	}
 }
 
-// Symptom: an account cannot use its limit because its callers all sit at one
-// router. Sequence: the whole demand comes to one of nine. Cause: fixed shares.
-func TestIdleSharesAreBorrowed(t *testing.T) {
+// Guards against an account that cannot use its limit because its callers are all connected to one
+// of nine routers.
+func TestOneRouterCanUseTheWholeLimit(t *testing.T) {
 	demand := make([]float64, 9)
 	demand[4] = 300
 	byRate := scenario{lim: Limits{Rate: 100}, demand: demand}.run(1)
 	bySlots := scenario{lim: Limits{Concurrency: 60}, demand: demand}.run(1)
-	t.Logf("one router admits %d by rate, has up to %d unfinished", byRate.admitted, bySlots.peak)
+	t.Logf("one router admits %d requests by rate and has up to %d unfinished", byRate.admitted, bySlots.peak)
 	assert.Greater(t, byRate.admitted, simSeconds*95)
 	assert.Equal(t, 60, bySlots.peak)
 }
 
-// Random asks, lost answers and lapses: while no owner changes, routers never
-// hold more slots than the limit, and the ledger's sum stays right.
-func TestSlotsNeverExceedTheLimit(t *testing.T) {
+// Guards against leasing more slots than the limit through random requests, lost answers and
+// expired leases while the owner stays the same: routers never hold more slots than the ledger
+// counts.
+func TestLeasedSlotsNeverExceedTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lim := Limits{Concurrency: rapid.IntRange(1, 30).Draw(t, "limit")}
 		l := NewLedger(epoch, lim, 0, nil)
@@ -335,7 +336,7 @@
 				r := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "router")
 				seq++
 				held[r] = rapid.IntRange(0, held[r]).Draw(t, "kept")
-				b := l.Grant(now, ask(r, seq, held[r], 0, rapid.IntRange(0, 40).Draw(t, "want")))
+				b := l.Grant(now, newRequest(r, seq, held[r], 0, rapid.IntRange(0, 40).Draw(t, "want")))
 				if rapid.Bool().Draw(t, "answered") {
 					held[r] += b.Slots
 					leased[r] = now.Add(b.TTL)
@@ -370,9 +371,9 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if c.Take(epoch, "x").NeedRefill {
-			a, _ := c.Ask(epoch, "x")
-			a.WantTokens = 1e6
-			c.Fill(epoch, "x", l.Grant(epoch, a))
+			req, _ := c.Ask(epoch, "x")
+			req.WantTokens = 1e6
+			c.Fill(epoch, "x", l.Grant(epoch, req))
 		}
 		c.Done("x")
 	}
