--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -1,5 +1,5 @@
-// Package retry is the one place that decides whether a failed attempt at an
-// upstream is repeated. No other layer may retry: layers multiply.
+// Package retry decides whether a failed attempt at an upstream is repeated. No other layer may
+// retry, since retries of several layers multiply.
 //
 // A Policy is not safe for concurrent use and reads no clock.
 package retry
@@ -11,26 +11,25 @@
 	"damaskrouter.example/damaskrouter/internal/serve/apierr"
 )
 
-// Known is what is certain about a failed attempt, weakest claim on the
-// upstream first.
+// Known is what is known for certain about a failed attempt, ordered by how far the request may
+// have got at the upstream.
 type Known uint8
 
-// The states of knowledge.
+// Values of Known.
 const (
 	// NotSent means that no byte of the request left the router.
 	NotSent Known = iota
-	// RefusedBeforeExecuting means that the upstream refused by a protocol
-	// that promises that nothing ran.
+	// RefusedBeforeExecuting means that the upstream refused the request in a protocol that
+	// guarantees that nothing was executed.
 	RefusedBeforeExecuting
-	// SentNoReply means that something was sent and the answer is missing, cut
-	// short, or a 5xx. The upstream may have executed the request: a 5xx can
-	// come from a step after the work.
+	// SentNoReply means that something was sent and the answer is missing, cut short, or a 5xx. The
+	// upstream may have executed the request: a 5xx can come from a step after the work.
 	SentNoReply
 	// FirstByteDelivered means that the caller has received a part of the answer.
 	FirstByteDelivered
 )
 
-// Ran translates the knowledge into what the caller is told.
+// Ran returns what the caller is told about the execution of the request.
 func (k Known) Ran() apierr.Ran {
 	switch k {
 	case NotSent, RefusedBeforeExecuting:
@@ -44,43 +43,42 @@
 
 // Attempt describes a failed attempt.
 type Attempt struct {
-	// Number counts the attempts made for the request, this one included. On a
-	// stream it counts those since the last chunk that arrived.
+	// Number counts the attempts at the request, including this one. On a stream it counts those
+	// since the last chunk that arrived.
 	Number int
-	// Idempotent says that the request may execute more than once, by its
-	// nature or because the upstream deduplicates.
+	// Idempotent means that the request may execute more than once, by its nature or because the
+	// upstream deduplicates.
 	Idempotent bool
-	// Known is what is certain about this attempt.
+	// Known is what is known about this attempt.
 	Known Known
-	// Earlier is the strongest of the earlier attempts' Known. A request whose
-	// second attempt was not sent may still have run in its first.
+	// Earlier is the maximum Known of the earlier attempts. A request whose second attempt was not
+	// sent may still have run in its first.
 	Earlier Known
-	// Resumable says that the answer's stream can be continued.
+	// Resumable means that the answer's stream can be continued.
 	Resumable bool
-	// Alternate says that another upstream can take the request.
+	// Alternate means that another upstream can take the request.
 	Alternate bool
 	// Remaining is the time left until the caller's deadline.
 	Remaining time.Duration
-	// NotBefore is the upstream's own Retry-After; it does not bind alternates.
+	// NotBefore is the upstream's own Retry-After; it does not apply to alternates.
 	NotBefore time.Duration
 }
 
-// strongest returns what is certain over all attempts.
+// strongest returns the maximum Known of all attempts.
 func (a *Attempt) strongest() Known { return max(a.Known, a.Earlier) }
 
 // Action is what to do after a failed attempt.
 type Action uint8
 
-// The actions.
+// Values of Action.
 const (
-	// GiveUp ends the request; the decision's Ran is what to tell the caller.
+	// GiveUp ends the request; Decision.Ran is what to tell the caller.
 	GiveUp Action = iota
 	// RetryNow sends the request again at once, to another upstream.
 	RetryNow
-	// RetryAfter sends the request again after the decision's Delay.
+	// RetryAfter sends the request again after Decision.Delay.
 	RetryAfter
-	// Resume continues the same stream after the decision's Delay. It never
-	// sends the request again.
+	// Resume continues the same stream after Decision.Delay. It never sends the request again.
 	Resume
 )
 
@@ -94,10 +92,10 @@
 	return actionNames[a]
 }
 
-// Reason says why a request is given up.
+// Reason is why a request is given up.
 type Reason string
 
-// The reasons for giving up.
+// Values of Reason.
 const (
 	ReasonMayHaveRun Reason = "may_have_run"
 	ReasonDelivered  Reason = "partly_delivered"
@@ -106,7 +104,7 @@
 	ReasonBudget     Reason = "budget_used_up"
 )
 
-// Decision is the answer of Decide.
+// Decision is the result of Policy.Decide.
 type Decision struct {
 	Action Action
 	// Delay is the wait before RetryAfter and Resume.
@@ -124,28 +122,27 @@
 	DefaultMinUseful   = 20 * time.Millisecond
 )
 
-// Config sets up a Policy. Zero fields take the defaults.
+// Config configures a Policy. Zero fields take the defaults.
 type Config struct {
-	// MaxAttempts bounds the attempts for one request, the first included.
+	// MaxAttempts bounds the attempts at one request, including the first.
 	MaxAttempts int
-	// Base and Cap bound the back-off: the n-th wait is drawn evenly from zero
-	// to Base doubled n-1 times, or Cap if that is less.
+	// Base and Cap bound the backoff: the n-th delay is uniformly distributed between zero and Base
+	// doubled n-1 times, or Cap if that is less.
 	Base time.Duration
 	Cap  time.Duration
-	// MinUseful is the time that must be left after a wait for another
-	// attempt to make sense.
+	// MinUseful is the time that must be left after the delay for another attempt to be useful.
 	MinUseful time.Duration
 }
 
-// Policy decides on retries within a budget. Use NewPolicy.
+// Policy decides on retries within a budget. Use NewPolicy to create one.
 type Policy struct {
 	cfg    Config
 	budget *Budget
 	rand   *rand.Rand
 }
 
-// NewPolicy returns a policy that draws on the budget. The random source
-// spreads the waits; callers that failed together must not return together.
+// NewPolicy returns a policy that draws on the budget. The random source spreads the delays, since
+// callers that failed together must not return together.
 func NewPolicy(cfg Config, budget *Budget, rnd *rand.Rand) *Policy {
 	if cfg.MaxAttempts <= 0 {
 		cfg.MaxAttempts = DefaultMaxAttempts
@@ -162,43 +159,43 @@
 	return &Policy{cfg: cfg, budget: budget, rand: rnd}
 }
 
-// Decide says what to do after a failed attempt. A retry that it grants has
-// been taken out of the budget.
+// Decide returns what to do after a failed attempt. If it grants a retry, it has taken it from the
+// budget.
 func (p *Policy) Decide(now time.Time, a Attempt) Decision {
-	if reason, no := forbidden(&a); no {
+	if reason, denied := unsafeToRetry(&a); denied {
 		return giveUp(&a, reason)
 	}
 	if a.Number >= p.cfg.MaxAttempts {
 		return giveUp(&a, ReasonAttempts)
 	}
-	d := p.next(&a)
-	if d.Delay+p.cfg.MinUseful > a.Remaining {
+	decision := p.chooseAction(&a)
+	if decision.Delay+p.cfg.MinUseful > a.Remaining {
 		return giveUp(&a, ReasonDeadline)
 	}
-	// A resume adds no work at the engine, and a stream that is not resumed
-	// leaves a caller with half an answer; it does not draw on the budget.
-	if d.Action != Resume && !p.budget.Spend(now) {
+	// A resume does not draw on the budget: it adds no work at the engine, and without it the
+	// caller is left with half an answer.
+	if decision.Action != Resume && !p.budget.Spend(now) {
 		return giveUp(&a, ReasonBudget)
 	}
-	return d
+	return decision
 }
 
-// forbidden reports whether safety alone rules out another attempt.
-func forbidden(a *Attempt) (Reason, bool) {
-	k := a.strongest()
-	if k == FirstByteDelivered {
+// unsafeToRetry reports whether another attempt would be unsafe, and the reason.
+func unsafeToRetry(a *Attempt) (Reason, bool) {
+	outcome := a.strongest()
+	if outcome == FirstByteDelivered {
 		// A second answer would differ from the part that was delivered.
 		return ReasonDelivered, !a.Resumable
 	}
-	if k == SentNoReply && !a.Idempotent {
-		// The receipt may have been issued already.
+	if outcome == SentNoReply && !a.Idempotent {
+		// The upstream may have executed the request already, for example issued a receipt.
 		return ReasonMayHaveRun, true
 	}
 	return "", false
 }
 
-// next chooses the action and its delay.
-func (p *Policy) next(a *Attempt) Decision {
+// chooseAction returns the action and its delay.
+func (p *Policy) chooseAction(a *Attempt) Decision {
 	if a.strongest() == FirstByteDelivered {
 		return Decision{Action: Resume, Delay: p.resumeDelay(a)}
 	}
@@ -212,7 +209,8 @@
 	return Decision{Action: RetryAfter, Delay: delay}
 }
 
-// resumeDelay lets the first resume go at once: a person is watching.
+// resumeDelay returns the delay before a resume. The first resume is immediate, since a person is
+// reading the stream.
 func (p *Policy) resumeDelay(a *Attempt) time.Duration {
 	if a.Number <= 1 {
 		return 0
@@ -220,10 +218,10 @@
 	return p.backoff(a.Number)
 }
 
-// backoff draws the n-th wait, with full jitter.
-func (p *Policy) backoff(n int) time.Duration {
+// backoff returns a random delay after the given attempt, with full jitter.
+func (p *Policy) backoff(attempt int) time.Duration {
 	ceiling := p.cfg.Base
-	for i := 1; i < n && ceiling < p.cfg.Cap; i++ {
+	for i := 1; i < attempt && ceiling < p.cfg.Cap; i++ {
 		ceiling *= 2
 	}
 	ceiling = min(ceiling, p.cfg.Cap)
--- a/internal/decide/retry/retry_test.go
+++ b/internal/decide/retry/retry_test.go
@@ -19,12 +19,11 @@
 	return NewPolicy(Config{}, b, rand.New(rand.NewPCG(1, 2)))
 }
 
-// Symptom: a receipt is issued twice, a caller sees two answers mixed, or is
-// told that nothing ran though something did. Sequence: an attempt fails in
-// any of the ways below. Cause: a retry that looks only at the last attempt,
-// or takes a 5xx for a refusal. All combinations are gone through, the
-// expectation of each being written down apart from the code.
-func TestDecideOnEveryCombination(t *testing.T) {
+// Guards against a request that is executed twice (a receipt issued twice), an answer mixed from
+// two attempts, and a caller that is told that nothing ran though something did: faults of a retry
+// that considers only the last attempt, or takes a 5xx for a refusal. The test goes through all
+// combinations and states its expectations independently of the code.
+func TestDecideIsSafeInEveryCombination(t *testing.T) {
 	type row struct {
 		known, earlier                   Known
 		idempotent, resumable, alternate bool
@@ -33,11 +32,11 @@
 	}
 	var rows []row
 	for i := range 4 * 4 * 4 * 32 {
-		on := func(bit int) bool { return i>>bit&1 == 1 }
+		bitSet := func(bit int) bool { return i>>bit&1 == 1 }
 		known, earlier, attempt := Known(i>>5&3), Known(i>>7&3), i>>9+1
-		rows = append(rows, row{known, earlier, on(0), on(1), on(2), attempt, on(3), on(4)})
+		rows = append(rows, row{known, earlier, bitSet(0), bitSet(1), bitSet(2), attempt, bitSet(3), bitSet(4)})
 	}
-	// expected[strongest knowledge][idempotent] if nothing else stands against it.
+	// expected[maximum Known][idempotent] applies if nothing else rules it out.
 	again, resume, no := "again", "resume", "no"
 	expected := map[Known]map[bool]string{
 		NotSent:                {false: again, true: again},
@@ -63,27 +62,27 @@
 		if r.attempt >= DefaultMaxAttempts || !r.inTime || want == resume && !r.resumable || want == again && !r.budget {
 			want = no
 		}
-		d := p.Decide(epoch, a)
-		name := fmt.Sprintf("%+v -> %+v", r, d)
+		decision := p.Decide(epoch, a)
+		name := fmt.Sprintf("%+v -> %+v", r, decision)
 		switch want {
 		case no:
-			assert.Equal(t, GiveUp, d.Action, name)
-			assert.Equal(t, ran[strongest], d.Ran, name)
-			assert.NotEmpty(t, d.Reason, name)
+			assert.Equal(t, GiveUp, decision.Action, name)
+			assert.Equal(t, ran[strongest], decision.Ran, name)
+			assert.NotEmpty(t, decision.Reason, name)
 		case resume:
-			assert.Equal(t, Resume, d.Action, name)
+			assert.Equal(t, Resume, decision.Action, name)
 		case again:
 			now := r.alternate && r.attempt == 1
-			assert.Equal(t, map[bool]Action{true: RetryNow, false: RetryAfter}[now], d.Action, name)
+			assert.Equal(t, map[bool]Action{true: RetryNow, false: RetryAfter}[now], decision.Action, name)
 		}
 		spent := p.budget.tokens < 1
 		assert.Equal(t, want == again || !r.budget, spent, name)
-		assert.LessOrEqual(t, d.Delay, DefaultBase<<(r.attempt-1), name)
+		assert.LessOrEqual(t, decision.Delay, DefaultBase<<(r.attempt-1), name)
 	}
 	t.Logf("%d combinations", len(rows))
 }
 
-func TestDelays(t *testing.T) {
+func TestRetryDelayBounds(t *testing.T) {
 	p := newPolicy(1e9)
 	p.cfg.MaxAttempts = 100
 	p.budget.cfg.Burst = 1e9
@@ -98,18 +97,18 @@
 		assert.LessOrEqual(t, d, ceiling)
 		assert.Greater(t, d, ceiling*9/10, "the whole range is used")
 	}
-	hint := Attempt{Number: 1, Known: RefusedBeforeExecuting, Remaining: time.Minute, NotBefore: 10 * time.Second}
-	assert.GreaterOrEqual(t, p.Decide(epoch, hint).Delay, hint.NotBefore)
-	hint.Remaining = 5 * time.Second
-	assert.Equal(t, ReasonDeadline, p.Decide(epoch, hint).Reason, "not before the deadline")
-	hint.Alternate = true
-	assert.Equal(t, RetryNow, p.Decide(epoch, hint).Action)
+	refused := Attempt{Number: 1, Known: RefusedBeforeExecuting, Remaining: time.Minute, NotBefore: 10 * time.Second}
+	assert.GreaterOrEqual(t, p.Decide(epoch, refused).Delay, refused.NotBefore)
+	refused.Remaining = 5 * time.Second
+	assert.Equal(t, ReasonDeadline, p.Decide(epoch, refused).Reason, "not before the deadline")
+	refused.Alternate = true
+	assert.Equal(t, RetryNow, p.Decide(epoch, refused).Action)
 }
 
-// Symptom: after the loss of a site the rest is buried under retries.
-// Sequence: every request fails for a minute, at various rates. Cause: retries
-// bounded per request only. The load must not rise by more than the share.
-func TestBudgetBoundsAStorm(t *testing.T) {
+// Guards against overloading the remaining sites with retries after the loss of one: while every
+// request fails for a minute, at various rates, the load must not rise by more than the budget's
+// share.
+func TestBudgetBoundsRetriesWhileAllRequestsFail(t *testing.T) {
 	for _, perSecond := range []int{1, 10, 100, 1000} {
 		b := NewBudget(epoch, BudgetConfig{})
 		retries := 0
