--- a/internal/decide/gate/gate.go
+++ b/internal/decide/gate/gate.go
@@ -265,9 +265,9 @@
 		g.undelivered = append(g.undelivered, Verdict{ID: item.ID, Granted: true})
 		delete(g.waiting, item.ID)
 	}
-	verdicts := g.undelivered
+	decisions := g.undelivered
 	g.undelivered = nil
-	return verdicts
+	return decisions
 }
 
 // RefuseAll refuses all queued requests and returns the decisions. It is used when the engine takes
--- a/internal/decide/gate/pace_test.go
+++ b/internal/decide/gate/pace_test.go
@@ -57,8 +57,8 @@
 		owners := []*Gate{newGate(64), newGate(64)}
 		var arrivals []time.Duration
 		now := time.Duration(0)
-		recordArrivals := func(verdicts ...Verdict) {
-			for _, v := range verdicts {
+		recordArrivals := func(decisions ...Verdict) {
+			for _, v := range decisions {
 				if v.Granted {
 					delay := time.Duration(rapid.IntRange(0, 200).Draw(t, "way")) * time.Millisecond
 					arrivals = append(arrivals, now+delay)
@@ -101,9 +101,9 @@
 		_, queued := g.Ask(at(0), newRequest(fmt.Sprint(i), 0, time.Minute))
 		require.True(t, queued)
 	}
-	verdicts := g.RefuseAll(at(0))
-	require.Len(t, verdicts, 3)
-	for _, v := range verdicts {
+	decisions := g.RefuseAll(at(0))
+	require.Len(t, decisions, 3)
+	for _, v := range decisions {
 		require.False(t, v.Granted)
 	}
 	require.Zero(t, g.Waiting())
