--- a/internal/edge/flow/flow_test.go
+++ b/internal/edge/flow/flow_test.go
@@ -14,20 +14,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeFleet is some routers that call one another in memory, on a fake clock.
+// fakeFleet is a set of routers that call each other in memory, on a fake clock.
 type fakeFleet struct {
-	origin time.Time
-	live   []feed.Peer
-	owners map[string]*Owner
-	askers map[string]*Asker
-	mu     sync.Mutex
-	silent map[string]bool
-	known  map[string]Known
-	// leaving are the engines that take no more requests.
-	leaving map[string]bool
+	origin   time.Time
+	live     []feed.Peer
+	owners   map[string]*Owner
+	clients  map[string]*Asker
+	mu       sync.Mutex
+	silent   map[string]bool
+	reported map[string]Known
+	// outOfService holds the engines that take no more requests.
+	outOfService map[string]bool
 }
 
-var errCut = errors.New("cut")
+var errUnreachable = errors.New("cut")
 
 func (f *fakeFleet) clock() time.Duration { return time.Hour + time.Since(f.origin) }
 
@@ -37,37 +37,37 @@
 	f.mu.Unlock()
 	if silent {
 		<-ctx.Done()
-		return errCut
+		return errUnreachable
 	}
 	service := &Service{Owner: f.owners[to.Name]}
 	if method == ReleaseMethod {
-		return service.Release(args.(ReleaseArgs), reply.(*Nothing))
+		return service.Release(args.(ReleaseArgs), reply.(*Empty))
 	}
 	return service.Ask(args.(Ask), reply.(*Answer))
 }
 
-// inFleet runs a test with some routers, of which one owns the gate of the engine "e".
-func inFleet(t *testing.T, test func(f *fakeFleet, owner string, others []string)) {
+// runInFleet runs a test with three routers, of which one owns the gate of the engine "e".
+func runInFleet(t *testing.T, test func(f *fakeFleet, owner string, others []string)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		f := &fakeFleet{
-			origin: time.Now(), owners: map[string]*Owner{}, askers: map[string]*Asker{},
-			silent: map[string]bool{}, known: map[string]Known{}, leaving: map[string]bool{},
+			origin: time.Now(), owners: map[string]*Owner{}, clients: map[string]*Asker{},
+			silent: map[string]bool{}, reported: map[string]Known{}, outOfService: map[string]bool{},
 		}
 		for _, name := range []string{"a", "b", "c"} {
 			f.live = append(f.live, feed.Peer{Name: name})
 		}
 		var running sync.WaitGroup
 		for _, p := range f.live {
-			o := NewOwner(f.clock, func(engine string) Known { return f.known[engine] }, func(engine string) bool { return f.leaving[engine] })
+			o := NewOwner(f.clock, func(engine string) Known { return f.reported[engine] }, func(engine string) bool { return f.outOfService[engine] })
 			f.owners[p.Name] = o
 			running.Go(func() { o.Run(ctx) })
-			f.askers[p.Name] = NewAsker(Options{
+			f.clients[p.Name] = NewAsker(Options{
 				Self: p.Name, Owner: o, Clock: f.clock, Call: f.call, Log: log.New(io.Discard),
 				Live: func() []feed.Peer { return f.live }, Engines: func() int { return 1 },
 			})
 		}
-		owner, _ := OwnerOf("e", Owners(f.live, 1))
+		owner, _ := OwnerOf("e", SelectOwners(f.live, 1))
 		var others []string
 		for _, p := range f.live {
 			if p.Name != owner.Name {
@@ -81,180 +81,178 @@
 	})
 }
 
-func askFor(places int, maxWait time.Duration) Ask {
-	return Ask{Engine: "e", Places: places, Weight: 1, MaxWait: maxWait, Lease: 30 * time.Second, Hold: time.Second}
+func newRequest(slots int, maxWait time.Duration) Ask {
+	return Ask{Engine: "e", Places: slots, Weight: 1, MaxWait: maxWait, Lease: 30 * time.Second, Hold: time.Second}
 }
 
-// Symptom: an engine with one place is sent several requests. Sequence: routers see the free
-// place at the same moment. Cause handled: they ask the same owner, which counts.
-func TestOnePlaceOneRequest(t *testing.T) {
-	inFleet(t, func(f *fakeFleet, owner string, others []string) {
+// Guards against sending several requests to an engine with one slot when routers see the free slot
+// at the same moment: all of them ask the same owner, which counts.
+func TestOneSlotIsNotGrantedTwice(t *testing.T) {
+	runInFleet(t, func(f *fakeFleet, owner string, others []string) {
 		ctx := context.Background()
-		first, _, err := f.askers[others[0]].Ask(ctx, askFor(1, time.Second))
+		first, _, err := f.clients[others[0]].Ask(ctx, newRequest(1, time.Second))
 		require.NoError(t, err)
 		granted := make(chan *Permit, 1)
 		go func() {
-			p, _, err := f.askers[others[1]].Ask(ctx, askFor(1, time.Second))
+			p, _, err := f.clients[others[1]].Ask(ctx, newRequest(1, time.Second))
 			require.NoError(t, err)
 			granted <- p
 		}()
 		time.Sleep(100 * time.Millisecond)
 		require.Empty(t, granted)
-		_, answer, err := f.askers[owner].Ask(ctx, askFor(1, 10*time.Millisecond))
+		_, answer, err := f.clients[owner].Ask(ctx, newRequest(1, 10*time.Millisecond))
 		require.True(t, ErrRefused.Has(err))
 		require.Positive(t, answer.Wait)
-		f.askers[others[0]].Release(first)
+		f.clients[others[0]].Release(first)
 		time.Sleep(10 * time.Millisecond)
 		require.Len(t, granted, 1)
 		require.Equal(t, 1, f.owners[owner].Load().Leases)
 	})
 }
 
-// Symptom: an engine runs half empty. Sequence: a caller leaves while its request waits for a
-// place, or the owner's answer comes after the caller has left. Cause handled: the place that
-// comes of it is given back.
-func TestPlaceOfACallerWhoHasLeftIsGivenBack(t *testing.T) {
-	inFleet(t, func(f *fakeFleet, owner string, others []string) {
-		first, _, err := f.askers[others[0]].Ask(context.Background(), askFor(1, time.Second))
+// Guards against slots that stay idle after a caller left while its request was waiting, or before
+// the owner's answer arrived: a slot granted to it is released.
+func TestSlotIsReleasedAfterCallerLeft(t *testing.T) {
+	runInFleet(t, func(f *fakeFleet, owner string, others []string) {
+		first, _, err := f.clients[others[0]].Ask(context.Background(), newRequest(1, time.Second))
 		require.NoError(t, err)
 		for _, name := range []string{owner, others[1]} {
 			ctx, leave := context.WithCancel(context.Background())
 			time.AfterFunc(50*time.Millisecond, leave)
-			_, _, err = f.askers[name].Ask(ctx, askFor(1, 3*time.Second))
-			require.True(t, ErrLeft.Has(err))
+			_, _, err = f.clients[name].Ask(ctx, newRequest(1, 3*time.Second))
+			require.True(t, ErrCanceled.Has(err))
 		}
-		f.askers[others[0]].Release(first)
+		f.clients[others[0]].Release(first)
 		time.Sleep(100 * time.Millisecond)
 		require.Equal(t, Load{Gates: 1}, f.owners[owner].Load())
 	})
 }
 
-// Symptom: all requests of a service hang for as long as an owner is frozen. Sequence: the
-// owner of an engine's gate stands still. Cause handled: an ask is given up a short time after
-// its wait, and the owner not asked again for a while; the request goes without asking.
-func TestSilentOwnerIsNotAskedForAWhile(t *testing.T) {
-	inFleet(t, func(f *fakeFleet, owner string, others []string) {
+// Guards against requests of a service that all hang while an owner is frozen: a call is given up
+// shortly after the request's maximum wait, and the owner is not asked again for a while. Such
+// requests are sent without asking.
+func TestUnresponsiveOwnerIsNotAskedForAWhile(t *testing.T) {
+	runInFleet(t, func(f *fakeFleet, owner string, others []string) {
 		f.silent[owner] = true
-		asker := f.askers[others[0]]
-		began := f.clock()
-		_, _, err := asker.Ask(context.Background(), askFor(1, 100*time.Millisecond))
-		require.True(t, ErrNoOwner.Has(err))
-		require.LessOrEqual(t, f.clock()-began, 100*time.Millisecond+callMargin)
-		began = f.clock()
-		_, _, err = asker.Ask(context.Background(), askFor(1, 100*time.Millisecond))
-		require.True(t, ErrNoOwner.Has(err))
-		require.Zero(t, f.clock()-began)
+		client := f.clients[others[0]]
+		start := f.clock()
+		_, _, err := client.Ask(context.Background(), newRequest(1, 100*time.Millisecond))
+		require.True(t, ErrOwnerUnreachable.Has(err))
+		require.LessOrEqual(t, f.clock()-start, 100*time.Millisecond+callMargin)
+		start = f.clock()
+		_, _, err = client.Ask(context.Background(), newRequest(1, 100*time.Millisecond))
+		require.True(t, ErrOwnerUnreachable.Has(err))
+		require.Zero(t, f.clock()-start)
 		f.mu.Lock()
 		f.silent[owner] = false
 		f.mu.Unlock()
-		time.Sleep(suspectFor)
-		_, _, err = asker.Ask(context.Background(), askFor(1, 100*time.Millisecond))
+		time.Sleep(ownerCooldown)
+		_, _, err = client.Ask(context.Background(), newRequest(1, 100*time.Millisecond))
 		require.NoError(t, err)
 	})
 }
 
-// Symptom: an engine holds twice its places after a router came or went. Sequence: the gate
-// has a new owner, which has granted nothing; reports tell of leases and of requests without.
-// Cause handled: what is reported beyond a gate's own leases takes places too.
-func TestNewOwnerCountsWhatReportsTell(t *testing.T) {
-	inFleet(t, func(f *fakeFleet, owner string, others []string) {
-		f.known["e"] = Known{Unasked: 2, Leased: 3}
-		_, _, err := f.askers[others[0]].Ask(context.Background(), askFor(5, 20*time.Millisecond))
+// Guards against an engine that gets twice as many requests as it has slots after a router came or
+// went: a new owner has granted nothing, so reported requests beyond its own leases must occupy
+// slots.
+func TestNewOwnerCountsReportedRequests(t *testing.T) {
+	runInFleet(t, func(f *fakeFleet, owner string, others []string) {
+		f.reported["e"] = Known{Unasked: 2, Leased: 3}
+		_, _, err := f.clients[others[0]].Ask(context.Background(), newRequest(5, 20*time.Millisecond))
 		require.True(t, ErrRefused.Has(err))
-		p, _, err := f.askers[others[0]].Ask(context.Background(), askFor(6, 20*time.Millisecond))
+		p, _, err := f.clients[others[0]].Ask(context.Background(), newRequest(6, 20*time.Millisecond))
 		require.NoError(t, err)
-		// Its own lease is heard of next; it does not count twice.
-		f.known["e"] = Known{Unasked: 2, Leased: 4}
-		_, _, err = f.askers[others[1]].Ask(context.Background(), askFor(7, 20*time.Millisecond))
+		// The reports now include the gate's own lease, which must not count twice.
+		f.reported["e"] = Known{Unasked: 2, Leased: 4}
+		_, _, err = f.clients[others[1]].Ask(context.Background(), newRequest(7, 20*time.Millisecond))
 		require.NoError(t, err)
-		f.askers[others[0]].Release(p)
+		f.clients[others[0]].Release(p)
 	})
 }
 
-// Symptom: in a surge each caller is refused once and then served late. Sequence: a request is
-// refused by the owner of its engine's gate, and comes back at another router. Cause handled:
-// the owner knows it again, and lets it wait behind those that can be on time.
-func TestOwnerKnowsARequestThatComesBack(t *testing.T) {
-	inFleet(t, func(f *fakeFleet, owner string, others []string) {
-		running, _, err := f.askers[owner].Ask(context.Background(), askFor(1, 0))
+// Guards against a surge in which each request is refused once and then served late: the owner
+// recognizes a retry sent through another router, and serves it after requests that can still be on
+// time.
+func TestOwnerServesLateRetryLast(t *testing.T) {
+	runInFleet(t, func(f *fakeFleet, owner string, others []string) {
+		running, _, err := f.clients[owner].Ask(context.Background(), newRequest(1, 0))
 		require.NoError(t, err)
-		question := askFor(1, 10*time.Millisecond)
-		question.Subject, question.Attempt, question.Slack = 7, 1, 300*time.Millisecond
-		_, answer, err := f.askers[others[0]].Ask(context.Background(), question)
+		req := newRequest(1, 10*time.Millisecond)
+		req.Subject, req.Attempt, req.Slack = 7, 1, 300*time.Millisecond
+		_, answer, err := f.clients[others[0]].Ask(context.Background(), req)
 		require.True(t, ErrRefused.Has(err))
 		require.False(t, answer.Late)
 		time.Sleep(time.Second)
 		order := make(chan uint64, 2)
 		wait := func(router string, attempt, subject uint64) {
-			question := askFor(1, 10*time.Second)
-			question.Subject, question.Attempt, question.Slack = subject, attempt, 300*time.Millisecond
-			p, answer, err := f.askers[router].Ask(context.Background(), question)
+			req := newRequest(1, 10*time.Second)
+			req.Subject, req.Attempt, req.Slack = subject, attempt, 300*time.Millisecond
+			p, answer, err := f.clients[router].Ask(context.Background(), req)
 			require.NoError(t, err)
 			require.Equal(t, attempt == 2, answer.Late)
 			order <- attempt
 			time.Sleep(time.Second)
-			f.askers[router].Release(p)
+			f.clients[router].Release(p)
 		}
 		go wait(others[1], 2, 7)
 		time.Sleep(10 * time.Millisecond)
 		go wait(others[0], 3, 8)
 		time.Sleep(10 * time.Millisecond)
-		f.askers[owner].Release(running)
+		f.clients[owner].Release(running)
 		time.Sleep(5 * time.Second)
 		require.EqualValues(t, 3, <-order)
 		require.EqualValues(t, 2, <-order)
 	})
 }
 
-// Symptom: places stay taken for good. Sequence: a router dies with leases. Cause handled:
-// they end when it is known to be gone.
-func TestLeasesOfADeadRouterEnd(t *testing.T) {
-	inFleet(t, func(f *fakeFleet, owner string, others []string) {
-		_, _, err := f.askers[others[0]].Ask(context.Background(), askFor(1, time.Second))
+// Guards against slots that stay occupied for good after a router dies with leases.
+func TestLeasesOfDeadRouterEnd(t *testing.T) {
+	runInFleet(t, func(f *fakeFleet, owner string, others []string) {
+		_, _, err := f.clients[others[0]].Ask(context.Background(), newRequest(1, time.Second))
 		require.NoError(t, err)
 		f.owners[owner].Gone(others[0])
-		_, _, err = f.askers[others[1]].Ask(context.Background(), askFor(1, 0))
+		_, _, err = f.clients[others[1]].Ask(context.Background(), newRequest(1, 0))
 		require.NoError(t, err)
 	})
 }
 
-// Symptom: the memory of an owner grows with each router that dies under load. Sequence: a
-// router's ask waits, and the router dies, or gives the ask up and says so. Cause: the ask left the
-// gate without a verdict, for which the call waited on for good. Handled: each ask has one end.
-func TestAsksOfADeadRouterEnd(t *testing.T) {
-	inFleet(t, func(f *fakeFleet, owner string, others []string) {
-		first, _, err := f.askers[owner].Ask(context.Background(), askFor(1, time.Second))
+// Guards against memory that grows with each router that dies under load: if a dead router's
+// waiting request, or one that its sender gave up, left the gate without a decision, the call for
+// it would wait for good.
+func TestQueuedRequestsOfDeadRouterEnd(t *testing.T) {
+	runInFleet(t, func(f *fakeFleet, owner string, others []string) {
+		first, _, err := f.clients[owner].Ask(context.Background(), newRequest(1, time.Second))
 		require.NoError(t, err)
 		for _, end := range []func(Ask){
 			func(Ask) { f.owners[owner].Gone(others[0]) },
 			func(a Ask) { f.owners[owner].Release(a.Engine, a.ID) },
 		} {
-			a := askFor(1, 5*time.Second)
-			a.ID, a.From = others[0]+"#1", others[0]
+			req := newRequest(1, 5*time.Second)
+			req.ID, req.From = others[0]+"#1", others[0]
 			ended := make(chan Answer, 1)
-			go func() { ended <- f.owners[owner].Ask(context.Background(), a) }()
+			go func() { ended <- f.owners[owner].Ask(context.Background(), req) }()
 			time.Sleep(100 * time.Millisecond)
 			require.Equal(t, 1, f.owners[owner].Load().Waiting)
-			end(a)
+			end(req)
 			time.Sleep(time.Millisecond)
 			require.Equal(t, Answer{}, <-ended)
 			require.Zero(t, f.owners[owner].Load().Waiting)
 		}
-		f.askers[owner].Release(first)
+		f.clients[owner].Release(first)
 	})
 }
 
-// All routers that see the same others agree on the owner, and one that goes takes few
-// engines along.
-func TestOwnersAreFewAndStable(t *testing.T) {
+// Guards against a change of owners that moves many engines: all routers with the same view agree
+// on the owners, and the loss of one moves only its own engines.
+func TestOwnerLossMovesFewEngines(t *testing.T) {
 	var live []feed.Peer
 	for i := range 40 {
 		live = append(live, feed.Peer{Name: string(rune('A' + i)), Link: uint64(10 + i%4)})
 	}
-	owners := Owners(live, 60)
+	owners := SelectOwners(live, 60)
 	require.Len(t, owners, 15)
 	for _, o := range owners {
-		require.GreaterOrEqual(t, o.Link, uint64(12), "the best links own gates")
+		require.GreaterOrEqual(t, o.Link, uint64(12), "only routers with the best links own gates")
 	}
 	moved := 0
 	for i := range 60 {
@@ -271,21 +269,22 @@
 	require.False(t, ok)
 }
 
-// Guards against gates whose owners' links are filled by the questions of a surge: routers with weak
-// links own none while there are others, and some do where there are none.
-func TestWeakLinksOwnNoGates(t *testing.T) {
+// Guards against late grants in a surge because the requests for slots saturate the links of gate
+// owners: routers with weak links own no gates as long as there are enough others, and some do if
+// there are not.
+func TestRoutersWithWeakLinksOwnNoGates(t *testing.T) {
 	var live []feed.Peer
 	for i := range 40 {
 		live = append(live, feed.Peer{Name: string(rune('A' + i)), Link: 10})
 	}
-	require.Len(t, Owners(live, 60), 15)
+	require.Len(t, SelectOwners(live, 60), 15)
 	for i := range 5 {
 		live[8*i].Link = 200
 	}
-	owners := Owners(live, 60)
+	owners := SelectOwners(live, 60)
 	require.Len(t, owners, 5)
 	for _, o := range owners {
 		require.EqualValues(t, 200, o.Link)
 	}
-	require.Len(t, Owners(live[1:10], 60), leastOwners)
+	require.Len(t, SelectOwners(live[1:10], 60), minOwners)
 }
--- a/internal/edge/flow/owner.go
+++ b/internal/edge/flow/owner.go
@@ -1,9 +1,9 @@
-// Package flow is the flow control between routers: who owns which engine's gate, and how
-// the others ask it.
+// Package flow is the flow control between routers: it determines which router owns the gate of
+// which engine, and lets the other routers ask it.
 //
-// While engines have room, requests go without asking. Once a service fills up, each request
-// asks the router that owns the engine for a place: it is granted, waits there, or is refused
-// at once; see package gate.
+// While engines have free slots, requests are sent without asking. Once a service fills up, each
+// request asks the router that owns the engine for a slot: it is granted one, waits there, or is
+// refused at once; see package gate.
 package flow
 
 import (
@@ -18,201 +18,201 @@
 )
 
 const (
-	// Urgencies is how many classes of urgency there are.
-	Urgencies = 10
-	// settleInterval is how often waiting asks are looked at: a hundredth of the time
-	// within which answers are to begin.
+	// UrgencyClasses is the number of urgency classes.
+	UrgencyClasses = 10
+	// settleInterval is how often waiting requests are checked: a hundredth of the time within
+	// which answers should begin.
 	settleInterval = 5 * time.Millisecond
-	// forgetAfter is how long a gate that nobody asks is kept. What it has learned of the
-	// drain is old by then.
-	forgetAfter = 10 * time.Second
-	// highWater is for how long the most leases of a gate are remembered. Reports of loads
-	// are up to so old; a lease that they count may have ended since.
-	highWater = time.Second
+	// idleGateTTL is how long an unused gate is kept. Its estimate of the drain rate is outdated by
+	// then.
+	idleGateTTL = 10 * time.Second
+	// peakWindow is how long the peak number of leases of a gate is remembered. Load reports are up
+	// to this old; a lease that they count may have ended since.
+	peakWindow = time.Second
 )
 
-// Clock reads the time since the VM booted, suspends included.
+// Clock returns the time since the VM booted, including suspends.
 type Clock func() time.Duration
 
-// Known is what reports say of an engine's load, lagging.
+// Known is the load of an engine according to reports, which lag behind.
 type Known struct {
-	// Unasked is how many requests are there that no gate granted, Leased how many that
-	// some gate did.
+	// Unasked is the number of requests at the engine without a lease, and Leased the number with a
+	// lease of any gate.
 	Unasked, Leased int
 }
 
 // Owner keeps the gates of the engines that this router owns. It is safe for concurrent use.
 type Owner struct {
-	clock Clock
-	known func(engine string) Known
-	// leaves says whether an engine takes no more requests.
-	leaves func(engine string) bool
+	clock        Clock
+	reportedLoad func(engine string) Known
+	// outOfService reports whether an engine takes no more requests.
+	outOfService func(engine string) bool
 
 	mu      sync.Mutex
-	gates   map[string]*owned
+	gates   map[string]*ownedGate
 	refused gate.Refused
-	busy    chan struct{}
+	wakeup  chan struct{}
 }
 
-// owned is one engine's gate.
-type owned struct {
+// ownedGate is the gate of one engine.
+type ownedGate struct {
 	*gate.Gate
 	waiting map[string]waiter
-	// most and last are the most leases of this span of highWater and of the one before,
-	// which began at since.
-	most, last int
-	since      time.Duration
-	asked      time.Duration
+	// peak and previousPeak are the highest numbers of leases in the current interval of
+	// peakWindow, which began at peakSince, and in the one before.
+	peak, previousPeak int
+	peakSince          time.Duration
+	lastRequest        time.Duration
 }
 
-// waiter is an ask that waits, and where its verdict goes.
+// waiter is a waiting request and the channel for its decision.
 type waiter struct {
-	ask     Ask
-	verdict chan gate.Verdict
+	req     Ask
+	decided chan gate.Verdict
 }
 
-// NewOwner returns an Owner; known is what reports say of an engine, and leaves whether it takes no
-// more requests.
-func NewOwner(clock Clock, known func(engine string) Known, leaves func(engine string) bool) *Owner {
-	return &Owner{clock: clock, known: known, leaves: leaves, gates: make(map[string]*owned), busy: make(chan struct{}, 1)}
+// NewOwner returns an Owner. reportedLoad returns an engine's load according to reports, and
+// outOfService reports whether the engine takes no more requests.
+func NewOwner(clock Clock, reportedLoad func(engine string) Known, outOfService func(engine string) bool) *Owner {
+	return &Owner{clock: clock, reportedLoad: reportedLoad, outOfService: outOfService, gates: make(map[string]*ownedGate), wakeup: make(chan struct{}, 1)}
 }
 
-// Ask asks for a place.
+// Ask is a request for a slot.
 type Ask struct {
-	// Engine is the engine's ID, Places how many requests may be there at once.
+	// Engine is the engine's ID, and Places its number of slots.
 	Engine string
 	Places int
-	// ID is unique among all asks; From is the router that asks.
+	// ID is unique among all requests for slots; From is the router that sends the request.
 	ID, From string
 	Account  string
-	// Urgency ranks requests, 0 first.
+	// Urgency is the urgency class, 0 being the most urgent.
 	Urgency int
-	// Weight is the request's work; see forward.
+	// Weight is the work of the request; see package forward.
 	Weight int64
-	// Subject is the same for all attempts at the request, zero if that can't be told;
-	// Attempt names this one. Slack is how long after the first attempt a request may
-	// start and be on time, and Late means that this one can't any more, as far as the
-	// asker knows.
+	// Subject is the same for all attempts at the request, or zero if they can't be told apart from
+	// others. Attempt identifies this attempt. Slack is how long after the first attempt the
+	// request may start and still be on time. Late means that this attempt can't be on time, as far
+	// as the sender knows.
 	Subject uint64
 	Attempt uint64
 	Slack   time.Duration
 	Late    bool
-	// MaxWait is how long the request may wait, Lease how long it may then be there, and
-	// Hold how long such requests are there in the mean.
+	// MaxWait is how long the request may wait, Lease how long it may then stay at the engine, and
+	// Hold how long such requests stay there on average.
 	MaxWait, Lease, Hold time.Duration
-	// Pace bounds how often the engine may be sent requests, where it is cold.
+	// Pace bounds the rate of requests to a cold engine.
 	Pace gate.Pace
 }
 
-// Answer is what the owner says.
+// Answer is the owner's answer to an Ask.
 type Answer struct {
 	Granted bool
-	// Wait is how long the request would have had to wait, where it was refused.
+	// Wait is how long the request would have had to wait. It is set on a refusal.
 	Wait time.Duration
-	// Late means that the owner knows of an earlier attempt, and that this one can't be
-	// on time.
+	// Late means that the request can't be on time. The owner may know this from an earlier
+	// attempt.
 	Late bool
 }
 
-// Ask asks a gate of this router and returns once there is a verdict, after MaxWait at the
-// latest, or when the context ends.
-func (o *Owner) Ask(ctx context.Context, a Ask) Answer {
-	verdict, late, wait := o.put(a)
-	if wait != nil {
+// Ask requests a slot from a gate of this router. It returns once there is a decision, which takes
+// MaxWait at most, or when the context ends.
+func (o *Owner) Ask(ctx context.Context, req Ask) Answer {
+	decision, late, decided := o.submit(req)
+	if decided != nil {
 		select {
-		case verdict = <-wait:
+		case decision = <-decided:
 		case <-ctx.Done():
-			o.withdraw(a)
+			o.withdraw(req)
 		}
 	}
-	return Answer{Granted: verdict.Granted, Wait: verdict.Wait, Late: late}
+	return Answer{Granted: decision.Granted, Wait: decision.Wait, Late: late}
 }
 
-// put hands an ask to its gate, and says whether it is late. The channel is nil if there is a
-// verdict at once.
-func (o *Owner) put(a Ask) (v gate.Verdict, late bool, wait chan gate.Verdict) {
+// submit passes a request to its gate and reports whether it is late. The channel is nil if the
+// decision is immediate.
+func (o *Owner) submit(req Ask) (v gate.Verdict, late bool, decided chan gate.Verdict) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.clock()
-	if o.leaves(a.Engine) {
-		return gate.Verdict{ID: a.ID}, a.Late, nil
+	if o.outOfService(req.Engine) {
+		return gate.Verdict{ID: req.ID}, req.Late, nil
 	}
-	late = a.Late || o.refused.Late(a.Subject, a.Attempt, a.Slack, now)
-	g := o.of(a.Engine, now)
-	g.SetPlaces(a.Places)
-	o.heard(a.Engine, g, now)
-	verdict, waits := g.Ask(at(now), gate.Ask{
-		ID: a.ID, Holder: a.From, Account: a.Account, Class: queue.Class(min(max(a.Urgency, 0), Urgencies-1)),
-		Late: late, Weight: a.Weight, Latest: at(now + a.MaxWait), Until: at(now + a.MaxWait + a.Lease), Hold: a.Hold,
-		Pace: a.Pace,
+	late = req.Late || o.refused.Late(req.Subject, req.Attempt, req.Slack, now)
+	g := o.gateFor(req.Engine, now)
+	g.SetPlaces(req.Places)
+	o.updateUnleased(req.Engine, g, now)
+	decision, queued := g.Ask(at(now), gate.Ask{
+		ID: req.ID, Holder: req.From, Account: req.Account, Class: queue.Class(min(max(req.Urgency, 0), UrgencyClasses-1)),
+		Late: late, Weight: req.Weight, Latest: at(now + req.MaxWait), Until: at(now + req.MaxWait + req.Lease), Hold: req.Hold,
+		Pace: req.Pace,
 	})
-	g.mark(now)
-	if !waits {
-		o.remember(a, verdict, now)
-		return verdict, late, nil
+	g.updatePeak(now)
+	if !queued {
+		o.recordDecision(req, decision, now)
+		return decision, late, nil
 	}
-	wait = make(chan gate.Verdict, 1)
-	g.waiting[a.ID] = waiter{ask: a, verdict: wait}
+	decided = make(chan gate.Verdict, 1)
+	g.waiting[req.ID] = waiter{req: req, decided: decided}
 	o.wake()
-	return gate.Verdict{}, late, wait
+	return gate.Verdict{}, late, decided
 }
 
-// remember notes a verdict for the time when the caller comes back. The caller holds the
-// mutex.
-func (o *Owner) remember(a Ask, v gate.Verdict, now time.Duration) {
+// recordDecision remembers a refusal, so that a retry of the request is recognized. The caller must
+// hold o.mu.
+func (o *Owner) recordDecision(req Ask, v gate.Verdict, now time.Duration) {
 	if v.Granted {
-		o.refused.Forget(a.Subject)
+		o.refused.Forget(req.Subject)
 		return
 	}
-	o.refused.Note(a.Subject, a.Attempt, now)
+	o.refused.Note(req.Subject, req.Attempt, now)
 }
 
-// of returns an engine's gate. The caller holds the mutex.
-func (o *Owner) of(engine string, now time.Duration) *owned {
+// gateFor returns the gate of an engine and creates it if necessary. The caller must hold o.mu.
+func (o *Owner) gateFor(engine string, now time.Duration) *ownedGate {
 	g := o.gates[engine]
 	if g == nil {
 		rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-		g = &owned{
-			Gate:    gate.New(gate.Config{Classes: Urgencies, Rand: rng}),
-			waiting: make(map[string]waiter), since: now,
+		g = &ownedGate{
+			Gate:    gate.New(gate.Config{Classes: UrgencyClasses, Rand: rng}),
+			waiting: make(map[string]waiter), peakSince: now,
 		}
 		o.gates[engine] = g
 		o.wake()
 	}
-	g.asked = now
+	g.lastRequest = now
 	return g
 }
 
-// heard tells a gate what reports say of requests that it has not granted. The leases of a
-// gate itself are among those reported; what is above the most that it had lately are
-// another owner's, as after a change of owners.
-func (o *Owner) heard(engine string, g *owned, now time.Duration) {
-	known := o.known(engine)
-	g.mark(now)
-	g.SetOthers(known.Unasked + max(0, known.Leased-max(g.most, g.last)))
+// updateUnleased updates a gate's count of requests at the engine without a lease of this gate. The
+// gate's own leases are among the reported ones; those beyond its recent peak belong to another
+// owner, as after a change of owners.
+func (o *Owner) updateUnleased(engine string, g *ownedGate, now time.Duration) {
+	reported := o.reportedLoad(engine)
+	g.updatePeak(now)
+	g.SetOthers(reported.Unasked + max(0, reported.Leased-max(g.peak, g.previousPeak)))
 }
 
-// mark remembers the most leases.
-func (g *owned) mark(now time.Duration) {
-	if now-g.since >= highWater {
-		g.last, g.most, g.since = g.most, 0, now
+// updatePeak records the current number of leases in the peak.
+func (g *ownedGate) updatePeak(now time.Duration) {
+	if now-g.peakSince >= peakWindow {
+		g.previousPeak, g.peak, g.peakSince = g.peak, 0, now
 	}
-	g.most = max(g.most, g.Held())
+	g.peak = max(g.peak, g.Held())
 }
 
-// withdraw ends an ask that nobody waits for any more.
-func (o *Owner) withdraw(a Ask) {
+// withdraw removes a request whose caller has left.
+func (o *Owner) withdraw(req Ask) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	g := o.gates[a.Engine]
+	g := o.gates[req.Engine]
 	if g == nil {
 		return
 	}
-	delete(g.waiting, a.ID)
-	g.Withdraw(at(o.clock()), a.ID)
+	delete(g.waiting, req.ID)
+	g.Withdraw(at(o.clock()), req.ID)
 }
 
-// Release ends a lease, or an ask.
+// Release ends a lease or a waiting request.
 func (o *Owner) Release(engine, id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -221,25 +221,25 @@
 		return
 	}
 	now := o.clock()
-	g.mark(now)
+	g.updatePeak(now)
 	if !g.Gate.Release(at(now), id) {
-		// The release of an ask that was given up overtakes its verdict.
+		// The sender gave up the request, and its release arrived before the decision was made.
 		g.Withdraw(at(now), id)
-		g.giveUp(id)
+		g.abandon(id)
 	}
 	o.settle(engine, g, now)
 }
 
-// giveUp ends a waiting ask whose asker has gone on without it; whoever waits for the verdict here
-// would wait for good.
-func (g *owned) giveUp(id string) {
+// abandon ends a waiting request that its sender has given up. Without a decision, the call that
+// waits for it here would never return.
+func (g *ownedGate) abandon(id string) {
 	if w, ok := g.waiting[id]; ok {
 		delete(g.waiting, id)
-		w.verdict <- gate.Verdict{ID: id}
+		w.decided <- gate.Verdict{ID: id}
 	}
 }
 
-// Gone ends the leases and asks of a router that is gone.
+// Gone ends the leases and waiting requests of a router that is gone.
 func (o *Owner) Gone(router string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -247,19 +247,19 @@
 	for engine, g := range o.gates {
 		g.DropHolder(at(now), router)
 		for id, w := range g.waiting {
-			if w.ask.From == router {
-				g.giveUp(id)
+			if w.req.From == router {
+				g.abandon(id)
 			}
 		}
 		o.settle(engine, g, now)
 	}
 }
 
-// settle delivers the verdicts of a gate. The caller holds the mutex.
-func (o *Owner) settle(engine string, g *owned, now time.Duration) {
-	o.heard(engine, g, now)
+// settle delivers the decisions of a gate. The caller must hold o.mu.
+func (o *Owner) settle(engine string, g *ownedGate, now time.Duration) {
+	o.updateUnleased(engine, g, now)
 	settle := g.Settle
-	if o.leaves(engine) {
+	if o.outOfService(engine) {
 		settle = g.RefuseAll
 	}
 	for _, v := range settle(at(now)) {
@@ -268,26 +268,26 @@
 			continue
 		}
 		delete(g.waiting, v.ID)
-		o.remember(w.ask, v, now)
-		w.verdict <- v
+		o.recordDecision(w.req, v, now)
+		w.decided <- v
 	}
-	g.mark(now)
+	g.updatePeak(now)
 }
 
 func (o *Owner) wake() {
 	select {
-	case o.busy <- struct{}{}:
+	case o.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// Run settles waiting asks until the context ends.
+// Run settles waiting requests until the context ends.
 func (o *Owner) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-o.busy:
+		case <-o.wakeup:
 		}
 		for o.settleAll() {
 			if !pause.For(ctx, settleInterval) {
@@ -297,41 +297,41 @@
 	}
 }
 
-// settleAll looks at all gates, and says whether any ask waits.
+// settleAll settles all gates, drops unused ones, and reports whether any request is still waiting.
 func (o *Owner) settleAll() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.clock()
-	waiting := false
+	anyWaiting := false
 	for engine, g := range o.gates {
 		if g.Waiting() > 0 {
 			o.settle(engine, g, now)
-			waiting = waiting || g.Waiting() > 0
+			anyWaiting = anyWaiting || g.Waiting() > 0
 		}
-		if g.Idle() && now-g.asked > forgetAfter {
+		if g.Idle() && now-g.lastRequest > idleGateTTL {
 			delete(o.gates, engine)
 		}
 	}
-	return waiting
+	return anyWaiting
 }
 
-// Load sums up the gates: how many there are, and what they hold.
+// Load is the number of gates and their total leases and waiting requests.
 type Load struct {
 	Gates, Leases, Waiting int
 }
 
-// Load returns what the gates of this router hold.
+// Load returns the load of this router's gates.
 func (o *Owner) Load() Load {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	out := Load{Gates: len(o.gates)}
+	load := Load{Gates: len(o.gates)}
 	for _, g := range o.gates {
-		out.Leases += g.Held()
-		out.Waiting += g.Waiting()
+		load.Leases += g.Held()
+		load.Waiting += g.Waiting()
 	}
-	return out
+	return load
 }
 
-// at turns a reading of the boot clock into a time for the pure packages, which only look
-// at differences.
+// at converts a reading of the boot clock into a time.Time for packages that only use time
+// differences.
 func at(now time.Duration) time.Time { return time.Unix(0, int64(now)) }
--- a/internal/edge/flow/owners.go
+++ b/internal/edge/flow/owners.go
@@ -10,34 +10,34 @@
 )
 
 const (
-	// enginesPerOwner is how many engines an owner has in the mean. Each router keeps a
-	// connection to each owner while a surge lasts; one engine is asked some fifty times
-	// a second.
+	// enginesPerOwner is the average number of engines per owner. While a surge lasts, each router
+	// keeps a connection to each owner, and each engine's gate is asked about fifty times per
+	// second.
 	enginesPerOwner = 4
-	// ownersTTL is how long a list of owners is used.
+	// ownersTTL is how long a list of owners is cached.
 	ownersTTL = 100 * time.Millisecond
-	// weakLink is the part of the best link below which a router owns no gates while there
-	// are leastOwners others: in a surge questions come by thousands a second, and on a link
-	// that they fill grants are late.
-	weakLink    = 0.25
-	leastOwners = 3
+	// minLinkRatio is the share of the best link's bandwidth below which a router owns no gates
+	// while there are minOwners others. In a surge thousands of requests for slots arrive per
+	// second, and on a saturated link grants are late.
+	minLinkRatio = 0.25
+	minOwners    = 3
 )
 
-// Owners returns the routers that own gates, out of those that are there, for a number of
-// engines: those with the best links, which have the most to spare.
-func Owners(live []feed.Peer, engines int) []feed.Peer {
+// SelectOwners returns the routers that own gates, selected from the live ones for the given number
+// of engines. It selects those with the best links, which have the most to spare.
+func SelectOwners(live []feed.Peer, engines int) []feed.Peer {
 	n := min(max((engines+enginesPerOwner-1)/enginesPerOwner, 1), len(live))
 	sorted := slices.Clone(live)
 	slices.SortFunc(sorted, feed.ComparePeers)
-	for n > leastOwners && float64(sorted[n-1].Link) < weakLink*float64(sorted[0].Link) {
+	for n > minOwners && float64(sorted[n-1].Link) < minLinkRatio*float64(sorted[0].Link) {
 		n--
 	}
 	return sorted[:n]
 }
 
-// OwnerOf returns which of the owners has an engine's gate, and false if there is none. All
-// routers that know of the same owners say the same, and few engines change hands when
-// an owner comes or goes.
+// OwnerOf returns the owner of an engine's gate, and false if there are no owners. All routers with
+// the same list of owners get the same result, and few engines change owners when one is added or
+// removed.
 func OwnerOf(engine string, owners []feed.Peer) (feed.Peer, bool) {
 	best, found := feed.Peer{}, false
 	var score uint64
@@ -50,22 +50,22 @@
 	return best, found
 }
 
-// ownerList remembers the owners for a moment. It is safe for concurrent use.
-type ownerList struct {
+// ownerCache caches the list of owners. It is safe for concurrent use.
+type ownerCache struct {
 	live    func() []feed.Peer
 	engines func() int
 
-	mu     sync.Mutex
-	owners []feed.Peer
-	at     time.Duration
+	mu         sync.Mutex
+	owners     []feed.Peer
+	computedAt time.Duration
 }
 
-func (l *ownerList) of(engine string, now time.Duration) (feed.Peer, bool) {
+func (l *ownerCache) ownerOf(engine string, now time.Duration) (feed.Peer, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.owners == nil || now-l.at > ownersTTL {
-		l.owners = Owners(l.live(), l.engines())
-		l.at = now
+	if l.owners == nil || now-l.computedAt > ownersTTL {
+		l.owners = SelectOwners(l.live(), l.engines())
+		l.computedAt = now
 	}
 	return OwnerOf(engine, l.owners)
 }
--- a/internal/edge/flow/service.go
+++ b/internal/edge/flow/service.go
@@ -2,36 +2,36 @@
 
 import "context"
 
-// ServiceName is the name to register a Service under.
+// ServiceName is the RPC name under which Service is registered.
 const ServiceName = "Flow"
 
-// Methods of the service.
+// RPC methods of Service.
 const (
 	AskMethod     = ServiceName + ".Ask"
 	ReleaseMethod = ServiceName + ".Release"
 )
 
-// Released is a lease that has ended.
-type Released struct{ Engine, ID string }
+// LeaseRef identifies a lease that has ended.
+type LeaseRef struct{ Engine, ID string }
 
-// ReleaseArgs names leases that have ended.
-type ReleaseArgs struct{ Leases []Released }
+// ReleaseArgs lists leases that have ended.
+type ReleaseArgs struct{ Leases []LeaseRef }
 
-// Nothing is an empty reply.
-type Nothing struct{}
+// Empty is an empty reply.
+type Empty struct{}
 
-// Service answers other routers. Its methods are called by net/rpc; their errors are
-// always nil.
+// Service answers calls of other routers. Its methods are called by net/rpc and never return an
+// error.
 type Service struct{ Owner *Owner }
 
-// Ask answers once there is a verdict.
+// Ask requests a slot and returns once there is a decision.
 func (s *Service) Ask(args Ask, reply *Answer) error {
 	*reply = s.Owner.Ask(context.Background(), args)
 	return nil
 }
 
 // Release ends leases.
-func (s *Service) Release(args ReleaseArgs, _ *Nothing) error {
+func (s *Service) Release(args ReleaseArgs, _ *Empty) error {
 	for _, l := range args.Leases {
 		s.Owner.Release(l.Engine, l.ID)
 	}
