--- a/internal/edge/flow/client.go
+++ b/internal/edge/flow/client.go
@@ -88,7 +88,7 @@
 	req.ID = c.Self + "#" + strconv.FormatUint(c.seq.Add(1), 36)
 	permit := &Permit{owner: owner, engine: req.Engine, id: req.ID}
 	if owner.Name == c.Self {
-		return c.result(ctx, permit, c.Owner.Ask(ctx, req))
+		return c.result(ctx, permit, c.Owner.Acquire(ctx, req))
 	}
 	return c.acquireRemote(ctx, permit, req)
 }
--- a/internal/edge/flow/flow_test.go
+++ b/internal/edge/flow/flow_test.go
@@ -230,7 +230,7 @@
 			req := newRequest(1, 5*time.Second)
 			req.ID, req.From = others[0]+"#1", others[0]
 			ended := make(chan Answer, 1)
-			go func() { ended <- f.owners[owner].Ask(context.Background(), req) }()
+			go func() { ended <- f.owners[owner].Acquire(context.Background(), req) }()
 			time.Sleep(100 * time.Millisecond)
 			require.Equal(t, 1, f.owners[owner].Load().Waiting)
 			end(req)
--- a/internal/edge/flow/owner.go
+++ b/internal/edge/flow/owner.go
@@ -114,9 +114,9 @@
 	Late bool
 }
 
-// Ask requests a slot from a gate of this router. It returns once there is a decision, which takes
+// Acquire requests a slot from a gate of this router. It returns once there is a decision, which takes
 // MaxWait at most, or when the context ends.
-func (o *Owner) Ask(ctx context.Context, req Ask) Answer {
+func (o *Owner) Acquire(ctx context.Context, req Ask) Answer {
 	decision, late, decided := o.submit(req)
 	if decided != nil {
 		select {
--- a/internal/edge/flow/service.go
+++ b/internal/edge/flow/service.go
@@ -26,7 +26,7 @@
 
 // Ask requests a slot and returns once there is a decision.
 func (s *Service) Ask(args Ask, reply *Answer) error {
-	*reply = s.Owner.Ask(context.Background(), args)
+	*reply = s.Owner.Acquire(context.Background(), args)
 	return nil
 }
 
