--- a/internal/fleet/peer/caller.go
+++ b/internal/fleet/peer/caller.go
@@ -9,58 +9,59 @@
 	"time"
 )
 
-// Caller makes calls to other routers over one connection for each address.
+// Caller makes calls to other routers over one connection per address.
 type Caller struct {
-	end endpoint
-	cnt *Counters
-	now func() time.Time
+	endpoint endpoint
+	counters *Counters
+	now      func() time.Time
 
 	mu sync.Mutex
-	// links are those that take new calls, by address; open are all that are
-	// not closed yet, also the ones that only finish their calls.
-	links  map[string]*link
-	open   map[*link]struct{}
-	closed bool
+	// current holds the connections that take new calls, by address. open holds all
+	// connections that are not closed yet, including those that only wait for their
+	// last calls to return.
+	current map[string]*clientConn
+	open    map[*clientConn]struct{}
+	closed  bool
 }
 
-// NewCaller returns a Caller that introduces itself as self.
-func NewCaller(self string, keys Keys, cnt *Counters, opts ...Option) *Caller {
+// NewCaller returns a Caller that identifies itself as self.
+func NewCaller(self string, keys Keys, counters *Counters, opts ...Option) *Caller {
 	return &Caller{
-		end:   newEndpoint(self, keys, opts),
-		cnt:   cnt,
-		now:   time.Now,
-		links: make(map[string]*link),
-		open:  make(map[*link]struct{}),
+		endpoint: newEndpoint(self, keys, opts),
+		counters: counters,
+		now:      time.Now,
+		current:  make(map[string]*clientConn),
+		open:     make(map[*clientConn]struct{}),
 	}
 }
 
-// Target is where a call goes: the address and the name expected behind it.
+// Target is the destination of a call: an address and the router name expected there.
 type Target struct {
 	Name    string
 	Address string
 }
 
-// Call calls method at t and waits for the reply or the end of ctx.
-// Errors: ErrNotSent, ErrNoReply, ErrRemote.
+// Call calls method at t and waits for the reply or the end of ctx. It returns
+// ErrNotSent, ErrNoReply or ErrRemote.
 func (c *Caller) Call(ctx context.Context, t Target, method string, args, reply any) error {
-	l, err := c.acquire(ctx, t)
+	cc, err := c.acquire(ctx, t)
 	if err != nil {
 		return ErrNotSent.Wrap(err)
 	}
-	defer c.release(l)
-	c.cnt.Calls.Add(1)
-	// Closing the connection also ends a write that blocks because the other
-	// end reads nothing any more; Go does not return before it.
-	stop := context.AfterFunc(ctx, func() { c.drop(l) })
+	defer c.release(cc)
+	c.counters.Calls.Add(1)
+	// Closing the connection also unblocks a write to a peer that has stopped reading;
+	// Go does not return before that write ends.
+	stop := context.AfterFunc(ctx, func() { c.abort(cc) })
 	defer stop()
-	call := l.client.Go(method, args, reply, make(chan *rpc.Call, 1))
-	// net/rpc gives back every call of a closed connection, and writes to the
-	// reply's memory no more after that.
+	call := cc.client.Go(method, args, reply, make(chan *rpc.Call, 1))
+	// net/rpc completes every call of a closed connection, and doesn't write to reply
+	// after that.
 	<-call.Done
-	return c.finish(ctx, l, call.Error)
+	return c.callError(ctx, cc, call.Error)
 }
 
-func (c *Caller) finish(ctx context.Context, l *link, err error) error {
+func (c *Caller) callError(ctx context.Context, cc *clientConn, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -68,129 +69,130 @@
 	if errors.As(err, &remote) {
 		return ErrRemote.Wrap(remote)
 	}
-	c.drop(l)
+	c.abort(cc)
 	if ctx.Err() != nil {
-		c.cnt.Timeouts.Add(1)
+		c.counters.Timeouts.Add(1)
 		return ErrNoReply.Wrap(ctx.Err())
 	}
 	return ErrNoReply.Wrap(err)
 }
 
-// acquire returns the link to t with this call counted on it.
-func (c *Caller) acquire(ctx context.Context, t Target) (*link, error) {
-	if l := c.existing(t); l != nil {
-		return l, nil
+// acquire returns a connection to t and counts this call on it.
+func (c *Caller) acquire(ctx context.Context, t Target) (*clientConn, error) {
+	if cc := c.reuse(t); cc != nil {
+		return cc, nil
 	}
-	l, err := c.dial(ctx, t)
+	cc, err := c.dial(ctx, t)
 	if err != nil {
 		return nil, err
 	}
-	return c.keep(l)
+	return c.add(cc)
 }
 
-func (c *Caller) dial(ctx context.Context, t Target) (*link, error) {
-	tcp, err := c.end.open(ctx, "tcp", t.Address)
+func (c *Caller) dial(ctx context.Context, t Target) (*clientConn, error) {
+	tcp, err := c.endpoint.dialContext(ctx, "tcp", t.Address)
 	if err != nil {
 		return nil, err
 	}
-	raw := &conn{Conn: tcp, cnt: c.cnt}
+	raw := &conn{Conn: tcp, counters: c.counters}
 	stop := context.AfterFunc(ctx, func() { _ = tcp.Close() })
 	defer stop()
-	secured, proved, err := c.end.dial(raw, t.Name)
+	secured, identity, err := c.endpoint.dial(raw, t.Name)
 	if err != nil {
-		c.cnt.RefusedDials.Add(1)
+		c.counters.RefusedDials.Add(1)
 		_ = tcp.Close()
 		return nil, err
 	}
 	now := c.now()
-	return &link{
+	return &clientConn{
 		client: rpc.NewClient(secured), conn: raw, address: t.Address,
-		name: proved.name, key: proved.key, opened: now, used: now,
+		name: identity.name, keyID: identity.keyID, opened: now, lastUsed: now,
 	}, nil
 }
 
-func (c *Caller) existing(t Target) *link {
-	valid := c.end.keys()
+func (c *Caller) reuse(t Target) *clientConn {
+	valid := c.endpoint.keys()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := c.links[t.Address]
-	if l == nil {
+	cc := c.current[t.Address]
+	if cc == nil {
 		return nil
 	}
-	if !l.usable(t, valid, c.now()) {
-		c.retire(l)
+	if !cc.usable(t, valid, c.now()) {
+		c.retire(cc)
 		return nil
 	}
-	l.take(c.now())
-	return l
+	cc.beginCall(c.now())
+	return cc
 }
 
-// keep stores l unless another goroutine was faster, whose link then serves both.
-func (c *Caller) keep(l *link) (*link, error) {
+// add stores cc. If another goroutine has stored an equivalent connection meanwhile, it
+// closes cc and returns that one.
+func (c *Caller) add(cc *clientConn) (*clientConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
-		l.close()
+		cc.close()
 		return nil, net.ErrClosed
 	}
-	first := c.links[l.address]
-	if first != nil && first.name == l.name && first.key == l.key {
-		l.close()
-		first.take(c.now())
-		return first, nil
+	existing := c.current[cc.address]
+	if existing != nil && existing.name == cc.name && existing.keyID == cc.keyID {
+		cc.close()
+		existing.beginCall(c.now())
+		return existing, nil
 	}
-	if first != nil {
-		c.retire(first)
+	if existing != nil {
+		c.retire(existing)
 	}
-	c.links[l.address] = l
-	c.open[l] = struct{}{}
-	l.take(c.now())
-	return l, nil
+	c.current[cc.address] = cc
+	c.open[cc] = struct{}{}
+	cc.beginCall(c.now())
+	return cc, nil
 }
 
-// retire keeps l from new calls and closes it once its last call has returned;
-// c.mu is held. Closing at once would cut the calls of other goroutines, and
-// they would be "no reply" for no fault of the other router.
-func (c *Caller) retire(l *link) {
-	if c.links[l.address] == l {
-		delete(c.links, l.address)
+// retire keeps cc from new calls and closes it once its last call has returned. c.mu
+// must be held. Closing at once would cut the calls of other goroutines: they would
+// fail with ErrNoReply although the other router works.
+func (c *Caller) retire(cc *clientConn) {
+	if c.current[cc.address] == cc {
+		delete(c.current, cc.address)
 	}
-	if l.calls == 0 {
-		c.shut(l)
+	if cc.activeCalls == 0 {
+		c.closeLocked(cc)
 	}
 }
 
-// shut closes l; c.mu is held.
-func (c *Caller) shut(l *link) {
-	delete(c.open, l)
-	l.close()
+// closeLocked closes cc. c.mu must be held.
+func (c *Caller) closeLocked(cc *clientConn) {
+	delete(c.open, cc)
+	cc.close()
 }
 
-// release gives back what acquire counted.
-func (c *Caller) release(l *link) {
+// release ends a call that acquire counted.
+func (c *Caller) release(cc *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l.calls--
-	if l.calls == 0 && c.links[l.address] != l {
-		c.shut(l)
+	cc.activeCalls--
+	if cc.activeCalls == 0 && c.current[cc.address] != cc {
+		c.closeLocked(cc)
 	}
 }
 
-// drop closes l at once.
-func (c *Caller) drop(l *link) {
+// abort closes cc at once, with its calls.
+func (c *Caller) abort(cc *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.retire(l)
-	c.shut(l)
+	c.retire(cc)
+	c.closeLocked(cc)
 }
 
-// Close closes all connections; later calls are not sent.
+// Close closes all connections. Later calls return ErrNotSent.
 func (c *Caller) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	clear(c.links)
-	for l := range c.open {
-		c.shut(l)
+	clear(c.current)
+	for cc := range c.open {
+		c.closeLocked(cc)
 	}
 }
--- a/internal/fleet/peer/conn.go
+++ b/internal/fleet/peer/conn.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// conn is a TCP connection that counts its bytes, bounds each write once
-// bounded is set, and remembers that reading from it has failed.
+// conn is a TCP connection that counts its bytes, sets a deadline for each write if
+// limitWrites is set, and records that a read has failed.
 type conn struct {
 	net.Conn
-	cnt *Counters
-	// bounded is set before the connection is shared between goroutines.
-	bounded bool
-	broken  atomic.Bool
+	counters *Counters
+	// limitWrites must be set before the connection is shared between goroutines.
+	limitWrites bool
+	broken      atomic.Bool
 }
 
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.cnt.In.Add(int64(n))
+	c.counters.In.Add(int64(n))
 	if err != nil {
 		c.broken.Store(true)
 	}
@@ -28,12 +28,12 @@
 
 // Write implements net.Conn.
 func (c *conn) Write(p []byte) (int, error) {
-	if c.bounded {
+	if c.limitWrites {
 		if err := c.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 			return 0, err
 		}
 	}
 	n, err := c.Conn.Write(p)
-	c.cnt.Out.Add(int64(n))
+	c.counters.Out.Add(int64(n))
 	return n, err
 }
--- a/internal/fleet/peer/handshake.go
+++ b/internal/fleet/peer/handshake.go
@@ -22,94 +22,93 @@
 	Secret []byte
 }
 
-// Keys returns the valid fleet keys; the first one signs. There are two
-// during a rotation. It is called for each handshake, so that a reloaded key
-// is used at once.
+// Keys returns the valid fleet keys; the first one signs. There are two during a
+// rotation. It is called for each handshake, so that a reloaded key takes effect at
+// once.
 type Keys func() []FleetKey
 
-// handshake is what both ends of the proof of a fleet key need.
+// handshake proves a fleet key over a connection, as either end.
 type handshake struct {
 	rw   io.ReadWriter
 	keys []FleetKey
 	self string
-	// binding identifies the TLS connection that the proof is made on, and is
-	// empty without TLS. A proof that is relayed from one connection to
-	// another then fails: without it a router with a certificate, but without
-	// a fleet key, could pass on the proof of one that has both.
+	// binding identifies the TLS connection, and is empty without TLS. It makes a proof
+	// that is relayed to another connection fail; otherwise a router with a certificate
+	// but no fleet key could relay the proof of a router that has both.
 	binding []byte
 }
 
-// result is what the other end has proved.
-type result struct {
-	name string
-	key  byte
+// peerIdentity is what the other end has proved.
+type peerIdentity struct {
+	name  string
+	keyID byte
 }
 
-// dial proves to the listener that this end holds a fleet key, and asks the
-// same of it. Both ends answer the other's fresh nonce, so a recorded
-// handshake is of no use to a third party.
-func (h *handshake) dial() (result, error) {
-	theirs, err := h.read(1 + nonceSize)
+// dial proves to the listener that this end holds a fleet key, and verifies the
+// listener's proof. Each proof covers a fresh nonce of the verifier, so a recorded
+// handshake can't be replayed.
+func (h *handshake) dial() (peerIdentity, error) {
+	hello, err := h.read(1 + nonceSize)
 	if err != nil {
-		return result{}, err
+		return peerIdentity{}, err
 	}
-	if theirs[0] != protocolVersion {
-		return result{}, ErrHandshake.New("protocol version %d", theirs[0])
+	if hello[0] != protocolVersion {
+		return peerIdentity{}, ErrHandshake.New("unsupported protocol version %d", hello[0])
 	}
 	if len(h.keys) == 0 {
-		return result{}, ErrHandshake.New("no fleet key")
+		return peerIdentity{}, ErrHandshake.New("no fleet key")
 	}
-	key, ours := h.keys[0], newNonce()
-	msg := append([]byte{key.ID}, h.selfField()...)
-	msg = append(msg, ours...)
-	msg = append(msg, h.sign(key, labelDialer, theirs[1:], ours, h.self)...)
-	if err := h.write(msg); err != nil {
-		return result{}, err
+	key, nonce := h.keys[0], newNonce()
+	message := append([]byte{key.ID}, h.encodeName()...)
+	message = append(message, nonce...)
+	message = append(message, h.sign(key, labelDialer, hello[1:], nonce, h.self)...)
+	if err := h.write(message); err != nil {
+		return peerIdentity{}, err
 	}
 	name, err := h.readName()
 	if err != nil {
-		return result{}, err
+		return peerIdentity{}, err
 	}
 	proof, err := h.read(sha256.Size)
 	if err != nil {
-		return result{}, err
+		return peerIdentity{}, err
 	}
-	if !hmac.Equal(proof, h.sign(key, labelListener, ours, theirs[1:], name)) {
-		return result{}, ErrHandshake.New("listener holds another key")
+	if !hmac.Equal(proof, h.sign(key, labelListener, nonce, hello[1:], name)) {
+		return peerIdentity{}, ErrHandshake.New("listener holds another key")
 	}
-	return result{name: name, key: key.ID}, nil
+	return peerIdentity{name: name, keyID: key.ID}, nil
 }
 
-// accept is the listener's side of dial. All of its reads are of a bounded
-// length, since whoever sends has proved nothing yet.
-func (h *handshake) accept() (result, error) {
-	ours := newNonce()
-	if err := h.write(append([]byte{protocolVersion}, ours...)); err != nil {
-		return result{}, err
+// accept is the listener's side of dial. All of its reads are bounded, since the sender
+// is not authenticated yet.
+func (h *handshake) accept() (peerIdentity, error) {
+	nonce := newNonce()
+	if err := h.write(append([]byte{protocolVersion}, nonce...)); err != nil {
+		return peerIdentity{}, err
 	}
 	id, err := h.read(1)
 	if err != nil {
-		return result{}, err
+		return peerIdentity{}, err
 	}
 	name, err := h.readName()
 	if err != nil {
-		return result{}, err
+		return peerIdentity{}, err
 	}
 	rest, err := h.read(nonceSize + sha256.Size)
 	if err != nil {
-		return result{}, err
+		return peerIdentity{}, err
 	}
-	theirs, proof := rest[:nonceSize], rest[nonceSize:]
-	key, ok := find(h.keys, id[0])
-	if !ok || !hmac.Equal(proof, h.sign(key, labelDialer, ours, theirs, name)) {
-		return result{}, ErrHandshake.New("dialer %q holds no valid key", name)
+	peerNonce, proof := rest[:nonceSize], rest[nonceSize:]
+	key, ok := keyByID(h.keys, id[0])
+	if !ok || !hmac.Equal(proof, h.sign(key, labelDialer, nonce, peerNonce, name)) {
+		return peerIdentity{}, ErrHandshake.New("dialer %q holds no valid key", name)
 	}
-	msg := append(h.selfField(), h.sign(key, labelListener, theirs, ours, h.self)...)
-	return result{name: name, key: key.ID}, h.write(msg)
+	message := append(h.encodeName(), h.sign(key, labelListener, peerNonce, nonce, h.self)...)
+	return peerIdentity{name: name, keyID: key.ID}, h.write(message)
 }
 
-// selfField is this end's name as readName reads it.
-func (h *handshake) selfField() []byte {
+// encodeName returns this end's name in the format that readName reads.
+func (h *handshake) encodeName() []byte {
 	name := h.self[:min(len(h.self), math.MaxUint8)]
 	return append([]byte{byte(len(name))}, name...)
 }
@@ -134,20 +133,20 @@
 	return ErrHandshake.Wrap(err)
 }
 
-// sign writes the lengths that vary before the fields, so that no two sets of
-// fields are signed alike.
-func (h *handshake) sign(key FleetKey, label string, a, b []byte, name string) []byte {
-	m := hmac.New(sha256.New, key.Secret)
-	_, _ = io.WriteString(m, label)
-	_, _ = m.Write([]byte{byte(len(h.binding))})
-	_, _ = m.Write(h.binding)
-	_, _ = m.Write(a)
-	_, _ = m.Write(b)
-	_, _ = io.WriteString(m, name)
-	return m.Sum(nil)
+// sign returns the MAC of the fields. The binding follows its length, so that no two
+// sets of fields have the same input.
+func (h *handshake) sign(key FleetKey, label string, verifierNonce, signerNonce []byte, name string) []byte {
+	mac := hmac.New(sha256.New, key.Secret)
+	_, _ = io.WriteString(mac, label)
+	_, _ = mac.Write([]byte{byte(len(h.binding))})
+	_, _ = mac.Write(h.binding)
+	_, _ = mac.Write(verifierNonce)
+	_, _ = mac.Write(signerNonce)
+	_, _ = io.WriteString(mac, name)
+	return mac.Sum(nil)
 }
 
-func find(keys []FleetKey, id byte) (FleetKey, bool) {
+func keyByID(keys []FleetKey, id byte) (FleetKey, bool) {
 	for _, k := range keys {
 		if k.ID == id {
 			return k, true
--- a/internal/fleet/peer/handshake_test.go
+++ b/internal/fleet/peer/handshake_test.go
@@ -12,17 +12,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// script is an other end that sends what it was given and records what it gets.
-type script struct {
+// cannedPeer is a peer that sends fixed data and records what it receives.
+type cannedPeer struct {
 	io.Reader
-	got bytes.Buffer
+	received bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (s *script) Write(p []byte) (int, error) { return s.got.Write(p) }
+func (c *cannedPeer) Write(p []byte) (int, error) { return c.received.Write(p) }
 
-// pair runs both sides of a handshake against each other.
-func pair(dialer, listener *handshake) (dialed, accepted result, dialErr, acceptErr error) {
+// runHandshake runs both sides of a handshake against each other.
+func runHandshake(dialer, listener *handshake) (dialed, accepted peerIdentity, dialErr, acceptErr error) {
 	a, b := net.Pipe()
 	dialer.rw, listener.rw = a, b
 	done := make(chan struct{})
@@ -37,44 +37,42 @@
 	return dialed, accepted, dialErr, acceptErr
 }
 
-func TestHandshakeProvesNamesAndKey(t *testing.T) {
-	d := &handshake{keys: newRing(2, 1).keys(), self: "r1", binding: []byte("b")}
-	l := &handshake{keys: newRing(1, 2).keys(), self: "r2", binding: []byte("b")}
-	dialed, accepted, err1, err2 := pair(d, l)
+func TestHandshakeReturnsNamesAndKey(t *testing.T) {
+	d := &handshake{keys: newKeySet(2, 1).keys(), self: "r1", binding: []byte("b")}
+	l := &handshake{keys: newKeySet(1, 2).keys(), self: "r2", binding: []byte("b")}
+	dialed, accepted, err1, err2 := runHandshake(d, l)
 	require.NoError(t, errors.Join(err1, err2))
-	assert.Equal(t, result{name: "r2", key: 2}, dialed)
-	assert.Equal(t, result{name: "r1", key: 2}, accepted)
+	assert.Equal(t, peerIdentity{name: "r2", keyID: 2}, dialed)
+	assert.Equal(t, peerIdentity{name: "r1", keyID: 2}, accepted)
 }
 
-// Symptom: a router without the fleet's key gets calls through. Sequence: it
-// relays the proof of a router that has the key, made on another connection.
-// Cause: a proof that is not bound to the TLS connection it was made on.
-func TestHandshakeRefusals(t *testing.T) {
+// Guards against accepting a proof made for another connection: a router without the
+// fleet key could relay the proof of a router that has it.
+func TestHandshakeRejectsInvalidProofs(t *testing.T) {
 	cases := map[string]struct{ dialer, listener handshake }{
-		"other key":          {handshake{keys: newRing(1).keys()}, handshake{keys: newRing(2).keys()}},
-		"same id, other key": {handshake{keys: []FleetKey{{ID: 2, Secret: []byte("x")}}}, handshake{keys: newRing(2).keys()}},
-		"other connection":   {handshake{keys: newRing(1).keys(), binding: []byte("a")}, handshake{keys: newRing(1).keys(), binding: []byte("b")}},
-		"TLS on one side":    {handshake{keys: newRing(1).keys(), binding: []byte("a")}, handshake{keys: newRing(1).keys()}},
-		"dialer without key": {handshake{}, handshake{keys: newRing(1).keys()}},
-		"listener without":   {handshake{keys: newRing(1).keys()}, handshake{}},
+		"other key":            {handshake{keys: newKeySet(1).keys()}, handshake{keys: newKeySet(2).keys()}},
+		"same id, other key":   {handshake{keys: []FleetKey{{ID: 2, Secret: []byte("x")}}}, handshake{keys: newKeySet(2).keys()}},
+		"other connection":     {handshake{keys: newKeySet(1).keys(), binding: []byte("a")}, handshake{keys: newKeySet(1).keys(), binding: []byte("b")}},
+		"TLS on one side":      {handshake{keys: newKeySet(1).keys(), binding: []byte("a")}, handshake{keys: newKeySet(1).keys()}},
+		"dialer without key":   {handshake{}, handshake{keys: newKeySet(1).keys()}},
+		"listener without key": {handshake{keys: newKeySet(1).keys()}, handshake{}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, _, err1, err2 := pair(&c.dialer, &c.listener)
+			_, _, err1, err2 := runHandshake(&c.dialer, &c.listener)
 			assert.True(t, ErrHandshake.Has(err1), "%v", err1)
 			assert.True(t, ErrHandshake.Has(err2), "%v", err2)
 		})
 	}
 }
 
-// Symptom: a stranger's calls are accepted. Sequence: it records what a router
-// sends when it connects, and sends the same later, to either side. Cause: a
-// proof over nothing fresh.
-func TestRecordedHandshakeIsRefused(t *testing.T) {
+// Guards against replay: a third party that recorded a handshake sends the same bytes
+// later, to either side.
+func TestReplayedHandshakeIsRejected(t *testing.T) {
 	a, b := net.Pipe()
 	fromDialer, fromListener := new(bytes.Buffer), new(bytes.Buffer)
-	d := &handshake{rw: recorder{a, fromDialer}, keys: newRing(1).keys(), self: "r1"}
-	l := &handshake{rw: recorder{b, fromListener}, keys: newRing(1).keys(), self: "r2"}
+	d := &handshake{rw: recorder{a, fromDialer}, keys: newKeySet(1).keys(), self: "r1"}
+	l := &handshake{rw: recorder{b, fromListener}, keys: newKeySet(1).keys(), self: "r2"}
 	done := make(chan error, 1)
 	go func() {
 		_, err := l.accept()
@@ -83,10 +81,10 @@
 	_, err := d.dial()
 	require.NoError(t, errors.Join(err, <-done))
 
-	l.rw = &script{Reader: fromDialer}
+	l.rw = &cannedPeer{Reader: fromDialer}
 	_, err = l.accept()
 	assert.True(t, ErrHandshake.Has(err), "%v", err)
-	d.rw = &script{Reader: fromListener}
+	d.rw = &cannedPeer{Reader: fromListener}
 	_, err = d.dial()
 	assert.True(t, ErrHandshake.Has(err), "%v", err)
 }
@@ -102,31 +100,31 @@
 	return r.Conn.Write(p)
 }
 
-// Symptom: a router hangs or ends after a port scan. Sequence: something sends
-// nothing, too little, too much or noise to the control port. Cause: reads
-// without a bound, or lengths that are trusted.
-func TestGarbageIsRefused(t *testing.T) {
+// Guards against a router that hangs or crashes on a port scan: a client sends nothing,
+// too few bytes, too many or random ones to the control port.
+func TestMalformedHandshakeIsRejected(t *testing.T) {
 	t.Parallel()
 	noise := make([]byte, 1<<16)
 	_, _ = rand.Read(noise)
-	n := newNode(t, "r1", newRing(1))
-	tlsNode := newNode(t, "r1", newRing(1), WithTLS(certs(t, fleetDir(t), "r1")))
+	n := newNode(t, "r1", newKeySet(1))
+	tlsNode := newNode(t, "r1", newKeySet(1), WithTLS(certReloader(t, fleetDir(t), "r1")))
 	for _, target := range []*node{n, tlsNode} {
 		for i, sent := range [][]byte{{}, {1}, {1, 255}, bytes.Repeat([]byte{255}, 1<<16), noise, []byte("GET / HTTP/1.1\r\n\r\n")} {
 			c, err := net.Dial("tcp", target.address)
 			require.NoError(t, err)
-			// The other end may hang up before either is done.
+			// The other end may close the connection before the write or the close
+			// completes.
 			_, _ = c.Write(sent)
 			_ = c.(*net.TCPConn).CloseWrite()
-			eventually(t, func() bool { return target.cnt.Refused.Load() == int64(i+1) })
+			eventually(t, func() bool { return target.counters.Refused.Load() == int64(i+1) })
 			_ = c.Close()
 		}
 		silent, err := net.Dial("tcp", target.address)
 		require.NoError(t, err)
 		defer silent.Close()
-		eventually(t, func() bool { return target.cnt.Refused.Load() == 7 })
+		eventually(t, func() bool { return target.counters.Refused.Load() == 7 })
 	}
-	require.NoError(t, newNode(t, "r2", newRing(1)).say("r1", n.address))
+	require.NoError(t, newNode(t, "r2", newKeySet(1)).callEcho("r1", n.address))
 }
 
 func FuzzAccept(f *testing.F) {
@@ -134,7 +132,7 @@
 	f.Add(append([]byte{1, 2, 'r', '1'}, make([]byte, nonceSize+32)...))
 	f.Add(bytes.Repeat([]byte{255}, 400))
 	f.Fuzz(func(t *testing.T, sent []byte) {
-		h := &handshake{rw: &script{Reader: bytes.NewReader(sent)}, keys: newRing(1, 2).keys(), self: "r1"}
+		h := &handshake{rw: &cannedPeer{Reader: bytes.NewReader(sent)}, keys: newKeySet(1, 2).keys(), self: "r1"}
 		_, err := h.accept()
 		assert.True(t, ErrHandshake.Has(err), "%v", err)
 	})
@@ -145,7 +143,7 @@
 	f.Add(append([]byte{protocolVersion}, make([]byte, nonceSize+3+32)...))
 	f.Add(bytes.Repeat([]byte{protocolVersion}, 400))
 	f.Fuzz(func(t *testing.T, sent []byte) {
-		h := &handshake{rw: &script{Reader: bytes.NewReader(sent)}, keys: newRing(1, 2).keys(), self: "r1"}
+		h := &handshake{rw: &cannedPeer{Reader: bytes.NewReader(sent)}, keys: newKeySet(1, 2).keys(), self: "r1"}
 		_, err := h.dial()
 		assert.True(t, ErrHandshake.Has(err), "%v", err)
 	})
--- a/internal/fleet/peer/helper_test.go
+++ b/internal/fleet/peer/helper_test.go
@@ -14,72 +14,71 @@
 	"damaskrouter.example/damaskrouter/internal/secure/keys"
 )
 
-// patience is how long a test waits for an event before it fails. Nothing is
-// judged by how long it took.
-const patience = 30 * time.Second
+// eventTimeout bounds the wait for an event. Tests don't check how long an event took.
+const eventTimeout = 30 * time.Second
 
-// Echo is what the tests call.
+// Echo is the receiver of the tests' calls.
 type Echo struct {
-	entered, leave chan struct{}
+	entered, unblock chan struct{}
 }
 
-// Say returns what it is given.
+// Say returns the length of its argument.
 func (e *Echo) Say(in []byte, out *int) error {
 	*out = len(in)
 	return nil
 }
 
-// Hold returns once the test lets it.
+// Hold returns once the test closes unblock.
 func (e *Echo) Hold(in int, out *int) error {
 	e.entered <- struct{}{}
-	<-e.leave
+	<-e.unblock
 	*out = in
 	return nil
 }
 
-// ring is a set of fleet keys that a test changes.
-type ring struct {
+// keySet is a set of fleet keys that a test can change.
+type keySet struct {
 	mu   sync.Mutex
 	list []FleetKey
 }
 
-func newRing(ids ...byte) *ring {
-	r := new(ring)
-	r.set(ids...)
-	return r
+func newKeySet(ids ...byte) *keySet {
+	s := new(keySet)
+	s.set(ids...)
+	return s
 }
 
-func (r *ring) set(ids ...byte) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.list = nil
+func (s *keySet) set(ids ...byte) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.list = nil
 	for _, id := range ids {
-		r.list = append(r.list, FleetKey{ID: id, Secret: []byte{id, 32: id}})
+		s.list = append(s.list, FleetKey{ID: id, Secret: []byte{id, 32: id}})
 	}
 }
 
-func (r *ring) keys() []FleetKey {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.list
+func (s *keySet) keys() []FleetKey {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.list
 }
 
-// node is one router's two halves.
+// node is the server and the caller of one router.
 type node struct {
 	*Server
-	caller  *Caller
-	cnt     Counters
-	keys    *ring
-	echo    *Echo
-	address string
-	ln      net.Listener
+	caller   *Caller
+	counters Counters
+	keys     *keySet
+	echo     *Echo
+	address  string
+	ln       net.Listener
 }
 
-func newNode(t *testing.T, name string, keys *ring, opts ...Option) *node {
-	n := &node{keys: keys, echo: &Echo{entered: make(chan struct{}, 8), leave: make(chan struct{})}}
-	n.Server = NewServer(name, keys.keys, &n.cnt, opts...)
+func newNode(t *testing.T, name string, keys *keySet, opts ...Option) *node {
+	n := &node{keys: keys, echo: &Echo{entered: make(chan struct{}, 8), unblock: make(chan struct{})}}
+	n.Server = NewServer(name, keys.keys, &n.counters, opts...)
 	require.NoError(t, n.Register("Echo", n.echo))
-	n.caller = NewCaller(name, keys.keys, &n.cnt, opts...)
+	n.caller = NewCaller(name, keys.keys, &n.counters, opts...)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	n.ln, n.address = ln, ln.Addr().String()
@@ -92,106 +91,106 @@
 	return n
 }
 
-// say calls target at address and returns the error.
-func (n *node) say(target, address string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// callEcho calls the router target at address and returns the error.
+func (n *node) callEcho(target, address string) error {
+	ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 	defer cancel()
 	var got int
 	return n.caller.Call(ctx, Target{Name: target, Address: address}, "Echo.Say", []byte("hello"), &got)
 }
 
-// certs returns the reloader of router's certificate in dir.
-func certs(t *testing.T, dir, router string) *keys.CertReloader {
+// certReloader returns the reloader of the router's certificate in dir.
+func certReloader(t *testing.T, dir, router string) *keys.CertReloader {
 	r, err := keys.OpenCerts(keys.PathsIn(dir, router), time.Now)
 	require.NoError(t, err)
 	return r
 }
 
-func generate(t *testing.T, dir string) {
+func generateCerts(t *testing.T, dir string) {
 	require.NoError(t, keys.Generate(dir, keys.GenerateOptions{Routers: []string{"r1", "r2", "r3"}, Now: time.Now()}))
 }
 
-// middle forwards connections to a router until it is told to hush. It then
-// swallows what callers send, as something that has lost track of them.
-type middle struct {
-	ln      net.Listener
-	target  string
-	mu      sync.Mutex
-	hushed  bool
-	deaf    bool
-	dials   int
-	swallow chan struct{}
+// proxy forwards connections to a router. While discarding it drops what callers send,
+// like a middlebox that has lost its connection state; while stalled it reads no more.
+type proxy struct {
+	ln         net.Listener
+	target     string
+	mu         sync.Mutex
+	discarding bool
+	stalled    bool
+	dials      int
+	signal     chan struct{}
 }
 
-func newMiddle(t *testing.T, target string) *middle {
+func newProxy(t *testing.T, target string) *proxy {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	m := &middle{ln: ln, target: target, swallow: make(chan struct{}, 1)}
+	p := &proxy{ln: ln, target: target, signal: make(chan struct{}, 1)}
 	t.Cleanup(func() { _ = ln.Close() })
-	go m.serve()
-	return m
+	go p.serve()
+	return p
 }
 
-func (m *middle) serve() {
+func (p *proxy) serve() {
 	for {
-		c, err := m.ln.Accept()
+		c, err := p.ln.Accept()
 		if err != nil {
 			return
 		}
-		m.mu.Lock()
-		m.dials++
-		m.hushed, m.deaf = false, false
-		m.mu.Unlock()
-		go m.forward(c)
+		p.mu.Lock()
+		p.dials++
+		p.discarding, p.stalled = false, false
+		p.mu.Unlock()
+		go p.forward(c)
 	}
 }
 
-func (m *middle) forward(c net.Conn) {
+func (p *proxy) forward(c net.Conn) {
 	defer c.Close()
-	up, err := net.Dial("tcp", m.target)
+	targetConn, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
-	defer up.Close()
-	go func() { _, _ = io.Copy(c, up) }()
+	defer targetConn.Close()
+	go func() { _, _ = io.Copy(c, targetConn) }()
 	buf := make([]byte, 4096)
 	for {
 		n, err := c.Read(buf)
 		if err != nil {
 			return
 		}
-		hushed, deaf := m.state()
-		if deaf {
-			<-m.swallow
+		discarding, stalled := p.state()
+		if stalled {
+			<-p.signal
 			return
 		}
-		if hushed {
-			m.swallow <- struct{}{}
+		if discarding {
+			p.signal <- struct{}{}
 			continue
 		}
-		_, _ = up.Write(buf[:n])
+		_, _ = targetConn.Write(buf[:n])
 	}
 }
 
-func (m *middle) state() (hushed, deaf bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.hushed, m.deaf
+func (p *proxy) state() (discarding, stalled bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.discarding, p.stalled
 }
 
-func (m *middle) set(hushed, deaf bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.hushed, m.deaf = hushed, deaf
+func (p *proxy) set(discarding, stalled bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.discarding, p.stalled = discarding, stalled
 }
 
-func (m *middle) count() int {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.dials
+func (p *proxy) dialCount() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.dials
 }
 
 func eventually(t *testing.T, f func() bool) {
 	t.Helper()
-	assert.Eventually(t, f, patience, time.Millisecond)
+	assert.Eventually(t, f, eventTimeout, time.Millisecond)
 }
--- a/internal/fleet/peer/peer.go
+++ b/internal/fleet/peer/peer.go
@@ -1,15 +1,14 @@
-// Package peer carries calls between routers: net/rpc over TCP, with a
-// deadline for each call.
+// Package peer carries calls between routers: net/rpc over TCP, with a deadline for
+// each call.
 //
-// Both ends prove that they hold a fleet key. Where certificates are given,
-// the connection is mutual TLS, each end also proves its router's name, and
-// the proof of the fleet key is bound to that TLS connection. Without
-// certificates the ends are authenticated once, when the connection opens, and
-// nothing protects what is sent afterwards: see docs/KEYS.md.
+// Both ends prove that they hold a fleet key. With certificates, the connection is
+// mutual TLS, each end also proves its router's name, and the proof of the fleet key is
+// bound to that TLS connection. Without certificates the ends are authenticated only
+// when the connection opens, and nothing protects what is sent afterwards: see
+// docs/KEYS.md.
 //
-// net/rpc cannot cancel a call. A call that meets its deadline closes its
-// connection, so that a connection on which the other end has gone silent is
-// not used again, and the next call dials anew.
+// net/rpc can't cancel a call. A call that reaches its deadline closes its connection,
+// so that an unresponsive connection is not reused, and the next call dials again.
 package peer
 
 import (
@@ -21,35 +20,35 @@
 
 // Errors of calls between routers.
 var (
-	// ErrNotSent means that no connection could be had; the call did not
-	// reach the other router.
+	// ErrNotSent means that no connection could be established; the call did not reach
+	// the other router.
 	ErrNotSent = errs.Class("peer: not sent")
 	// ErrNoReply means that the call was sent and may have taken effect.
 	ErrNoReply = errs.Class("peer: no reply")
-	// ErrRemote is what the other router's method returned.
+	// ErrRemote is an error returned by the other router's method.
 	ErrRemote = errs.Class("peer: remote")
-	// ErrHandshake means that the other end does not hold a fleet key that is
-	// valid here, is another router than expected, or speaks another protocol.
+	// ErrHandshake means that the other end does not hold a fleet key that is valid
+	// here, is another router than expected, or speaks another protocol version.
 	ErrHandshake = errs.Class("peer: handshake")
 )
 
 const (
 	dialTimeout      = time.Second
 	handshakeTimeout = 2 * time.Second
-	// writeTimeout bounds one write of a call or a reply. Without it a reply
-	// to a router that has gone silent would hold its goroutine until TCP
-	// gives up, a quarter of an hour later.
+	// writeTimeout bounds one write of a call or a reply. Without it a reply to an
+	// unresponsive router would block its goroutine until TCP times out after about 15
+	// minutes.
 	writeTimeout = 10 * time.Second
-	// maxIdle is how long an unused connection is kept.
+	// maxIdle is how long an idle connection can be reused.
 	maxIdle = time.Minute
-	// maxCallerAge is when a caller replaces a connection by a new one.
-	// Otherwise a busy connection would last for weeks on a certificate or an
-	// authority that was replaced long ago. Shorter costs bytes: a connection
-	// with TLS takes more than 4 KB to open.
+	// maxCallerAge is the age at which a caller replaces a connection. Without it a
+	// busy connection would keep using a certificate or an authority for weeks after
+	// its replacement. A shorter age costs bytes: a connection with TLS takes more than
+	// 4 KB to open.
 	maxCallerAge = time.Hour
-	// maxServerAge is when a server closes a connection that its caller should
-	// have replaced. The difference to maxCallerAge is far longer than any
-	// call, so that no call of a well-behaved router is cut.
+	// maxServerAge is the age at which a server closes a connection that its caller
+	// should have replaced. It exceeds maxCallerAge by far more than any call takes, so
+	// that no call of a well-behaved router is cut.
 	maxServerAge = maxCallerAge + 15*time.Minute
 )
 
@@ -64,7 +63,7 @@
 	Swept        int64 `json:"swept"`
 }
 
-// Snapshot returns the counts so far.
+// Snapshot returns a copy of the counts so far.
 func (c *Counters) Snapshot() Stats {
 	return Stats{
 		In: c.In.Load(), Out: c.Out.Load(),
@@ -76,13 +75,13 @@
 
 // Counters counts control traffic over TCP.
 type Counters struct {
-	// In and Out are bytes on the wire, handshakes and TLS records included.
+	// In and Out count bytes on the wire, including handshakes and TLS records.
 	In, Out atomic.Int64
-	// Calls counts the calls that were sent, Timeouts those that met their
-	// deadline before a reply.
+	// Calls counts the calls that were sent, Timeouts those whose context ended before
+	// the reply.
 	Calls, Timeouts atomic.Int64
-	// Refused counts connections that this router's server refused, and
-	// RefusedDials those that its caller gave up in the handshake.
+	// Refused counts connections that the server of this router rejected in the
+	// handshake, RefusedDials those whose handshake failed at its caller.
 	Refused, RefusedDials atomic.Int64
 	// Swept counts accepted connections that Sweep closed.
 	Swept atomic.Int64
--- a/internal/fleet/peer/peer_test.go
+++ b/internal/fleet/peer/peer_test.go
@@ -18,119 +18,116 @@
 // fleetDir returns a directory with certificates of r1, r2 and r3.
 func fleetDir(t *testing.T) string {
 	dir := t.TempDir()
-	generate(t, dir)
+	generateCerts(t, dir)
 	return dir
 }
 
-// modes runs f without and with TLS; opts are those of the named router.
-func modes(t *testing.T, f func(t *testing.T, opts func(router string) []Option)) {
+// withAndWithoutTLS runs f without and with TLS; opts returns the options of a router.
+func withAndWithoutTLS(t *testing.T, f func(t *testing.T, opts func(router string) []Option)) {
 	t.Run("plain", func(t *testing.T) { f(t, func(string) []Option { return nil }) })
 	t.Run("tls", func(t *testing.T) {
 		dir := fleetDir(t)
-		f(t, func(router string) []Option { return []Option{WithTLS(certs(t, dir, router))} })
+		f(t, func(router string) []Option { return []Option{WithTLS(certReloader(t, dir, router))} })
 	})
 }
 
-// Symptom: a router of another fleet, or one that missed a rotation, alters
-// this fleet's counts. Sequence: it calls with a fleet key that is not valid
-// here. Cause: a connection that is accepted by its address or certificate.
-func TestWrongFleetKeyIsRefused(t *testing.T) {
-	modes(t, func(t *testing.T, opts func(string) []Option) {
-		a := newNode(t, "r1", newRing(1), opts("r1")...)
-		b := newNode(t, "r2", newRing(2), opts("r2")...)
-		err := a.say("r2", b.address)
+// Guards against accepting a connection by its address or certificate alone: a router
+// of another fleet, or one that missed a key rotation, would change this fleet's
+// counts.
+func TestInvalidFleetKeyIsRejected(t *testing.T) {
+	withAndWithoutTLS(t, func(t *testing.T, opts func(string) []Option) {
+		a := newNode(t, "r1", newKeySet(1), opts("r1")...)
+		b := newNode(t, "r2", newKeySet(2), opts("r2")...)
+		err := a.callEcho("r2", b.address)
 		assert.True(t, ErrNotSent.Has(err) && ErrHandshake.Has(err), "%v", err)
-		assert.EqualValues(t, 1, a.cnt.RefusedDials.Load())
-		assert.Zero(t, a.cnt.Calls.Load())
-		eventually(t, func() bool { return b.cnt.Refused.Load() == 1 })
+		assert.EqualValues(t, 1, a.counters.RefusedDials.Load())
+		assert.Zero(t, a.counters.Calls.Load())
+		eventually(t, func() bool { return b.counters.Refused.Load() == 1 })
 	})
 }
 
-// Symptom: permits are counted at a router that does not own the engine.
-// Sequence: a VM is replaced, and its address is given to another router.
-// Cause: an address taken for an identity.
-func TestOtherRouterBehindAddressIsRefused(t *testing.T) {
-	modes(t, func(t *testing.T, opts func(string) []Option) {
-		a := newNode(t, "r1", newRing(1), opts("r1")...)
-		b := newNode(t, "r2", newRing(1), opts("r2")...)
-		err := a.say("r3", b.address)
+// Guards against taking an address for an identity: a VM is replaced and its address
+// goes to another router, where permits of an engine that it doesn't own would be
+// counted.
+func TestReassignedAddressIsRejected(t *testing.T) {
+	withAndWithoutTLS(t, func(t *testing.T, opts func(string) []Option) {
+		a := newNode(t, "r1", newKeySet(1), opts("r1")...)
+		b := newNode(t, "r2", newKeySet(1), opts("r2")...)
+		err := a.callEcho("r3", b.address)
 		assert.True(t, ErrNotSent.Has(err) && ErrHandshake.Has(err), "%v", err)
-		require.NoError(t, a.say("r2", b.address))
-		err = a.say("r3", b.address)
+		require.NoError(t, a.callEcho("r2", b.address))
+		err = a.callEcho("r3", b.address)
 		assert.True(t, ErrNotSent.Has(err), "the open connection is r2's: %v", err)
 	})
 }
 
-// Symptom: a router takes over another's duties. Sequence: one that holds the
-// fleet key claims another name in the handshake, or comes without TLS. Cause:
-// a name that only the shared key vouches for.
-func TestClaimedNameMustBeTheCertificates(t *testing.T) {
+// Guards against a router that acts under another's name: it holds the fleet key and
+// claims the name in the handshake, or connects without TLS.
+func TestNameNotInCertificateIsRejected(t *testing.T) {
 	dir := fleetDir(t)
-	b := newNode(t, "r2", newRing(1), WithTLS(certs(t, dir, "r2")))
-	liar := newNode(t, "r3", newRing(1), WithTLS(certs(t, dir, "r1")))
-	plain := newNode(t, "r1", newRing(1))
-	assert.Error(t, liar.say("r2", b.address))
-	eventually(t, func() bool { return b.cnt.Refused.Load() == 1 })
-	assert.True(t, ErrNotSent.Has(plain.say("r2", b.address)))
-	eventually(t, func() bool { return b.cnt.Refused.Load() == 2 })
-	assert.True(t, ErrNotSent.Has(b.say("r1", plain.address)))
-	assert.True(t, ErrNotSent.Has(b.say("", liar.address)), "TLS needs a name to expect")
-	assert.True(t, ErrNotSent.Has(b.say("r3", liar.address)), "r1's certificate")
+	b := newNode(t, "r2", newKeySet(1), WithTLS(certReloader(t, dir, "r2")))
+	impostor := newNode(t, "r3", newKeySet(1), WithTLS(certReloader(t, dir, "r1")))
+	withoutTLS := newNode(t, "r1", newKeySet(1))
+	assert.Error(t, impostor.callEcho("r2", b.address))
+	eventually(t, func() bool { return b.counters.Refused.Load() == 1 })
+	assert.True(t, ErrNotSent.Has(withoutTLS.callEcho("r2", b.address)))
+	eventually(t, func() bool { return b.counters.Refused.Load() == 2 })
+	assert.True(t, ErrNotSent.Has(b.callEcho("r1", withoutTLS.address)))
+	assert.True(t, ErrNotSent.Has(b.callEcho("", impostor.address)), "TLS needs the expected name")
+	assert.True(t, ErrNotSent.Has(b.callEcho("r3", impostor.address)), "the certificate names r1")
 }
 
-// Symptom: every call to one router fails until a restart. Sequence: something
-// between the two drops the connection without telling either. Cause: a
-// connection kept after its call met the deadline.
-func TestSilentConnectionIsReplaced(t *testing.T) {
-	modes(t, func(t *testing.T, opts func(string) []Option) {
-		a := newNode(t, "r1", newRing(1), opts("r1")...)
-		b := newNode(t, "r2", newRing(1), opts("r2")...)
-		m := newMiddle(t, b.address)
-		target := Target{Name: "r2", Address: m.ln.Addr().String()}
-		require.NoError(t, a.say(target.Name, target.Address))
-		m.set(true, false)
+// Guards against calls to a router failing until a restart: the network drops a
+// connection without closing it, and the connection is reused after a call on it timed
+// out.
+func TestTimedOutConnectionIsReplaced(t *testing.T) {
+	withAndWithoutTLS(t, func(t *testing.T, opts func(string) []Option) {
+		a := newNode(t, "r1", newKeySet(1), opts("r1")...)
+		b := newNode(t, "r2", newKeySet(1), opts("r2")...)
+		proxy := newProxy(t, b.address)
+		target := Target{Name: "r2", Address: proxy.ln.Addr().String()}
+		require.NoError(t, a.callEcho(target.Name, target.Address))
+		proxy.set(true, false)
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
-			<-m.swallow
+			<-proxy.signal
 			cancel()
 		}()
 		var got int
 		err := a.caller.Call(ctx, target, "Echo.Say", []byte("lost"), &got)
 		assert.True(t, ErrNoReply.Has(err), "%v", err)
-		assert.EqualValues(t, 1, a.cnt.Timeouts.Load())
-		require.NoError(t, a.say(target.Name, target.Address))
-		assert.Equal(t, 2, m.count())
+		assert.EqualValues(t, 1, a.counters.Timeouts.Load())
+		require.NoError(t, a.callEcho(target.Name, target.Address))
+		assert.Equal(t, 2, proxy.dialCount())
 	})
 }
 
-// Symptom: a call outlives its deadline by minutes. Sequence: the other end of
-// a connection stops reading; a large call fills the buffers on the way.
-// Cause: a write that only TCP ends.
-func TestBlockedWriteEndsWithItsCall(t *testing.T) {
-	modes(t, func(t *testing.T, opts func(string) []Option) {
-		a := newNode(t, "r1", newRing(1), opts("r1")...)
-		b := newNode(t, "r2", newRing(1), opts("r2")...)
-		m := newMiddle(t, b.address)
-		target := Target{Name: "r2", Address: m.ln.Addr().String()}
-		require.NoError(t, a.say(target.Name, target.Address))
-		m.set(false, true)
+// Guards against a call that exceeds its deadline by minutes: the other end stops
+// reading, and a large call fills the send buffers.
+func TestBlockedWriteEndsAtCallDeadline(t *testing.T) {
+	withAndWithoutTLS(t, func(t *testing.T, opts func(string) []Option) {
+		a := newNode(t, "r1", newKeySet(1), opts("r1")...)
+		b := newNode(t, "r2", newKeySet(1), opts("r2")...)
+		proxy := newProxy(t, b.address)
+		target := Target{Name: "r2", Address: proxy.ln.Addr().String()}
+		require.NoError(t, a.callEcho(target.Name, target.Address))
+		proxy.set(false, true)
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
 		var got int
 		err := a.caller.Call(ctx, target, "Echo.Say", make([]byte, 64<<20), &got)
 		assert.True(t, ErrNoReply.Has(err), "%v", err)
-		m.swallow <- struct{}{}
-		require.NoError(t, a.say(target.Name, target.Address))
+		proxy.signal <- struct{}{}
+		require.NoError(t, a.callEcho(target.Name, target.Address))
 	})
 }
 
-// Symptom: the first call after a router's restart is "no reply", and its
-// permit stays in doubt. Sequence: the router restarts while a connection to it
-// is idle. Cause: a call on a connection that is known to have ended.
-func TestServerCloseAndReturn(t *testing.T) {
-	a := newNode(t, "r1", newRing(1))
-	b := newNode(t, "r2", newRing(1))
-	require.NoError(t, a.say("r2", b.address))
+// Guards against ErrNoReply from the first call after a router's restart, which leaves
+// its permit in doubt: a call must not use a connection that is known to be closed.
+func TestCallOnClosedConnectionIsNotSent(t *testing.T) {
+	a := newNode(t, "r1", newKeySet(1))
+	b := newNode(t, "r2", newKeySet(1))
+	require.NoError(t, a.callEcho("r2", b.address))
 	done := make(chan error, 1)
 	go func() {
 		var got int
@@ -138,13 +135,13 @@
 	}()
 	<-b.echo.entered
 	require.NoError(t, b.ln.Close())
-	go close(b.echo.leave)
+	go close(b.echo.unblock)
 	b.Close()
 	err := <-done
 	assert.True(t, err == nil || ErrNoReply.Has(err), "%v", err)
-	l := a.caller.links[b.address]
-	eventually(t, func() bool { return l == nil || l.conn.broken.Load() })
-	assert.True(t, ErrNotSent.Has(a.say("r2", b.address)))
+	cc := a.caller.current[b.address]
+	eventually(t, func() bool { return cc == nil || cc.conn.broken.Load() })
+	assert.True(t, ErrNotSent.Has(a.callEcho("r2", b.address)))
 	late, closed := net.Pipe()
 	assert.Nil(t, b.track(closed), "accepted while the server closes")
 	_, err = late.Read(make([]byte, 1))
@@ -152,49 +149,48 @@
 
 	again, err := net.Listen("tcp", b.address)
 	require.NoError(t, err)
-	restarted := newNode(t, "r2", newRing(1))
+	restarted := newNode(t, "r2", newKeySet(1))
 	go restarted.Serve(again)
-	require.NoError(t, a.say("r2", b.address))
+	require.NoError(t, a.callEcho("r2", b.address))
 	_ = again.Close()
 	a.caller.Close()
-	assert.True(t, ErrNotSent.Has(a.say("r2", restarted.address)), "closed")
+	assert.True(t, ErrNotSent.Has(a.callEcho("r2", restarted.address)), "closed")
 }
 
-func TestRemoteErrorKeepsTheConnection(t *testing.T) {
-	a, b := newNode(t, "r1", newRing(1)), newNode(t, "r2", newRing(1))
-	require.NoError(t, a.say("r2", b.address))
-	l := a.caller.links[b.address]
+func TestRemoteErrorKeepsConnection(t *testing.T) {
+	a, b := newNode(t, "r1", newKeySet(1)), newNode(t, "r2", newKeySet(1))
+	require.NoError(t, a.callEcho("r2", b.address))
+	cc := a.caller.current[b.address]
 	err := a.caller.Call(context.Background(), Target{"r2", b.address}, "Echo.None", 1, new(int))
 	assert.True(t, ErrRemote.Has(err), "%v", err)
-	assert.Same(t, l, a.caller.links[b.address])
+	assert.Same(t, cc, a.caller.current[b.address])
 }
 
 func TestBytesAreCounted(t *testing.T) {
-	modes(t, func(t *testing.T, opts func(string) []Option) {
-		a := newNode(t, "r1", newRing(1), opts("r1")...)
-		b := newNode(t, "r2", newRing(1), opts("r2")...)
-		require.NoError(t, a.say("r2", b.address))
-		first := a.cnt.Snapshot()
-		require.NoError(t, a.say("r2", b.address))
-		second := a.cnt.Snapshot()
+	withAndWithoutTLS(t, func(t *testing.T, opts func(string) []Option) {
+		a := newNode(t, "r1", newKeySet(1), opts("r1")...)
+		b := newNode(t, "r2", newKeySet(1), opts("r2")...)
+		require.NoError(t, a.callEcho("r2", b.address))
+		first := a.counters.Snapshot()
+		require.NoError(t, a.callEcho("r2", b.address))
+		second := a.counters.Snapshot()
 		t.Logf("first call with its connection: %d B out, %d B in; second: %d B out, %d B in",
 			first.Out, first.In, second.Out-first.Out, second.In-first.In)
 		eventually(t, func() bool {
-			at, bt := a.cnt.Snapshot(), b.cnt.Snapshot()
+			at, bt := a.counters.Snapshot(), b.counters.Snapshot()
 			return at.Out == bt.In && at.In == bt.Out && at.Calls == 2
 		})
 		assert.Positive(t, second.In-first.In)
 	})
 }
 
-// Symptom: calls fail while a key is rotated, or a stolen key's connections
-// work on after it. Sequence: a long call runs on a connection under the old
-// key; the new key signs; the old one is removed. Cause: connections cut at
-// the change, or kept for ever.
-func TestConnectionsFollowTheFleetKey(t *testing.T) {
-	a, b := newNode(t, "r1", newRing(1)), newNode(t, "r2", newRing(1, 2))
-	stale := newNode(t, "r3", newRing(1))
-	require.NoError(t, stale.say("r2", b.address))
+// Guards against calls that fail during a key rotation, and against connections of a
+// stolen key that outlast its removal. A long call runs on a connection of the old key
+// while the new key signs; then the old key is removed.
+func TestKeyRotationKeepsCallsAndClosesOldConnections(t *testing.T) {
+	a, b := newNode(t, "r1", newKeySet(1)), newNode(t, "r2", newKeySet(1, 2))
+	stale := newNode(t, "r3", newKeySet(1))
+	require.NoError(t, stale.callEcho("r2", b.address))
 	done := make(chan error, 1)
 	go func() {
 		var got int
@@ -202,69 +198,68 @@
 	}()
 	<-b.echo.entered
 	a.keys.set(2, 1)
-	require.NoError(t, a.say("r2", b.address))
+	require.NoError(t, a.callEcho("r2", b.address))
 	b.Sweep()
-	assert.Zero(t, b.cnt.Swept.Load())
-	close(b.echo.leave)
+	assert.Zero(t, b.counters.Swept.Load())
+	close(b.echo.unblock)
 	require.NoError(t, <-done)
 
 	b.keys.set(2)
 	b.Sweep()
-	// One of them is stale's; a closed its own after the long call.
-	eventually(t, func() bool { return stale.caller.links[b.address].conn.broken.Load() })
-	require.NoError(t, a.say("r2", b.address))
-	assert.True(t, ErrNotSent.Has(stale.say("r2", b.address)))
+	// One of them is that of stale; a closed its own when the long call returned.
+	eventually(t, func() bool { return stale.caller.current[b.address].conn.broken.Load() })
+	require.NoError(t, a.callEcho("r2", b.address))
+	assert.True(t, ErrNotSent.Has(stale.callEcho("r2", b.address)))
 }
 
-// Symptom: a connection outlives by weeks the certificate that it was opened
-// with. Sequence: it is never idle. Cause: no bound on a connection's age.
+// Guards against a connection that is never idle and outlives the certificate it was
+// opened with by weeks.
 func TestOldConnectionsAreReplaced(t *testing.T) {
-	a, b := newNode(t, "r1", newRing(1)), newNode(t, "r2", newRing(1))
-	require.NoError(t, a.say("r2", b.address))
-	first := a.caller.links[b.address]
+	a, b := newNode(t, "r1", newKeySet(1)), newNode(t, "r2", newKeySet(1))
+	require.NoError(t, a.callEcho("r2", b.address))
+	first := a.caller.current[b.address]
 	opened := time.Now()
 	b.mu.Lock()
 	b.now = func() time.Time { return opened.Add(maxCallerAge) }
 	b.mu.Unlock()
 	b.Sweep()
-	assert.Zero(t, b.cnt.Swept.Load(), "callers go first")
-	first.used = opened.Add(maxCallerAge)
+	assert.Zero(t, b.counters.Swept.Load(), "callers replace connections before servers close them")
+	first.lastUsed = opened.Add(maxCallerAge)
 	a.caller.now = func() time.Time { return opened.Add(maxCallerAge + time.Second) }
-	require.NoError(t, a.say("r2", b.address))
-	assert.NotSame(t, first, a.caller.links[b.address])
+	require.NoError(t, a.callEcho("r2", b.address))
+	assert.NotSame(t, first, a.caller.current[b.address])
 	b.mu.Lock()
 	b.now = func() time.Time { return opened.Add(2*maxServerAge + time.Second) }
 	b.mu.Unlock()
 	b.Sweep()
-	eventually(t, func() bool { return a.caller.links[b.address].conn.broken.Load() })
-	require.NoError(t, a.say("r2", b.address))
+	eventually(t, func() bool { return a.caller.current[b.address].conn.broken.Load() })
+	require.NoError(t, a.callEcho("r2", b.address))
 }
 
-// Symptom: a change of certificates cuts calls between routers. Sequence: a
-// call runs while both ends get certificates of a new authority. Cause: a
-// connection that is set up again for the reload.
+// Guards against a certificate reload that cuts running calls: both ends get
+// certificates of a new authority during a call.
 func TestCertificateReloadKeepsConnections(t *testing.T) {
 	dir := fleetDir(t)
-	certA, certB := certs(t, dir, "r1"), certs(t, dir, "r2")
-	a, b := newNode(t, "r1", newRing(1), WithTLS(certA)), newNode(t, "r2", newRing(1), WithTLS(certB))
+	certA, certB := certReloader(t, dir, "r1"), certReloader(t, dir, "r2")
+	a, b := newNode(t, "r1", newKeySet(1), WithTLS(certA)), newNode(t, "r2", newKeySet(1), WithTLS(certB))
 	done := make(chan error, 1)
 	go func() {
 		var got int
 		done <- a.caller.Call(context.Background(), Target{"r2", b.address}, "Echo.Hold", 1, &got)
 	}()
 	<-b.echo.entered
-	first := a.caller.links[b.address]
+	first := a.caller.current[b.address]
 	require.NoError(t, os.Remove(filepath.Join(dir, "ca.pem")))
-	generate(t, dir)
+	generateCerts(t, dir)
 	for _, r := range []*keys.CertReloader{certA, certB} {
 		changed, err := r.Check()
 		require.NoError(t, err)
 		require.True(t, changed)
 	}
-	require.NoError(t, a.say("r2", b.address))
-	assert.Same(t, first, a.caller.links[b.address])
-	close(b.echo.leave)
+	require.NoError(t, a.callEcho("r2", b.address))
+	assert.Same(t, first, a.caller.current[b.address])
+	close(b.echo.unblock)
 	require.NoError(t, <-done)
-	fresh := newNode(t, "r3", newRing(1), WithTLS(certs(t, dir, "r3")))
-	require.NoError(t, fresh.say("r2", b.address))
+	fresh := newNode(t, "r3", newKeySet(1), WithTLS(certReloader(t, dir, "r3")))
+	require.NoError(t, fresh.callEcho("r2", b.address))
 }
--- a/internal/fleet/peer/server.go
+++ b/internal/fleet/peer/server.go
@@ -9,34 +9,34 @@
 
 // Server accepts calls from other routers.
 type Server struct {
-	rpc *rpc.Server
-	end endpoint
-	cnt *Counters
-	now func() time.Time
+	rpc      *rpc.Server
+	endpoint endpoint
+	counters *Counters
+	now      func() time.Time
 
 	mu     sync.Mutex
-	conns  map[*session]struct{}
+	conns  map[*serverConn]struct{}
 	closed bool
 	wg     sync.WaitGroup
 }
 
-// session is one accepted connection. The fields after conn are set under the
-// server's mutex once the other end has proved itself.
-type session struct {
-	conn   *conn
-	proved bool
-	key    byte
-	opened time.Time
+// serverConn is one accepted connection. The server's mutex guards the fields after
+// conn, which are set once the other end is authenticated.
+type serverConn struct {
+	conn          *conn
+	authenticated bool
+	keyID         byte
+	opened        time.Time
 }
 
-// NewServer returns a Server; Register adds what it serves.
-func NewServer(self string, keys Keys, cnt *Counters, opts ...Option) *Server {
+// NewServer returns a Server without methods; Register adds them.
+func NewServer(self string, keys Keys, counters *Counters, opts ...Option) *Server {
 	return &Server{
-		rpc:   rpc.NewServer(),
-		end:   newEndpoint(self, keys, opts),
-		cnt:   cnt,
-		now:   time.Now,
-		conns: make(map[*session]struct{}),
+		rpc:      rpc.NewServer(),
+		endpoint: newEndpoint(self, keys, opts),
+		counters: counters,
+		now:      time.Now,
+		conns:    make(map[*serverConn]struct{}),
 	}
 }
 
@@ -52,83 +52,82 @@
 		if err != nil {
 			return
 		}
-		if ses := s.track(c); ses != nil {
-			go s.serve(ses)
+		if sc := s.track(c); sc != nil {
+			go s.serve(sc)
 		}
 	}
 }
 
-// Close cuts all connections and waits for their goroutines.
+// Close closes all connections and waits for their goroutines.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
-	for ses := range s.conns {
-		_ = ses.conn.Close()
+	for sc := range s.conns {
+		_ = sc.conn.Close()
 	}
 	s.mu.Unlock()
 	s.wg.Wait()
 }
 
-// Sweep closes the connections that were opened with a fleet key which is not
-// valid any more, or that are older than maxServerAge. Routers of the fleet
-// have left them by then; whoever stole a key would otherwise keep what was
-// opened with it for as long as it liked.
+// Sweep closes the connections whose fleet key is no longer valid or that are older
+// than maxServerAge. Routers of the fleet have replaced them by then; otherwise a
+// stolen key would keep the connections opened with it indefinitely.
 func (s *Server) Sweep() {
-	valid := s.end.keys()
+	valid := s.endpoint.keys()
 	oldest := s.now().Add(-maxServerAge)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for ses := range s.conns {
-		if !ses.proved {
+	for sc := range s.conns {
+		if !sc.authenticated {
 			continue
 		}
-		if _, ok := find(valid, ses.key); ok && !ses.opened.Before(oldest) {
+		if _, ok := keyByID(valid, sc.keyID); ok && !sc.opened.Before(oldest) {
 			continue
 		}
-		ses.proved = false
-		_ = ses.conn.Close()
-		s.cnt.Swept.Add(1)
+		sc.authenticated = false
+		_ = sc.conn.Close()
+		s.counters.Swept.Add(1)
 	}
 }
 
-func (s *Server) serve(ses *session) {
-	defer s.untrack(ses)
-	c, proved, err := s.end.accept(ses.conn)
+func (s *Server) serve(sc *serverConn) {
+	defer s.untrack(sc)
+	c, identity, err := s.endpoint.accept(sc.conn)
 	if err != nil {
-		s.cnt.Refused.Add(1)
+		s.counters.Refused.Add(1)
 		return
 	}
-	s.admit(ses, proved.key)
+	s.markAuthenticated(sc, identity.keyID)
 	s.rpc.ServeConn(c)
 }
 
-// track returns nil, and closes c, if the server is closed. A connection that
-// is accepted while Close runs would otherwise outlive it.
-func (s *Server) track(c net.Conn) *session {
+// track registers c. If the server is closed it closes c and returns nil, since a
+// connection accepted during Close would otherwise outlive it.
+func (s *Server) track(c net.Conn) *serverConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		_ = c.Close()
 		return nil
 	}
-	ses := &session{conn: &conn{Conn: c, cnt: s.cnt}}
-	s.conns[ses] = struct{}{}
+	sc := &serverConn{conn: &conn{Conn: c, counters: s.counters}}
+	s.conns[sc] = struct{}{}
 	s.wg.Add(1)
-	return ses
+	return sc
 }
 
-func (s *Server) admit(ses *session, key byte) {
+func (s *Server) markAuthenticated(sc *serverConn, keyID byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ses.proved = true
-	ses.key = key
-	ses.opened = s.now()
+	sc.authenticated = true
+	sc.keyID = keyID
+	sc.opened = s.now()
 }
 
-func (s *Server) untrack(ses *session) {
+func (s *Server) untrack(sc *serverConn) {
 	defer s.wg.Done()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.conns, ses)
-	_ = ses.conn.Close()
+	delete(s.conns, sc)
+	_ = sc.conn.Close()
 }
