--- a/internal/lab/model/cache.go
+++ b/internal/lab/model/cache.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// Part is a part of a prompt that several requests share.
-type Part struct {
+// Segment is a segment of a prompt that several requests share.
+type Segment struct {
 	ID     string
 	Tokens int
 }
 
-// cache holds parts of prompts; the least recently used one that no running request
-// needs yields.
+// cache holds prompt segments and evicts the least recently used one that no running
+// request has pinned.
 type cache struct {
-	parts map[string]*cached
-	total int
-	used  int
+	segments map[string]*cacheEntry
+	tokens   int
+	pinned   int
 }
 
-type cached struct {
-	tokens int
-	at     time.Duration
-	users  int
+type cacheEntry struct {
+	tokens   int
+	lastUsed time.Duration
+	pins     int
 }
 
-func newCache() *cache { return &cache{parts: make(map[string]*cached)} }
+func newCache() *cache { return &cache{segments: make(map[string]*cacheEntry)} }
 
-// held is how many tokens of the prompt are here: a part counts if all before it do.
-func (c *cache) held(prompt []Part) int {
+// cachedTokens returns how many tokens of the prompt are cached. A segment counts only
+// if all segments before it are cached.
+func (c *cache) cachedTokens(prompt []Segment) int {
 	total := 0
 	for _, p := range prompt {
-		if c.parts[p.ID] == nil {
+		if c.segments[p.ID] == nil {
 			break
 		}
 		total += p.Tokens
@@ -36,60 +37,60 @@
 	return total
 }
 
-// add puts a prompt's parts in.
-func (c *cache) add(prompt []Part, now time.Duration) {
+// add inserts the prompt's segments or updates their time of use.
+func (c *cache) add(prompt []Segment, now time.Duration) {
 	for _, p := range prompt {
-		part := c.parts[p.ID]
-		if part == nil {
-			part = &cached{tokens: p.Tokens}
-			c.parts[p.ID] = part
-			c.total += p.Tokens
+		entry := c.segments[p.ID]
+		if entry == nil {
+			entry = &cacheEntry{tokens: p.Tokens}
+			c.segments[p.ID] = entry
+			c.tokens += p.Tokens
 		}
-		part.at = now
+		entry.lastUsed = now
 	}
 }
 
-// use puts a prompt's parts in and keeps them until release.
-func (c *cache) use(prompt []Part, now time.Duration) {
+// pin inserts the prompt's segments and keeps them until unpin.
+func (c *cache) pin(prompt []Segment, now time.Duration) {
 	c.add(prompt, now)
 	for _, p := range prompt {
-		part := c.parts[p.ID]
-		if part.users == 0 {
-			c.used += part.tokens
+		entry := c.segments[p.ID]
+		if entry.pins == 0 {
+			c.pinned += entry.tokens
 		}
-		part.users++
+		entry.pins++
 	}
 }
 
-func (c *cache) release(prompt []Part) {
+func (c *cache) unpin(prompt []Segment) {
 	for _, p := range prompt {
-		part := c.parts[p.ID]
-		if part == nil {
+		entry := c.segments[p.ID]
+		if entry == nil {
 			continue
 		}
-		part.users--
-		if part.users == 0 {
-			c.used -= part.tokens
+		entry.pins--
+		if entry.pins == 0 {
+			c.pinned -= entry.tokens
 		}
 	}
 }
 
-// inUse is the tokens that can't yield.
-func (c *cache) inUse() int { return c.used }
+// pinnedTokens returns the tokens that can't be evicted.
+func (c *cache) pinnedTokens() int { return c.pinned }
 
-// shrink drops parts until no more than room tokens that may yield are left.
-func (c *cache) shrink(room int) {
-	for c.total-c.used > max(room, 0) {
+// evict drops segments until at most limit tokens that aren't pinned are left.
+func (c *cache) evict(limit int) {
+	for c.tokens-c.pinned > max(limit, 0) {
 		oldest := ""
-		for id, p := range c.parts {
-			if p.users == 0 && (oldest == "" || p.at < c.parts[oldest].at || p.at == c.parts[oldest].at && id < oldest) {
+		for id, p := range c.segments {
+			if p.pins == 0 && (oldest == "" || p.lastUsed < c.segments[oldest].lastUsed || p.lastUsed == c.segments[oldest].lastUsed && id < oldest) {
 				oldest = id
 			}
 		}
 		if oldest == "" {
 			return
 		}
-		c.total -= c.parts[oldest].tokens
-		delete(c.parts, oldest)
+		c.tokens -= c.segments[oldest].tokens
+		delete(c.segments, oldest)
 	}
 }
--- a/internal/lab/model/callers.go
+++ b/internal/lab/model/callers.go
@@ -11,75 +11,81 @@
 
 func engineID(i int) string { return fmt.Sprintf("engine-%02d", i) }
 
-// Class is a kind of request.
+// Class is a class of requests.
 type Class struct {
 	Name string
-	// PerSecond is how many come in a second.
+	// PerSecond is the mean number of requests per second of all accounts, at a load
+	// factor of 1.
 	PerSecond float64
-	// Urgency ranks classes, 0 first.
+	// Urgency ranks classes; 0 is the most urgent.
 	Urgency int
-	// Objective is the time within which the first event is on time, MaxPause the same
-	// for each later one.
+	// Objective is the latency of the first event within which a response is on time,
+	// MaxPause the longest gap between later events.
 	Objective, MaxPause time.Duration
-	// Patience is how long a caller waits for the first event, Limit for all.
-	Patience, Limit time.Duration
-	// Worth is the benefit on time, LateShare the part of it when late.
-	Worth, LateShare float64
-	// First and Subject are the shared parts of a prompt: how many there are and how
-	// long they are; Own is the length of the request's own part and Output of its
-	// answer. Lengths are means.
-	Firsts, FirstTokens, Subjects, SubjectTokens, Own, Output int
-	// Work is the mean time of a request at a plain engine; zero for prompts.
+	// FirstEventTimeout is how long a caller waits for the first event, Timeout for the
+	// whole response.
+	FirstEventTimeout, Timeout time.Duration
+	// Value is what a response on time earns, LateShare the share of it earned when
+	// late.
+	Value, LateShare float64
+	// A prompt consists of a shared system prompt, a shared subject, and tokens of its
+	// own. SystemPrompts and Subjects are the numbers of distinct ones,
+	// SystemPromptTokens and SubjectTokens their mean lengths. UniqueTokens is the mean
+	// length of the rest of the prompt, OutputTokens that of the response.
+	SystemPrompts, SystemPromptTokens, Subjects, SubjectTokens, UniqueTokens, OutputTokens int
+	// Work is the mean execution time at a plain engine; zero for requests with
+	// prompts.
 	Work time.Duration
 }
 
-// CallerConfig says who calls.
+// CallerConfig configures the traffic of callers.
 type CallerConfig struct {
 	Classes  []Class
 	Accounts int
-	// Retries is how often a caller comes back after a refusal.
+	// Retries is how often a caller retries after a refusal.
 	Retries int
-	// LimitSpread is by which part of it at most a caller gives a shorter time limit.
-	LimitSpread float64
-	// Clump is how many requests come at once, in the mean.
-	Clump float64
-	// Load is by how much the rate differs from the usual at a moment, for a class and
-	// an account; nil means not at all.
-	Load func(now time.Duration, class, account int) float64
+	// TimeoutSpread is the largest share by which a caller shortens its timeout, drawn
+	// uniformly.
+	TimeoutSpread float64
+	// BurstSize is the mean number of requests that arrive at once.
+	BurstSize float64
+	// LoadFactor returns the factor on the rate of a class and an account at a time;
+	// nil means a factor of 1.
+	LoadFactor func(now time.Duration, class, account int) float64
 }
 
-// state is where a request is.
-type state uint8
+// requestState is the state of a request.
+type requestState uint8
 
 const (
-	// held requests are the router's: to be sent or refused.
-	held state = iota
+	// pending requests are at a router, which must send or refuse them.
+	pending requestState = iota
 	sent
 	ended
 )
 
 // Request is one attempt of a caller.
 type Request struct {
-	ID      int
-	Class   *Class
-	Kind    int
-	Account int
-	Prompt  []Part
-	Own     int
-	Output  int
-	Work    time.Duration
-	// Asked is when the caller first asked, Arrived when this attempt came.
-	Asked, Arrived time.Duration
-	Attempt        int
-	// limit is how long the caller waits in all, limitLeft how long as of this attempt,
-	// which is what it says.
-	limit, limitLeft time.Duration
-
-	at         *Router
-	router     *Router
+	ID           int
+	Class        *Class
+	ClassIndex   int
+	Account      int
+	Prompt       []Segment
+	UniqueTokens int
+	OutputTokens int
+	Work         time.Duration
+	// FirstArrived is when the first attempt arrived, Arrived when this one did.
+	FirstArrived, Arrived time.Duration
+	Attempt               int
+	// timeout is how long the caller waits from the first attempt on, timeoutLeft how
+	// long from this attempt on. The caller sends the latter with the request.
+	timeout, timeoutLeft time.Duration
+
+	arrivedAt  *Router
+	sentBy     *Router
 	engine     int
-	state      state
-	run        *run
+	state      requestState
+	execution  *execution
 	sentAt     time.Duration
 	firstEvent time.Duration
 	lastEvent  time.Duration
@@ -94,36 +100,37 @@
 	return total
 }
 
-// prompted says whether the request has a prompt that engines cache.
-func (r *Request) prompted() bool { return len(r.Prompt) > 0 }
+// hasPrompt reports whether the request has a prompt that engines cache.
+func (r *Request) hasPrompt() bool { return len(r.Prompt) > 0 }
 
-// key is the hash of the longest shared part of the prompt.
-func (r *Request) key() uint64 { return rendezvous.ID(r.Prompt[len(r.Prompt)-1].ID) }
+// prefixKey returns the hash of the longest shared prefix of the prompt.
+func (r *Request) prefixKey() uint64 { return rendezvous.ID(r.Prompt[len(r.Prompt)-1].ID) }
 
-func (r *Request) promptTokens() int { return r.sharedTokens() + r.Own }
+func (r *Request) promptTokens() int { return r.sharedTokens() + r.UniqueTokens }
 
-// Remaining is how long the caller still waits at now.
-func (r *Request) Remaining(now time.Duration) time.Duration { return r.Asked + r.limit - now }
+// Remaining returns how long the caller still waits at now.
+func (r *Request) Remaining(now time.Duration) time.Duration { return r.FirstArrived + r.timeout - now }
 
-// callers make requests and take answers.
+// callers generates requests and handles their outcome.
 type callers struct {
-	w      *World
-	config CallerConfig
-	rng    *rand.Rand
-	sizes  map[string]int
+	sim           *Simulation
+	config        CallerConfig
+	rng           *rand.Rand
+	segmentTokens map[string]int
 }
 
-func newCallers(w *World, config CallerConfig) *callers {
-	c := &callers{w: w, config: config, rng: rand.New(rand.NewPCG(w.config.Seed, 2)), sizes: make(map[string]int)}
-	for kind := range config.Classes {
+func newCallers(sim *Simulation, config CallerConfig) *callers {
+	c := &callers{sim: sim, config: config, rng: rand.New(rand.NewPCG(sim.config.Seed, 2)), segmentTokens: make(map[string]int)}
+	for class := range config.Classes {
 		for account := range config.Accounts {
-			c.next(kind, account)
+			c.scheduleNext(class, account)
 		}
 	}
 	return c
 }
 
-// accountShare is an account's part of the traffic: few are large.
+// accountShare returns an account's share of the traffic. It falls with the account's
+// index, so that a few accounts are large.
 func (c *callers) accountShare(account int) float64 {
 	total := 0.0
 	for i := range c.config.Accounts {
@@ -132,34 +139,33 @@
 	return 1 / float64(account+1) / total
 }
 
-// next sets the next requests of a class and an account.
-func (c *callers) next(kind, account int) {
-	rate := c.config.Classes[kind].PerSecond * c.accountShare(account)
-	if c.config.Load != nil {
-		rate *= c.config.Load(c.w.Now(), kind, account)
+// scheduleNext schedules the next burst of a class and an account.
+func (c *callers) scheduleNext(class, account int) {
+	rate := c.config.Classes[class].PerSecond * c.accountShare(account)
+	if c.config.LoadFactor != nil {
+		rate *= c.config.LoadFactor(c.sim.Now(), class, account)
 	}
-	clump := max(c.config.Clump, 1)
-	// The rate is looked at again after a tenth of a second at most, so that it
-	// follows Load.
-	const look = 100 * time.Millisecond
+	burstSize := max(c.config.BurstSize, 1)
+	// The rate is evaluated at least every 100 ms, so that it follows LoadFactor.
+	const maxInterval = 100 * time.Millisecond
 	if rate <= 0 {
-		c.w.After(look, func() { c.next(kind, account) })
+		c.sim.After(maxInterval, func() { c.scheduleNext(class, account) })
 		return
 	}
-	wait := time.Duration(c.rng.ExpFloat64() * clump / rate * float64(time.Second))
-	if wait > look {
-		c.w.After(look, func() { c.next(kind, account) })
+	wait := time.Duration(c.rng.ExpFloat64() * burstSize / rate * float64(time.Second))
+	if wait > maxInterval {
+		c.sim.After(maxInterval, func() { c.scheduleNext(class, account) })
 		return
 	}
-	c.w.After(wait, func() {
-		for range c.geometric(clump) {
-			c.arrive(c.draw(kind, account))
+	c.sim.After(wait, func() {
+		for range c.geometric(burstSize) {
+			c.arrive(c.newRequest(class, account))
 		}
-		c.next(kind, account)
+		c.scheduleNext(class, account)
 	})
 }
 
-// geometric draws a number of at least one with the given mean.
+// geometric draws from a geometric distribution of at least 1 with the given mean.
 func (c *callers) geometric(mean float64) int {
 	n := 1
 	for c.rng.Float64() > 1/mean {
@@ -168,73 +174,75 @@
 	return n
 }
 
-// around draws a length around a mean, long ones among them.
-func (c *callers) around(mean int, spread float64) int {
+// logNormal draws a length from a log-normal distribution with the given mean, at least
+// 1.
+func (c *callers) logNormal(mean int, spread float64) int {
 	return max(1, int(float64(mean)*math.Exp(spread*c.rng.NormFloat64()-spread*spread/2)))
 }
 
-// part returns a shared part, which has the same length each time.
-func (c *callers) part(id string, mean int) Part {
-	if c.sizes[id] == 0 {
-		c.sizes[id] = c.around(mean, 0.6)
+// segment returns a shared segment. Its length is drawn once.
+func (c *callers) segment(id string, mean int) Segment {
+	if c.segmentTokens[id] == 0 {
+		c.segmentTokens[id] = c.logNormal(mean, 0.6)
 	}
-	return Part{ID: id, Tokens: c.sizes[id]}
+	return Segment{ID: id, Tokens: c.segmentTokens[id]}
 }
 
-func (c *callers) draw(kind, account int) *Request {
-	class := &c.config.Classes[kind]
-	c.w.nextID++
+func (c *callers) newRequest(index, account int) *Request {
+	class := &c.config.Classes[index]
+	c.sim.lastID++
 	r := &Request{
-		ID: c.w.nextID, Class: class, Kind: kind, Account: account, Asked: c.w.Now(),
-		Own: c.around(class.Own, 0.8), Output: c.around(class.Output, 0.5),
-		limit: time.Duration((1 - c.config.LimitSpread*c.rng.Float64()) * float64(class.Limit)),
+		ID: c.sim.lastID, Class: class, ClassIndex: index, Account: account, FirstArrived: c.sim.Now(),
+		UniqueTokens: c.logNormal(class.UniqueTokens, 0.8), OutputTokens: c.logNormal(class.OutputTokens, 0.5),
+		timeout: time.Duration((1 - c.config.TimeoutSpread*c.rng.Float64()) * float64(class.Timeout)),
 	}
 	if class.Work > 0 {
-		r.Work = time.Duration(c.around(int(class.Work), 0.5))
-		c.w.Book.asked(r)
+		r.Work = time.Duration(c.logNormal(int(class.Work), 0.5))
+		c.sim.Results.recordRequest(r)
 		return r
 	}
 	subject := int(math.Pow(c.rng.Float64(), 1.3) * float64(class.Subjects))
-	if class.Firsts > 0 {
-		r.Prompt = append(r.Prompt, c.part(fmt.Sprint(kind, "-first-", subject%class.Firsts), class.FirstTokens))
+	if class.SystemPrompts > 0 {
+		r.Prompt = append(r.Prompt, c.segment(fmt.Sprint(index, "-first-", subject%class.SystemPrompts), class.SystemPromptTokens))
 	}
-	r.Prompt = append(r.Prompt, c.part(fmt.Sprint(kind, "-subject-", subject), class.SubjectTokens))
-	c.w.Book.asked(r)
+	r.Prompt = append(r.Prompt, c.segment(fmt.Sprint(index, "-subject-", subject), class.SubjectTokens))
+	c.sim.Results.recordRequest(r)
 	return r
 }
 
-// arrive brings an attempt to a router.
+// arrive delivers an attempt to a random router.
 func (c *callers) arrive(r *Request) {
-	now := c.w.Now()
+	now := c.sim.Now()
 	r.Arrived = now
-	r.limitLeft = r.Remaining(now)
-	r.at = c.w.Routers[c.rng.IntN(len(c.w.Routers))]
+	r.timeoutLeft = r.Remaining(now)
+	r.arrivedAt = c.sim.Routers[c.rng.IntN(len(c.sim.Routers))]
 	attempt := *r
 	req := &attempt
-	c.w.At(min(now+r.Class.Patience, r.Asked+r.limit), func() {
+	c.sim.At(min(now+r.Class.FirstEventTimeout, r.FirstArrived+r.timeout), func() {
 		if req.firstEvent == 0 {
-			c.w.leave(req)
+			c.sim.abort(req)
 		}
 	})
-	c.w.At(r.Asked+r.limit, func() { c.w.leave(req) })
-	req.at.policy.Arrived(req)
+	c.sim.At(r.FirstArrived+r.timeout, func() { c.sim.abort(req) })
+	req.arrivedAt.policy.Arrived(req)
 }
 
-// callersShare is the part of the time left for which callers stay away at most.
-const callersShare = 1.0 / 3
+// maxDelayShare is the largest share of its remaining time that a caller waits before a
+// retry.
+const maxDelayShare = 1.0 / 3
 
-func (c *callers) refused(r *Request, retryAfter time.Duration) {
-	left := r.Remaining(c.w.Now())
-	if r.Attempt >= c.config.Retries || left <= 0 {
-		c.w.Book.refused(r)
+func (c *callers) requestRefused(r *Request, retryAfter time.Duration) {
+	remaining := r.Remaining(c.sim.Now())
+	if r.Attempt >= c.config.Retries || remaining <= 0 {
+		c.sim.Results.recordRefused(r)
 		return
 	}
-	wait := min(retryAfter, time.Duration(callersShare*float64(left)))
-	again := Request{
-		ID: r.ID, Class: r.Class, Kind: r.Kind, Account: r.Account, Prompt: r.Prompt, Own: r.Own, Output: r.Output, Work: r.Work,
-		Asked: r.Asked, Attempt: r.Attempt + 1, limit: r.limit,
+	wait := min(retryAfter, time.Duration(maxDelayShare*float64(remaining)))
+	retry := Request{
+		ID: r.ID, Class: r.Class, ClassIndex: r.ClassIndex, Account: r.Account, Prompt: r.Prompt, UniqueTokens: r.UniqueTokens, OutputTokens: r.OutputTokens, Work: r.Work,
+		FirstArrived: r.FirstArrived, Attempt: r.Attempt + 1, timeout: r.timeout,
 	}
-	c.w.After(wait, func() { c.arrive(&again) })
+	c.sim.After(wait, func() { c.arrive(&retry) })
 }
 
-func (c *callers) failed(r *Request) { c.w.Book.failed(r) }
+func (c *callers) requestFailed(r *Request) { c.sim.Results.recordFailed(r) }
--- a/internal/lab/model/ceiling.go
+++ b/internal/lab/model/ceiling.go
@@ -6,58 +6,59 @@
 	"time"
 )
 
-// Ceiling is what engines could give if all requests were known beforehand: the part of the
-// benefit that fits into the engines' time, with every batch full and every shared part of a
-// prompt in its cache.
+// Ceiling is the share of the value that engines could earn if all requests were known
+// in advance, with full batches and every shared segment of a prompt cached.
 type Ceiling struct {
-	// ByWorth is with the work that brings most for its time done first, ByUrgency with the
-	// more urgent classes first, as the operators want it.
-	ByWorth, ByUrgency float64
-	// Load is the engines' time that all requests take, for what the engines have.
+	// ByValue is the share if requests with the highest value per engine time run
+	// first, ByUrgency if more urgent classes run first, as operators require.
+	ByValue, ByUrgency float64
+	// Load is the engine time that all requests need, relative to the time available.
 	Load float64
 }
 
-// CeilingOf returns the ceiling of engines under classes whose rates are a multiple of the
-// usual.
+// CeilingOf returns the ceiling of engines, which must be alike, if the rates of
+// classes are multiplied by factor.
 func CeilingOf(engines []EngineConfig, classes []Class, factor float64) Ceiling {
 	var out Ceiling
 	for i := range classes {
-		out.Load += factor * classes[i].PerSecond * costOf(engines[0], &classes[i])
+		out.Load += factor * classes[i].PerSecond * engineSeconds(engines[0], &classes[i])
 	}
 	out.Load /= float64(len(engines))
-	byWorth := slices.Clone(classes)
-	slices.SortStableFunc(byWorth, func(a, b Class) int {
-		return cmp.Compare(b.Worth/costOf(engines[0], &b), a.Worth/costOf(engines[0], &a))
+	byValue := slices.Clone(classes)
+	slices.SortStableFunc(byValue, func(a, b Class) int {
+		return cmp.Compare(b.Value/engineSeconds(engines[0], &b), a.Value/engineSeconds(engines[0], &a))
 	})
 	byUrgency := slices.Clone(classes)
 	slices.SortStableFunc(byUrgency, func(a, b Class) int { return cmp.Compare(a.Urgency, b.Urgency) })
-	out.ByWorth = fill(engines, byWorth, factor)
-	out.ByUrgency = fill(engines, byUrgency, factor)
+	out.ByValue = earnedShare(engines, byValue, factor)
+	out.ByUrgency = earnedShare(engines, byUrgency, factor)
 	return out
 }
 
-// fill returns the part of the benefit that fits, in the order of the classes.
-func fill(engines []EngineConfig, classes []Class, factor float64) float64 {
-	left := float64(len(engines))
-	owed, earned := 0.0, 0.0
+// earnedShare returns the share of the value that fits into the engines' time when
+// classes are served in their order.
+func earnedShare(engines []EngineConfig, classes []Class, factor float64) float64 {
+	capacity := float64(len(engines))
+	offered, earned := 0.0, 0.0
 	for i := range classes {
 		c := &classes[i]
-		wanted := factor * c.PerSecond * costOf(engines[0], c)
-		part := min(1, left/wanted)
-		left -= part * wanted
-		owed += factor * c.PerSecond * c.Worth
-		earned += part * factor * c.PerSecond * c.Worth
+		demand := factor * c.PerSecond * engineSeconds(engines[0], c)
+		share := min(1, capacity/demand)
+		capacity -= share * demand
+		offered += factor * c.PerSecond * c.Value
+		earned += share * factor * c.PerSecond * c.Value
 	}
-	return earned / owed
+	return earned / offered
 }
 
-// costOf is the time of an engine, in seconds, that a request takes out of a full batch.
-func costOf(e EngineConfig, c *Class) float64 {
+// engineSeconds returns the engine time, in seconds, that a request uses in a full
+// batch.
+func engineSeconds(e EngineConfig, c *Class) float64 {
 	if e.Plain {
 		return c.Work.Seconds() / float64(e.Slots)
 	}
-	context := e.Slots * (c.Own + c.Output/2 + c.FirstTokens + c.SubjectTokens)
-	step := e.Step + time.Duration(e.Slots)*e.StepPerSlot + time.Duration(context)*e.StepPerContext
-	took := time.Duration(c.Own)*e.PrefillPerToken + time.Duration(c.Output)*step/time.Duration(e.Slots)
-	return took.Seconds()
+	context := e.Slots * (c.UniqueTokens + c.OutputTokens/2 + c.SystemPromptTokens + c.SubjectTokens)
+	step := e.StepTime + time.Duration(e.Slots)*e.StepPerRequest + time.Duration(context)*e.StepPerToken
+	duration := time.Duration(c.UniqueTokens)*e.PrefillPerToken + time.Duration(c.OutputTokens)*step/time.Duration(e.Slots)
+	return duration.Seconds()
 }
--- a/internal/lab/model/clock.go
+++ b/internal/lab/model/clock.go
@@ -5,59 +5,59 @@
 	"time"
 )
 
-// event is something that happens at a moment of virtual time.
+// event is an action scheduled for a virtual time.
 type event struct {
 	at time.Duration
-	// order keeps events of the same moment in the order in which they were set.
-	order int
-	do    func()
+	// seq orders events of the same time as they were scheduled.
+	seq    int
+	action func()
 }
 
-// agenda holds the events to come, the next one first.
-type agenda []event
+// eventQueue is a heap of scheduled events, the earliest first.
+type eventQueue []event
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
-	if a[i].at != a[j].at {
-		return a[i].at < a[j].at
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	if q[i].at != q[j].at {
+		return q[i].at < q[j].at
 	}
-	return a[i].order < a[j].order
+	return q[i].seq < q[j].seq
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(event)) }
-func (a *agenda) Pop() any {
-	last := len(*a) - 1
-	e := (*a)[last]
-	(*a)[last] = event{}
-	*a = (*a)[:last]
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	e := (*q)[last]
+	(*q)[last] = event{}
+	*q = (*q)[:last]
 	return e
 }
 
-// Clock is virtual time: events are set for moments and run in their order.
+// Clock is a virtual clock that runs scheduled events in the order of their times.
 type Clock struct {
-	now    time.Duration
-	order  int
-	agenda agenda
+	now     time.Duration
+	lastSeq int
+	events  eventQueue
 }
 
-// Now is the present moment.
+// Now returns the virtual time.
 func (c *Clock) Now() time.Duration { return c.now }
 
-// At runs do at a moment, or now if that has passed.
-func (c *Clock) At(at time.Duration, do func()) {
-	c.order++
-	heap.Push(&c.agenda, event{at: max(at, c.now), order: c.order, do: do})
+// At schedules action for a time, or for now if that has passed.
+func (c *Clock) At(at time.Duration, action func()) {
+	c.lastSeq++
+	heap.Push(&c.events, event{at: max(at, c.now), seq: c.lastSeq, action: action})
 }
 
-// After runs do d from now.
-func (c *Clock) After(d time.Duration, do func()) { c.At(c.now+d, do) }
+// After schedules action for d from now.
+func (c *Clock) After(d time.Duration, action func()) { c.At(c.now+d, action) }
 
-// Run runs the events up to a moment.
+// Run runs the events up to and including until, and advances the clock to it.
 func (c *Clock) Run(until time.Duration) {
-	for len(c.agenda) > 0 && c.agenda[0].at <= until {
-		e := heap.Pop(&c.agenda).(event)
+	for len(c.events) > 0 && c.events[0].at <= until {
+		e := heap.Pop(&c.events).(event)
 		c.now = e.at
-		e.do()
+		e.action()
 	}
 	c.now = until
 }
--- a/internal/lab/model/engine.go
+++ b/internal/lab/model/engine.go
@@ -5,103 +5,106 @@
 	"time"
 )
 
-// EngineConfig describes a model engine. Times are of an engine at its usual pace.
+// EngineConfig describes an engine. Times are those at a slowdown of 1.
 type EngineConfig struct {
-	// Slots is how many requests it executes at once, Queue how many may wait.
-	Slots, Queue int
-	// A step makes one token for each request in the batch. It takes Step, StepPerSlot
-	// for each of them, and StepPerContext for each token that they have in memory.
-	Step, StepPerSlot, StepPerContext time.Duration
-	// PrefillPerToken is the time to read a token of a prompt. A step reads Chunk
-	// tokens at most, and makes the others wait for them.
+	// Slots is how many requests run at once, QueueLimit how many may wait.
+	Slots, QueueLimit int
+	// A step generates one token for each request in the batch. It takes StepTime, plus
+	// StepPerRequest for each of these requests, plus StepPerToken for each token in
+	// memory.
+	StepTime, StepPerRequest, StepPerToken time.Duration
+	// PrefillPerToken is the time to prefill a token of a prompt. A step prefills at
+	// most PrefillChunk tokens, and delays the other requests of the batch by their
+	// time.
 	PrefillPerToken time.Duration
-	Chunk           int
-	// Stride is how many tokens an event of a stream holds.
-	Stride int
-	// Memory is the room for tokens of running requests and cached parts.
-	Memory int
+	PrefillChunk    int
+	// TokensPerEvent is how many tokens an event of the response stream holds.
+	TokensPerEvent int
+	// MemoryTokens is the memory for running requests and cached segments, in tokens.
+	MemoryTokens int
 	// FetchPerToken is the time to fetch a token of a prompt from another engine.
 	FetchPerToken time.Duration
-	// First is the time between a request's arrival and its first step.
-	First time.Duration
-	// Plain engines make no tokens: a request takes its own time in a place.
+	// StartDelay is the time between the arrival of a request and its first step.
+	StartDelay time.Duration
+	// Plain engines generate no tokens: a request occupies a slot for its own work
+	// time.
 	Plain bool
 }
 
-// run is a request at an engine.
-type run struct {
-	r       *Request
-	urgency int
-	arrived time.Duration
-	unread  int
-	made    int
-	holds   int
-	started bool
-	gone    bool
+// execution is a request at an engine.
+type execution struct {
+	request      *Request
+	urgency      int
+	arrived      time.Duration
+	prefillLeft  int
+	generated    int
+	memoryTokens int
+	streaming    bool
+	removed      bool
 }
 
-// Engine executes requests in a batch: the more there are, the longer each step takes,
-// and prompts that are read hold up the tokens of all.
+// Engine executes requests in a batch. The larger the batch, the longer each step
+// takes, and the prefill of a prompt delays the tokens of all requests.
 type Engine struct {
 	ID     string
 	Key    uint64
 	config EngineConfig
-	world  *World
-	// Pace is how much longer everything takes than usual.
-	Pace float64
-	Down bool
+	sim    *Simulation
+	// Slowdown is the factor on all times but those to fetch prompts.
+	Slowdown float64
+	Down     bool
 
-	waiting  []*run
-	batch    []*run
-	cache    *cache
-	linkFree time.Duration
-	stepping bool
+	waiting    []*execution
+	batch      []*execution
+	cache      *cache
+	linkFreeAt time.Duration
+	stepping   bool
 }
 
-func newEngine(w *World, id string, key uint64, config EngineConfig) *Engine {
-	return &Engine{ID: id, Key: key, config: config, world: w, Pace: 1, cache: newCache()}
+func newEngine(sim *Simulation, id string, key uint64, config EngineConfig) *Engine {
+	return &Engine{ID: id, Key: key, config: config, sim: sim, Slowdown: 1, cache: newCache()}
 }
 
-// InFlight is how many requests are at the engine.
+// InFlight returns how many requests wait or run.
 func (e *Engine) InFlight() int { return len(e.waiting) + len(e.batch) }
 
-// arrive takes a request, or returns false if the queue is full.
+// arrive accepts a request, or returns false if the queue is full.
 func (e *Engine) arrive(r *Request, urgency int, fetchFrom *Engine) bool {
-	if len(e.waiting) >= e.config.Queue {
+	if len(e.waiting) >= e.config.QueueLimit {
 		return false
 	}
-	now := e.world.Now()
-	n := &run{r: r, urgency: urgency, arrived: now}
-	ready := now + e.slowed(e.config.First)
-	if tokens := e.fetchable(r, fetchFrom); tokens > 0 {
-		e.linkFree = max(e.linkFree, now) + time.Duration(tokens)*e.config.FetchPerToken
-		ready = max(ready, e.linkFree)
-		e.world.At(ready, func() { e.cache.add(r.Prompt, now) })
+	now := e.sim.Now()
+	x := &execution{request: r, urgency: urgency, arrived: now}
+	ready := now + e.scale(e.config.StartDelay)
+	if tokens := e.fetchableTokens(r, fetchFrom); tokens > 0 {
+		e.linkFreeAt = max(e.linkFreeAt, now) + time.Duration(tokens)*e.config.FetchPerToken
+		ready = max(ready, e.linkFreeAt)
+		e.sim.At(ready, func() { e.cache.add(r.Prompt, now) })
 	}
-	r.run = n
-	e.world.At(ready, func() { e.enqueue(n) })
+	r.execution = x
+	e.sim.At(ready, func() { e.enqueue(x) })
 	return true
 }
 
-// fetchable is how many tokens of the prompt the other engine has beyond this one.
-func (e *Engine) fetchable(r *Request, from *Engine) int {
+// fetchableTokens returns how many more tokens of the prompt another engine has cached.
+func (e *Engine) fetchableTokens(r *Request, from *Engine) int {
 	if from == nil || from == e || from.Down {
 		return 0
 	}
-	return max(0, from.cache.held(r.Prompt)-e.cache.held(r.Prompt))
+	return max(0, from.cache.cachedTokens(r.Prompt)-e.cache.cachedTokens(r.Prompt))
 }
 
-func (e *Engine) slowed(d time.Duration) time.Duration { return time.Duration(e.Pace * float64(d)) }
+func (e *Engine) scale(d time.Duration) time.Duration { return time.Duration(e.Slowdown * float64(d)) }
 
-func (e *Engine) enqueue(n *run) {
-	if n.gone || e.Down {
+func (e *Engine) enqueue(x *execution) {
+	if x.removed || e.Down {
 		return
 	}
 	at := len(e.waiting)
-	for at > 0 && e.waiting[at-1].urgency > n.urgency {
+	for at > 0 && e.waiting[at-1].urgency > x.urgency {
 		at--
 	}
-	e.waiting = slices.Insert(e.waiting, at, n)
+	e.waiting = slices.Insert(e.waiting, at, x)
 	e.wake()
 }
 
@@ -114,169 +117,171 @@
 		return
 	}
 	e.stepping = true
-	e.step()
+	e.startStep()
 }
 
-// admit moves waiting requests into the batch, the most urgent first. One that is more
-// urgent than a running one takes its place.
+// admit moves waiting requests into the batch, the most urgent first. A request may
+// preempt a less urgent one.
 func (e *Engine) admit() {
 	for len(e.waiting) > 0 {
-		n := e.waiting[0]
-		if !e.makeRoom(n) {
+		x := e.waiting[0]
+		if !e.makeRoom(x) {
 			return
 		}
 		e.waiting = e.waiting[1:]
-		e.start(n)
+		e.start(x)
 	}
 }
 
-func (e *Engine) start(n *run) {
+func (e *Engine) start(x *execution) {
 	if e.config.Plain {
-		e.batch = append(e.batch, n)
-		e.world.After(e.slowed(n.r.Work), func() { e.workDone(n) })
+		e.batch = append(e.batch, x)
+		e.sim.After(e.scale(x.request.Work), func() { e.finishPlain(x) })
 		return
 	}
-	held := e.cache.held(n.r.Prompt)
-	n.unread = n.r.promptTokens() - held + n.made
-	n.holds = n.r.Own + n.made
-	e.cache.use(n.r.Prompt, e.world.Now())
-	e.batch = append(e.batch, n)
+	cachedTokens := e.cache.cachedTokens(x.request.Prompt)
+	x.prefillLeft = x.request.promptTokens() - cachedTokens + x.generated
+	x.memoryTokens = x.request.UniqueTokens + x.generated
+	e.cache.pin(x.request.Prompt, e.sim.Now())
+	e.batch = append(e.batch, x)
 }
 
-// makeRoom says whether there is a place and memory for the request.
-func (e *Engine) makeRoom(n *run) bool {
+// makeRoom reports whether there is a slot and memory for the request, after preempting
+// less urgent ones and evicting cached segments as needed.
+func (e *Engine) makeRoom(x *execution) bool {
 	if e.config.Plain {
 		return len(e.batch) < e.config.Slots
 	}
-	for len(e.batch) >= e.config.Slots || e.pinned()+n.r.Own+n.made > e.config.Memory {
-		if !e.preempt(n.urgency) {
+	for len(e.batch) >= e.config.Slots || e.pinned()+x.request.UniqueTokens+x.generated > e.config.MemoryTokens {
+		if !e.preempt(x.urgency) {
 			return false
 		}
 	}
-	e.cache.shrink(e.config.Memory - e.pinned() - n.r.Own - n.made)
+	e.cache.evict(e.config.MemoryTokens - e.pinned() - x.request.UniqueTokens - x.generated)
 	return true
 }
 
-// pinned is the memory that does not yield.
+// pinned returns the memory that can't be evicted, in tokens.
 func (e *Engine) pinned() int {
 	total := 0
-	for _, n := range e.batch {
-		total += n.holds
+	for _, x := range e.batch {
+		total += x.memoryTokens
 	}
-	return total + e.cache.inUse()
+	return total + e.cache.pinnedTokens()
 }
 
-// preempt takes the newest of the least urgent requests out of the batch, if it is less
-// urgent than the given one.
+// preempt moves the newest of the least urgent requests from the batch back to the
+// queue. It returns false if none is less urgent than urgency.
 func (e *Engine) preempt(urgency int) bool {
 	victim := -1
-	for i, n := range e.batch {
-		if victim < 0 || n.urgency >= e.batch[victim].urgency {
+	for i, x := range e.batch {
+		if victim < 0 || x.urgency >= e.batch[victim].urgency {
 			victim = i
 		}
 	}
 	if victim < 0 || e.batch[victim].urgency <= urgency {
 		return false
 	}
-	n := e.batch[victim]
+	x := e.batch[victim]
 	e.batch = slices.Delete(e.batch, victim, victim+1)
-	e.cache.release(n.r.Prompt)
+	e.cache.unpin(x.request.Prompt)
 	at := 0
-	for at < len(e.waiting) && e.waiting[at].urgency < n.urgency {
+	for at < len(e.waiting) && e.waiting[at].urgency < x.urgency {
 		at++
 	}
-	e.waiting = slices.Insert(e.waiting, at, n)
+	e.waiting = slices.Insert(e.waiting, at, x)
 	return true
 }
 
-// step runs one step and sets the next.
-func (e *Engine) step() {
+// startStep admits waiting requests, runs one step and schedules its end.
+func (e *Engine) startStep() {
 	e.admit()
 	if len(e.batch) == 0 || e.Down {
 		e.stepping = false
 		return
 	}
-	read := e.config.Chunk
-	tokens, context, making := 0, 0, 0
-	for _, n := range e.batch {
-		context += n.holds + n.r.sharedTokens()
-		if n.unread > 0 {
-			part := min(n.unread, read)
-			n.unread -= part
-			read -= part
-			tokens += part
+	chunkLeft := e.config.PrefillChunk
+	prefillTokens, memoryTokens, decoding := 0, 0, 0
+	for _, x := range e.batch {
+		memoryTokens += x.memoryTokens + x.request.sharedTokens()
+		if x.prefillLeft > 0 {
+			chunk := min(x.prefillLeft, chunkLeft)
+			x.prefillLeft -= chunk
+			chunkLeft -= chunk
+			prefillTokens += chunk
 			continue
 		}
-		making++
+		decoding++
 	}
-	took := time.Duration(tokens) * e.config.PrefillPerToken
-	if making > 0 {
-		took += e.config.Step + time.Duration(making)*e.config.StepPerSlot + time.Duration(context)*e.config.StepPerContext
+	duration := time.Duration(prefillTokens) * e.config.PrefillPerToken
+	if decoding > 0 {
+		duration += e.config.StepTime + time.Duration(decoding)*e.config.StepPerRequest + time.Duration(memoryTokens)*e.config.StepPerToken
 	}
-	e.world.After(e.slowed(took), func() { e.stepped() })
+	e.sim.After(e.scale(duration), func() { e.finishStep() })
 }
 
-// stepped hands out the tokens of a step.
-func (e *Engine) stepped() {
+// finishStep delivers the tokens of a step and starts the next one.
+func (e *Engine) finishStep() {
 	if e.Down {
 		e.stepping = false
 		return
 	}
-	now := e.world.Now()
-	for _, n := range slices.Clone(e.batch) {
-		if n.unread > 0 || n.gone {
+	now := e.sim.Now()
+	for _, x := range slices.Clone(e.batch) {
+		if x.prefillLeft > 0 || x.removed {
 			continue
 		}
-		n.made++
-		n.holds++
-		if n.made >= n.r.Output {
-			e.finish(n)
-			e.world.finished(n.r, e, true)
+		x.generated++
+		x.memoryTokens++
+		if x.generated >= x.request.OutputTokens {
+			e.remove(x)
+			e.sim.requestEnded(x.request, e, true)
 			continue
 		}
-		if !n.started || n.made%e.config.Stride == 0 {
-			n.started = true
-			e.world.emitted(n.r, now)
+		if !x.streaming || x.generated%e.config.TokensPerEvent == 0 {
+			x.streaming = true
+			e.sim.recordEvent(x.request, now)
 		}
 	}
-	e.step()
+	e.startStep()
 }
 
-// workDone ends a request at a plain engine.
-func (e *Engine) workDone(n *run) {
-	if n.gone {
+// finishPlain ends a request at a plain engine.
+func (e *Engine) finishPlain(x *execution) {
+	if x.removed {
 		return
 	}
-	e.finish(n)
-	e.world.finished(n.r, e, true)
+	e.remove(x)
+	e.sim.requestEnded(x.request, e, true)
 	e.wake()
 }
 
-// finish takes a request out.
-func (e *Engine) finish(n *run) {
-	n.gone = true
-	if i := slices.Index(e.batch, n); i >= 0 {
+// remove removes a request from the batch and the queue.
+func (e *Engine) remove(x *execution) {
+	x.removed = true
+	if i := slices.Index(e.batch, x); i >= 0 {
 		e.batch = slices.Delete(e.batch, i, i+1)
 		if !e.config.Plain {
-			e.cache.release(n.r.Prompt)
+			e.cache.unpin(x.request.Prompt)
 		}
 	}
-	if i := slices.Index(e.waiting, n); i >= 0 {
+	if i := slices.Index(e.waiting, x); i >= 0 {
 		e.waiting = slices.Delete(e.waiting, i, i+1)
 	}
 }
 
-// Crash loses all requests and the cache.
+// Crash fails all waiting and running requests and empties the cache. The engine stays
+// down until Restart.
 func (e *Engine) Crash() {
 	e.Down = true
 	lost := append(slices.Clone(e.batch), e.waiting...)
 	e.batch, e.waiting = nil, nil
 	e.cache = newCache()
-	for _, n := range lost {
-		n.gone = true
-		e.world.finished(n.r, e, false)
+	for _, x := range lost {
+		x.removed = true
+		e.sim.requestEnded(x.request, e, false)
 	}
 }
 
-// Restart lets a crashed engine work again.
+// Restart brings a crashed engine back, with an empty cache.
 func (e *Engine) Restart() { e.Down = false }
--- a/internal/lab/model/gated.go
+++ b/internal/lab/model/gated.go
@@ -11,272 +11,278 @@
 )
 
 const (
-	// roundTrip is how long a question to another router takes.
-	roundTrip = 2 * time.Millisecond
-	// urgencies is how many classes of urgency gates have.
-	urgencies = 10
-	// engineUrgency is the rank of all requests at engines.
+	// routerRoundTrip is the round-trip time of a call to another router.
+	routerRoundTrip = 2 * time.Millisecond
+	// urgencyClasses is the number of urgency classes of a gate.
+	urgencyClasses = 10
+	// engineUrgency is the urgency at engines of all requests that Gated sends.
 	engineUrgency = 5
-	// crowdedFor is how long requests go on asking after the engines were last crowded.
-	crowdedFor = 2 * time.Second
-	// outputCost is the work of a token of the answer, in tokens of a prompt.
-	outputCost = 10
+	// congestedFor is how long requests still ask for permits after the engines were
+	// last congested.
+	congestedFor = 2 * time.Second
+	// outputTokenWeight is the weight of a response token, in prompt tokens.
+	outputTokenWeight = 10
 )
 
-// gates are those of all engines, with what reports tell their owners.
-type gates struct {
-	w     *World
-	of    []*gate.Gate
-	asks  map[string]*ask
-	next  int
-	timed bool
-	// unasked is how many requests are at each engine without a lease.
-	unasked []int
-	refused gate.Refused
+// engineGates holds the gates of all engines, with the load reports to their owners.
+type engineGates struct {
+	sim             *Simulation
+	byEngine        []*gate.Gate
+	waiting         map[string]*permitRequest
+	lastID          int
+	settleScheduled bool
+	// withoutPermit is how many requests without a permit are at each engine.
+	withoutPermit []int
+	refused       gate.Refused
 }
 
-// ask is a request that waits for a verdict of a gate.
-type ask struct {
-	engine int
-	answer func(gate.Verdict)
+// permitRequest is a request that waits for the decision of a gate.
+type permitRequest struct {
+	engine     int
+	onDecision func(gate.Verdict)
 }
 
-func newGates(w *World) *gates {
-	g := &gates{w: w, asks: make(map[string]*ask), unasked: make([]int, len(w.Engines))}
-	for _, e := range w.Engines {
-		one := gate.New(gate.Config{Classes: urgencies})
-		one.SetPlaces(e.config.Slots)
-		g.of = append(g.of, one)
+func newGates(sim *Simulation) *engineGates {
+	g := &engineGates{sim: sim, waiting: make(map[string]*permitRequest), withoutPermit: make([]int, len(sim.Engines))}
+	for _, e := range sim.Engines {
+		engineGate := gate.New(gate.Config{Classes: urgencyClasses})
+		engineGate.SetPlaces(e.config.Slots)
+		g.byEngine = append(g.byEngine, engineGate)
 	}
-	w.After(0, g.report)
+	sim.After(0, g.reportLoads)
 	return g
 }
 
-// report tells owners of unasked requests, with the lag of all reports.
-func (g *gates) report() {
-	for i, n := range g.unasked {
-		g.w.After(g.w.config.Lag, func() { g.of[i].SetOthers(n) })
+// reportLoads reports requests without a permit to the gates' owners, with the delay of
+// all load reports.
+func (g *engineGates) reportLoads() {
+	for i, n := range g.withoutPermit {
+		g.sim.After(g.sim.config.ReportDelay, func() { g.byEngine[i].SetOthers(n) })
 	}
-	g.w.After(g.w.config.Report, g.report)
+	g.sim.After(g.sim.config.ReportInterval, g.reportLoads)
 }
 
-func at(now time.Duration) time.Time { return time.Unix(0, int64(now)) }
+func toTime(now time.Duration) time.Time { return time.Unix(0, int64(now)) }
 
-// put asks an engine's gate, and returns the ask's ID.
-func (g *gates) put(engine, places int, a gate.Ask, answer func(gate.Verdict)) string {
-	g.next++
-	a.ID = strconv.Itoa(g.next)
-	now := g.w.Now()
-	g.of[engine].SetPlaces(places)
-	v, waits := g.of[engine].Ask(at(now), a)
+// request sets the number of permits of an engine's gate, requests one, and returns the
+// ID of the request.
+func (g *engineGates) request(engine, permits int, ask gate.Ask, onDecision func(gate.Verdict)) string {
+	g.lastID++
+	ask.ID = strconv.Itoa(g.lastID)
+	now := g.sim.Now()
+	g.byEngine[engine].SetPlaces(permits)
+	decision, waits := g.byEngine[engine].Ask(toTime(now), ask)
 	if !waits {
-		answer(v)
-		return a.ID
+		onDecision(decision)
+		return ask.ID
 	}
-	g.asks[a.ID] = &ask{engine: engine, answer: answer}
-	g.tick()
-	return a.ID
+	g.waiting[ask.ID] = &permitRequest{engine: engine, onDecision: onDecision}
+	g.scheduleSettle()
+	return ask.ID
 }
 
-// settleInterval is how often waiting asks are looked at.
+// settleInterval is the interval at which waiting permit requests are re-evaluated.
 const settleInterval = 5 * time.Millisecond
 
-// tick settles the gates as long as anything waits.
-func (g *gates) tick() {
-	if g.timed {
+// scheduleSettle settles the gates at intervals as long as permit requests wait.
+func (g *engineGates) scheduleSettle() {
+	if g.settleScheduled {
 		return
 	}
-	g.timed = true
-	g.w.After(settleInterval, func() {
-		g.timed = false
-		for i := range g.of {
+	g.settleScheduled = true
+	g.sim.After(settleInterval, func() {
+		g.settleScheduled = false
+		for i := range g.byEngine {
 			g.settle(i)
 		}
-		if len(g.asks) > 0 {
-			g.tick()
+		if len(g.waiting) > 0 {
+			g.scheduleSettle()
 		}
 	})
 }
 
-func (g *gates) settle(engine int) {
-	for _, v := range g.of[engine].Settle(at(g.w.Now())) {
-		if a := g.asks[v.ID]; a != nil {
-			delete(g.asks, v.ID)
-			a.answer(v)
+func (g *engineGates) settle(engine int) {
+	for _, decision := range g.byEngine[engine].Settle(toTime(g.sim.Now())) {
+		if waiting := g.waiting[decision.ID]; waiting != nil {
+			delete(g.waiting, decision.ID)
+			waiting.onDecision(decision)
 		}
 	}
 }
 
-func (g *gates) release(engine int, id string) {
-	g.of[engine].Release(at(g.w.Now()), id)
+func (g *engineGates) release(engine int, id string) {
+	g.byEngine[engine].Release(toTime(g.sim.Now()), id)
 	g.settle(engine)
 }
 
-// withdraw ends an ask that waits.
-func (g *gates) withdraw(id string) {
-	if a := g.asks[id]; a != nil {
-		delete(g.asks, id)
-		g.of[a.engine].Withdraw(at(g.w.Now()), id)
+// withdraw withdraws a waiting permit request.
+func (g *engineGates) withdraw(id string) {
+	if waiting := g.waiting[id]; waiting != nil {
+		delete(g.waiting, id)
+		g.byEngine[waiting.engine].Withdraw(toTime(g.sim.Now()), id)
 	}
 }
 
-// Gated is the policy of the routers: requests ask the gates of engines for places once
-// these fill up.
+// Gated is the policy with flow control: once engines are congested, a request needs a
+// permit from an engine's gate.
 type Gated struct {
-	r       *Router
+	router  *Router
 	rng     *rand.Rand
-	gates   *gates
+	gates   *engineGates
 	holders map[string]int
-	// leases are those of requests at engines, waiting the asks of requests that wait.
-	leases  map[*Request]string
-	waiting map[*Request]string
-	crowded time.Duration
-	hold    time.Duration
-	over    gate.Overload
-	// limits are those of callers, by class.
-	limits map[int]*gate.Usual
+	// leases holds the permits of requests at engines, waiting the permit requests
+	// without a decision.
+	leases         map[*Request]string
+	waiting        map[*Request]string
+	congestedUntil time.Duration
+	meanDuration   time.Duration
+	overload       gate.Overload
+	// timeouts holds the usual timeouts of callers, by class.
+	timeouts map[int]*gate.Usual
 }
 
-// NewGated returns the policies of a world's routers.
+// NewGated returns a constructor for the policies of the routers of a simulation, which
+// share the gates.
 func NewGated() func(*Router, *rand.Rand) Policy {
-	shared := make(map[*World]*gates)
+	shared := make(map[*Simulation]*engineGates)
 	return func(r *Router, rng *rand.Rand) Policy {
-		if shared[r.world] == nil {
-			shared[r.world] = newGates(r.world)
+		if shared[r.sim] == nil {
+			shared[r.sim] = newGates(r.sim)
 		}
 		return &Gated{
-			r: r, rng: rng, gates: shared[r.world], holders: make(map[string]int),
+			router: r, rng: rng, gates: shared[r.sim], holders: make(map[string]int),
 			leases: make(map[*Request]string), waiting: make(map[*Request]string),
-			limits: make(map[int]*gate.Usual),
+			timeouts: make(map[int]*gate.Usual),
 		}
 	}
 }
 
 // Arrived implements Policy.
 func (p *Gated) Arrived(req *Request) {
-	engines := Candidates(p.r)
-	now := p.r.Now()
-	if p.limits[req.Kind] == nil {
-		p.limits[req.Kind] = &gate.Usual{}
+	engines := EngineStates(p.router)
+	now := p.router.Now()
+	if p.timeouts[req.ClassIndex] == nil {
+		p.timeouts[req.ClassIndex] = &gate.Usual{}
 	}
-	if p.over.Over(now) {
-		p.limits[req.Kind].Note(req.limitLeft)
+	if p.overload.Over(now) {
+		p.timeouts[req.ClassIndex].Note(req.timeoutLeft)
 	}
 	if choose.Crowded(engines) {
-		p.crowded = now + crowdedFor
+		p.congestedUntil = now + congestedFor
 	}
-	if now >= p.crowded {
-		p.sendUnasked(req, engines)
+	if now >= p.congestedUntil {
+		p.sendWithoutPermit(req, engines)
 		return
 	}
-	order := choose.PlainCandidates(engines, p.rng)
-	if req.prompted() {
-		order = choose.Candidates(engines, req.key(), p.rng)
+	candidates := choose.PlainCandidates(engines, p.rng)
+	if req.hasPrompt() {
+		candidates = choose.Candidates(engines, req.prefixKey(), p.rng)
 	}
-	var places []int
-	for _, i := range order {
-		places = append(places, choose.Places(engines, i))
+	var permits []int
+	for _, i := range candidates {
+		permits = append(permits, choose.Places(engines, i))
 	}
-	p.ask(req, order, places, 0)
+	p.requestPermit(req, candidates, permits, 0)
 }
 
-func (p *Gated) sendUnasked(req *Request, engines []choose.Engine) {
-	engine, from := pick(p.r, engines, p.holders, req, p.rng)
+func (p *Gated) sendWithoutPermit(req *Request, engines []choose.Engine) {
+	engine, fetchFrom := selectEngine(p.router, engines, p.holders, req, p.rng)
 	if engine == choose.None {
 		p.refuse(req)
 		return
 	}
-	p.gates.unasked[engine]++
-	p.r.Send(req, engine, engineUrgency, from)
+	p.gates.withoutPermit[engine]++
+	p.router.Send(req, engine, engineUrgency, fetchFrom)
 }
 
-// ask asks the engines of order for a place, one after the other, from the i-th on.
-func (p *Gated) ask(req *Request, order, places []int, i int) {
-	if i >= len(order) {
+// requestPermit requests a permit from the candidates in turn, from the i-th on.
+func (p *Gated) requestPermit(req *Request, candidates, permits []int, i int) {
+	if i >= len(candidates) {
 		p.refuse(req)
 		return
 	}
-	engine := order[i]
-	now := p.r.Now()
-	wait := gate.MaxWait(req.prompted(), i, len(order), req.Class.Objective, now-req.Arrived)
+	engine := candidates[i]
+	now := p.router.Now()
+	wait := gate.MaxWait(req.hasPrompt(), i, len(candidates), req.Class.Objective, now-req.Arrived)
 	late := p.late(req)
-	if late && req.prompted() && i > 0 {
+	if late && req.hasPrompt() && i > 0 {
 		p.refuse(req)
 		return
 	}
-	question := gate.Ask{
-		Holder: strconv.Itoa(p.r.Index), Account: strconv.Itoa(req.Account), Class: queue.Class(req.Class.Urgency), Late: late,
-		Weight: int64(req.Own + outputCost*req.Output), Latest: at(now + roundTrip/2 + wait), Hold: p.hold,
+	ask := gate.Ask{
+		Holder: strconv.Itoa(p.router.Index), Account: strconv.Itoa(req.Account), Class: queue.Class(req.Class.Urgency), Late: late,
+		Weight: int64(req.UniqueTokens + outputTokenWeight*req.OutputTokens), Latest: toTime(now + routerRoundTrip/2 + wait), Hold: p.meanDuration,
 	}
-	w := p.r.world
-	w.After(roundTrip/2, func() {
-		if req.state != held {
+	sim := p.router.sim
+	sim.After(routerRoundTrip/2, func() {
+		if req.state != pending {
 			return
 		}
 		var id string
-		id = p.gates.put(engine, places[i], question, func(v gate.Verdict) {
-			id = v.ID
+		id = p.gates.request(engine, permits[i], ask, func(decision gate.Verdict) {
+			id = decision.ID
 			delete(p.waiting, req)
-			w.After(roundTrip/2, func() { p.verdict(req, order, places, i, v) })
+			sim.After(routerRoundTrip/2, func() { p.handleDecision(req, candidates, permits, i, decision) })
 		})
-		if p.gates.asks[id] != nil {
+		if p.gates.waiting[id] != nil {
 			p.waiting[req] = id
 		}
 	})
 }
 
-func (p *Gated) verdict(req *Request, order, places []int, i int, v gate.Verdict) {
-	engine := order[i]
+func (p *Gated) handleDecision(req *Request, candidates, permits []int, i int, decision gate.Verdict) {
+	engine := candidates[i]
 	switch {
-	case req.state != held && v.Granted:
-		p.gates.release(engine, v.ID)
-	case req.state != held:
-	case v.Granted:
-		p.leases[req] = v.ID
-		from := -1
-		if req.prompted() {
-			from = Holder(p.holders, req, choose.At(Candidates(p.r), engine, req.key()))
+	case req.state != pending && decision.Granted:
+		p.gates.release(engine, decision.ID)
+	case req.state != pending:
+	case decision.Granted:
+		p.leases[req] = decision.ID
+		fetchFrom := -1
+		if req.hasPrompt() {
+			fetchFrom = FetchSource(p.holders, req, choose.At(EngineStates(p.router), engine, req.prefixKey()))
 		}
-		p.r.Send(req, engine, engineUrgency, from)
+		p.router.Send(req, engine, engineUrgency, fetchFrom)
 	default:
-		p.ask(req, order, places, i+1)
+		p.requestPermit(req, candidates, permits, i+1)
 	}
 }
 
-// late says whether a request has come back too late to be on time.
+// late reports whether a request has been retried too late to be on time.
 func (p *Gated) late(req *Request) bool {
-	if req.prompted() {
+	if req.hasPrompt() {
 		slack := gate.StartWithin(req.Class.Objective)
-		return p.gates.refused.Late(uint64(req.ID), uint64(req.Attempt), slack, p.r.Now())
+		return p.gates.refused.Late(uint64(req.ID), uint64(req.Attempt), slack, p.router.Now())
 	}
-	return p.limits[req.Kind].Late(req.limitLeft, req.Class.Objective)
+	return p.timeouts[req.ClassIndex].Late(req.timeoutLeft, req.Class.Objective)
 }
 
 func (p *Gated) refuse(req *Request) {
-	now := p.r.Now()
-	if req.prompted() {
+	now := p.router.Now()
+	if req.hasPrompt() {
 		p.gates.refused.Note(uint64(req.ID), uint64(req.Attempt), now)
 	}
-	p.r.Refuse(req, p.over.ComeBack(req.Class.Objective, req.Remaining(now), now, p.rng.Float64()))
+	p.router.Refuse(req, p.overload.ComeBack(req.Class.Objective, req.Remaining(now), now, p.rng.Float64()))
 }
 
-// holdWeight is the weight of the newest request in the mean of how long they last.
-const holdWeight = 1.0 / 32
+// durationWeight is the weight of the latest request in the moving mean of request
+// durations.
+const durationWeight = 1.0 / 32
 
 // Ended implements Policy.
 func (p *Gated) Ended(req *Request, engine int, _ bool) {
-	took := p.r.Now() - req.sentAt
-	if p.hold == 0 {
-		p.hold = took
+	duration := p.router.Now() - req.sentAt
+	if p.meanDuration == 0 {
+		p.meanDuration = duration
 	}
-	p.hold += time.Duration(holdWeight * float64(took-p.hold))
+	p.meanDuration += time.Duration(durationWeight * float64(duration-p.meanDuration))
 	id, leased := p.leases[req]
 	if !leased {
-		p.gates.unasked[engine]--
+		p.gates.withoutPermit[engine]--
 		return
 	}
 	delete(p.leases, req)
-	p.r.world.After(roundTrip/2, func() { p.gates.release(engine, id) })
+	p.router.sim.After(routerRoundTrip/2, func() { p.gates.release(engine, id) })
 }
 
 // Rejected implements Policy.
@@ -285,8 +291,8 @@
 	p.refuse(req)
 }
 
-// Left implements Policy.
-func (p *Gated) Left(req *Request) {
+// Aborted implements Policy.
+func (p *Gated) Aborted(req *Request) {
 	if id, ok := p.waiting[req]; ok {
 		delete(p.waiting, req)
 		p.gates.withdraw(id)
