--- a/internal/fleet/gossip/driver.go
+++ b/internal/fleet/gossip/driver.go
@@ -211,7 +211,7 @@
 			f(event)
 		}
 	}
-	for _, item := range det.FreshItems() {
+	for _, item := range det.UpdatedItems() {
 		for _, f := range d.onItem {
 			f(item)
 		}
--- a/internal/fleet/membership/broadcast.go
+++ b/internal/fleet/membership/broadcast.go
@@ -6,34 +6,32 @@
 	"time"
 )
 
-// maxPiggyback bounds the piggybacked bytes of one packet, so that the cost of
-// a packet does not depend on the fleet size or on how much is changing.
+// maxPiggyback is the maximum number of piggybacked bytes in one packet. It keeps the size of a
+// packet independent of the fleet size and of the number of pending changes.
 const maxPiggyback = 400
 
-// The rate at which one router spends bytes on piggybacked updates, and what
-// it may save up. Without it, a router that learns many rows at once, as after
-// a start or a partition, would fill every packet with them for a while.
+// Rate limit on the piggybacked updates of one router. Without it, a router that learns many
+// rows at once, such as after a start or a partition, would fill every packet for a while.
 const (
 	piggybackRate  = 2000 // bytes per second
 	piggybackBurst = 2000 // bytes
 )
 
-// allowance is a token bucket of piggybacked bytes.
-type allowance struct {
+// tokenBucket limits the rate of piggybacked bytes.
+type tokenBucket struct {
 	bytes float64
 	at    time.Duration
 }
 
-// refill brings the bucket to the time now.
-func (a *allowance) refill(now time.Duration) {
-	a.bytes += (now - a.at).Seconds() * piggybackRate
-	a.bytes = min(a.bytes, piggybackBurst)
-	a.at = now
+// refill adds the tokens earned up to now, at most piggybackBurst in total.
+func (b *tokenBucket) refill(now time.Duration) {
+	b.bytes += (now - b.at).Seconds() * piggybackRate
+	b.bytes = min(b.bytes, piggybackBurst)
+	b.at = now
 }
 
-// broadcastKey names what is being spread: the row of a member or an item.
-// The content is looked up when it is sent, so that a newer state replaces an
-// older one that still waits.
+// broadcastKey identifies a pending update: the row of a member or an item. The content is
+// looked up when it is sent, so a newer state replaces an older one that is still queued.
 type broadcastKey struct {
 	member uint64
 	item   itemKey
@@ -45,7 +43,7 @@
 	order uint64
 }
 
-// broadcastQueue holds the updates that have not yet been sent often enough.
+// broadcastQueue holds the updates that have not yet been sent the required number of times.
 type broadcastQueue struct {
 	entries map[broadcastKey]*broadcast
 	order   uint64
@@ -57,15 +55,15 @@
 
 func (q *broadcastQueue) empty() bool { return len(q.entries) == 0 }
 
-// add puts a key into the queue as not sent yet.
+// add queues a key with a send count of zero.
 func (q *broadcastQueue) add(key broadcastKey) {
 	q.order++
 	q.entries[key] = &broadcast{key: key, order: q.order}
 }
 
-// take returns keys that fit into budget bytes, the least sent and then the
-// newest first, and counts them as sent. Keys sent limit times are dropped.
-// The size function returns 0 for a key that no longer exists.
+// take returns the keys that fit into budget bytes, those sent least often first and the newest
+// first among these, and increments their send counts. It removes a key after limit sends. The
+// size function returns 0 for a key that no longer exists.
 func (q *broadcastQueue) take(budget, limit int, size func(broadcastKey) int) []broadcastKey {
 	var taken []broadcastKey
 	for _, b := range q.sorted() {
@@ -101,16 +99,16 @@
 	return list
 }
 
-// retransmits is how often one update is sent by one router in a fleet of n:
-// enough to reach everyone with high probability, logarithmic in n.
-func retransmits(factor, n int) int {
+// retransmitLimit returns how often one router sends one update in a fleet of n routers. It
+// grows with the logarithm of n, which reaches every router with high probability.
+func retransmitLimit(factor, n int) int {
 	return factor * int(math.Ceil(math.Log10(float64(n+1))))
 }
 
-// broadcastMember spreads a row by packets, unless a call has brought it and takes it further.
-// Own rows go by both.
+// broadcastMember queues a row for piggybacking. A row learned through a roster exchange is
+// skipped, because further exchanges spread it. The own row is always queued.
 func (d *Detector) broadcastMember(id uint64) {
-	if d.learning != 0 && id != d.self.ID {
+	if d.mergingFrom != 0 && id != d.self.ID {
 		return
 	}
 	d.queue.add(broadcastKey{member: id})
@@ -127,8 +125,8 @@
 	return r.compact().encodedSize()
 }
 
-// piggyback fills the message with updates. Rows named in first go ahead of
-// the queue and are not counted as sent.
+// piggyback adds updates to the message. The rows in first come before the queue, are sent even
+// if they exceed the rate limit, and do not count as sent.
 func (d *Detector) piggyback(m *Message, first ...uint64) {
 	budget := maxPiggyback
 	listed := make(map[uint64]bool, len(first))
@@ -142,10 +140,10 @@
 		budget -= u.encodedSize()
 		m.Updates = append(m.Updates, u)
 	}
-	budget = min(budget, int(d.allowed.bytes))
-	limit := retransmits(d.opts.RetransmitFactor, d.live)
+	budget = min(budget, int(d.piggybackTokens.bytes))
+	limit := retransmitLimit(d.opts.RetransmitFactor, d.live)
 	for _, key := range d.queue.take(budget, limit, d.broadcastSize) {
-		d.allowed.bytes -= float64(d.broadcastSize(key))
+		d.piggybackTokens.bytes -= float64(d.broadcastSize(key))
 		d.appendBroadcast(m, key, listed)
 	}
 }
@@ -162,11 +160,11 @@
 
 // gossip sends pending updates to a few random members.
 func (d *Detector) gossip() {
-	if d.queue.empty() || d.now < d.nextGossip || d.allowed.bytes < maxPiggyback {
+	if d.queue.empty() || d.now < d.nextGossip || d.piggybackTokens.bytes < maxPiggyback {
 		return
 	}
 	d.nextGossip = d.now + d.opts.GossipInterval
-	for _, r := range d.pick(d.opts.GossipFanout, nil) {
+	for _, r := range d.randomMembers(d.opts.GossipFanout, nil) {
 		if d.queue.empty() {
 			return
 		}
--- a/internal/fleet/membership/detector.go
+++ b/internal/fleet/membership/detector.go
@@ -1,11 +1,11 @@
-// Package membership keeps track of the routers of the fleet: which instances
-// are alive, suspected, leaving or dead.
+// Package membership tracks the routers of the fleet: which instances are alive, suspected,
+// leaving or dead.
 //
-// It is a failure detector after SWIM: each router probes one other a period,
-// asks others to probe when no ack comes, suspects before it buries, and
-// spreads what it learns by piggyback. The package is a pure state machine:
-// time, randomness and packets are arguments, and it neither blocks nor starts
-// goroutines. It is not safe for concurrent use.
+// It is a SWIM failure detector. Each router probes one other router per period, asks others to
+// probe when no ack arrives, suspects a member before it declares it dead, and piggybacks what
+// it learns on its packets. The package is a pure state machine: time, randomness and packets
+// are arguments, and it neither blocks nor starts goroutines. It is not safe for concurrent
+// use.
 package membership
 
 import (
@@ -14,24 +14,25 @@
 	"time"
 )
 
-// maxMembers bounds the table, dead rows included.
+// maxMembers bounds the table, including dead rows.
 const maxMembers = 4096
 
-// configGossipMax is the fleet size up to which a new configuration version of
-// one member is spread as an update. Above it, versions are learned only from
-// the packets of the members themselves and from pages: n members times n
-// receivers would otherwise cost each router O(n) bytes a change.
+// configGossipMax is the fleet size up to which a new configuration version of a member is
+// gossiped. In a larger fleet, versions are learned only from pages and from packets of the
+// members themselves: otherwise n members times n receivers would cost each router O(n) bytes
+// per change.
 const configGossipMax = 40
 
-// row is a member and what this router keeps about it.
+// row is a member together with the local state kept about it.
 type row struct {
 	Member
 	suspicion *suspicion
-	// forgetAt is when a dead row is dropped.
+	// forgetAt is when a dead row is removed.
 	forgetAt time.Duration
-	// changedAt is the revision at which what others are told of the row last changed, and
-	// learnedFrom the instance whose call brought that; zero if it came otherwise.
-	changedAt, learnedFrom uint64
+	// changedRevision is the revision at which the state of the row that is sent to others last
+	// changed. learnedFrom is the instance whose roster exchange brought that change, zero if
+	// it came another way.
+	changedRevision, learnedFrom uint64
 }
 
 // Detector is the membership state of one router.
@@ -41,65 +42,64 @@
 	now  time.Duration
 	self *row
 	rows map[uint64]*row
-	// ids are the keys of rows in order, so that runs repeat under one seed.
+	// ids are the keys of rows in ascending order, so that a run is reproducible from its seed.
 	ids []uint64
-	// live counts the rows that are not dead, self included.
+	// live is the number of rows that are not dead, including self.
 	live int
 
-	round   []uint64
-	probe   *probe
-	relays  map[uint32]relay
-	nextSeq uint32
+	probeOrder []uint64
+	probe      *probe
+	relays     map[uint32]relay
+	nextSeq    uint32
 
-	queue      broadcastQueue
-	allowed    allowance
-	items      itemStore
-	freshItems []Item
-	pages      []pageJob
-	witness    witness
+	queue           broadcastQueue
+	piggybackTokens tokenBucket
+	items           itemStore
+	updatedItems    []Item
+	transfers       []pageTransfer
+	discovery       discovery
 
 	nextProbe   time.Duration
 	nextGossip  time.Duration
 	nextSync    time.Duration
 	nextPage    time.Duration
 	nextContact time.Duration
-	// strangerSyncAt is when the next packet of an unknown instance may start
-	// an exchange of tables.
-	strangerSyncAt time.Duration
-	// nextInvite is when a digest may be answered by a digest again.
-	nextInvite time.Duration
-	lastTick   time.Duration
-	ticked     bool
-	departed   bool
+	// nextUnknownSync is when a packet from an unknown instance may next start a table sync.
+	nextUnknownSync time.Duration
+	// nextDigestReply is when a digest may next be answered with a digest.
+	nextDigestReply time.Duration
+	lastTick        time.Duration
+	ticked          bool
+	departed        bool
 
 	events   []Event
 	snapshot []Member
-	// revision counts the changes that Snapshot shows.
+	// revision counts the changes visible in Snapshot.
 	revision uint64
-	// learning is the instance whose rows are being merged, zero for packets.
-	learning uint64
-	out      []Outgoing
+	// mergingFrom is the instance whose roster rows are being merged, zero for packets.
+	mergingFrom uint64
+	out         []Outgoing
 }
 
-// New returns a Detector that knows only itself. The ID of self must be random
-// and not 0; the incarnation starts at 1 if it is 0.
+// New returns a Detector that knows only itself. The ID of self must be random and not 0. An
+// incarnation of 0 becomes 1.
 func New(self Member, opts Options, rng *rand.Rand) *Detector {
 	self.Incarnation = max(self.Incarnation, 1)
 	d := &Detector{
-		opts:    opts.withDefaults(),
-		rng:     rng,
-		rows:    make(map[uint64]*row),
-		relays:  make(map[uint32]relay),
-		queue:   newBroadcastQueue(),
-		allowed: allowance{bytes: maxPiggyback},
+		opts:            opts.withDefaults(),
+		rng:             rng,
+		rows:            make(map[uint64]*row),
+		relays:          make(map[uint32]relay),
+		queue:           newBroadcastQueue(),
+		piggybackTokens: tokenBucket{bytes: maxPiggyback},
 	}
-	d.witness = newWitness(d.opts.Seeds)
+	d.discovery = newDiscovery(d.opts.Seeds)
 	d.self = d.insert(self)
 	return d
 }
 
-// Tick advances the state to now and returns the packets to send. It is meant
-// to be called every few tens of milliseconds; now must not go back.
+// Tick advances the state to now and returns the packets to send. It should be called every few
+// tens of milliseconds, and now must not go back.
 func (d *Detector) Tick(now time.Duration) []Outgoing {
 	d.advance(now)
 	d.lastTick = now
@@ -113,12 +113,12 @@
 		d.sync()
 		d.sendPage()
 		d.gossip()
-		d.expire()
+		d.forgetDead()
 	}
-	return d.take()
+	return d.drainOutgoing()
 }
 
-// start spreads the timers of routers that were started together.
+// start randomizes the first timers, so that routers started together do not stay in step.
 func (d *Detector) start() {
 	d.ticked = true
 	d.nextProbe = d.now + d.jitter(d.opts.Period)
@@ -131,14 +131,14 @@
 	return time.Duration(d.rng.Int63n(int64(span)))
 }
 
-// advance moves the clock and notices that the process stood still.
+// advance moves the clock forward and detects that the process was suspended.
 //
-// A process that was frozen finds every timer expired on thawing, although the
-// others answered in the meantime. Without this it would at once declare them
-// all dead. The probe under way is dropped and suspicions start over.
+// After such a pause every timer has expired although the others answered in the meantime, so
+// the router would declare all of them dead at once. Therefore the running probe is dropped and
+// suspicions start over.
 func (d *Detector) advance(now time.Duration) {
 	d.now = max(d.now, now)
-	d.allowed.refill(d.now)
+	d.piggybackTokens.refill(d.now)
 	if !d.ticked || d.now-d.lastTick <= d.opts.FreezeThreshold {
 		return
 	}
@@ -153,43 +153,40 @@
 	d.emit(EventThawed, d.self.Member)
 }
 
-// Handle processes a packet that arrived from the UDP address from and returns
-// the packets to send.
+// Handle processes a packet received from the UDP address from and returns the packets to send.
 func (d *Detector) Handle(now time.Duration, from string, m Message) []Outgoing {
 	d.advance(now)
 	if d.departed || m.From == d.self.ID {
 		return nil
 	}
-	if m.To != d.self.ID && !joinDigest(m) {
-		d.refuse(from, m)
-		return d.take()
+	if m.To != d.self.ID && !isJoinDigest(m) {
+		d.sendNotMe(from, m)
+		return d.drainOutgoing()
 	}
 	for _, u := range m.Updates {
 		d.apply(u)
 	}
-	// After the updates: a newcomer describes itself in its first packets, and
-	// then it need not be asked for its table by everyone it speaks to.
-	d.noteSender(from, m)
+	// The updates come first: a new member describes itself in its first packets, and then not
+	// every receiver has to request its table.
+	d.updateSender(from, m)
 	for _, item := range m.Items {
-		// A refused item is bounded loss: its owner learns the reason when it
-		// calls Broadcast.
+		// The loss of a rejected item is bounded. Its owner gets the error from Broadcast.
 		_, _ = d.acceptItem(item)
 	}
 	d.dispatch(from, m)
-	return d.take()
+	return d.drainOutgoing()
 }
 
-// joinDigest reports whether the message is the one kind that need not name
-// its receiver.
-func joinDigest(m Message) bool {
+// isJoinDigest reports whether m is a digest without a receiver ID, the only message that may
+// omit it.
+func isJoinDigest(m Message) bool {
 	_, ok := m.Body.(Digest)
 	return ok && m.To == 0
 }
 
-// refuse answers a packet that is meant for another instance. Without this a
-// replaced VM that got the address of an old one would keep it alive by
-// answering its probes.
-func (d *Detector) refuse(from string, m Message) {
+// sendNotMe answers a packet that is addressed to another instance. Otherwise a replacement VM
+// with the address of an old instance would keep that instance alive by answering its probes.
+func (d *Detector) sendNotMe(from string, m Message) {
 	if _, ok := m.Body.(NotMe); ok || m.To == 0 {
 		return
 	}
@@ -199,13 +196,13 @@
 func (d *Detector) dispatch(from string, m Message) {
 	switch b := m.Body.(type) {
 	case Ping:
-		d.answerPing(from, m, b)
+		d.handlePing(from, m, b)
 	case Ack:
 		d.handleAck(m.From, b)
 	case PingRequest:
 		d.handlePingRequest(from, m.From, b)
 	case RelayAck:
-		d.acked(b.Seq, b.Target)
+		d.completeProbe(b.Seq, b.Target)
 	case NotMe:
 		d.handleNotMe(from, b)
 	case Digest:
@@ -213,11 +210,11 @@
 	}
 }
 
-// answerPing acknowledges a ping. To one who holds this router as suspect or
-// dead the answer always carries its row, whatever else waits to be sent.
-func (d *Detector) answerPing(from string, m Message, b Ping) {
+// handlePing answers a ping. If the sender regards this router as suspect or dead, the ack
+// always carries its own row, ahead of other pending updates.
+func (d *Detector) handlePing(from string, m Message, b Ping) {
 	for _, u := range m.Updates {
-		if u.ID == d.self.ID && accuses(u) {
+		if u.ID == d.self.ID && reportsFailure(u) {
 			d.send(from, m.From, Ack(b), d.self.ID)
 			return
 		}
@@ -225,21 +222,21 @@
 	d.send(from, m.From, Ack(b))
 }
 
-// noteSender takes the sender's configuration version at first hand, and
-// starts an exchange with an instance that is not in the table.
-func (d *Detector) noteSender(from string, m Message) {
+// updateSender records the sender's configuration version, and starts a table sync with an
+// instance that is not in the table.
+func (d *Detector) updateSender(from string, m Message) {
 	r, ok := d.rows[m.From]
 	if ok {
 		d.raiseConfigVersion(r, m.ConfigVersion)
 		return
 	}
-	if _, digest := m.Body.(Digest); digest || d.now < d.strangerSyncAt {
+	if _, digest := m.Body.(Digest); digest || d.now < d.nextUnknownSync {
 		return
 	}
 	d.sendDigest(from, m.From, false)
 }
 
-// handleNotMe buries the instance that was replaced at its address.
+// handleNotMe declares an instance dead whose address now belongs to another one.
 func (d *Detector) handleNotMe(from string, b NotMe) {
 	r, ok := d.rows[b.Wanted]
 	if !ok || r == d.self || r.State == StateDead || r.Address != from {
@@ -248,8 +245,8 @@
 	d.transition(r, r.Incarnation, StateDead)
 }
 
-// send queues one packet. The row of the receiver goes along if it is held as
-// suspect or dead, so that it learns of it and can refute.
+// send queues one packet. It includes the receiver's row if that is suspect or dead, so that
+// the receiver can refute it.
 func (d *Detector) send(to string, id uint64, body Body, first ...uint64) {
 	m := Message{From: d.self.ID, To: id, ConfigVersion: d.self.ConfigVersion, Body: body}
 	if r, ok := d.rows[id]; ok && (r.State.suspected() || r.State == StateDead) {
@@ -261,15 +258,15 @@
 	d.out = append(d.out, Outgoing{To: to, Message: m})
 }
 
-func (d *Detector) take() []Outgoing {
+func (d *Detector) drainOutgoing() []Outgoing {
 	out := d.out
 	d.out = nil
 	return out
 }
 
-// pick returns up to k random live members other than self that pass the
-// filter; a nil filter passes all.
-func (d *Detector) pick(k int, filter func(*row) bool) []*row {
+// randomMembers returns up to k random members that are not dead, excluding self, for which
+// filter returns true. A nil filter accepts all.
+func (d *Detector) randomMembers(k int, filter func(*row) bool) []*row {
 	var list []*row
 	for _, id := range d.ids {
 		r := d.rows[id]
@@ -288,27 +285,27 @@
 		return
 	}
 	d.self.State = StateLeaving
-	d.stamp(d.self)
+	d.markChanged(d.self)
 	d.nextGossip = d.now
 	d.broadcastMember(d.self.ID)
 	d.emit(EventSelfLeaving, d.self.Member)
 }
 
-// Depart returns the packets that announce a clean exit, so that the others
-// need not find out by probes. The Detector does nothing afterwards.
+// Depart returns the packets that announce a clean exit, so that the others need not detect it
+// by probes. Afterwards the Detector sends no packets and ignores received ones.
 func (d *Detector) Depart() []Outgoing {
 	const notified = 4
 	d.self.State = StateDead
 	d.departed = true
-	d.changed()
-	for _, r := range d.pick(notified, nil) {
+	d.bumpRevision()
+	for _, r := range d.randomMembers(notified, nil) {
 		d.send(r.Address, r.ID, Gossip{}, d.self.ID)
 	}
-	return d.take()
+	return d.drainOutgoing()
 }
 
-// SetConfigVersion records the configuration head that this router has. A
-// lower version than the one recorded is ignored.
+// SetConfigVersion records the newest configuration version that this router has. It ignores a
+// version lower than the recorded one.
 func (d *Detector) SetConfigVersion(version uint64) {
 	d.raiseConfigVersion(d.self, version)
 }
@@ -318,7 +315,7 @@
 		return
 	}
 	r.ConfigVersion = version
-	d.changed()
+	d.bumpRevision()
 	if d.live <= configGossipMax && r.State != StateDead {
 		d.broadcastMember(r.ID)
 	}
@@ -327,16 +324,16 @@
 // Self returns this router's own row.
 func (d *Detector) Self() Member { return d.self.Member }
 
-// Revision is a number that grows whenever Snapshot would differ.
+// Revision returns a number that grows whenever the result of Snapshot changes.
 func (d *Detector) Revision() uint64 { return d.revision }
 
-func (d *Detector) changed() {
+func (d *Detector) bumpRevision() {
 	d.revision++
 	d.snapshot = nil
 }
 
-// Snapshot returns all named members, dead ones that are still remembered
-// included, sorted by name and then by ID. The slice is never modified.
+// Snapshot returns all members with a name, including dead ones that are still remembered,
+// sorted by name and then by ID. The slice is never modified.
 func (d *Detector) Snapshot() []Member {
 	if d.snapshot != nil {
 		return d.snapshot
@@ -344,7 +341,7 @@
 	list := make([]Member, 0, len(d.ids))
 	for _, id := range d.ids {
 		m := d.rows[id].Member
-		if !m.described() {
+		if !m.hasDescription() {
 			continue
 		}
 		if m.State == StateLeavingSuspect {
@@ -368,7 +365,7 @@
 	return list
 }
 
-// Lookup returns the row of an instance.
+// Lookup returns the row of an instance and whether it is known.
 func (d *Detector) Lookup(id uint64) (Member, bool) {
 	r, ok := d.rows[id]
 	if !ok {
--- a/internal/fleet/membership/detector_test.go
+++ b/internal/fleet/membership/detector_test.go
@@ -323,7 +323,7 @@
 		put(version)
 	}
 	require.Equal(t, []Item{{Kind: 1, Key: "head", Version: 5}}, d.Items())
-	require.Len(t, d.FreshItems(), 2)
+	require.Len(t, d.UpdatedItems(), 2)
 	require.True(t, ErrItem.Has(d.Broadcast(Item{Key: "head"})), "version 0")
 }
 
--- a/internal/fleet/membership/event.go
+++ b/internal/fleet/membership/event.go
@@ -1,9 +1,9 @@
 package membership
 
-// EventType is what happened to a member.
+// EventType is the type of a membership event.
 type EventType uint8
 
-// The types of event.
+// The event types.
 const (
 	EventJoined EventType = iota + 1
 	EventSuspected
@@ -11,12 +11,12 @@
 	EventLeaving
 	EventDead
 	EventForgotten
-	// EventSelfRefuted means that this router had been suspected or declared
-	// dead and raised its own incarnation.
+	// EventSelfRefuted means that this router was suspected or declared dead and raised its
+	// incarnation.
 	EventSelfRefuted
-	// EventSelfLeaving means that this router learned that it is leaving.
+	// EventSelfLeaving means that this router was marked as leaving, by itself or by others.
 	EventSelfLeaving
-	// EventThawed means that this process stood still for a while.
+	// EventThawed means that this process resumed after it was suspended.
 	EventThawed
 )
 
@@ -33,14 +33,14 @@
 	return "unknown"
 }
 
-// Event is one change of the table.
+// Event is one change of the member table.
 type Event struct {
 	Type   EventType
 	Member Member
 }
 
-// maxPendingEvents bounds the events kept for a reader that does not drain
-// them; the oldest are dropped.
+// maxPendingEvents bounds the events kept until the next call of Events. Beyond it the oldest
+// are dropped.
 const maxPendingEvents = 4096
 
 func (d *Detector) emit(t EventType, m Member) {
--- a/internal/fleet/membership/item.go
+++ b/internal/fleet/membership/item.go
@@ -8,19 +8,19 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Bounds of the broadcast items. They keep the memory and the bytes of a
-// router independent of what others broadcast.
+// Limits of broadcast items: their number, and the sizes of key and value in bytes. They keep
+// the memory and traffic of a router independent of what others broadcast.
 const (
 	MaxItems     = 64
 	MaxItemKey   = 64
 	MaxItemValue = 256
 )
 
-// ErrItem is returned for an item that is refused: too large, or one too many.
-var ErrItem = errs.Class("membership: item refused")
+// ErrItem is returned for an item that is invalid or exceeds one of the limits.
+var ErrItem = errs.Class("membership: item rejected")
 
-// Item is an opaque payload spread to all members. For each (Kind, Key) the
-// highest Version wins.
+// Item is an opaque payload that is broadcast to all members. For each (Kind, Key) the highest
+// Version wins.
 type Item struct {
 	Kind    uint8
 	Key     string
@@ -35,7 +35,7 @@
 
 func (i Item) id() itemKey { return itemKey{i.Kind, i.Key} }
 
-// encodedSize is an upper estimate in bytes, 0 for the zero item.
+// encodedSize returns an upper bound of the encoded size in bytes, 0 for the zero item.
 func (i Item) encodedSize() int {
 	if i.Version == 0 {
 		return 0
@@ -49,7 +49,7 @@
 	return xxh3.Hash(binary.BigEndian.AppendUint64(buf, i.Version))
 }
 
-// itemStore holds the newest version of each item, sorted by key.
+// itemStore holds the newest version of each item, sorted by kind and key.
 type itemStore struct {
 	list []Item
 }
@@ -69,17 +69,17 @@
 	return Item{}
 }
 
-// Validate checks the bounds of the fields. Errors: ErrItem.
+// Validate checks that the version is not 0 and that key and value are within their limits.
+// Errors: ErrItem.
 func (i Item) Validate() error {
 	if i.Version == 0 || len(i.Key) > MaxItemKey || len(i.Value) > MaxItemValue {
-		return ErrItem.New("kind %d: key of %d B, value of %d B, version %d",
+		return ErrItem.New("kind %d: key of %d B, value of %d B or version %d out of range",
 			i.Kind, len(i.Key), len(i.Value), i.Version)
 	}
 	return nil
 }
 
-// put stores the item if it is newer than the one held, and reports whether
-// it was.
+// put stores the item if it is newer than the stored version, and reports whether it was.
 func (s *itemStore) put(item Item) (bool, error) {
 	if err := item.Validate(); err != nil {
 		return false, err
@@ -93,7 +93,7 @@
 		return true, nil
 	}
 	if len(s.list) == MaxItems {
-		return false, ErrItem.New("already %d items", MaxItems)
+		return false, ErrItem.New("limit of %d items reached", MaxItems)
 	}
 	s.list = append(s.list, Item{})
 	copy(s.list[n+1:], s.list[n:])
@@ -109,32 +109,32 @@
 	return uint32(sum)
 }
 
-// Broadcast spreads an item to all members. An item that is not newer than the
-// one already known is ignored. Errors: ErrItem.
+// Broadcast spreads an item to all members. It ignores an item that is not newer than the
+// stored version. Errors: ErrItem.
 func (d *Detector) Broadcast(item Item) error {
 	_, err := d.acceptItem(item)
 	return err
 }
 
 func (d *Detector) acceptItem(item Item) (bool, error) {
-	fresh, err := d.items.put(item)
-	if !fresh {
+	updated, err := d.items.put(item)
+	if !updated {
 		return false, err
 	}
 	d.queue.add(broadcastKey{item: item.id()})
-	d.freshItems = append(d.freshItems, item)
+	d.updatedItems = append(d.updatedItems, item)
 	return true, nil
 }
 
-// Items returns the newest version of each item known.
+// Items returns the newest known version of each item.
 func (d *Detector) Items() []Item {
 	return append([]Item(nil), d.items.list...)
 }
 
-// FreshItems returns the items that became newer since the last call, whether
-// they came from another member or from Broadcast.
-func (d *Detector) FreshItems() []Item {
-	fresh := d.freshItems
-	d.freshItems = nil
-	return fresh
+// UpdatedItems returns the items that were stored since the last call, whether they came from
+// another member or from Broadcast.
+func (d *Detector) UpdatedItems() []Item {
+	updated := d.updatedItems
+	d.updatedItems = nil
+	return updated
 }
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -2,34 +2,33 @@
 
 import "github.com/zeebo/errs"
 
-// Bounds of the descriptive fields, in bytes. They bound the size of a row and
-// with it the number of rows that fit a packet.
+// Limits of the descriptive fields, in bytes. They bound the size of a row and therefore the
+// number of rows that fit into a packet.
 const (
 	MaxName    = 64
 	MaxAddress = 64
 	MaxSite    = 32
 )
 
-// ErrMember is returned for a description of a member that is not usable.
+// ErrMember is returned for an invalid member description.
 var ErrMember = errs.Class("membership: invalid member")
 
-// State is what a router believes of another router.
+// State is the state of a router as seen by another router.
 type State uint8
 
-// The states, in order of precedence: within one incarnation a state is only
-// ever replaced by a later one of this list. Only the router itself can raise
-// its incarnation.
+// The states, in order of precedence: within one incarnation a state is only replaced by a
+// later one of this list. Only the router itself can raise its incarnation.
 const (
 	StateAlive State = iota
-	// StateSuspect means that probes failed; the router may still refute.
+	// StateSuspect means that probes failed. The router can still refute the suspicion.
 	StateSuspect
-	// StateLeaving means that the router drains and takes no new work.
+	// StateLeaving means that the router is draining and takes no new work.
 	StateLeaving
-	// StateLeavingSuspect is a leaving router whose probes failed. It is kept
-	// apart from StateSuspect so that a suspicion never hides the leaving, and
-	// it is reported to readers as StateLeaving.
+	// StateLeavingSuspect is a leaving router whose probes failed. It is separate from
+	// StateSuspect so that a suspicion does not hide that the router is leaving. Snapshot
+	// reports it as StateLeaving.
 	StateLeavingSuspect
-	// StateDead means that the instance is gone.
+	// StateDead means that the instance no longer exists.
 	StateDead
 
 	stateCount
@@ -48,11 +47,11 @@
 // Valid reports whether s is one of the declared states.
 func (s State) Valid() bool { return s < stateCount }
 
-// suspected reports whether a suspicion runs against a member in this state.
+// suspected reports whether s is a suspected state.
 func (s State) suspected() bool { return s == StateSuspect || s == StateLeavingSuspect }
 
-// settled is the state without the suspicion.
-func (s State) settled() State {
+// withoutSuspicion returns the state that s has apart from a suspicion.
+func (s State) withoutSuspicion() State {
 	switch s {
 	case StateSuspect:
 		return StateAlive
@@ -65,29 +64,29 @@
 
 // Member describes one instance of a router process.
 //
-// An instance is identified by ID, a random number drawn at start. Neither the
-// name nor the address identifies it: a replaced VM may come back with both.
+// An instance is identified by ID, a random number chosen at start. Neither name nor address
+// identifies it: a replacement VM can reuse both.
 type Member struct {
 	Name string
-	// ID is the instance id, random and never 0.
+	// ID is the instance ID, random and never 0.
 	ID uint64
 	// Address is the UDP and RPC address, "ip:port".
 	Address string
 	// HTTP is the address for callers, "ip:port".
 	HTTP string
 	Site string
-	// Generation is the platform's generation of the VM, 0 if not known.
+	// Generation is the VM generation assigned by the platform, 0 if unknown.
 	Generation uint64
-	// Link is the bandwidth of the VM's link, in megabits a second, 0 if not known.
+	// Link is the bandwidth of the VM's network link in megabits per second, 0 if unknown.
 	Link uint64
-	// Incarnation is raised by the instance itself to refute a suspicion.
+	// Incarnation is raised only by the instance itself, to refute a suspicion.
 	Incarnation uint64
 	State       State
-	// ConfigVersion is the head of the configuration that the member has.
+	// ConfigVersion is the newest configuration version that the member has.
 	ConfigVersion uint64
 }
 
-// supersedes reports whether the update u replaces what is held in m.
+// supersedes reports whether the update u replaces m.
 func (u Member) supersedes(m Member) bool {
 	if u.Incarnation != m.Incarnation {
 		return u.Incarnation > m.Incarnation
@@ -95,8 +94,8 @@
 	return u.State > m.State
 }
 
-// compact drops the descriptive fields where the receiver needs only the
-// verdict: a suspicion or a death concerns an instance it already knows.
+// compact drops the descriptive fields of a suspected or dead member. The receiver needs only
+// the state, because it already knows the instance.
 func (m Member) compact() Member {
 	if !m.State.suspected() && m.State != StateDead {
 		return m
@@ -104,29 +103,29 @@
 	return Member{ID: m.ID, Incarnation: m.Incarnation, State: m.State}
 }
 
-// described reports whether the update carries the descriptive fields.
-func (m Member) described() bool { return m.Name != "" }
+// hasDescription reports whether the descriptive fields are set.
+func (m Member) hasDescription() bool { return m.Name != "" }
 
-// encodedSize is an upper estimate of the encoded size in bytes, used to bound
-// packets before they are encoded.
+// encodedSize returns an upper bound of the encoded size in bytes. It limits packets before
+// they are encoded.
 func (m Member) encodedSize() int {
 	const fixed = 39
 	return fixed + len(m.Name) + len(m.Address) + len(m.HTTP) + len(m.Site)
 }
 
-// Validate checks the bounds of the fields. Errors: ErrMember.
+// Validate checks the ID, the state and the lengths of the fields. Errors: ErrMember.
 func (m Member) Validate() error {
 	switch {
 	case m.ID == 0:
-		return ErrMember.New("instance id 0")
+		return ErrMember.New("instance ID is 0")
 	case !m.State.Valid():
-		return ErrMember.New("state %d", uint8(m.State))
+		return ErrMember.New("unknown state %d", uint8(m.State))
 	case len(m.Name) > MaxName:
-		return ErrMember.New("name of %d B", len(m.Name))
+		return ErrMember.New("name of %d B too long", len(m.Name))
 	case len(m.Address) > MaxAddress || len(m.HTTP) > MaxAddress:
-		return ErrMember.New("addresses of %d and %d B", len(m.Address), len(m.HTTP))
+		return ErrMember.New("address of %d B or HTTP address of %d B too long", len(m.Address), len(m.HTTP))
 	case len(m.Site) > MaxSite:
-		return ErrMember.New("site of %d B", len(m.Site))
+		return ErrMember.New("site of %d B too long", len(m.Site))
 	}
 	return nil
 }
--- a/internal/fleet/membership/message.go
+++ b/internal/fleet/membership/message.go
@@ -2,29 +2,29 @@
 
 // Message is one packet between two instances.
 type Message struct {
-	// From is the sender's instance id.
+	// From is the sender's instance ID.
 	From uint64
-	// To is the instance the packet is meant for. Only a Digest to an address
-	// whose instance is not yet known may leave it 0.
+	// To is the instance ID of the receiver. It may be 0 only for a Digest to an address whose
+	// instance is unknown.
 	To uint64
-	// ConfigVersion is the sender's own configuration head.
+	// ConfigVersion is the sender's configuration version.
 	ConfigVersion uint64
 	Body          Body
-	// Updates and Items are piggybacked gossip.
+	// Updates and Items are piggybacked, or in a Page the transferred rows and items.
 	Updates []Member
 	Items   []Item
 }
 
-// Outgoing is a message to be sent to a UDP address.
+// Outgoing is a message and the UDP address to send it to.
 type Outgoing struct {
 	To      string
 	Message Message
 }
 
-// Kind numbers the kinds of message on the wire.
+// Kind is the type of a message on the wire.
 type Kind uint8
 
-// The kinds of message.
+// The message kinds.
 const (
 	KindPing Kind = iota + 1
 	KindAck
@@ -60,49 +60,48 @@
 // Ping asks the instance Message.To for an Ack.
 type Ping struct{ Seq uint32 }
 
-// Ack answers a Ping. It counts only if its sender is the instance pinged.
+// Ack answers a Ping. It is valid only if its sender is the instance that was pinged.
 type Ack struct{ Seq uint32 }
 
-// PingRequest asks a third member to ping Target.
+// PingRequest asks another member to ping Target.
 type PingRequest struct {
 	Seq     uint32
 	Target  uint64
 	Address string
 }
 
-// RelayAck reports to the requester that Target answered.
+// RelayAck reports to the requester of a PingRequest that Target answered.
 type RelayAck struct {
 	Seq    uint32
 	Target uint64
 }
 
-// NotMe answers a packet that was meant for another instance at this address.
+// NotMe answers a packet that was addressed to another instance.
 type NotMe struct {
-	// Wanted is the instance that is no longer here.
+	// Wanted is the instance that was addressed.
 	Wanted uint64
 }
 
-// Gossip carries nothing but piggybacked updates.
+// Gossip carries only piggybacked updates.
 type Gossip struct{}
 
-// DigestBuckets is the number of parts of the table that are compared
-// separately.
+// DigestBuckets is the number of parts of the member table that are compared separately.
 const DigestBuckets = 16
 
-// Digest is a summary of the sender's table. A receiver whose own digest
-// differs sends the rows of the differing buckets.
+// Digest is a summary of the sender's table. A receiver with a different digest sends the rows
+// of the differing buckets.
 type Digest struct {
 	Members [DigestBuckets]uint32
 	Items   uint32
-	// Reply marks the answer to a Digest, which is not answered again.
+	// Reply marks the answer to a Digest, which is not answered itself.
 	Reply bool
 }
 
 // Page carries rows of the table in Updates and Items.
 type Page struct{}
 
-// Datagram is an unreliable payload of another component; membership does not
-// look into it.
+// Datagram carries an unreliable payload of another component. This package does not interpret
+// it.
 type Datagram struct {
 	Channel uint8
 	Payload []byte
--- a/internal/fleet/membership/options.go
+++ b/internal/fleet/membership/options.go
@@ -2,49 +2,49 @@
 
 import "time"
 
-// Options are the timing and the bounds of a Detector. A zero field takes the
-// value of DefaultOptions.
+// Options are the timing and the limits of a Detector. Except for ContactDelay and Seeds, a
+// zero field takes the value from DefaultOptions.
 type Options struct {
-	// Period is the time between two probes by one router.
+	// Period is the time between two probes by this router.
 	Period time.Duration
-	// ProbeTimeout is the wait for a direct ack before others are asked.
+	// ProbeTimeout is how long to wait for a direct ack before indirect probes start.
 	ProbeTimeout time.Duration
-	// ProbeDeadline is the wait for any ack, counted from the first ping,
-	// before the member is suspected.
+	// ProbeDeadline is how long to wait for any ack, counted from the first ping, before the
+	// member is suspected.
 	ProbeDeadline time.Duration
-	// IndirectProbes is the number of members asked to ping on our behalf.
+	// IndirectProbes is the number of members asked to ping on behalf of this router.
 	IndirectProbes int
-	// SuspicionTimeout is the time to refute at up to ten routers; it grows
-	// with the logarithm of the fleet.
+	// SuspicionTimeout is how long a suspect has to refute in a fleet of up to ten routers. In
+	// larger fleets it grows with the logarithm of the size.
 	SuspicionTimeout time.Duration
-	// GossipInterval is the time between two rounds of gossip while there are
-	// updates to spread. Without any, none is sent.
+	// GossipInterval is the time between two rounds of gossip. A round takes place only while
+	// updates are pending.
 	GossipInterval time.Duration
-	// GossipFanout is the number of members a round of gossip goes to.
+	// GossipFanout is the number of members that a round of gossip is sent to.
 	GossipFanout int
-	// RetransmitFactor is multiplied by ceil(log10(n+1)) to bound how often
-	// one update is sent by one router.
+	// RetransmitFactor times ceil(log10(n+1)) is how often one router sends one update in a
+	// fleet of n routers.
 	RetransmitFactor int
-	// SyncPeriod is the time between two digests to a random member.
+	// SyncPeriod is the average time between two digests to a random member.
 	SyncPeriod time.Duration
-	// PageInterval is the least time between two pages of the table.
+	// PageInterval is the minimum time between two pages of the table.
 	PageInterval time.Duration
-	// ContactPeriod is the time between two contacts with an address of the
-	// seeds or the VM list that belongs to no known live member.
+	// ContactPeriod is the time between two digests to an address from the seeds or the VM list
+	// that belongs to no known live member.
 	ContactPeriod time.Duration
-	// ContactDelay is how long after the start the first of these is made. Zero is for
-	// routers that find others by packets only.
+	// ContactDelay is the time from the start to the first of these digests. It is zero for
+	// routers that find others only by packets.
 	ContactDelay time.Duration
 	// DeadRetention is how long a dead instance is remembered.
 	DeadRetention time.Duration
-	// FreezeThreshold is the gap between two ticks after which the process
-	// takes itself, not the others, to have stood still.
+	// FreezeThreshold is the gap between two ticks after which the router assumes that its own
+	// process was suspended, rather than that the others failed.
 	FreezeThreshold time.Duration
 	// Seeds are UDP addresses from the settings.
 	Seeds []string
 }
 
-// DefaultOptions returns the options that the figures in README.md are for.
+// DefaultOptions returns the options that the figures in README.md refer to.
 func DefaultOptions() Options {
 	return Options{
 		Period:           time.Second,
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// maxRelays bounds the probes run on behalf of others at one time.
+// maxRelays bounds the probes run for others at the same time.
 const maxRelays = 256
 
-// expectedVerifiers is how many routers, on average, probe a suspect
-// themselves. In a larger fleet the rest wait for their verdict: if all of
-// them probed, a false suspicion would bring the suspect O(n) packets.
+// expectedVerifiers is the average number of routers that probe a suspect themselves. In a
+// larger fleet the others wait for the result: if all of them probed, a false suspicion would
+// cost the suspect O(n) packets.
 const expectedVerifiers = 8
 
-// verifyInterval is the time between two probes of a suspect by a verifier.
-// Several of them fit into the suspicion, so that it takes a run of losses to
-// bury a live router.
+// verifyInterval is the time between two probes of a suspect by a verifier. Several of them fit
+// into the suspicion timeout, so that only repeated packet loss makes a live router appear
+// dead.
 const verifyInterval = 200 * time.Millisecond
 
-// bystanderFactor lengthens the suspicion at routers that do not verify, so
-// that they decide only if the verdict of the verifiers never arrives.
-const bystanderFactor = 3
+// nonVerifierFactor multiplies the suspicion timeout at routers that do not verify. They
+// declare the suspect dead only if no result of the verifiers arrives.
+const nonVerifierFactor = 3
 
-// probe is the one under way.
+// probe is the running probe of this router.
 type probe struct {
 	seq      uint32
 	target   uint64
@@ -33,24 +33,24 @@
 
 // relay is a probe run for another router.
 type relay struct {
-	origin  uint64
-	address string
-	seq     uint32
-	target  uint64
-	expires time.Duration
+	requester uint64
+	address   string
+	seq       uint32
+	target    uint64
+	expires   time.Duration
 }
 
-// suspicion is the time left to a suspect, and this router's part in it.
+// suspicion is the deadline of a suspect and whether this router verifies it.
 type suspicion struct {
 	deadline time.Duration
 	verifier bool
 	nextPing time.Duration
 }
 
-// runProbe watches the probe under way and starts the next one.
+// runProbe checks the running probe and starts the next one when it is due.
 func (d *Detector) runProbe() {
 	if p := d.probe; p != nil {
-		d.watchProbe(p)
+		d.checkProbe(p)
 	}
 	if d.now < d.nextProbe || d.probe != nil {
 		return
@@ -62,7 +62,7 @@
 	}
 }
 
-func (d *Detector) watchProbe(p *probe) {
+func (d *Detector) checkProbe(p *probe) {
 	r, ok := d.rows[p.target]
 	if !ok || r.State == StateDead {
 		d.probe = nil
@@ -75,13 +75,13 @@
 	}
 	if elapsed >= d.opts.ProbeDeadline {
 		d.probe = nil
-		d.fail(r)
+		d.probeFailed(r)
 	}
 }
 
-// fail starts the suspicion of a member that answered neither directly nor
-// through others.
-func (d *Detector) fail(r *row) {
+// probeFailed suspects a member that answered neither directly nor through others, and makes
+// this router a verifier of the suspicion.
+func (d *Detector) probeFailed(r *row) {
 	switch r.State {
 	case StateAlive:
 		d.transition(r, r.Incarnation, StateSuspect)
@@ -100,11 +100,11 @@
 	return d.nextSeq
 }
 
-// probeIndirectly asks k other members to ping on our behalf. It gets past a
-// path that is cut, in one direction or both, only between us and the target.
+// probeIndirectly asks k other members to ping the target. This covers a network path that is
+// broken, in one or both directions, only between this router and the target.
 func (d *Detector) probeIndirectly(target *row, seq uint32, k int) {
 	usable := func(r *row) bool { return r != target && !r.State.suspected() }
-	for _, helper := range d.pick(k, usable) {
+	for _, helper := range d.randomMembers(k, usable) {
 		req := PingRequest{Seq: seq, Target: target.ID, Address: target.Address}
 		var first []uint64
 		if target.State.suspected() {
@@ -114,50 +114,50 @@
 	}
 }
 
-// nextTarget goes through the live members in a shuffled order, so that each
-// is probed once a round.
+// nextTarget returns the live members in shuffled order, each once per pass.
 func (d *Detector) nextTarget() *row {
 	for range 2 {
-		for len(d.round) > 0 {
-			id := d.round[0]
-			d.round = d.round[1:]
+		for len(d.probeOrder) > 0 {
+			id := d.probeOrder[0]
+			d.probeOrder = d.probeOrder[1:]
 			if r, ok := d.rows[id]; ok && r.State != StateDead {
 				return r
 			}
 		}
-		for _, r := range d.pick(len(d.ids), nil) {
-			d.round = append(d.round, r.ID)
+		for _, r := range d.randomMembers(len(d.ids), nil) {
+			d.probeOrder = append(d.probeOrder, r.ID)
 		}
 	}
 	return nil
 }
 
-// joinRound puts a new member at a random place in the current round.
-func (d *Detector) joinRound(id uint64) {
-	n := d.rng.Intn(len(d.round) + 1)
-	d.round = slices.Insert(d.round, n, id)
+// addToProbeOrder inserts a member at a random position of the current pass.
+func (d *Detector) addToProbeOrder(id uint64) {
+	n := d.rng.Intn(len(d.probeOrder) + 1)
+	d.probeOrder = slices.Insert(d.probeOrder, n, id)
 }
 
-// handleAck takes an ack to our own probe or to one that we run for another.
+// handleAck processes an ack to a probe of this router or to one run for another router.
 func (d *Detector) handleAck(from uint64, b Ack) {
-	d.acked(b.Seq, from)
+	d.completeProbe(b.Seq, from)
 	rl, ok := d.relays[b.Seq]
 	if !ok || rl.target != from {
 		return
 	}
 	delete(d.relays, b.Seq)
-	d.send(rl.address, rl.origin, RelayAck{Seq: rl.seq, Target: rl.target}, rl.target)
+	d.send(rl.address, rl.requester, RelayAck{Seq: rl.seq, Target: rl.target}, rl.target)
 }
 
-// acked ends the probe under way. The target is matched by instance, not by
-// address: another instance at the same address proves nothing.
-func (d *Detector) acked(seq uint32, target uint64) {
+// completeProbe ends the running probe if it matches. The target is compared by instance rather
+// than by address, because an answer of another instance at the same address says nothing about
+// the target.
+func (d *Detector) completeProbe(seq uint32, target uint64) {
 	if p := d.probe; p != nil && p.seq == seq && p.target == target {
 		d.probe = nil
 	}
 }
 
-func (d *Detector) handlePingRequest(from string, origin uint64, b PingRequest) {
+func (d *Detector) handlePingRequest(from string, requester uint64, b PingRequest) {
 	if b.Target == d.self.ID || len(d.relays) >= maxRelays {
 		return
 	}
@@ -166,11 +166,11 @@
 		target = &row{Member: Member{ID: b.Target, Address: b.Address}}
 	}
 	d.relays[d.ping(target)] = relay{
-		origin:  origin,
-		address: from,
-		seq:     b.Seq,
-		target:  b.Target,
-		expires: d.now + d.opts.Period,
+		requester: requester,
+		address:   from,
+		seq:       b.Seq,
+		target:    b.Target,
+		expires:   d.now + d.opts.Period,
 	}
 }
 
@@ -184,27 +184,27 @@
 
 // suspect starts the suspicion of a row that is in a suspected state.
 func (d *Detector) suspect(r *row, verifier bool) {
-	share := float64(expectedVerifiers) / float64(max(d.live-2, 1))
-	r.suspicion = d.newSuspicion(verifier || d.rng.Float64() < share)
+	probability := float64(expectedVerifiers) / float64(max(d.live-2, 1))
+	r.suspicion = d.newSuspicion(verifier || d.rng.Float64() < probability)
 	d.emit(EventSuspected, r.Member)
 }
 
 func (d *Detector) newSuspicion(verifier bool) *suspicion {
 	timeout := d.suspicionTimeout()
 	if !verifier {
-		timeout *= bystanderFactor
+		timeout *= nonVerifierFactor
 	}
 	return &suspicion{deadline: d.now + timeout, verifier: verifier, nextPing: d.now}
 }
 
-// suspicionTimeout grows with the logarithm of the fleet, as the time does
-// that a suspicion and its refutation take to spread.
+// suspicionTimeout returns how long a suspect has to refute. It grows with the logarithm of the
+// fleet size, like the time that a suspicion and its refutation take to spread.
 func (d *Detector) suspicionTimeout() time.Duration {
 	scale := math.Max(1, math.Log10(float64(d.live)))
 	return time.Duration(float64(d.opts.SuspicionTimeout) * scale)
 }
 
-// runSuspicions probes suspects and buries those that did not refute in time.
+// runSuspicions probes suspects and declares those dead that did not refute in time.
 func (d *Detector) runSuspicions() {
 	for _, id := range d.ids {
 		r := d.rows[id]
--- a/internal/fleet/membership/roster.go
+++ b/internal/fleet/membership/roster.go
@@ -1,170 +1,175 @@
 package membership
 
-// Packets spread news of members slowly, so that a change costs each router few bytes: after
-// three hundred routers have started at once it takes 25 seconds until all know of all, in
-// which they share loads, budgets and duties wrongly. Routers that call one another anyway
-// therefore exchange what has changed along with their calls. News then takes a few calls to
-// reach everyone, and costs each router a row of bytes once. Packets still find out who is
-// there, and make up for exchanges that never took place.
+// Packets spread membership changes slowly, to limit their bytes: after 300 routers started at
+// once, it took 25 seconds until each knew all others, and meanwhile loads, budgets and duties
+// were divided wrongly. Routers that call one another anyway therefore exchange changed rows
+// along with these calls. A change then reaches every router within a few calls and costs each
+// router the bytes of one row. Packets still detect failures, and cover for exchanges that did
+// not take place.
 
-// RosterAsk is a router's half of an exchange of members.
+// RosterAsk is the request of a roster exchange.
 type RosterAsk struct {
-	// From is the asking instance.
+	// From is the requesting instance.
 	From uint64
-	// Of is the instance with which it last exchanged, and Since that instance's revision
-	// as of then.
+	// Of is the instance of the last exchange over the link, zero if there was none. Since is
+	// that instance's revision at the time.
 	Of, Since uint64
-	// Members is the digest of the asker's table where Of is zero.
+	// Members is the digest of the requester's table, set only if Of is zero.
 	Members [DigestBuckets]uint32
-	// Rows are the asker's rows that are new to the one asked.
+	// Rows are the requester's rows that are new to the receiver.
 	Rows []Member
 }
 
-// RosterReply is the other half.
+// RosterReply is the reply of a roster exchange.
 type RosterReply struct {
-	// From is the answering instance, Upto the revision of its table.
+	// From is the replying instance, Upto the revision of its table.
 	From, Upto uint64
-	// Rows are those that are new to the asker.
+	// Rows are the rows that are new to the requester.
 	Rows []Member
-	// Want is a mask of the buckets of which the asker is to send its rows.
+	// Want is a mask of the buckets whose rows the requester is to send.
 	Want uint32
 }
 
-// RosterLink is what a router remembers of its exchanges with another one. The zero value
-// has exchanged nothing.
+// RosterLink is the state of the exchanges with one other router. The zero value stands for no
+// exchange so far.
 type RosterLink struct {
-	of, since uint64
-	// told is this router's revision up to which the other one has its rows.
-	told uint64
-	// asked is the revision of the ask under way.
-	asked uint64
-	want  uint32
+	// peer is the instance of the last exchange, zero if there was none, and peerRevision its
+	// revision at the time.
+	peer, peerRevision uint64
+	// sentRevision is the revision of this router up to which its rows were sent.
+	sentRevision uint64
+	// requestRevision is the revision of this router at the current request.
+	requestRevision uint64
+	// wantedBuckets is a mask of the buckets whose rows the peer wants.
+	wantedBuckets uint32
 }
 
-// RosterAsk returns what to ask over a link. A link has one ask under way at a time.
+// RosterAsk returns the next request for a link. A link has at most one request in flight.
 func (d *Detector) RosterAsk(l *RosterLink) RosterAsk {
-	out := RosterAsk{From: d.self.ID, Of: l.of, Since: l.since}
-	l.asked = d.revision
-	if l.of == 0 {
-		out.Members = d.digest().Members
-		out.Rows = []Member{pageRow(d.self.Member)}
-		return out
+	request := RosterAsk{From: d.self.ID, Of: l.peer, Since: l.peerRevision}
+	l.requestRevision = d.revision
+	if l.peer == 0 {
+		request.Members = d.digest().Members
+		request.Rows = []Member{pageRow(d.self.Member)}
+		return request
 	}
-	out.Rows = d.rosterRows(l.of, func(r *row) bool {
-		if l.want&(1<<bucketOf(r.ID)) != 0 {
-			return d.sharedTombstone(r)
+	request.Rows = d.rosterRows(l.peer, func(r *row) bool {
+		if l.wantedBuckets&(1<<bucketOf(r.ID)) != 0 {
+			return d.belongsInPages(r)
 		}
-		return r.changedAt > l.told
+		return r.changedRevision > l.sentRevision
 	})
-	return out
+	return request
 }
 
-// RosterReplied takes the reply to the last ask over a link.
+// RosterReplied processes the reply to the last request of a link.
 func (d *Detector) RosterReplied(l *RosterLink, reply RosterReply) {
-	if l.of != 0 && l.of != reply.From {
-		// Another instance at the same address, which knows nothing of this link.
+	if l.peer != 0 && l.peer != reply.From {
+		// Another instance now has this address and knows nothing of this link.
 		*l = RosterLink{}
 		return
 	}
-	l.of, l.since, l.told, l.want = reply.From, reply.Upto, l.asked, reply.Want
-	d.learn(reply.From, reply.Rows)
+	l.peer, l.peerRevision, l.sentRevision, l.wantedBuckets = reply.From, reply.Upto, l.requestRevision, reply.Want
+	d.mergeRows(reply.From, reply.Rows)
 }
 
-// RosterFailed notes that an ask was not answered. Whether it arrived is not known; what it
-// told is told again.
+// RosterFailed resets a link after a request without a reply. It is unknown whether the request
+// arrived, so its rows are sent again.
 func (d *Detector) RosterFailed(l *RosterLink) {
-	// A router that was replaced has another instance.
+	// The router may have been replaced by another instance.
 	*l = RosterLink{}
 }
 
-// RosterAnswer takes another router's half of an exchange and returns this one's.
-func (d *Detector) RosterAnswer(ask RosterAsk) RosterReply {
-	d.learn(ask.From, ask.Rows)
-	out := RosterReply{From: d.self.ID, Upto: d.revision}
-	known := ask.Of == d.self.ID && ask.Since <= d.revision
-	if !known && ask.Of != 0 {
-		// The asker takes this router for an earlier instance; it will begin anew.
-		return out
+// RosterAnswer processes a request and returns the reply.
+func (d *Detector) RosterAnswer(request RosterAsk) RosterReply {
+	d.mergeRows(request.From, request.Rows)
+	reply := RosterReply{From: d.self.ID, Upto: d.revision}
+	known := request.Of == d.self.ID && request.Since <= d.revision
+	if !known && request.Of != 0 {
+		// The request is for an earlier instance at this address. The requester starts over.
+		return reply
 	}
 	if !known {
-		out.Want = d.digest().differing(Digest{Members: ask.Members, Items: d.items.digest()})
+		reply.Want = d.digest().differing(Digest{Members: request.Members, Items: d.items.digest()})
 	}
-	out.Rows = d.rosterRows(ask.From, func(r *row) bool {
+	reply.Rows = d.rosterRows(request.From, func(r *row) bool {
 		if known {
-			return r.changedAt > ask.Since
+			return r.changedRevision > request.Since
 		}
-		return d.sharedTombstone(r) && out.Want&(1<<bucketOf(r.ID)) != 0
+		return d.belongsInPages(r) && reply.Want&(1<<bucketOf(r.ID)) != 0
 	})
-	return out
+	return reply
 }
 
-// rosterRows returns the rows that are news to an instance, as they are told to others: a
-// suspicion is this router's own, and a death needs no description. A router that is held for
-// dead is told so by each exchange, so that it can refute it; nobody is told what came from there.
-func (d *Detector) rosterRows(to uint64, news func(*row) bool) []Member {
-	tell := func(r *row) bool {
+// rosterRows returns the rows to send to an instance. A suspicion is local and left out, and a
+// dead row is sent without its description. A router that is regarded as dead receives its own
+// row in each exchange, so that it can refute it. Otherwise rows are not sent back to the
+// instance they came from.
+func (d *Detector) rosterRows(to uint64, isNew func(*row) bool) []Member {
+	include := func(r *row) bool {
 		switch {
-		case !r.described() && r.State != StateDead:
+		case !r.hasDescription() && r.State != StateDead:
 			return false
-		case r.ID == to && accuses(r.Member):
+		case r.ID == to && reportsFailure(r.Member):
 			return true
 		case r.learnedFrom == to:
 			return false
 		}
-		return news(r)
+		return isNew(r)
 	}
-	var out []Member
+	var rows []Member
 	for _, id := range d.ids {
 		r := d.rows[id]
-		if !tell(r) {
+		if !include(r) {
 			continue
 		}
 		m := pageRow(r.Member)
-		m.State = m.State.settled()
-		out = append(out, m)
+		m.State = m.State.withoutSuspicion()
+		rows = append(rows, m)
 	}
-	return out
+	return rows
 }
 
-// learn merges rows that came by a call from an instance. They are not spread by packets:
-// calls take them further.
-func (d *Detector) learn(from uint64, rows []Member) {
+// mergeRows merges the rows of a roster exchange with an instance. They are not gossiped in
+// packets, because further exchanges spread them.
+func (d *Detector) mergeRows(from uint64, rows []Member) {
 	if d.departed || len(rows) == 0 {
 		return
 	}
-	d.learning = from
-	defer func() { d.learning = 0 }()
+	d.mergingFrom = from
+	defer func() { d.mergingFrom = 0 }()
 	for _, m := range rows {
 		if m.Validate() != nil {
 			continue
 		}
 		d.apply(m)
-		d.contradict(m)
+		d.resendNewer(m)
 	}
 }
 
-// contradict tells again what is newer here than what a call has brought: whoever said it has
-// not heard of it, and may not be told otherwise.
-func (d *Detector) contradict(m Member) {
+// resendNewer marks the local row of the same instance as changed if it is newer than the
+// received row m. The sender of m does not have the newer row and might not get it otherwise.
+func (d *Detector) resendNewer(m Member) {
 	r := d.rows[m.ID]
 	if r == nil || r == d.self {
 		return
 	}
 	held := r.Member
-	held.State = held.State.settled()
+	held.State = held.State.withoutSuspicion()
 	if held.supersedes(m) {
-		d.stamp(r)
+		d.markChanged(r)
 		r.learnedFrom = 0
 	}
 }
 
-// stamp notes that what others are told of a row has changed.
-func (d *Detector) stamp(r *row) {
-	d.changed()
-	r.changedAt = d.revision
-	r.learnedFrom = d.learning
+// markChanged records that the state of the row that is sent to others has changed.
+func (d *Detector) markChanged(r *row) {
+	d.bumpRevision()
+	r.changedRevision = d.revision
+	r.learnedFrom = d.mergingFrom
 	if r == d.self {
-		// What others say of it is answered, not passed on.
+		// The own row is this router's answer to what others report, so it is sent to them as
+		// well.
 		r.learnedFrom = 0
 	}
 }
--- a/internal/fleet/membership/sync.go
+++ b/internal/fleet/membership/sync.go
@@ -8,45 +8,46 @@
 	"github.com/zeebo/xxh3"
 )
 
-// pageBytes bounds the rows of one page, so that a page fits one packet.
-const pageBytes = 1000
+// maxPageBytes bounds the rows and items of one page, so that a page fits into one packet.
+const maxPageBytes = 1000
 
-// maxPageJobs bounds the transfers under way. A transfer that finds no room is
-// made up for by the next digest.
-const maxPageJobs = 16
+// maxTransfers bounds the pending transfers. A transfer beyond it is dropped, and the next
+// digest makes up for it.
+const maxTransfers = 16
 
-// itemsBucket is the bit of the items in a mask of differing buckets; the bits
-// below it stand for the buckets of members.
+// itemsBucket is the bit that stands for the items in a mask of differing buckets. The lower
+// bits stand for the buckets of members.
 const itemsBucket = DigestBuckets
 
-// inviteInterval is the least time after a digest of this router before it
-// answers another one by its own. Each digest invites pages: without the
-// bound, a newcomer that many routers ask at once gets the table from each.
-const inviteInterval = time.Second
+// digestReplyInterval is the minimum time between any digest sent by this router and a digest
+// sent in reply. Each digest causes the receiver to send pages, so without this limit a new
+// router would get the whole table from every router that sends it a digest.
+const digestReplyInterval = time.Second
 
-// pageJob is a transfer of part of the table to one member, one page at a
-// time. Pages are paced, so that a fresh router in a large fleet costs its
-// peer no more than the budget allows.
-type pageJob struct {
+// pageTransfer is a transfer of part of the table to one member, page by page. Pages are paced,
+// so that a new router in a large fleet does not cost its peer more bytes than the traffic
+// budget allows.
+type pageTransfer struct {
 	to   string
 	id   uint64
 	mask uint32
-	// after is the last member ID sent, and items counts the items sent.
+	// after is the last member ID that was sent, items the number of items sent.
 	after uint64
 	items int
 }
 
-// bucketOf takes the top bits, so that rows sorted by ID are sorted by bucket.
+// bucketOf returns the digest bucket of an instance. It uses the top bits, so that rows sorted
+// by ID are also sorted by bucket.
 func bucketOf(id uint64) int { return int(id >> 60) }
 
-// rowHash covers what has to agree between routers. Suspicion is left out, as
-// it passes; dead rows are too, as they are forgotten at different times; so
-// is the configuration version, which travels by other ways.
+// rowHash hashes the fields that must agree between routers. It leaves out suspicions, which
+// are temporary, and the configuration version, which spreads in other ways. Dead rows are left
+// out of the digest altogether, because routers forget them at different times.
 func rowHash(m Member) uint64 {
 	var buf [17]byte
 	binary.BigEndian.PutUint64(buf[0:], m.ID)
 	binary.BigEndian.PutUint64(buf[8:], m.Incarnation)
-	buf[16] = byte(m.State.settled())
+	buf[16] = byte(m.State.withoutSuspicion())
 	return xxh3.Hash(buf[:])
 }
 
@@ -75,76 +76,76 @@
 	return mask
 }
 
-// sync sends a digest to one random member every SyncPeriod.
+// sync sends a digest to a random member, on average once every SyncPeriod.
 func (d *Detector) sync() {
 	if d.now < d.nextSync {
 		return
 	}
 	d.nextSync = d.now + d.opts.SyncPeriod/2 + d.jitter(d.opts.SyncPeriod)
-	for _, r := range d.pick(1, nil) {
+	for _, r := range d.randomMembers(1, nil) {
 		d.sendDigest(r.Address, r.ID, false)
 	}
 }
 
-// sendDigest sends a digest with this router's own row, so that the receiver
-// knows to whom it answers.
+// sendDigest sends a digest together with this router's own row, so that the receiver knows the
+// instance it replies to.
 func (d *Detector) sendDigest(to string, id uint64, reply bool) {
-	d.strangerSyncAt = d.now + d.opts.SyncPeriod/2
-	d.nextInvite = d.now + inviteInterval
+	d.nextUnknownSync = d.now + d.opts.SyncPeriod/2
+	d.nextDigestReply = d.now + digestReplyInterval
 	g := d.digest()
 	g.Reply = reply
 	d.send(to, id, g, d.self.ID)
 }
 
-// handleDigest starts a transfer of the buckets that differ. The first
-// receiver sends its own digest back, so that the other side does the same.
-func (d *Detector) handleDigest(from string, id uint64, theirs Digest) {
-	mask := d.digest().differing(theirs)
+// handleDigest starts a transfer of the differing buckets. The receiver of a first digest
+// replies with its own, so that the sender transfers its rows as well.
+func (d *Detector) handleDigest(from string, id uint64, remote Digest) {
+	mask := d.digest().differing(remote)
 	if mask == 0 {
 		return
 	}
-	if !theirs.Reply && d.now >= d.nextInvite {
+	if !remote.Reply && d.now >= d.nextDigestReply {
 		d.sendDigest(from, id, true)
 	}
-	job := pageJob{to: from, id: id, mask: mask}
-	n := slices.IndexFunc(d.pages, func(j pageJob) bool { return j.id == id })
+	transfer := pageTransfer{to: from, id: id, mask: mask}
+	n := slices.IndexFunc(d.transfers, func(t pageTransfer) bool { return t.id == id })
 	switch {
 	case n >= 0:
-		d.pages[n] = job
-	case len(d.pages) < maxPageJobs:
-		d.pages = append(d.pages, job)
+		d.transfers[n] = transfer
+	case len(d.transfers) < maxTransfers:
+		d.transfers = append(d.transfers, transfer)
 	}
 }
 
-// sendPage sends the next page of the oldest transfer.
+// sendPage sends the next page of the transfer that has waited longest.
 func (d *Detector) sendPage() {
-	if len(d.pages) == 0 || d.now < d.nextPage {
+	if len(d.transfers) == 0 || d.now < d.nextPage {
 		return
 	}
 	d.nextPage = d.now + d.opts.PageInterval
-	job := d.pages[0]
-	d.pages = d.pages[1:]
-	m := Message{From: d.self.ID, To: job.id, ConfigVersion: d.self.ConfigVersion, Body: Page{}}
-	done := d.fillPage(&m, &job)
+	transfer := d.transfers[0]
+	d.transfers = d.transfers[1:]
+	m := Message{From: d.self.ID, To: transfer.id, ConfigVersion: d.self.ConfigVersion, Body: Page{}}
+	done := d.fillPage(&m, &transfer)
 	if len(m.Updates)+len(m.Items) > 0 {
-		d.out = append(d.out, Outgoing{To: job.to, Message: m})
+		d.out = append(d.out, Outgoing{To: transfer.to, Message: m})
 	}
 	if !done {
-		d.pages = append(d.pages, job)
+		d.transfers = append(d.transfers, transfer)
 	}
 }
 
-// fillPage appends rows and items after the job's position and reports whether
-// nothing is left.
-func (d *Detector) fillPage(m *Message, job *pageJob) bool {
-	budget := pageBytes
-	start, found := slices.BinarySearch(d.ids, job.after)
+// fillPage adds the rows and items after the transfer's position to m and reports whether the
+// transfer is complete.
+func (d *Detector) fillPage(m *Message, transfer *pageTransfer) bool {
+	budget := maxPageBytes
+	start, found := slices.BinarySearch(d.ids, transfer.after)
 	if found {
 		start++
 	}
 	for _, id := range d.ids[start:] {
 		r := d.rows[id]
-		if job.mask&(1<<bucketOf(id)) == 0 || !d.sharedTombstone(r) {
+		if transfer.mask&(1<<bucketOf(id)) == 0 || !d.belongsInPages(r) {
 			continue
 		}
 		budget -= r.encodedSize()
@@ -152,12 +153,13 @@
 			return false
 		}
 		m.Updates = append(m.Updates, pageRow(r.Member))
-		job.after = id
+		transfer.after = id
 	}
-	return d.fillItems(m, job, budget)
+	return d.fillItems(m, transfer, budget)
 }
 
-// pageRow is a row as it goes into a page: in full, but a dead one compact.
+// pageRow returns a row as sent in pages and roster exchanges: in full, or compact if it is
+// dead.
 func pageRow(m Member) Member {
 	if m.State == StateDead {
 		return m.compact()
@@ -165,24 +167,24 @@
 	return m
 }
 
-// sharedTombstone reports whether a row belongs into pages. Dead rows do only
-// in the first half of the time they are remembered; see applyNew.
-func (d *Detector) sharedTombstone(r *row) bool {
+// belongsInPages reports whether a row is sent to others in pages and roster exchanges. A dead
+// row is sent only during the first half of the time it is remembered; see applyNew.
+func (d *Detector) belongsInPages(r *row) bool {
 	return r.State != StateDead || r.forgetAt-d.now > d.opts.DeadRetention/2
 }
 
-func (d *Detector) fillItems(m *Message, job *pageJob, budget int) bool {
-	if job.mask&(1<<itemsBucket) == 0 {
+func (d *Detector) fillItems(m *Message, transfer *pageTransfer, budget int) bool {
+	if transfer.mask&(1<<itemsBucket) == 0 {
 		return true
 	}
-	for job.items < len(d.items.list) {
-		item := d.items.list[job.items]
+	for transfer.items < len(d.items.list) {
+		item := d.items.list[transfer.items]
 		budget -= item.encodedSize()
 		if budget < 0 {
 			return false
 		}
 		m.Items = append(m.Items, item)
-		job.items++
+		transfer.items++
 	}
 	return true
 }
--- a/internal/fleet/membership/table.go
+++ b/internal/fleet/membership/table.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// insert adds a row in the state it has.
+// insert adds a row in its current state.
 func (d *Detector) insert(m Member) *row {
 	r := &row{Member: m}
 	d.rows[m.ID] = r
@@ -10,14 +10,14 @@
 	d.ids = slices.Insert(d.ids, n, m.ID)
 	if m.State != StateDead {
 		d.live++
-		d.stamp(r)
+		d.markChanged(r)
 	}
-	d.changed()
+	d.bumpRevision()
 	return r
 }
 
-// apply merges one update. What it says of this router itself is answered,
-// what is new of others is spread further.
+// apply merges one update. An update about this router is answered, a change of another member
+// is spread further.
 func (d *Detector) apply(u Member) {
 	if u.ID == d.self.ID {
 		d.applySelf(u)
@@ -32,68 +32,67 @@
 		d.raiseConfigVersion(r, u.ConfigVersion)
 		return
 	}
-	if u.described() {
-		d.describe(r, u)
+	if u.hasDescription() {
+		d.updateDescription(r, u)
 	}
-	if !r.described() && u.State != StateDead {
+	if !r.hasDescription() && u.State != StateDead {
 		return
 	}
 	d.transition(r, u.Incarnation, u.State)
 }
 
-// describe takes over the descriptive fields of the update.
-func (d *Detector) describe(r *row, u Member) {
+// updateDescription copies the descriptive fields of the update to the row.
+func (d *Detector) updateDescription(r *row, u Member) {
 	u.Incarnation = r.Incarnation
 	u.State = r.State
 	u.ConfigVersion = max(u.ConfigVersion, r.ConfigVersion)
 	r.Member = u
 }
 
-// applyNew adds an instance that was not known.
+// applyNew adds an unknown instance.
 func (d *Detector) applyNew(u Member) {
 	if len(d.rows) >= maxMembers || u.ID == 0 {
 		return
 	}
 	if u.State == StateDead {
-		// The tombstone keeps a late alive message from bringing the instance
-		// back. It is kept for a shorter time than one that we set up, and
-		// is not sent on, or tombstones would renew each other forever.
+		// The tombstone prevents a late alive message from reviving the instance. It is kept
+		// for a shorter time than a locally created one and not passed on, because otherwise
+		// routers would renew tombstones for each other forever.
 		d.insert(u).forgetAt = d.now + d.opts.DeadRetention/4
 		return
 	}
-	if !u.described() {
+	if !u.hasDescription() {
 		return
 	}
 	r := d.insert(u)
 	d.emit(EventJoined, u)
 	d.broadcastMember(u.ID)
-	d.joinRound(u.ID)
+	d.addToProbeOrder(u.ID)
 	if u.State.suspected() {
 		d.suspect(r, false)
 	}
-	d.checkAddress(r)
+	d.probeAddressHolders(r)
 }
 
-// checkAddress looks for older instances at the address of a new one and has
-// them prove that they are still there. If the address was used again, the
-// new instance answers "not me" and the old one is buried at once rather than
-// after the suspicion.
-func (d *Detector) checkAddress(fresh *row) {
-	if fresh.Address == d.self.Address {
-		d.transition(fresh, fresh.Incarnation, StateDead)
+// probeAddressHolders pings the older instances that have the address of a new one. If the
+// address was reused, the new instance answers with NotMe, and the old one is declared dead
+// without waiting for the suspicion timeout.
+func (d *Detector) probeAddressHolders(added *row) {
+	if added.Address == d.self.Address {
+		d.transition(added, added.Incarnation, StateDead)
 		return
 	}
 	for _, id := range d.ids {
 		r := d.rows[id]
-		if r == fresh || r.State == StateDead || r.Address != fresh.Address {
+		if r == added || r.State == StateDead || r.Address != added.Address {
 			continue
 		}
 		d.ping(r)
-		d.ping(fresh)
+		d.ping(added)
 	}
 }
 
-// applySelf answers what others say of this router.
+// applySelf reacts to an update about this router.
 func (d *Detector) applySelf(u Member) {
 	if d.departed {
 		return
@@ -102,44 +101,44 @@
 		d.repeatRefutation(u)
 		return
 	}
-	if u.State.settled() == StateLeaving {
-		// Any one witness is enough: a router that went on taking work while
-		// the others think it leaves would be cut off in mid-request.
+	if u.State.withoutSuspicion() == StateLeaving {
+		// One report is enough: if the others regard this router as leaving while it still
+		// accepts requests, those would be cut off.
 		d.Leave()
 	}
-	if !accuses(u) {
+	if !reportsFailure(u) {
 		return
 	}
 	d.self.Incarnation = u.Incarnation + 1
-	d.stamp(d.self)
+	d.markChanged(d.self)
 	d.nextGossip = d.now
 	d.broadcastMember(d.self.ID)
 	d.emit(EventSelfRefuted, d.self.Member)
 }
 
-// repeatRefutation spreads this router's row again if someone still acts on a
-// verdict that was refuted. The refutation is sent a bounded number of times;
-// one who lost all of them would bury a live router, although it keeps asking.
+// repeatRefutation spreads this router's row again if a member still acts on a refuted
+// suspicion. A refutation is sent only a limited number of times, and a member that lost every
+// copy would declare a live router dead even though it still sends packets.
 func (d *Detector) repeatRefutation(u Member) {
-	if accuses(u) {
+	if reportsFailure(u) {
 		d.broadcastMember(d.self.ID)
 	}
 }
 
-// accuses reports whether the update says that the router may be or is dead.
-func accuses(u Member) bool { return u.State.suspected() || u.State == StateDead }
+// reportsFailure reports whether the update marks the router as suspect or dead.
+func reportsFailure(u Member) bool { return u.State.suspected() || u.State == StateDead }
 
-// transition moves a row to a state at an incarnation and spreads it.
+// transition changes the state and incarnation of a row and spreads the change.
 func (d *Detector) transition(r *row, incarnation uint64, state State) {
-	was, wasIncarnation := r.State, r.Incarnation
+	oldState, oldIncarnation := r.State, r.Incarnation
 	r.Incarnation = incarnation
 	r.State = state
 	r.suspicion = nil
-	if was.settled() != state.settled() || wasIncarnation != incarnation {
-		d.stamp(r)
+	if oldState.withoutSuspicion() != state.withoutSuspicion() || oldIncarnation != incarnation {
+		d.markChanged(r)
 	}
-	d.changed()
-	d.countLive(r, was)
+	d.bumpRevision()
+	d.updateLiveCount(r, oldState)
 	d.broadcastMember(r.ID)
 	d.nextGossip = min(d.nextGossip, d.now+d.opts.GossipInterval/2)
 	switch {
@@ -148,37 +147,37 @@
 	case state == StateDead:
 		r.forgetAt = d.now + d.opts.DeadRetention
 		d.emit(EventDead, r.Member)
-	case state == StateLeaving && was.settled() != StateLeaving:
+	case state == StateLeaving && oldState.withoutSuspicion() != StateLeaving:
 		d.emit(EventLeaving, r.Member)
 	default:
 		d.emit(EventRefuted, r.Member)
 	}
 }
 
-func (d *Detector) countLive(r *row, was State) {
-	if was != StateDead && r.State == StateDead {
+func (d *Detector) updateLiveCount(r *row, oldState State) {
+	if oldState != StateDead && r.State == StateDead {
 		d.live--
 	}
-	if was == StateDead && r.State != StateDead {
+	if oldState == StateDead && r.State != StateDead {
 		d.live++
-		d.joinRound(r.ID)
+		d.addToProbeOrder(r.ID)
 	}
 }
 
-// expire drops dead rows that were remembered for long enough.
-func (d *Detector) expire() {
-	keep := d.ids[:0]
+// forgetDead removes dead rows whose retention has passed.
+func (d *Detector) forgetDead() {
+	kept := d.ids[:0]
 	for _, id := range d.ids {
 		r := d.rows[id]
 		if r.State != StateDead || d.now < r.forgetAt {
-			keep = append(keep, id)
+			kept = append(kept, id)
 			continue
 		}
 		delete(d.rows, id)
-		d.changed()
-		if r.described() {
+		d.bumpRevision()
+		if r.hasDescription() {
 			d.emit(EventForgotten, r.Member)
 		}
 	}
-	d.ids = keep
+	d.ids = kept
 }
