--- a/internal/fleet/membership/roster_test.go
+++ b/internal/fleet/membership/roster_test.go
@@ -24,12 +24,12 @@
 	return out
 }
 
-// exchange runs one exchange over a link and returns how many rows went each way.
+// exchange runs one exchange over a link and returns the number of rows sent in each direction.
 func exchange(from, to *Detector, l *RosterLink) (up, down int) {
-	ask := from.RosterAsk(l)
-	reply := to.RosterAnswer(ask)
+	request := from.RosterAsk(l)
+	reply := to.RosterAnswer(request)
 	from.RosterReplied(l, reply)
-	return len(ask.Rows), len(reply.Rows)
+	return len(request.Rows), len(reply.Rows)
 }
 
 func requireAlive(t require.TestingT, d *Detector, n int) {
@@ -42,13 +42,11 @@
 	require.Equal(t, n, alive, d.Self().Name)
 }
 
-// Symptom: of three hundred routers that started at once each knows a part of the others for
-// 25 seconds: budgets and loads are shared wrongly, and each takes itself for the one to read
-// the store. Sequence: packets spread the rows of all at a few bytes a second. Cause handled:
-// routers that call one another, in a tree of two levels, tell what is new to the other; after
-// as many rounds as there are levels up and down all know all, and each row went to each router
-// once.
-func TestRowsReachAllRoutersByFewCalls(t *testing.T) {
+// After 300 routers started at once, gossip packets took 25 seconds to spread all rows, and
+// meanwhile budgets, loads and the duty to read the store were divided wrongly. Exchanges along
+// a call tree of two levels must spread all rows within one round per level up and down, and
+// send each row to each router about once.
+func TestRowsReachAllRoutersInFewExchanges(t *testing.T) {
 	for _, n := range []int{8, 89, 295} {
 		fleet := rosterFleet(n)
 		links := make([]RosterLink, n)
@@ -70,13 +68,13 @@
 		}
 		require.LessOrEqual(t, rows, n*(n+8), "%d routers", n)
 		up, down := exchange(fleet[n-1], fleet[parent(n-1)], &links[n-1])
-		require.Zero(t, up+down, "nothing is told twice")
+		require.Zero(t, up+down, "no row is sent twice")
 	}
 }
 
-// What calls have brought is not spread by packets as well: with three hundred routers that
-// filled the allowance of each for minutes, 2,000 bytes a second.
-func TestWhatCallsBringIsNotSpreadByPackets(t *testing.T) {
+// Rows learned through exchanges must not be gossiped as well: with 300 routers this used up
+// each router's piggyback rate limit of 2,000 bytes per second for minutes.
+func TestExchangedRowsNotGossiped(t *testing.T) {
 	fleet := rosterFleet(40)
 	var l RosterLink
 	for i := 1; i < 40; i++ {
@@ -87,9 +85,9 @@
 	require.Len(t, fleet[1].queue.entries, 0)
 }
 
-// Symptom: a router that left is still told to callers. Sequence: one router sees it die, the
-// others hear of it by calls only. Cause handled: a death is news, also for those above.
-func TestDeathTravelsUpAndDown(t *testing.T) {
+// A death that only one router detects must reach the others through exchanges, the parent
+// included. Otherwise callers are still directed to a router that is gone.
+func TestDeathReachesAllRouters(t *testing.T) {
 	fleet := rosterFleet(4)
 	links := make([]RosterLink, 4)
 	for range 2 {
@@ -97,8 +95,8 @@
 			exchange(fleet[i], fleet[0], &links[i])
 		}
 	}
-	gone := fleet[1].rows[fleet[3].self.ID]
-	fleet[1].transition(gone, gone.Incarnation, StateDead)
+	dead := fleet[1].rows[fleet[3].self.ID]
+	fleet[1].transition(dead, dead.Incarnation, StateDead)
 	exchange(fleet[1], fleet[0], &links[1])
 	exchange(fleet[2], fleet[0], &links[2])
 	for _, d := range fleet[:3] {
@@ -106,8 +104,9 @@
 	}
 }
 
-// A suspicion is one router's own: told to others it would be probed and spread by all.
-func TestSuspicionIsNotTold(t *testing.T) {
+// A suspicion must stay local: in an exchange, every router would probe the suspect and spread
+// the suspicion.
+func TestSuspicionNotExchanged(t *testing.T) {
 	fleet := rosterFleet(3)
 	links := make([]RosterLink, 3)
 	for range 2 {
@@ -119,7 +118,8 @@
 	fleet[1].transition(suspect, suspect.Incarnation, StateSuspect)
 	exchange(fleet[1], fleet[0], &links[1])
 	requireAlive(t, fleet[0], 3)
-	// One that is declared dead although it lives hears of it, and its word goes further.
+	// A live router that was declared dead learns of it in an exchange, and its refutation
+	// spreads.
 	fleet[1].transition(suspect, suspect.Incarnation, StateDead)
 	exchange(fleet[1], fleet[0], &links[1])
 	exchange(fleet[2], fleet[0], &links[2])
@@ -130,10 +130,10 @@
 	}
 }
 
-// Symptom: a restart of the router at the top costs it a megabyte of rows. Sequence: it starts
-// again with another instance, learns of all from one router; those that ask it have told it
-// all before. Cause handled: they compare tables with the new instance.
-func TestRestartedRouterIsNotToldAllByEach(t *testing.T) {
+// When the root of the call tree restarts as a new instance and gets the table from one router,
+// the others must compare digests with it. Otherwise each sends it the whole table, about a
+// megabyte of rows in total.
+func TestRestartedRouterNotSentWholeTableByEach(t *testing.T) {
 	const n = 40
 	fleet := rosterFleet(n)
 	links := make([]RosterLink, n)
@@ -148,20 +148,20 @@
 	round()
 	fleet[1].transition(fleet[1].rows[fleet[0].self.ID], 1, StateDead)
 	round()
-	again := rosterMember(0)
-	again.ID = 4711
-	fleet[0] = New(again, DefaultOptions(), rand.New(rand.NewSource(1)))
+	restarted := rosterMember(0)
+	restarted.ID = 4711
+	fleet[0] = New(restarted, DefaultOptions(), rand.New(rand.NewSource(1)))
 	exchange(fleet[0], fleet[1], &RosterLink{})
 	rows := round() + round() + round()
 	for _, d := range fleet {
 		requireAlive(t, d, n)
 	}
-	require.Less(t, rows, n*2*2*n/DigestBuckets, "the rows of two buckets each way at most")
+	require.Less(t, rows, n*2*2*n/DigestBuckets, "at most the rows of two buckets in each direction")
 }
 
-// Exchanges between random routers, some of which fail, restart or see others die, lead to
-// the same table everywhere.
-func TestExchangesLeadToOneTable(t *testing.T) {
+// Exchanges between random routers, with lost requests and replies and false reports of death,
+// must lead to the same table everywhere.
+func TestTablesConvergeDespiteLostExchanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 12
 		fleet := rosterFleet(n)
@@ -182,7 +182,7 @@
 			case 0: // The reply is lost.
 				fleet[b].RosterAnswer(fleet[a].RosterAsk(link(a, b)))
 				fleet[a].RosterFailed(link(a, b))
-			case 1: // The ask is lost.
+			case 1: // The request is lost.
 				fleet[a].RosterAsk(link(a, b))
 				fleet[a].RosterFailed(link(a, b))
 			case 2:
