--- a/internal/fleet/gossip/codec.go
+++ b/internal/fleet/gossip/codec.go
@@ -9,28 +9,29 @@
 	"damaskrouter.example/damaskrouter/internal/fleet/membership"
 )
 
-// maxList bounds the updates and the items of one message.
-const maxList = 64
+// maxListLen is the maximum number of updates and of items in one message.
+const maxListLen = 64
 
-// The lengths of the arrays that stand for a member on the wire. A compact
-// member is a verdict on an instance that the receiver knows.
+// The number of fields of a member on the wire. A compact member carries only the state of an
+// instance that the receiver knows.
 const (
 	compactFields = 3
 	fullFields    = 10
 )
 
-// encodeMessage appends the message, without its From, to the buffer.
+// encodeMessage appends the message to the buffer, without From, which is part of the packet
+// header.
 func encodeMessage(buf *bytes.Buffer, m membership.Message) error {
 	buf.WriteByte(byte(m.Body.Kind()))
 	w := writer{enc: msgpack.NewEncoder(buf)}
 	w.uint(m.To)
 	w.uint(m.ConfigVersion)
 	w.body(m.Body)
-	w.list(len(m.Updates))
+	w.arrayLen(len(m.Updates))
 	for _, u := range m.Updates {
 		w.member(u)
 	}
-	w.list(len(m.Items))
+	w.arrayLen(len(m.Items))
 	for _, item := range m.Items {
 		w.item(item)
 	}
@@ -43,17 +44,17 @@
 	err error
 }
 
-func (w *writer) keep(err error) {
+func (w *writer) setErr(err error) {
 	if w.err == nil {
 		w.err = err
 	}
 }
 
-func (w *writer) uint(v uint64)   { w.keep(w.enc.EncodeUint(v)) }
-func (w *writer) list(n int)      { w.keep(w.enc.EncodeArrayLen(n)) }
-func (w *writer) bytes(v []byte)  { w.keep(w.enc.EncodeBytes(v)) }
-func (w *writer) string(v string) { w.keep(w.enc.EncodeString(v)) }
-func (w *writer) bool(v bool)     { w.keep(w.enc.EncodeBool(v)) }
+func (w *writer) uint(v uint64)   { w.setErr(w.enc.EncodeUint(v)) }
+func (w *writer) arrayLen(n int)  { w.setErr(w.enc.EncodeArrayLen(n)) }
+func (w *writer) bytes(v []byte)  { w.setErr(w.enc.EncodeBytes(v)) }
+func (w *writer) string(v string) { w.setErr(w.enc.EncodeString(v)) }
+func (w *writer) bool(v bool)     { w.setErr(w.enc.EncodeBool(v)) }
 
 func (w *writer) body(body membership.Body) {
 	switch b := body.(type) {
@@ -79,20 +80,20 @@
 }
 
 func (w *writer) digest(g membership.Digest) {
-	blob := make([]byte, 0, digestBlob)
+	hashes := make([]byte, 0, digestSize)
 	for _, hash := range g.Members {
-		blob = binary.BigEndian.AppendUint32(blob, hash)
+		hashes = binary.BigEndian.AppendUint32(hashes, hash)
 	}
-	w.bytes(binary.BigEndian.AppendUint32(blob, g.Items))
+	w.bytes(binary.BigEndian.AppendUint32(hashes, g.Items))
 	w.bool(g.Reply)
 }
 
 func (w *writer) member(m membership.Member) {
 	compact := m.Name == ""
 	if compact {
-		w.list(compactFields)
+		w.arrayLen(compactFields)
 	} else {
-		w.list(fullFields)
+		w.arrayLen(fullFields)
 	}
 	w.uint(m.ID)
 	w.uint(m.Incarnation)
@@ -116,37 +117,37 @@
 	w.bytes(i.Value)
 }
 
-// digestBlob is the encoded size of the hashes of a digest.
-const digestBlob = 4 * (membership.DigestBuckets + 1)
+// digestSize is the encoded size of the hashes of a digest in bytes.
+const digestSize = 4 * (membership.DigestBuckets + 1)
 
-// decodeMessage reads what encodeMessage wrote. It never allocates more than
-// the input could hold. Errors: *RefusedError.
+// decodeMessage decodes the output of encodeMessage. It allocates no more than the size of the
+// input justifies. Errors: *RejectedError.
 func decodeMessage(data []byte) (membership.Message, error) {
 	var m membership.Message
 	if len(data) == 0 {
-		return m, refused(ReasonMalformed, nil)
+		return m, rejected(ReasonMalformed, nil)
 	}
 	in := bytes.NewReader(data[1:])
 	r := reader{in: in, dec: msgpack.NewDecoder(in)}
 	m.To = r.uint()
 	m.ConfigVersion = r.uint()
 	m.Body = r.body(membership.Kind(data[0]))
-	for range r.list() {
+	for range r.arrayLen() {
 		m.Updates = append(m.Updates, r.member())
 	}
-	for range r.list() {
+	for range r.arrayLen() {
 		m.Items = append(m.Items, r.item())
 	}
 	if r.err == nil && in.Len() > 0 {
-		r.err = errDecode.New("%d bytes left over", in.Len())
+		r.err = errDecode.New("%d trailing bytes", in.Len())
 	}
 	if r.err != nil {
-		return membership.Message{}, refused(ReasonMalformed, r.err)
+		return membership.Message{}, rejected(ReasonMalformed, r.err)
 	}
 	return m, nil
 }
 
-// reader decodes fields and keeps the first error; after it, fields are zero.
+// reader decodes fields and keeps the first error. After an error all fields are zero.
 type reader struct {
 	in  *bytes.Reader
 	dec *msgpack.Decoder
@@ -162,11 +163,11 @@
 	return v
 }
 
-// small reads an integer that must not exceed limit.
-func (r *reader) small(limit uint64) uint64 {
+// uintUpTo reads an integer that must not exceed limit.
+func (r *reader) uintUpTo(limit uint64) uint64 {
 	v := r.uint()
 	if r.err == nil && v > limit {
-		r.err = errDecode.New("%d exceeds %d", v, limit)
+		r.err = errDecode.New("integer %d exceeds limit %d", v, limit)
 	}
 	return v
 }
@@ -180,14 +181,14 @@
 	return v
 }
 
-// list reads the length of a list and returns 0 after an error.
-func (r *reader) list() int {
+// arrayLen reads the length of an array. It returns 0 after an error.
+func (r *reader) arrayLen() int {
 	if r.err != nil {
 		return 0
 	}
 	n, err := r.dec.DecodeArrayLen()
-	if err == nil && (n < 0 || n > maxList) {
-		err = errDecode.New("list of %d", n)
+	if err == nil && (n < 0 || n > maxListLen) {
+		err = errDecode.New("invalid list length %d", n)
 	}
 	if err != nil {
 		r.err = err
@@ -196,15 +197,15 @@
 	return n
 }
 
-// bytes reads a string or a blob of at most limit bytes. The length is checked
-// before anything is allocated for it.
+// bytes reads a string or byte slice of at most limit bytes. It checks the length before it
+// allocates memory.
 func (r *reader) bytes(limit int) []byte {
 	if r.err != nil {
 		return nil
 	}
 	n, err := r.dec.DecodeBytesLen()
 	if err == nil && n > min(limit, r.in.Len()) {
-		err = errDecode.New("%d bytes announced, %d allowed, %d left", n, limit, r.in.Len())
+		err = errDecode.New("length of %d bytes exceeds limit %d or the %d bytes left", n, limit, r.in.Len())
 	}
 	if err != nil || n <= 0 {
 		r.err = err
@@ -234,9 +235,9 @@
 	case membership.KindPage:
 		return membership.Page{}
 	case membership.KindDatagram:
-		return membership.Datagram{Channel: uint8(r.small(maxUint8)), Payload: r.bytes(MaxDatagram)}
+		return membership.Datagram{Channel: uint8(r.uintUpTo(maxUint8)), Payload: r.bytes(MaxDatagram)}
 	default:
-		r.err = errDecode.New("kind %d", kind)
+		r.err = errDecode.New("unknown kind %d", kind)
 		return nil
 	}
 }
@@ -246,32 +247,32 @@
 	maxUint32 = 1<<32 - 1
 )
 
-func (r *reader) seq() uint32     { return uint32(r.small(maxUint32)) }
+func (r *reader) seq() uint32     { return uint32(r.uintUpTo(maxUint32)) }
 func (r *reader) address() string { return string(r.bytes(membership.MaxAddress)) }
 
 func (r *reader) digest() membership.Digest {
 	var g membership.Digest
-	blob := r.bytes(digestBlob)
-	if len(blob) != digestBlob {
+	hashes := r.bytes(digestSize)
+	if len(hashes) != digestSize {
 		if r.err == nil {
-			r.err = errDecode.New("digest of %d bytes", len(blob))
+			r.err = errDecode.New("invalid digest length of %d bytes", len(hashes))
 		}
 		return g
 	}
 	for n := range g.Members {
-		g.Members[n] = binary.BigEndian.Uint32(blob[4*n:])
+		g.Members[n] = binary.BigEndian.Uint32(hashes[4*n:])
 	}
-	g.Items = binary.BigEndian.Uint32(blob[4*membership.DigestBuckets:])
+	g.Items = binary.BigEndian.Uint32(hashes[4*membership.DigestBuckets:])
 	g.Reply = r.bool()
 	return g
 }
 
 func (r *reader) member() membership.Member {
-	fields := r.list()
+	fields := r.arrayLen()
 	m := membership.Member{
 		ID:          r.uint(),
 		Incarnation: r.uint(),
-		State:       membership.State(r.small(maxUint8)),
+		State:       membership.State(r.uintUpTo(maxUint8)),
 	}
 	switch fields {
 	case compactFields:
@@ -284,27 +285,27 @@
 		m.ConfigVersion = r.uint()
 		m.Link = r.uint()
 		if m.Name == "" {
-			r.keep(errDecode.New("full member without a name"))
+			r.setErr(errDecode.New("full member has no name"))
 		}
 	default:
-		r.keep(errDecode.New("member of %d fields", fields))
+		r.setErr(errDecode.New("invalid member of %d fields", fields))
 	}
-	r.keep(m.Validate())
+	r.setErr(m.Validate())
 	return m
 }
 
 func (r *reader) item() membership.Item {
 	i := membership.Item{
-		Kind:    uint8(r.small(maxUint8)),
+		Kind:    uint8(r.uintUpTo(maxUint8)),
 		Key:     string(r.bytes(membership.MaxItemKey)),
 		Version: r.uint(),
 		Value:   r.bytes(membership.MaxItemValue),
 	}
-	r.keep(i.Validate())
+	r.setErr(i.Validate())
 	return i
 }
 
-func (r *reader) keep(err error) {
+func (r *reader) setErr(err error) {
 	if r.err == nil {
 		r.err = err
 	}
--- a/internal/fleet/gossip/counters.go
+++ b/internal/fleet/gossip/counters.go
@@ -6,10 +6,10 @@
 	"damaskrouter.example/damaskrouter/internal/fleet/membership"
 )
 
-// packetOverhead is the IPv4 and UDP header of a packet, in bytes.
+// packetOverhead is the size of the IPv4 and UDP headers of a packet in bytes.
 const packetOverhead = 20 + 8
 
-// Traffic counts packets and their bytes, IP and UDP headers included.
+// Traffic counts packets and their bytes, including IP and UDP headers.
 type Traffic struct {
 	Packets uint64
 	Bytes   uint64
@@ -20,19 +20,19 @@
 	t.Bytes += uint64(payload + packetOverhead)
 }
 
-// Counters is what an endpoint has sent, received and refused since its start.
-// Received packets that were refused count under Refused only.
+// Counters holds what an endpoint has sent, received and rejected since its start. A rejected
+// packet counts only under Refused.
 type Counters struct {
 	In      [membership.KindCount]Traffic
 	Out     [membership.KindCount]Traffic
 	Refused [reasonCount]Traffic
-	// Unsent counts packets that could not be encoded or handed to the socket.
+	// Unsent counts packets that could not be encoded or written to the socket.
 	Unsent uint64
-	// Dropped counts received packets that found the driver's queue full.
+	// Dropped counts received packets that were lost because the driver's queue was full.
 	Dropped uint64
 }
 
-// Total sums the kinds.
+// Total returns the sum over all kinds.
 func Total(kinds [membership.KindCount]Traffic) Traffic {
 	var sum Traffic
 	for _, t := range kinds {
@@ -42,7 +42,7 @@
 	return sum
 }
 
-// counterSet is Counters for use by several goroutines.
+// counterSet is Counters protected by a mutex.
 type counterSet struct {
 	mu sync.Mutex
 	c  Counters
--- a/internal/fleet/gossip/driver.go
+++ b/internal/fleet/gossip/driver.go
@@ -1,9 +1,8 @@
 // Package gossip carries the messages of package membership over UDP.
 //
-// It holds the packet format, its authentication by a fleet key, the
-// protection against replay, byte counters, and the driver that runs one
-// membership state on one socket. Besides, it offers unreliable datagrams
-// between routers under the same authentication.
+// It contains the packet format, authentication by a fleet key, replay protection, byte
+// counters, and a driver that runs one membership detector on one socket. It also provides
+// unreliable datagrams between routers under the same authentication.
 package gossip
 
 import (
@@ -20,50 +19,50 @@
 	"damaskrouter.example/damaskrouter/internal/store/platform"
 )
 
-// tickInterval is how often the detector looks at its timers.
+// tickInterval is the time between two ticks of the detector.
 const tickInterval = 50 * time.Millisecond
 
-// Bounds of the driver's queues.
+// Lengths of the driver's queues.
 const (
 	receiveQueue = 256
 	commandQueue = 256
 )
 
-// Config is what a Driver needs.
+// Config configures a Driver.
 type Config struct {
 	// Listen is the UDP address to bind, "ip:port".
 	Listen string
-	// Self describes this router. An Address that is empty becomes the bound
-	// address, and an ID of 0 a random one.
+	// Self describes this router. An empty Address is replaced by the bound address, and an ID
+	// of 0 by a random one.
 	Self    membership.Member
 	Options membership.Options
 	Keys    Keys
 	Log     Logger
 }
 
-// received is one packet from the socket.
+// received is a packet read from the socket.
 type received struct {
 	from string
 	data []byte
 }
 
-// Driver runs an Endpoint on a UDP socket. One goroutine owns the endpoint;
-// the methods hand it their work and are safe for concurrent use. Callbacks
-// run on that goroutine: they must not block, but may call the methods other
-// than Close.
+// Driver runs an Endpoint on a UDP socket. One goroutine owns the endpoint. The methods pass
+// their work to it and are safe for concurrent use. Callbacks run on the owner goroutine, so
+// they must not block and must not call Close or the roster methods.
 type Driver struct {
 	conn     *net.UDPConn
-	end      *Endpoint
+	endpoint *Endpoint
 	started  time.Time
 	packets  chan received
 	commands chan func()
 	stop     chan struct{}
 	stopOnce sync.Once
-	// ended is closed when the owner has ended.
-	ended   chan struct{}
-	running sync.WaitGroup
-	self    membership.Member
-	// links are the exchanges of members with other routers, by address; the owner's.
+	// exited is closed when the owner goroutine has returned.
+	exited chan struct{}
+	wg     sync.WaitGroup
+	self   membership.Member
+	// links holds the state of the roster exchanges by address. Only the owner goroutine uses
+	// it.
 	links map[string]*membership.RosterLink
 
 	snapshot atomic.Pointer[[]membership.Member]
@@ -89,8 +88,8 @@
 		_ = conn.Close()
 		return nil, err
 	}
-	d.running.Add(2)
-	go d.read()
+	d.wg.Add(2)
+	go d.readPackets()
 	go d.run()
 	return d, nil
 }
@@ -104,29 +103,29 @@
 		self.ID = randomID()
 	}
 	rng := rand.New(rand.NewSource(int64(randomID())))
-	end, err := NewEndpoint(self, cfg.Options, cfg.Keys, rng, cfg.Log)
+	endpoint, err := NewEndpoint(self, cfg.Options, cfg.Keys, rng, cfg.Log)
 	if err != nil {
 		return nil, err
 	}
 	d := &Driver{
 		conn:     conn,
-		end:      end,
+		endpoint: endpoint,
 		started:  time.Now(),
 		packets:  make(chan received, receiveQueue),
 		commands: make(chan func(), commandQueue),
 		stop:     make(chan struct{}),
-		ended:    make(chan struct{}),
+		exited:   make(chan struct{}),
 		self:     self,
 		links:    make(map[string]*membership.RosterLink),
 	}
-	d.publish()
+	d.publishSnapshot()
 	return d, nil
 }
 
 func randomID() uint64 {
 	var buf [8]byte
 	for {
-		// crypto/rand.Read never returns an error; it ends the process.
+		// crypto/rand.Read never returns an error. It terminates the process instead.
 		_, _ = crand.Read(buf[:])
 		if id := binary.BigEndian.Uint64(buf[:]); id != 0 {
 			return id
@@ -134,10 +133,10 @@
 	}
 }
 
-// read moves packets from the socket to the owner. The buffer is one byte
-// larger than a packet may be, so that a longer one is seen to be.
-func (d *Driver) read() {
-	defer d.running.Done()
+// readPackets passes packets from the socket to the owner goroutine. Its buffer is one byte
+// larger than the maximum packet, so that longer packets are detected.
+func (d *Driver) readPackets() {
+	defer d.wg.Done()
 	buf := make([]byte, MaxPacket+1)
 	for {
 		n, from, err := d.conn.ReadFromUDPAddrPort(buf)
@@ -151,7 +150,7 @@
 		select {
 		case d.packets <- received{sender, append([]byte(nil), buf[:n]...)}:
 		default:
-			d.end.counters.update(func(c *Counters) { c.Dropped++ })
+			d.endpoint.counters.update(func(c *Counters) { c.Dropped++ })
 		}
 	}
 }
@@ -165,22 +164,22 @@
 	}
 }
 
-// run owns the endpoint.
+// run is the owner goroutine of the endpoint.
 func (d *Driver) run() {
-	defer d.running.Done()
-	defer close(d.ended)
+	defer d.wg.Done()
+	defer close(d.exited)
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-d.stop:
-			d.transmit(d.end.Depart())
+			d.transmit(d.endpoint.Depart())
 			_ = d.conn.Close()
 			return
 		case p := <-d.packets:
-			d.transmit(d.end.Receive(d.now(), p.from, p.data))
+			d.transmit(d.endpoint.Receive(d.now(), p.from, p.data))
 		case <-ticker.C:
-			d.transmit(d.end.Tick(d.now()))
+			d.transmit(d.endpoint.Tick(d.now()))
 		case command := <-d.commands:
 			command()
 		}
@@ -197,63 +196,64 @@
 			_, err = d.conn.WriteToUDPAddrPort(p.Data, to)
 		}
 		if err != nil {
-			// The packet counts as lost: the protocol repeats what matters.
-			d.end.counters.update(func(c *Counters) { c.Unsent++ })
+			// The packet counts as lost. The protocol repeats whatever matters.
+			d.endpoint.counters.update(func(c *Counters) { c.Unsent++ })
 		}
 	}
 }
 
-// notify publishes what changed and calls the callbacks.
+// notify invokes the callbacks for events and items. If the members changed, it publishes a new
+// snapshot and invokes the callbacks for changes.
 func (d *Driver) notify() {
-	det := d.end.Detector()
-	for _, event := range det.Events() {
+	detector := d.endpoint.Detector()
+	for _, event := range detector.Events() {
 		for _, f := range d.onEvent {
 			f(event)
 		}
 	}
-	for _, item := range det.UpdatedItems() {
+	for _, item := range detector.UpdatedItems() {
 		for _, f := range d.onItem {
 			f(item)
 		}
 	}
-	if det.Revision() == d.revision {
+	if detector.Revision() == d.revision {
 		return
 	}
-	d.publish()
+	d.publishSnapshot()
 	for _, f := range d.onChange {
 		f(d.Snapshot())
 	}
 }
 
-func (d *Driver) publish() {
-	det := d.end.Detector()
-	d.revision = det.Revision()
-	list := det.Snapshot()
+func (d *Driver) publishSnapshot() {
+	detector := d.endpoint.Detector()
+	d.revision = detector.Revision()
+	list := detector.Snapshot()
 	d.snapshot.Store(&list)
 }
 
-// enqueue hands work to the owner. Errors: ErrBusy.
+// enqueue passes work to the owner goroutine. Errors: ErrBusy.
 func (d *Driver) enqueue(command func()) error {
 	select {
 	case d.commands <- command:
 		return nil
 	default:
-		return ErrBusy.New("%d commands wait", commandQueue)
+		return ErrBusy.New("%d commands queued", commandQueue)
 	}
 }
 
-// Self returns this router's description as it was at the start.
+// Self returns the description of this router at the start.
 func (d *Driver) Self() membership.Member { return d.self }
 
-// Snapshot returns all known members as of the last change; see
-// membership.Detector.Snapshot. The slice must not be modified.
+// Snapshot returns all known members as of the last change; see membership.Detector.Snapshot.
+// The slice must not be modified.
 func (d *Driver) Snapshot() []membership.Member { return *d.snapshot.Load() }
 
-// Counters returns the traffic so far.
-func (d *Driver) Counters() Counters { return d.end.Counters() }
+// Counters returns the traffic since the start.
+func (d *Driver) Counters() Counters { return d.endpoint.Counters() }
 
-// OnChange adds a callback for each change of the snapshot, and calls it with
-// the present one. Errors: ErrBusy.
+// OnChange adds a callback for changes of the snapshot, and calls it once with the current one.
+// Errors: ErrBusy.
 func (d *Driver) OnChange(f func([]membership.Member)) error {
 	return d.enqueue(func() {
 		d.onChange = append(d.onChange, f)
@@ -261,48 +261,49 @@
 	})
 }
 
-// OnItem adds a callback for each newer item, and calls it with those already
-// known. Errors: ErrBusy.
+// OnItem adds a callback for new item versions, and calls it for each item already known.
+// Errors: ErrBusy.
 func (d *Driver) OnItem(f func(membership.Item)) error {
 	return d.enqueue(func() {
 		d.onItem = append(d.onItem, f)
-		for _, item := range d.end.Detector().Items() {
+		for _, item := range d.endpoint.Detector().Items() {
 			f(item)
 		}
 	})
 }
 
-// OnEvent adds a callback for each event. Errors: ErrBusy.
+// OnEvent adds a callback for events. Errors: ErrBusy.
 func (d *Driver) OnEvent(f func(membership.Event)) error {
 	return d.enqueue(func() { d.onEvent = append(d.onEvent, f) })
 }
 
-// OnDatagram sets the handler of a channel. It holds from when it returns.
+// OnDatagram sets the handler of a channel. It applies to all packets processed after it
+// returns.
 func (d *Driver) OnDatagram(channel uint8, handle DatagramHandler) {
-	d.end.OnDatagram(channel, handle)
+	d.endpoint.OnDatagram(channel, handle)
 }
 
-// SendTo sends a datagram of at most MaxDatagram bytes to a member. It may be
-// lost. Errors: ErrTooLarge, ErrUnknownMember, ErrBusy.
+// SendTo sends a datagram of at most MaxDatagram bytes to a member. Delivery is not guaranteed.
+// Errors: ErrTooLarge, ErrUnknownMember, ErrBusy.
 func (d *Driver) SendTo(id uint64, channel uint8, payload []byte) error {
 	if len(payload) > MaxDatagram {
 		return ErrTooLarge.New("%d B", len(payload))
 	}
-	if !d.reachable(id) {
+	if !d.isLive(id) {
 		return ErrUnknownMember.New("%x", id)
 	}
 	payload = append([]byte(nil), payload...)
 	return d.enqueue(func() {
-		packets, err := d.end.Datagram(id, channel, payload)
+		packets, err := d.endpoint.Datagram(id, channel, payload)
 		if err != nil {
-			// The member died since the check; a datagram may be lost.
+			// The member died after the check. Datagrams may be lost.
 			return
 		}
 		d.transmit(packets)
 	})
 }
 
-func (d *Driver) reachable(id uint64) bool {
+func (d *Driver) isLive(id uint64) bool {
 	for _, m := range d.Snapshot() {
 		if m.ID == id {
 			return m.State != membership.StateDead
@@ -311,52 +312,50 @@
 	return false
 }
 
-// Broadcast spreads an item to all members; see membership.Detector.Broadcast.
-// An item beyond membership.MaxItems is logged and dropped. Errors:
-// membership.ErrItem, ErrBusy.
+// Broadcast spreads an item to all members; see membership.Detector.Broadcast. An item beyond
+// membership.MaxItems is logged and dropped. Errors: membership.ErrItem, ErrBusy.
 func (d *Driver) Broadcast(item membership.Item) error {
 	if err := item.Validate(); err != nil {
 		return err
 	}
 	return d.enqueue(func() {
-		if err := d.end.Detector().Broadcast(item); err != nil {
-			d.end.log("item refused", "kind", item.Kind, "key", item.Key, "error", err)
+		if err := d.endpoint.Detector().Broadcast(item); err != nil {
+			d.endpoint.log("item rejected", "kind", item.Kind, "key", item.Key, "error", err)
 		}
 	})
 }
 
-// SetConfigVersion records the configuration head of this router.
-// Errors: ErrBusy.
+// SetConfigVersion records the newest configuration version of this router. Errors: ErrBusy.
 func (d *Driver) SetConfigVersion(version uint64) error {
-	return d.enqueue(func() { d.end.Detector().SetConfigVersion(version) })
+	return d.enqueue(func() { d.endpoint.Detector().SetConfigVersion(version) })
 }
 
-// ObserveVMs hands over the platform's VM list. Errors: ErrBusy.
+// ObserveVMs passes the current VM list of the platform to the detector. Errors: ErrBusy.
 func (d *Driver) ObserveVMs(vms []platform.VM) error {
-	return d.enqueue(func() { d.end.Detector().ObserveVMs(vms) })
+	return d.enqueue(func() { d.endpoint.Detector().ObserveVMs(vms) })
 }
 
-// SetKeys replaces the keys, for a rotation. Errors: ErrKeys, ErrBusy.
+// SetKeys replaces the keys during a key rotation. Errors: ErrKeys, ErrBusy.
 func (d *Driver) SetKeys(keys Keys) error {
 	if err := keys.Validate(); err != nil {
 		return err
 	}
-	return d.enqueue(func() { _ = d.end.SetKeys(keys) })
+	return d.enqueue(func() { _ = d.endpoint.SetKeys(keys) })
 }
 
-// SetSeeds replaces the addresses to contact that belong to no known live member. Errors: ErrBusy.
+// SetSeeds replaces the seed addresses, which are contacted while they belong to no known live
+// member. Errors: ErrBusy.
 func (d *Driver) SetSeeds(seeds []string) error {
-	return d.enqueue(func() { d.end.Detector().SetSeeds(seeds) })
+	return d.enqueue(func() { d.endpoint.Detector().SetSeeds(seeds) })
 }
 
-// Leave marks this router as leaving; it is still probed and still answers.
-// Errors: ErrBusy.
+// Leave marks this router as leaving. It is still probed and still answers. Errors: ErrBusy.
 func (d *Driver) Leave() error {
-	return d.enqueue(func() { d.end.Detector().Leave() })
+	return d.enqueue(func() { d.endpoint.Detector().Leave() })
 }
 
-// Close announces the exit, closes the socket and waits for the goroutines.
+// Close announces the exit, closes the socket and waits for the goroutines to return.
 func (d *Driver) Close() {
 	d.stopOnce.Do(func() { close(d.stop) })
-	d.running.Wait()
+	d.wg.Wait()
 }
--- a/internal/fleet/gossip/replay.go
+++ b/internal/fleet/gossip/replay.go
@@ -1,21 +1,20 @@
 package gossip
 
-// Bounds of the replay guard.
+// Limits of the replay guard.
 const (
-	// windowWords times 64 is how far a packet may arrive behind a later one.
+	// windowWords times 64 is how many sequence numbers a packet may be behind the highest one.
 	windowWords = 4
 	windowSize  = 64 * windowWords
-	// maxSenders bounds the instances remembered. It is several times the
-	// planned fleet, as replaced instances are remembered too.
+	// maxSenders bounds the number of tracked instances. It is several times the planned fleet
+	// size, because replaced instances are tracked as well.
 	maxSenders = 4096
 )
 
-// replayGuard remembers which packets of each sending instance were seen.
+// replayGuard tracks which packets of each sending instance were received.
 //
-// Without it, anyone who can copy packets could make an old "alive" or an old
-// configuration head count again by sending it a second time. UDP may reorder,
-// so a window of numbers below the highest one is kept rather than only the
-// highest.
+// Without it, anyone able to copy packets could resend one and have an outdated "alive" or
+// configuration version accepted again. UDP can reorder packets, so the guard keeps a window of
+// sequence numbers below the highest one rather than only the highest.
 type replayGuard struct {
 	senders map[uint64]*window
 	clock   uint64
@@ -39,7 +38,7 @@
 	g.clock++
 	w, ok := g.senders[sender]
 	if !ok {
-		g.makeRoom()
+		g.evictOldest()
 		w = &window{}
 		g.senders[sender] = w
 	}
@@ -60,8 +59,8 @@
 	return true
 }
 
-// slide raises the highest number and clears the places that numbers between
-// the old one and the new one will use.
+// slide raises the highest sequence number and clears the bits of the numbers between the old
+// and the new one.
 func (w *window) slide(seq uint64) {
 	if seq <= w.highest {
 		return
@@ -76,8 +75,8 @@
 	w.highest = seq
 }
 
-// makeRoom drops the sender that was silent for longest.
-func (g *replayGuard) makeRoom() {
+// evictOldest removes the sender that was silent for the longest time if the table is full.
+func (g *replayGuard) evictOldest() {
 	if len(g.senders) < maxSenders {
 		return
 	}
--- a/internal/fleet/gossip/roster.go
+++ b/internal/fleet/gossip/roster.go
@@ -2,51 +2,52 @@
 
 import "damaskrouter.example/damaskrouter/internal/fleet/membership"
 
-// maxLinks bounds the routers with which exchanges of members are remembered: the one above
-// this router in the tree of calls, the seeds, and those that were above it lately.
+// maxLinks bounds the routers whose exchange state is kept: the parent in the call tree, the
+// seeds and recent parents.
 const maxLinks = 8
 
-// RosterAsk returns this router's half of an exchange of members with the router at an
-// address. Each must be followed by RosterReplied or RosterFailed.
+// RosterAsk returns the next request of a roster exchange with the router at an address. Each
+// request must be followed by RosterReplied or RosterFailed. Like the other roster methods it
+// waits for the owner goroutine and must not be called from a callback.
 func (d *Driver) RosterAsk(address string) membership.RosterAsk {
-	var out membership.RosterAsk
-	d.do(func() {
+	var request membership.RosterAsk
+	d.runAndWait(func() {
 		link := d.links[address]
 		if link == nil {
-			d.forgetLinks()
+			d.evictLinks()
 			link = &membership.RosterLink{}
 			d.links[address] = link
 		}
-		out = d.end.Detector().RosterAsk(link)
+		request = d.endpoint.Detector().RosterAsk(link)
 	})
-	return out
+	return request
 }
 
-// RosterReplied takes the reply to the last RosterAsk for an address. The snapshot has its
-// rows when it returns.
+// RosterReplied processes the reply to the last RosterAsk for an address. When it returns, the
+// snapshot contains the rows of the reply.
 func (d *Driver) RosterReplied(address string, reply membership.RosterReply) {
-	d.do(func() {
+	d.runAndWait(func() {
 		if link := d.links[address]; link != nil {
-			d.end.Detector().RosterReplied(link, reply)
+			d.endpoint.Detector().RosterReplied(link, reply)
 		}
 	})
 }
 
-// RosterFailed notes that the last RosterAsk for an address had no reply.
+// RosterFailed records that the last RosterAsk for an address got no reply.
 func (d *Driver) RosterFailed(address string) {
-	d.do(func() { delete(d.links, address) })
+	d.runAndWait(func() { delete(d.links, address) })
 }
 
-// RosterAnswer takes another router's half of an exchange and returns this one's.
-func (d *Driver) RosterAnswer(ask membership.RosterAsk) membership.RosterReply {
-	var out membership.RosterReply
-	d.do(func() { out = d.end.Detector().RosterAnswer(ask) })
-	return out
+// RosterAnswer processes the request of another router and returns the reply.
+func (d *Driver) RosterAnswer(request membership.RosterAsk) membership.RosterReply {
+	var reply membership.RosterReply
+	d.runAndWait(func() { reply = d.endpoint.Detector().RosterAnswer(request) })
+	return reply
 }
 
-// forgetLinks makes room for one more. The next exchange with a forgotten one compares the
+// evictLinks makes room for another link. The next exchange over an evicted link compares the
 // tables again.
-func (d *Driver) forgetLinks() {
+func (d *Driver) evictLinks() {
 	for address := range d.links {
 		if len(d.links) < maxLinks {
 			return
@@ -55,17 +56,17 @@
 	}
 }
 
-// do has the owner run a command, and waits until it has and the snapshot is published. After
-// Close it does nothing.
-func (d *Driver) do(command func()) {
+// runAndWait runs a command on the owner goroutine and waits until it has finished and the
+// snapshot is published. After Close it has no effect.
+func (d *Driver) runAndWait(command func()) {
 	done := make(chan struct{})
 	select {
 	case d.commands <- func() { command(); d.notify(); close(done) }:
-	case <-d.ended:
+	case <-d.exited:
 		return
 	}
 	select {
 	case <-done:
-	case <-d.ended:
+	case <-d.exited:
 	}
 }
--- a/internal/fleet/gossip/scenario_test.go
+++ b/internal/fleet/gossip/scenario_test.go
@@ -121,11 +121,11 @@
 	ok := f.within(10*time.Second, func() bool { return f.all(self(old).ID, dead) })
 	require.True(t, ok)
 	t.Logf("buried at all after %v", f.net.Now()-before)
-	var refused uint64
+	var notMe uint64
 	for _, node := range f.nodes {
-		refused += node.Endpoint.Counters().Out[membership.KindNotMe].Packets
+		notMe += node.Endpoint.Counters().Out[membership.KindNotMe].Packets
 	}
-	require.NotZero(t, refused)
+	require.NotZero(t, notMe)
 	require.True(t, f.within(5*time.Second, func() bool { return f.agree(9) }))
 }
 
--- a/internal/fleet/gossip/seal.go
+++ b/internal/fleet/gossip/seal.go
@@ -9,18 +9,18 @@
 	"damaskrouter.example/damaskrouter/internal/fleet/membership"
 )
 
-// Sizes of a packet, in bytes.
+// Sizes of a packet and its parts, in bytes.
 const (
-	// MaxPacket is the largest UDP payload sent or accepted. It stays below
-	// the usual MTU, so that no packet is fragmented.
+	// MaxPacket is the maximum UDP payload that is sent or accepted. It is below the usual MTU,
+	// so that packets are not fragmented.
 	MaxPacket = 1400
-	// MaxDatagram is the largest payload of a datagram.
+	// MaxDatagram is the maximum payload of a datagram.
 	MaxDatagram = 1200
 
 	headerSize  = 1 + 1 + 8 + 8
 	macSize     = 16
-	minimumKey  = 16
-	formatBytes = headerSize + macSize
+	minKeySize  = 16
+	framingSize = headerSize + macSize
 )
 
 // formatVersion is the first byte of each packet.
@@ -32,27 +32,27 @@
 	Secret []byte
 }
 
-// Keys is the set of keys that are valid at one time. Packets are sealed with
-// Active and accepted under either; a rotation first adds the new key as Other
-// everywhere, then makes it Active everywhere, then drops the old one.
+// Keys is the set of keys that are valid at one time. Packets are sealed with Active and
+// accepted under either key. A rotation first adds the new key as Other on all routers, then
+// makes it Active on all routers, and finally removes the old one.
 type Keys struct {
 	Active Key
 	Other  *Key
 }
 
-// Validate checks the lengths and ids. Errors: ErrKeys.
+// Validate checks the lengths and IDs of the keys. Errors: ErrKeys.
 func (k Keys) Validate() error {
-	if len(k.Active.Secret) < minimumKey {
-		return ErrKeys.New("active key of %d B, want at least %d", len(k.Active.Secret), minimumKey)
+	if len(k.Active.Secret) < minKeySize {
+		return ErrKeys.New("active key of %d B is shorter than %d B", len(k.Active.Secret), minKeySize)
 	}
 	if k.Other == nil {
 		return nil
 	}
-	if len(k.Other.Secret) < minimumKey {
-		return ErrKeys.New("other key of %d B, want at least %d", len(k.Other.Secret), minimumKey)
+	if len(k.Other.Secret) < minKeySize {
+		return ErrKeys.New("other key of %d B is shorter than %d B", len(k.Other.Secret), minKeySize)
 	}
 	if k.Other.ID == k.Active.ID {
-		return ErrKeys.New("two keys with id %d", k.Active.ID)
+		return ErrKeys.New("both keys have ID %d", k.Active.ID)
 	}
 	return nil
 }
@@ -73,8 +73,8 @@
 	return h.Sum(nil)[:macSize]
 }
 
-// seal encodes and authenticates a message. The sequence number must grow with
-// each packet of the sender.
+// seal encodes and authenticates a message. The sequence number must grow with each packet of
+// the sender. Errors: ErrTooLarge.
 func (k Keys) seal(m membership.Message, seq uint64) ([]byte, error) {
 	var buf bytes.Buffer
 	header := make([]byte, 0, headerSize)
@@ -92,31 +92,30 @@
 	return buf.Bytes(), nil
 }
 
-// open checks and decodes a packet. The code is checked before anything is
-// decoded, and the replay window only moves for an authentic packet.
-// Errors: *RefusedError.
-func (k Keys) open(packet []byte, seen *replayGuard) (membership.Message, error) {
+// open authenticates and decodes a packet. It checks the authentication code before it decodes
+// anything, and only authentic packets move the replay window. Errors: *RejectedError.
+func (k Keys) open(packet []byte, replays *replayGuard) (membership.Message, error) {
 	var none membership.Message
 	if len(packet) > MaxPacket {
-		return none, refused(ReasonOversized, nil)
+		return none, rejected(ReasonOversized, nil)
 	}
-	if len(packet) <= formatBytes {
-		return none, refused(ReasonShort, nil)
+	if len(packet) <= framingSize {
+		return none, rejected(ReasonShort, nil)
 	}
 	if packet[0] != formatVersion {
-		return none, refused(ReasonVersion, nil)
+		return none, rejected(ReasonVersion, nil)
 	}
 	key, ok := k.find(packet[1])
 	if !ok {
-		return none, refused(ReasonUnknownKey, nil)
+		return none, rejected(ReasonUnknownKey, nil)
 	}
 	signed, mac := packet[:len(packet)-macSize], packet[len(packet)-macSize:]
 	if !hmac.Equal(mac, key.mac(signed)) {
-		return none, refused(ReasonForged, nil)
+		return none, rejected(ReasonForged, nil)
 	}
 	from := binary.BigEndian.Uint64(packet[2:])
-	if !seen.accept(from, binary.BigEndian.Uint64(packet[10:])) {
-		return none, refused(ReasonReplayed, nil)
+	if !replays.accept(from, binary.BigEndian.Uint64(packet[10:])) {
+		return none, rejected(ReasonReplayed, nil)
 	}
 	m, err := decodeMessage(signed[headerSize:])
 	m.From = from
--- a/internal/fleet/gossip/simnet/simnet.go
+++ b/internal/fleet/gossip/simnet/simnet.go
@@ -1,6 +1,6 @@
-// Package simnet runs gossip endpoints under virtual time on a seeded network
-// that loses, delays, duplicates and cuts. It starts no goroutine and opens no
-// socket; the same seed gives the same run. It is for tests and benchmarks.
+// Package simnet runs gossip endpoints under virtual time on a simulated network that can lose,
+// delay, duplicate and block packets. It starts no goroutines and opens no sockets, and the
+// same seed gives the same run. It is meant for tests and benchmarks.
 package simnet
 
 import (
@@ -14,26 +14,26 @@
 // tickInterval is the virtual time between two ticks of a node.
 const tickInterval = 50 * time.Millisecond
 
-// socketBuffer is how many packets wait for a node that is frozen.
+// socketBuffer is the number of packets that are buffered for a frozen node.
 const socketBuffer = 64
 
-// Conditions describe the network between any two nodes.
+// Conditions describes the network between any two nodes.
 type Conditions struct {
-	// Loss and Duplicate are probabilities for each packet.
+	// Loss and Duplicate are probabilities per packet.
 	Loss      float64
 	Duplicate float64
-	// MinDelay and MaxDelay bound the one-way delay, drawn evenly.
+	// MinDelay and MaxDelay bound the one-way delay, which is uniformly distributed.
 	MinDelay time.Duration
 	MaxDelay time.Duration
 }
 
-// Node is a place on the network that an endpoint occupies.
+// Node is an endpoint at a network address.
 type Node struct {
 	Address  string
 	Endpoint *gossip.Endpoint
 	frozen   bool
 	removed  bool
-	waiting  []delivery
+	buffered []delivery
 }
 
 type delivery struct {
@@ -41,7 +41,7 @@
 	data []byte
 }
 
-// event is something that happens at a time: a packet arrives or a node ticks.
+// event is something that happens at a given time: a packet arrives or a node ticks.
 type event struct {
 	at    time.Duration
 	order uint64
@@ -70,10 +70,10 @@
 	return e
 }
 
-// Network is the set of nodes and the packets under way.
+// Network is a set of nodes and the packets in flight between them.
 type Network struct {
 	Conditions Conditions
-	// Tap, if set, sees each packet as it is sent.
+	// Tap, if set, is called with each packet when it is sent.
 	Tap func(from, to string, data []byte)
 
 	rng   *rand.Rand
@@ -100,16 +100,16 @@
 // Rand returns the network's source of randomness.
 func (n *Network) Rand() *rand.Rand { return n.rng }
 
-// Add puts an endpoint at an address, in place of one that is there.
+// Add places an endpoint at an address and removes a node that is already there.
 func (n *Network) Add(address string, e *gossip.Endpoint) *Node {
 	n.Remove(address)
 	node := &Node{Address: address, Endpoint: e}
 	n.nodes[address] = node
-	n.after(time.Duration(n.rng.Int63n(int64(tickInterval))), func() { n.tick(node) })
+	n.schedule(time.Duration(n.rng.Int63n(int64(tickInterval))), func() { n.tick(node) })
 	return node
 }
 
-// Remove takes a node away at once, as a VM that vanishes.
+// Remove removes a node immediately, like a VM that disappears.
 func (n *Network) Remove(address string) {
 	if node, ok := n.nodes[address]; ok {
 		node.removed = true
@@ -117,42 +117,41 @@
 	}
 }
 
-// Freeze stops a node: it neither ticks nor receives, its packets wait.
+// Freeze suspends a node: it neither ticks nor receives, and its packets are buffered.
 func (n *Network) Freeze(address string) { n.nodes[address].frozen = true }
 
-// Thaw lets a frozen node go on, first with the packets that waited.
+// Thaw resumes a frozen node, which first receives the buffered packets.
 func (n *Network) Thaw(address string) {
 	node := n.nodes[address]
 	node.frozen = false
-	waiting := node.waiting
-	node.waiting = nil
-	for _, d := range waiting {
+	buffered := node.buffered
+	node.buffered = nil
+	for _, d := range buffered {
 		n.receive(node, d)
 	}
 }
 
-// Cut stops packets from one address to another, in this direction only.
+// Cut blocks packets from one address to another, in this direction only.
 func (n *Network) Cut(from, to string) { n.cuts[[2]string{from, to}] = true }
 
-// Heal undoes Cut.
+// Heal reverts Cut.
 func (n *Network) Heal(from, to string) { delete(n.cuts, [2]string{from, to}) }
 
-// Inject delivers a packet as if from had sent it, past loss and cuts.
+// Inject delivers a packet as if from had sent it, regardless of loss and cuts.
 func (n *Network) Inject(from, to string, data []byte) {
 	if node, ok := n.nodes[to]; ok {
 		n.receive(node, delivery{from, data})
 	}
 }
 
-// RunFor lets virtual time pass.
+// RunFor advances virtual time by d.
 func (n *Network) RunFor(d time.Duration) {
 	end := n.now + d
 	n.RunUntil(end, func() bool { return false })
 }
 
-// RunUntil lets virtual time pass until the condition holds or the time is
-// reached, and reports whether the condition holds. It is checked after every
-// event.
+// RunUntil advances virtual time until the condition holds or end is reached, and reports
+// whether the condition holds. The condition is checked after every event.
 func (n *Network) RunUntil(end time.Duration, done func() bool) bool {
 	for len(n.queue) > 0 && n.queue[0].at <= end {
 		e := heap.Pop(&n.queue).(event)
@@ -166,7 +165,7 @@
 	return done()
 }
 
-func (n *Network) after(d time.Duration, run func()) {
+func (n *Network) schedule(d time.Duration, run func()) {
 	n.order++
 	heap.Push(&n.queue, event{at: n.now + d, order: n.order, run: run})
 }
@@ -175,32 +174,32 @@
 	if node.removed {
 		return
 	}
-	n.after(tickInterval, func() { n.tick(node) })
+	n.schedule(tickInterval, func() { n.tick(node) })
 	if !node.frozen {
 		n.Send(node.Address, node.Endpoint.Tick(n.now))
 	}
 }
 
-// Send puts packets of a node on the network.
+// Send sends the packets of a node over the network.
 func (n *Network) Send(from string, packets []gossip.Packet) {
 	for _, p := range packets {
 		if n.Tap != nil {
 			n.Tap(from, p.To, p.Data)
 		}
-		n.carry(from, p)
+		n.transmit(from, p)
 		if n.rng.Float64() < n.Conditions.Duplicate {
-			n.carry(from, p)
+			n.transmit(from, p)
 		}
 	}
 }
 
-func (n *Network) carry(from string, p gossip.Packet) {
+func (n *Network) transmit(from string, p gossip.Packet) {
 	if n.cuts[[2]string{from, p.To}] || n.rng.Float64() < n.Conditions.Loss {
 		return
 	}
 	span := n.Conditions.MaxDelay - n.Conditions.MinDelay
 	delay := n.Conditions.MinDelay + time.Duration(n.rng.Int63n(int64(span)+1))
-	n.after(delay, func() {
+	n.schedule(delay, func() {
 		if node, ok := n.nodes[p.To]; ok {
 			n.receive(node, delivery{from, p.Data})
 		}
@@ -209,8 +208,8 @@
 
 func (n *Network) receive(node *Node, d delivery) {
 	if node.frozen {
-		if len(node.waiting) < socketBuffer {
-			node.waiting = append(node.waiting, d)
+		if len(node.buffered) < socketBuffer {
+			node.buffered = append(node.buffered, d)
 		}
 		return
 	}
