--- a/internal/fleet/gossip/decode_test.go
+++ b/internal/fleet/gossip/decode_test.go
@@ -39,7 +39,7 @@
 	return buf.Bytes()
 }
 
-func TestRoundTrip(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	for _, m := range sampleMessages() {
 		t.Run(m.Body.Kind().String(), func(t *testing.T) {
 			data := encode(t, m)
@@ -48,16 +48,16 @@
 			require.Equal(t, m, got)
 			for n := range data {
 				_, err := decodeMessage(data[:n])
-				require.Error(t, err, "cut off after %d of %d bytes", n, len(data))
+				require.Error(t, err, "truncated after %d of %d bytes", n, len(data))
 			}
 			_, err = decodeMessage(append(data, 0))
-			require.Error(t, err, "one byte too many")
+			require.Error(t, err, "one trailing byte")
 		})
 	}
 }
 
-// FuzzDecode checks that no input makes the decoder panic, and that what it
-// accepts means the same after another round.
+// FuzzDecode checks that no input makes the decoder panic, and that a decoded message survives
+// a round trip unchanged.
 func FuzzDecode(f *testing.F) {
 	for _, m := range sampleMessages() {
 		f.Add(encode(f, m))
@@ -84,8 +84,8 @@
 		{"reordered", []uint64{9, 2, 9, 2}, []bool{true, true, false, false}},
 		{"number 0", []uint64{0}, []bool{false}},
 		{"behind the window", []uint64{windowSize + 1, 1}, []bool{true, false}},
-		{"last in the window", []uint64{windowSize + 1, 2, 2}, []bool{true, true, false}},
-		{"place used again", []uint64{3, windowSize + 3, windowSize + 2}, []bool{true, true, true}},
+		{"last number in the window", []uint64{windowSize + 1, 2, 2}, []bool{true, true, false}},
+		{"bit position reused", []uint64{3, windowSize + 3, windowSize + 2}, []bool{true, true, true}},
 		{"far jump", []uint64{1, 1 << 40, 1<<40 - 1, 1}, []bool{true, true, true, false}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -93,7 +93,7 @@
 			for n, seq := range c.seqs {
 				require.Equal(t, c.want[n], g.accept(42, seq), "packet %d", n)
 			}
-			require.True(t, g.accept(43, c.seqs[0]+1), "each sender has its own numbers")
+			require.True(t, g.accept(43, c.seqs[0]+1), "sequence numbers are separate per sender")
 		})
 	}
 }
@@ -104,5 +104,5 @@
 		g.accept(id+1, 1)
 	}
 	require.Len(t, g.senders, maxSenders)
-	require.False(t, g.accept(maxSenders+10, 1), "the newest are kept")
+	require.False(t, g.accept(maxSenders+10, 1), "the newest senders are kept")
 }
--- a/internal/fleet/gossip/fleet_test.go
+++ b/internal/fleet/gossip/fleet_test.go
@@ -14,30 +14,31 @@
 	"damaskrouter.example/damaskrouter/internal/fleet/membership"
 )
 
-// lan is the network between the data centres of the brief.
+// lan models the network between the data centres.
 var lan = simnet.Conditions{MinDelay: 200 * time.Microsecond, MaxDelay: 2 * time.Millisecond}
 
 var fleetKeys = gossip.Keys{Active: gossip.Key{ID: 1, Secret: []byte("0123456789abcdef")}}
 
-// fleet is a number of routers on a simulated network.
+// fleet is a set of routers on a simulated network.
 type fleet struct {
 	tb    testing.TB
 	net   *simnet.Network
 	nodes []*simnet.Node
-	// stoppedIn and stoppedOut are the bytes of routers no longer in nodes.
+	// stoppedIn and stoppedOut are the bytes of routers that are no longer in nodes.
 	stoppedIn, stoppedOut uint64
 }
 
 func address(n int) string { return fmt.Sprintf("10.%d.%d.%d:7400", n%6, n/200, n%200+1) }
 
-// newFleet starts n routers that know one seed and lets them find each other.
+// newFleet starts n routers with the same seeds and waits until each knows all others.
+// Conditions c apply from then on.
 func newFleet(tb testing.TB, n int, seed int64, c simnet.Conditions) *fleet {
 	f := &fleet{tb: tb, net: simnet.New(seed, lan)}
 	for i := range n {
 		f.nodes = append(f.nodes, f.start(fmt.Sprintf("entry-%03d", i), address(i)))
 	}
-	for tries := 0; !f.agree(n); tries++ {
-		require.Less(tb, tries, 60, "the fleet finds itself within a minute")
+	for tries := 0; !f.allAlive(n); tries++ {
+		require.Less(tb, tries, 60, "all routers find each other within a minute")
 		f.net.RunFor(time.Second)
 	}
 	f.net.Conditions = c
@@ -59,8 +60,8 @@
 	return f.net.RunUntil(f.net.Now()+d, done)
 }
 
-// agree reports whether each router holds n members to be alive.
-func (f *fleet) agree(n int) bool {
+// allAlive reports whether each router regards n members as alive.
+func (f *fleet) allAlive(n int) bool {
 	for _, node := range f.nodes {
 		if count(node, membership.StateAlive) != n {
 			return false
@@ -81,8 +82,8 @@
 
 func self(node *simnet.Node) membership.Member { return node.Endpoint.Detector().Self() }
 
-// sees returns the state that a router holds an instance in.
-func sees(node *simnet.Node, id uint64) membership.State {
+// stateAt returns the state of an instance as seen by a router, StateDead if unknown.
+func stateAt(node *simnet.Node, id uint64) membership.State {
 	m, ok := node.Endpoint.Detector().Lookup(id)
 	if !ok {
 		return membership.StateDead
@@ -90,21 +91,22 @@
 	return m.State
 }
 
-// all reports whether the routers other than except see the instance so.
-func (f *fleet) all(id uint64, s membership.State, except ...*simnet.Node) bool {
+// allSee reports whether all routers except the instance itself and those in except see it in
+// the given state.
+func (f *fleet) allSee(id uint64, s membership.State, except ...*simnet.Node) bool {
 	for _, node := range f.nodes {
 		skip := self(node).ID == id
 		for _, e := range except {
 			skip = skip || e == node
 		}
-		if !skip && sees(node, id) != s {
+		if !skip && stateAt(node, id) != s {
 			return false
 		}
 	}
 	return true
 }
 
-// bytes sums what all routers sent and received, stopped ones included.
+// bytes returns the sum of bytes received and sent by all routers, including stopped ones.
 func (f *fleet) bytes() (in, out uint64) {
 	in, out = f.stoppedIn, f.stoppedOut
 	for _, node := range f.nodes {
@@ -115,8 +117,8 @@
 	return in, out
 }
 
-// rates returns the bytes a second in and out per router over some minutes;
-// with flap, one router a minute is restarted.
+// rates returns the bytes per second received and sent per router over the given minutes. With
+// flap, one router per minute is restarted.
 func (f *fleet) rates(minutes int, flap bool) (in, out float64) {
 	in0, out0 := f.bytes()
 	for range minutes {
@@ -139,7 +141,7 @@
 	f.nodes = append(f.nodes, f.start(self(old).Name, old.Address))
 }
 
-// kill takes the last router away without a goodbye.
+// kill removes the last router without a clean exit.
 func (f *fleet) kill() *simnet.Node {
 	last := len(f.nodes) - 1
 	old := f.nodes[last]
@@ -151,9 +153,9 @@
 	return old
 }
 
-// peak returns the most that any router spent, in and out, in one of the next
-// n seconds.
-func (f *fleet) peak(n int) uint64 {
+// peakRate returns the highest number of bytes that any router received and sent in one of the
+// next n seconds.
+func (f *fleet) peakRate(n int) uint64 {
 	var most uint64
 	last := make(map[*simnet.Node]uint64)
 	for second := range n + 1 {
@@ -170,9 +172,9 @@
 	return most
 }
 
-// settle is the time after which the announcements of a mass start have been
+// settleTime is how long a fleet needs after a mass start until the announcements have been
 // sent often enough and the rates are those of the steady state.
-const settle = 10 * time.Minute
+const settleTime = 10 * time.Minute
 
 func BenchmarkControlBytes(b *testing.B) {
 	for _, n := range []int{3, 9, 18, 36, 72, 380} {
@@ -180,7 +182,7 @@
 			b.Run(fmt.Sprintf("n=%d/flap=%v", n, flap), func(b *testing.B) {
 				for range b.N {
 					f := newFleet(b, n, int64(n), lan)
-					f.net.RunFor(settle)
+					f.net.RunFor(settleTime)
 					in, out := f.rates(5, flap)
 					b.ReportMetric(in, "B/s-in")
 					b.ReportMetric(out, "B/s-out")
@@ -191,35 +193,35 @@
 	}
 }
 
-// BenchmarkPeakBytes reports the worst second of any router when a sixth of
-// the fleet, a data centre, is lost at once, and when it comes back.
+// BenchmarkPeakBytes reports the highest number of bytes of any router in one second, when a
+// sixth of the fleet, one data centre, is lost at once and when it returns.
 func BenchmarkPeakBytes(b *testing.B) {
 	for _, n := range []int{9, 36, 72, 180} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
 			for range b.N {
 				f := newFleet(b, n, int64(n), lan)
-				f.net.RunFor(settle)
+				f.net.RunFor(settleTime)
 				var lost []*simnet.Node
 				for range n / 6 {
 					lost = append(lost, f.kill())
 				}
-				b.ReportMetric(float64(f.peak(30)), "B/s-loss")
+				b.ReportMetric(float64(f.peakRate(30)), "B/s-loss")
 				for _, old := range lost {
 					f.nodes = append(f.nodes, f.start(self(old).Name, old.Address))
 				}
-				b.ReportMetric(float64(f.peak(30)), "B/s-return")
+				b.ReportMetric(float64(f.peakRate(30)), "B/s-return")
 			}
 		})
 	}
 }
 
-// BenchmarkDetection reports how long it takes until a router that vanished is
-// dead at the first and at all of the others.
+// BenchmarkDetection reports the time until a vanished router is declared dead by the first and
+// by all of the others.
 func BenchmarkDetection(b *testing.B) {
 	for _, n := range []int{3, 9, 36, 72} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
 			for range b.N {
-				first, all := detection(b, n, 60)
+				first, all := detectionTimes(b, n, 60)
 				b.ReportMetric(quantile(first, 0.5), "s-first-p50")
 				b.ReportMetric(quantile(all, 0.5), "s-all-p50")
 				b.ReportMetric(quantile(all, 0.95), "s-all-p95")
@@ -229,21 +231,21 @@
 	}
 }
 
-// detection kills one router in each of some seeded runs, and returns the
-// sorted seconds until the first and until all others hold it dead.
-func detection(tb testing.TB, n, runs int) (first, all []float64) {
+// detectionTimes kills one router in each of several seeded runs, and returns the sorted
+// seconds until the first and until all others declare it dead.
+func detectionTimes(tb testing.TB, n, runs int) (first, all []float64) {
 	for seed := range runs {
 		f := newFleet(tb, n, int64(seed), lan)
 		f.net.RunFor(time.Duration(f.net.Rand().Int63n(int64(5 * time.Second))))
 		id, at := self(f.kill()).ID, f.net.Now()
 		anyDead := func() bool {
 			return slices.ContainsFunc(f.nodes, func(node *simnet.Node) bool {
-				return sees(node, id) == membership.StateDead
+				return stateAt(node, id) == membership.StateDead
 			})
 		}
 		require.True(tb, f.within(time.Minute, anyDead))
 		first = append(first, (f.net.Now() - at).Seconds())
-		require.True(tb, f.within(time.Minute, func() bool { return f.all(id, membership.StateDead) }))
+		require.True(tb, f.within(time.Minute, func() bool { return f.allSee(id, membership.StateDead) }))
 		all = append(all, (f.net.Now() - at).Seconds())
 	}
 	slices.Sort(first)
--- a/internal/fleet/gossip/packet_test.go
+++ b/internal/fleet/gossip/packet_test.go
@@ -12,7 +12,7 @@
 	"damaskrouter.example/damaskrouter/internal/fleet/membership"
 )
 
-func endpoint(t *testing.T, id uint64, keys gossip.Keys, log gossip.Logger) *gossip.Endpoint {
+func newEndpoint(t *testing.T, id uint64, keys gossip.Keys, log gossip.Logger) *gossip.Endpoint {
 	t.Helper()
 	m := membership.Member{Name: "entry", ID: id, Address: address(int(id)), HTTP: address(int(id))}
 	opts := membership.Options{Seeds: []string{address(1), address(2)}}
@@ -21,7 +21,7 @@
 	return e
 }
 
-// firstPacket returns the join packet of an endpoint.
+// firstPacket returns the first packet of an endpoint, which is its join digest.
 func firstPacket(t *testing.T, e *gossip.Endpoint) []byte {
 	t.Helper()
 	packets := e.Tick(0)
@@ -29,17 +29,14 @@
 	return packets[0].Data
 }
 
-func refusals(e *gossip.Endpoint, reason gossip.Reason) uint64 {
+func rejections(e *gossip.Endpoint, reason gossip.Reason) uint64 {
 	return e.Counters().Refused[reason].Packets
 }
 
-// Symptom: a router acts on packets that no router of its fleet sent.
-// Sequence: someone on the network sends made-up, damaged, truncated, inflated
-// or recorded packets, or a router of another fleet is configured with our
-// address.
-// Cause: UDP accepts anything from anyone. Each of these must be counted under
-// its own reason and change nothing.
-func TestRefusedPackets(t *testing.T) {
+// UDP accepts packets from anyone: made up, damaged, truncated, too long or recorded ones, or
+// those of a router from another fleet configured with this address. Each must be counted under
+// its own reason and change nothing, or routers act on packets from outside their fleet.
+func TestInvalidPacketsRejected(t *testing.T) {
 	flip := func(at int) func([]byte) []byte {
 		return func(p []byte) []byte {
 			p = bytes.Clone(p)
@@ -58,9 +55,9 @@
 		{"forged body", fleetKeys, flip(30), gossip.ReasonForged},
 		{"forged sender", fleetKeys, flip(2), gossip.ReasonForged},
 		{"forged sequence", fleetKeys, flip(17), gossip.ReasonForged},
-		{"forged code", fleetKeys, flip(-1), gossip.ReasonForged},
-		{"cut off", fleetKeys, func(p []byte) []byte { return p[:len(p)-1] }, gossip.ReasonForged},
-		{"cut off in the header", fleetKeys, func(p []byte) []byte { return p[:20] }, gossip.ReasonShort},
+		{"forged authentication code", fleetKeys, flip(-1), gossip.ReasonForged},
+		{"truncated by one byte", fleetKeys, func(p []byte) []byte { return p[:len(p)-1] }, gossip.ReasonForged},
+		{"truncated in the header", fleetKeys, func(p []byte) []byte { return p[:20] }, gossip.ReasonShort},
 		{"empty", fleetKeys, func([]byte) []byte { return nil }, gossip.ReasonShort},
 		{"oversized", fleetKeys, func([]byte) []byte { return make([]byte, gossip.MaxPacket+1) }, gossip.ReasonOversized},
 		{"other version", fleetKeys, flip(0), gossip.ReasonVersion},
@@ -68,57 +65,55 @@
 		{"unknown key id", newKey, bytes.Clone, gossip.ReasonUnknownKey},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			receiver := endpoint(t, 2, fleetKeys, nil)
-			packet := c.change(firstPacket(t, endpoint(t, 1, c.keys, nil)))
+			receiver := newEndpoint(t, 2, fleetKeys, nil)
+			packet := c.change(firstPacket(t, newEndpoint(t, 1, c.keys, nil)))
 			require.Empty(t, receiver.Receive(0, address(1), packet))
-			require.EqualValues(t, 1, refusals(receiver, c.want))
+			require.EqualValues(t, 1, rejections(receiver, c.want))
 			require.Len(t, receiver.Detector().Members(), 1)
 			require.Zero(t, gossip.Total(receiver.Counters().In))
 		})
 	}
 }
 
-// Symptom: a dead router comes back to life for a while, again and again.
-// Sequence: a packet in which it announces itself is recorded and sent later.
-// Cause: the code of a replayed packet is right. Only its number tells.
-func TestReplayedPacket(t *testing.T) {
+// A recorded announcement that is sent again later has a valid authentication code, and only
+// its sequence number gives it away. If it were accepted, a dead router would reappear again
+// and again.
+func TestReplayedPacketRejected(t *testing.T) {
 	var lines int
-	receiver := endpoint(t, 2, fleetKeys, func(string, ...any) { lines++ })
-	packet := firstPacket(t, endpoint(t, 1, fleetKeys, nil))
+	receiver := newEndpoint(t, 2, fleetKeys, func(string, ...any) { lines++ })
+	packet := firstPacket(t, newEndpoint(t, 1, fleetKeys, nil))
 	require.NotEmpty(t, receiver.Receive(0, address(1), packet))
 	for range 100 {
 		require.Empty(t, receiver.Receive(time.Second, address(1), packet))
 	}
-	require.EqualValues(t, 100, refusals(receiver, gossip.ReasonReplayed))
-	require.Equal(t, 1, lines, "one log line, however many packets")
+	require.EqualValues(t, 100, rejections(receiver, gossip.ReasonReplayed))
+	require.Equal(t, 1, lines, "one log line regardless of the number of packets")
 }
 
-// Symptom: routers lose each other while the fleet key is replaced.
-// Sequence: the new key reaches one router seconds before another.
-// Cause: a packet under the one key meets a router that has only the other.
-// Both must be valid at once, and the old one must be refused afterwards.
-func TestKeyRotation(t *testing.T) {
+// A new key reaches routers seconds apart. During a rotation both keys must be accepted, or
+// routers lose each other. Afterwards the old key must be rejected.
+func TestKeyRotationLosesNoPackets(t *testing.T) {
 	old := fleetKeys.Active
 	fresh := gossip.Key{ID: 2, Secret: []byte("fedcba9876543210")}
 	steps := []gossip.Keys{
 		{Active: old}, {Active: old, Other: &fresh}, {Active: fresh, Other: &old}, {Active: fresh},
 	}
 	for n := range len(steps) - 1 {
-		a, b := endpoint(t, 1, steps[n], nil), endpoint(t, 2, steps[n+1], nil)
+		a, b := newEndpoint(t, 1, steps[n], nil), newEndpoint(t, 2, steps[n+1], nil)
 		b.Receive(0, address(1), firstPacket(t, a))
 		require.EqualValues(t, 1, gossip.Total(b.Counters().In).Packets, "step %d, forward", n)
 		a.Receive(0, address(2), firstPacket(t, b))
 		require.EqualValues(t, 1, gossip.Total(a.Counters().In).Packets, "step %d, back", n)
 	}
-	last := endpoint(t, 2, steps[3], nil)
-	require.Empty(t, last.Receive(0, address(1), firstPacket(t, endpoint(t, 1, steps[1], nil))))
-	require.EqualValues(t, 1, refusals(last, gossip.ReasonUnknownKey))
+	last := newEndpoint(t, 2, steps[3], nil)
+	require.Empty(t, last.Receive(0, address(1), firstPacket(t, newEndpoint(t, 1, steps[1], nil))))
+	require.EqualValues(t, 1, rejections(last, gossip.ReasonUnknownKey))
 	require.Error(t, last.SetKeys(gossip.Keys{Active: old, Other: &old}))
 	require.Error(t, last.SetKeys(gossip.Keys{Active: gossip.Key{ID: 3, Secret: []byte("short")}}))
 }
 
-func TestDatagram(t *testing.T) {
-	a, b := endpoint(t, 1, fleetKeys, nil), endpoint(t, 2, fleetKeys, nil)
+func TestDatagramDeliveredOnce(t *testing.T) {
+	a, b := newEndpoint(t, 1, fleetKeys, nil), newEndpoint(t, 2, fleetKeys, nil)
 	a.Receive(0, address(2), firstPacket(t, b))
 	var got [][]byte
 	b.OnDatagram(7, func(from uint64, payload []byte) {
@@ -133,9 +128,9 @@
 	b.Receive(0, address(1), packets[0].Data)
 	require.Equal(t, [][]byte{payload}, got, "delivered once")
 
-	other := endpoint(t, 3, fleetKeys, nil)
-	other.OnDatagram(7, func(uint64, []byte) { t.Error("meant for another instance") })
-	require.NotEmpty(t, other.Receive(0, address(1), packets[0].Data), "answered with not-me")
+	other := newEndpoint(t, 3, fleetKeys, nil)
+	other.OnDatagram(7, func(uint64, []byte) { t.Error("datagram for another instance delivered") })
+	require.NotEmpty(t, other.Receive(0, address(1), packets[0].Data), "answered with NotMe")
 
 	_, err = a.Datagram(2, 7, make([]byte, gossip.MaxDatagram+1))
 	require.True(t, gossip.ErrTooLarge.Has(err))
@@ -143,8 +138,8 @@
 	require.True(t, gossip.ErrUnknownMember.Has(err))
 }
 
-// The driver on real sockets: two routers find each other, a payload and an
-// item arrive, and a clean exit is seen. It waits for callbacks, not for time.
+// The driver on real sockets: two routers find each other, a datagram and an item arrive, and a
+// clean exit is detected. The test waits for callbacks rather than for time.
 func TestDriver(t *testing.T) {
 	start := func(name string, seeds ...string) *gossip.Driver {
 		d, err := gossip.Listen(gossip.Config{
