--- a/internal/store/config/strictyaml/problem.go
+++ b/internal/store/config/strictyaml/problem.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// Problem is one fault of a YAML document, with its position.
+// Problem is one error in a YAML document, with its position.
 type Problem struct {
-	// File is the name of the document as the reader knows it.
+	// File is the name of the document as the caller of Decode gave it.
 	File string `json:"file"`
-	// Line counts from 1; 0 means that the fault has no line of its own.
+	// Line counts from 1; 0 means that the problem has no line of its own.
 	Line int `json:"line"`
 	// Path names the field, for example pools[0].load_bound.
 	Path string `json:"path,omitempty"`
-	// Reason says what is wrong and, where it helps, what would be right.
+	// Reason says what is wrong and, where it helps, what is accepted.
 	Reason string `json:"reason"`
 }
 
@@ -25,10 +25,10 @@
 	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Path, p.Reason)
 }
 
-// Problems is the error that reports every fault found, in document order.
+// Problems is the error that reports all problems found, in document order.
 type Problems []Problem
 
-// Error implements error, one problem per line.
+// Error implements error. It returns one problem per line.
 func (p Problems) Error() string {
 	lines := make([]string, 0, len(p))
 	for _, problem := range p {
@@ -45,14 +45,15 @@
 	return p
 }
 
-// Source remembers on which line each field of a document was written, so
-// that checks made after decoding can still name the line.
+// Source records the line of each field of a document, so that checks made
+// after decoding can report it.
 type Source struct {
 	file  string
 	lines map[string]int
 }
 
-// NewSource returns the source of a value that was not read from a document.
+// NewSource returns a source without fields, for a value that was not read
+// from a document.
 func NewSource(name string) *Source {
 	return &Source{file: name, lines: make(map[string]int)}
 }
@@ -63,8 +64,8 @@
 	return ok
 }
 
-// At returns a problem at the line of path. A field that was left out has no
-// line, so the nearest enclosing field's line is given.
+// At returns a problem at the line of path. For a field that is absent from
+// the document it reports the line of the nearest enclosing field, or 1.
 func (s *Source) At(path, format string, args ...any) Problem {
 	return Problem{
 		File:   s.file,
@@ -79,12 +80,12 @@
 		if line, ok := s.lines[path]; ok {
 			return line
 		}
-		path = parent(path)
+		path = parentPath(path)
 	}
 	return 1
 }
 
-func parent(path string) string {
+func parentPath(path string) string {
 	i := strings.LastIndexAny(path, ".[")
 	if i < 0 {
 		return ""
