--- a/internal/store/config/bundle.go
+++ b/internal/store/config/bundle.go
@@ -11,24 +11,26 @@
 	"damaskrouter.example/damaskrouter/internal/store/config/strictyaml"
 )
 
-// Names of the files of a bundle, as problems report them.
+// Names of the files of a bundle, as they appear in problems.
 const (
 	// BaseFile is the base document.
 	BaseFile = "base.yaml"
-	// SitesDir holds one overlay for each site, named after it.
+	// SitesDir is the directory of the overlays, one file per site, named after
+	// the site.
 	SitesDir = "sites"
-	// FileSuffix ends the name of every file of a bundle.
+	// FileSuffix is the suffix of every file name in a bundle.
 	FileSuffix = ".yaml"
 )
 
-// Problem is one fault of a bundle, with file, line and path.
+// Problem is one error in a bundle, with file, line and path.
 type Problem = strictyaml.Problem
 
-// Problems is the error that lists all faults of a bundle.
+// Problems is the error that lists all problems of a bundle.
 type Problems = strictyaml.Problems
 
-// Bundle is the text of a whole configuration: the base document and the
-// overlays by site. It is what is hashed, stored and sent between routers.
+// Bundle is the text of a complete configuration: the base document and the
+// overlays by site. It is the unit that is hashed, stored and sent between
+// routers.
 type Bundle struct {
 	Base     []byte            `json:"base"`
 	Overlays map[string][]byte `json:"overlays"`
@@ -43,18 +45,18 @@
 // MarshalText implements encoding.TextMarshaler.
 func (h Hash) MarshalText() ([]byte, error) { return []byte(h.String()), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler.
+// UnmarshalText implements encoding.TextUnmarshaler. The error is ErrCorrupt.
 func (h *Hash) UnmarshalText(text []byte) error {
-	raw, err := hex.DecodeString(string(text))
-	if err != nil || len(raw) != len(h) {
+	decoded, err := hex.DecodeString(string(text))
+	if err != nil || len(decoded) != len(h) {
 		return ErrCorrupt.New("hash %q is not %d bytes of hexadecimal", text, len(h))
 	}
-	copy(h[:], raw)
+	copy(h[:], decoded)
 	return nil
 }
 
-// Encode returns the canonical encoding: JSON with the sites in order, so
-// that equal bundles have equal bytes.
+// Encode returns the canonical encoding: JSON with the sites in sorted order,
+// so that equal bundles have equal bytes.
 func (b Bundle) Encode() []byte {
 	canonical := Bundle{Base: b.Base, Overlays: b.Overlays}
 	if canonical.Base == nil {
@@ -63,12 +65,12 @@
 	if canonical.Overlays == nil {
 		canonical.Overlays = map[string][]byte{}
 	}
-	// Byte slices under string keys always encode, so the error is not lost.
+	// Encoding byte slices under string keys can't fail.
 	data, _ := json.Marshal(canonical)
 	return data
 }
 
-// DecodeBundle reads what Encode wrote.
+// DecodeBundle decodes the output of Encode. The error is ErrCorrupt.
 func DecodeBundle(data []byte) (Bundle, error) {
 	var b Bundle
 	if err := json.Unmarshal(data, &b); err != nil {
@@ -80,7 +82,7 @@
 // Hash returns the SHA-256 sum of the canonical encoding.
 func (b Bundle) Hash() Hash { return sha256.Sum256(b.Encode()) }
 
-// Files returns the bundle's texts by file name, as on disk.
+// Files returns the bundle's texts by file name, relative to its directory.
 func (b Bundle) Files() map[string][]byte {
 	files := map[string][]byte{BaseFile: b.Base}
 	for site, data := range b.Overlays {
@@ -92,32 +94,34 @@
 // OverlayFile returns the name of a site's overlay within a bundle.
 func OverlayFile(site string) string { return path.Join(SitesDir, site+FileSuffix) }
 
-// Parsed is a bundle after decoding.
+// Parsed is a decoded bundle, with the positions of its fields.
 type Parsed struct {
 	Document *Document
-	// Overlays are by the site that they were filed under.
+	// Overlays are keyed by the site in the file name, which may differ from
+	// the site that an invalid overlay names.
 	Overlays map[string]*Overlay
 
-	base  *strictyaml.Source
-	sites map[string]*strictyaml.Source
+	baseSource     *strictyaml.Source
+	overlaySources map[string]*strictyaml.Source
 }
 
-// Parse decodes all files of the bundle. The error is of type Problems. It
-// says only whether the files can be read; Validate checks what they mean.
+// Parse decodes all files of the bundle. It checks only syntax and the types of
+// fields; Validate also checks values and references. The error is of type
+// Problems.
 func (b Bundle) Parse() (*Parsed, error) {
 	p := &Parsed{
-		Document: new(Document),
-		Overlays: make(map[string]*Overlay),
-		sites:    make(map[string]*strictyaml.Source),
+		Document:       new(Document),
+		Overlays:       make(map[string]*Overlay),
+		overlaySources: make(map[string]*strictyaml.Source),
 	}
 	var problems Problems
-	p.base, problems = strictyaml.Decode(BaseFile, b.Base, p.Document)
+	p.baseSource, problems = strictyaml.Decode(BaseFile, b.Base, p.Document)
 	for _, site := range slices.Sorted(maps.Keys(b.Overlays)) {
 		overlay := new(Overlay)
-		src, faults := strictyaml.Decode(OverlayFile(site), b.Overlays[site], overlay)
+		src, overlayProblems := strictyaml.Decode(OverlayFile(site), b.Overlays[site], overlay)
 		p.Overlays[site] = overlay
-		p.sites[site] = src
-		problems = append(problems, faults...)
+		p.overlaySources[site] = src
+		problems = append(problems, overlayProblems...)
 	}
 	if len(problems) > 0 {
 		return nil, problems
@@ -125,7 +129,8 @@
 	return p, nil
 }
 
-// ParseBase decodes a base document; file names it in problems.
+// ParseBase decodes a base document, which problems report under the name file.
+// The error is of type Problems.
 func ParseBase(file string, data []byte) (*Document, error) {
 	doc := new(Document)
 	_, problems := strictyaml.Decode(file, data, doc)
--- a/internal/store/config/chain.go
+++ b/internal/store/config/chain.go
@@ -9,35 +9,36 @@
 	"damaskrouter.example/damaskrouter/internal/store/platform"
 )
 
-// commitAttempts is how often a transaction with an unknown outcome is sent.
-const commitAttempts = 3
+// maxCommitAttempts bounds how often Accept sends a transaction whose outcome is
+// unknown.
+const maxCommitAttempts = 3
 
-// MaxHistory bounds the versions that one call of History returns.
+// MaxHistory is the maximum number of versions that one call of History returns.
 const MaxHistory = 100
 
-// changeIDPattern keeps change ids fit for keys.
+// changeIDPattern restricts change ids to what is safe in table keys.
 var changeIDPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$`)
 
-// Change is what an operator asks to be accepted.
+// Change is an operator's request for a new version.
 type Change struct {
-	// Bundle is the whole new configuration.
+	// Bundle is the complete new configuration.
 	Bundle Bundle
-	// Expected is the version that the change was made from; 0 for the first.
+	// Expected is the version that the change is based on; 0 for the first.
 	Expected uint64
-	// ChangeID identifies the change. The author chooses it once and keeps it
-	// for every repetition: the same id is accepted once.
+	// ChangeID identifies the change. The author chooses it once and uses it
+	// for every retry: the chain accepts an id only once.
 	ChangeID string
 	// Author is the operator.
 	Author string
-	// Comment says why; it goes into the audit trail.
+	// Comment is the reason for the change. It is part of the audit trail.
 	Comment string
-	// Withdraw waives the check that sites go on serving what they serve. A
-	// site's last pool can't be taken away even so.
+	// Withdraw waives the check that each site still serves what it served
+	// before. It does not permit the removal of a site's last pool.
 	Withdraw bool
 }
 
 // Chain is the append-only sequence of accepted versions in the platform's
-// table service. It keeps nothing in memory, so any router may hold one. All
+// table service. It keeps no state in memory, so any router can use it. All
 // methods are safe for concurrent use.
 type Chain struct {
 	table   platform.Table
@@ -45,21 +46,22 @@
 	now     func() time.Time
 }
 
-// NewChain returns the chain in the given stores. The clock only stamps
-// records.
+// NewChain returns the chain in the given stores. The clock is used only for
+// the timestamps of records.
 func NewChain(table platform.Table, objects platform.Objects, now func() time.Time) *Chain {
 	return &Chain{table: table, objects: objects, now: now}
 }
 
-// Head returns the version in force; the zero Head when there is none yet.
+// Head returns the active version, or the zero Head if there is none yet.
 // Errors: those of platform.Table, ErrCorrupt.
 func (c *Chain) Head(ctx context.Context) (Head, error) {
-	head, _, err := c.head(ctx)
+	head, _, err := c.readHead(ctx)
 	return head, err
 }
 
-// head also returns the row's own version, for the compare-and-set.
-func (c *Chain) head(ctx context.Context) (Head, int64, error) {
+// readHead returns the head and the version of its row, for the
+// compare-and-set.
+func (c *Chain) readHead(ctx context.Context) (Head, int64, error) {
 	row, err := c.table.Get(ctx, platform.UseConfig, TableHead, HeadKey)
 	if platform.ErrNotFound.Has(err) {
 		return Head{}, 0, nil
@@ -74,8 +76,8 @@
 	return head, row.Version, nil
 }
 
-// Load returns a version with its bundle, checked against its hash. Errors:
-// ErrNoVersion, ErrCorrupt, those of the stores.
+// Load returns a version with its bundle, which it checks against the hash.
+// Errors: ErrNoVersion, ErrCorrupt, those of the stores.
 func (c *Chain) Load(ctx context.Context, number uint64) (Version, error) {
 	row, err := c.table.Get(ctx, platform.UseConfig, TableVersions, versionKey(number))
 	if platform.ErrNotFound.Has(err) {
@@ -88,7 +90,7 @@
 	if err := decodeRow(row.Value, &stored); err != nil {
 		return Version{}, err
 	}
-	packed, err := c.packed(ctx, stored)
+	packed, err := c.loadPacked(ctx, stored)
 	if err != nil {
 		return Version{}, err
 	}
@@ -96,15 +98,16 @@
 	return stored.Version, err
 }
 
-func (c *Chain) packed(ctx context.Context, stored storedVersion) ([]byte, error) {
+func (c *Chain) loadPacked(ctx context.Context, stored storedVersion) ([]byte, error) {
 	if stored.Object == "" {
 		return stored.Packed, nil
 	}
 	return c.objects.Get(ctx, stored.Object)
 }
 
-// History returns up to limit versions from number on, oldest first, without
-// their bundles. Errors: those of platform.Table, ErrCorrupt.
+// History returns the versions that start at number from, oldest first and
+// without their bundles: at most limit, and at most MaxHistory. Errors: those of
+// platform.Table, ErrCorrupt.
 func (c *Chain) History(ctx context.Context, from uint64, limit int) ([]Version, error) {
 	limit = min(limit, MaxHistory)
 	rows, err := c.table.Scan(ctx, platform.UseConfig, TableVersions, versionKey(from), "", limit)
@@ -113,34 +116,35 @@
 	}
 	versions := make([]Version, 0, len(rows))
 	for _, row := range rows {
-		var v Version
-		if err := decodeRow(row.Value, &v); err != nil {
+		var version Version
+		if err := decodeRow(row.Value, &version); err != nil {
 			return nil, err
 		}
-		versions = append(versions, v)
+		versions = append(versions, version)
 	}
 	return versions, nil
 }
 
-// Accept makes the change the next version. Repeating a change with its id
-// returns the version it already became.
+// Accept appends the change as the next version. If the change id was accepted
+// before, Accept returns that version, so a change can be retried.
 //
 // Errors: ErrBadChange, *InvalidError, *ConflictError and
-// *ChangeIDReusedError mean that the change was not accepted and will not be;
-// so do those of the stores that say that nothing was sent.
-// *OutcomeUnknownError means that it may have been, and asks for repetition.
+// *ChangeIDReusedError mean that the change was not accepted and will not be.
+// The same holds for errors of the stores which say that nothing was sent.
+// *OutcomeUnknownError means that the change may have been accepted; the caller
+// should retry it with the same id.
 func (c *Chain) Accept(ctx context.Context, change Change) (Version, error) {
 	return c.accept(ctx, change, 0)
 }
 
-// Rollback accepts the content of an earlier version as a new one. The
-// change's own bundle is ignored. Errors: as for Accept and Load.
+// Rollback appends the content of an earlier version as a new version. It
+// ignores the bundle of the change. Errors: as for Accept and Load.
 func (c *Chain) Rollback(ctx context.Context, to uint64, change Change) (Version, error) {
-	old, err := c.Load(ctx, to)
+	target, err := c.Load(ctx, to)
 	if err != nil {
 		return Version{}, err
 	}
-	change.Bundle = old.Bundle
+	change.Bundle = target.Bundle
 	return c.accept(ctx, change, to)
 }
 
@@ -148,7 +152,7 @@
 	if err := checkChange(change); err != nil {
 		return Version{}, err
 	}
-	state, err := c.resolve(ctx, change)
+	state, err := c.readChangeState(ctx, change)
 	if err != nil {
 		return Version{}, err
 	}
@@ -158,9 +162,9 @@
 	if err := c.validate(ctx, change, state.head); err != nil {
 		return Version{}, err
 	}
-	next := c.next(change, state.head)
+	next := c.nextVersion(change, state.head)
 	next.RollbackTo = rollbackTo
-	writes, err := c.transaction(ctx, next, state.headRow)
+	writes, err := c.acceptWrites(ctx, next, state.headRow)
 	if err != nil {
 		return Version{}, err
 	}
@@ -170,7 +174,7 @@
 func checkChange(change Change) error {
 	switch {
 	case !changeIDPattern.MatchString(change.ChangeID):
-		return ErrBadChange.New("change id %q", change.ChangeID)
+		return ErrBadChange.New("change id %q must be a letter or digit, then letters, digits, '.', '_' or '-', 128 at most", change.ChangeID)
 	case change.Author == "":
 		return ErrBadChange.New("change %s has no author", change.ChangeID)
 	case len(change.Bundle.Encode()) > MaxEncodedBytes:
@@ -179,40 +183,41 @@
 	return nil
 }
 
-// resolution is what the stores say of a change.
-type resolution struct {
+// changeState is what the stores hold about a change.
+type changeState struct {
 	// accepted is the version that the change became, or nil.
 	accepted *Version
-	// head is the version in force, and headRow its row's own version.
+	// head is the active version, and headRow the version of its row.
 	head    Head
 	headRow int64
 }
 
-// resolve finds out whether the change has been accepted, and else whether it
-// still can be.
+// readChangeState reads whether the change has been accepted. It returns a
+// *ConflictError if the change has not been and no longer can be.
 //
-// The head is read before the change id. In the other order, a transaction
-// that arrives late between the two reads would show a head that has moved
-// and no row for the change: its author would be told of a conflict, with
-// himself, about a change that is in force. In this order, once the head has
-// moved, the change id is there or never will be.
-func (c *Chain) resolve(ctx context.Context, change Change) (resolution, error) {
-	head, headRow, err := c.head(ctx)
+// The head is read before the change id. In the reverse order, a delayed
+// transaction of the same change that takes effect between the two reads would
+// show a new head and no row for the change, and the author would get a conflict
+// with his own change, which is active. In this order, once the head has moved,
+// the row of the change id either exists or never will.
+func (c *Chain) readChangeState(ctx context.Context, change Change) (changeState, error) {
+	head, headRow, err := c.readHead(ctx)
 	if err != nil {
-		return resolution{}, err
+		return changeState{}, err
 	}
-	accepted, err := c.lookUp(ctx, change)
+	accepted, err := c.findAccepted(ctx, change)
 	if err != nil {
-		return resolution{}, err
+		return changeState{}, err
 	}
 	if accepted == nil && head.Version != change.Expected {
-		return resolution{}, c.conflict(ctx, change, head)
+		return changeState{}, c.conflictError(ctx, change, head)
 	}
-	return resolution{accepted: accepted, head: head, headRow: headRow}, nil
+	return changeState{accepted: accepted, head: head, headRow: headRow}, nil
 }
 
-// lookUp returns the version that the change id was used for, or nil.
-func (c *Chain) lookUp(ctx context.Context, change Change) (*Version, error) {
+// findAccepted returns the version that the change id was accepted as, or nil.
+// It returns a *ChangeIDReusedError if that version has other content.
+func (c *Chain) findAccepted(ctx context.Context, change Change) (*Version, error) {
 	row, err := c.table.Get(ctx, platform.UseConfig, TableChanges, change.ChangeID)
 	if platform.ErrNotFound.Has(err) {
 		return nil, nil
@@ -227,18 +232,18 @@
 	if used.Hash != change.Bundle.Hash() {
 		return nil, &ChangeIDReusedError{ChangeID: change.ChangeID, Version: used.Version}
 	}
-	v, err := c.Load(ctx, used.Version)
-	return &v, err
+	version, err := c.Load(ctx, used.Version)
+	return &version, err
 }
 
-// conflict describes the version that won. Its author is only a help to the
-// loser, so a failure to read it does not hide the conflict.
-func (c *Chain) conflict(ctx context.Context, change Change, head Head) error {
-	lost := &ConflictError{Version: head.Version, Hash: head.Hash, Expected: change.Expected}
-	if winner, err := c.Load(ctx, head.Version); err == nil {
-		lost.Author = winner.Author
-	}
-	return lost
+// conflictError describes the active version. The name of its author is only
+// informative, so a failure to read it does not hide the conflict.
+func (c *Chain) conflictError(ctx context.Context, change Change, head Head) error {
+	conflict := &ConflictError{Version: head.Version, Hash: head.Hash, Expected: change.Expected}
+	if active, err := c.Load(ctx, head.Version); err == nil {
+		conflict.Author = active.Author
+	}
+	return conflict
 }
 
 func (c *Chain) validate(ctx context.Context, change Change, head Head) error {
@@ -248,21 +253,21 @@
 	if head.Version == 0 {
 		return nil
 	}
-	current, err := c.Load(ctx, head.Version)
+	active, err := c.Load(ctx, head.Version)
 	if err != nil {
 		return err
 	}
-	withdrawals, empty := compareBundles(current.Bundle, change.Bundle)
+	withdrawals, emptiedSites := compareBundles(active.Bundle, change.Bundle)
 	if change.Withdraw {
 		withdrawals = nil
 	}
-	if problems := append(empty, withdrawals...); len(problems) > 0 {
+	if problems := append(emptiedSites, withdrawals...); len(problems) > 0 {
 		return &InvalidError{Problems: problems}
 	}
 	return nil
 }
 
-func (c *Chain) next(change Change, head Head) Version {
+func (c *Chain) nextVersion(change Change, head Head) Version {
 	return Version{
 		Number:   head.Version + 1,
 		Hash:     change.Bundle.Hash(),
@@ -276,10 +281,10 @@
 	}
 }
 
-// transaction returns the writes that accept the version. Each is conditional,
-// so that the same writes sent twice take effect once.
-func (c *Chain) transaction(ctx context.Context, v Version, headRow int64) ([]platform.Write, error) {
-	stored, err := c.store(ctx, v)
+// acceptWrites returns the writes of the transaction that accepts the version.
+// Each is conditional, so that writes which are sent twice take effect once.
+func (c *Chain) acceptWrites(ctx context.Context, v Version, headRow int64) ([]platform.Write, error) {
+	stored, err := c.storeBundle(ctx, v)
 	if err != nil {
 		return nil, err
 	}
@@ -294,8 +299,9 @@
 	}, nil
 }
 
-// store compresses the bundle and puts a large one into the object store.
-func (c *Chain) store(ctx context.Context, v Version) (storedVersion, error) {
+// storeBundle compresses the bundle. It writes a bundle larger than
+// MaxInlineBytes to the object store.
+func (c *Chain) storeBundle(ctx context.Context, v Version) (storedVersion, error) {
 	packed, err := pack(v.Bundle)
 	if err != nil {
 		return storedVersion{}, err
@@ -310,66 +316,67 @@
 	return storedVersion{Version: v, Object: name}, nil
 }
 
-// putObject writes an object that may be there already: the name is that of
-// the content, and a reply may have been lost. An object with the right
-// content is as good as one written now.
+// putObject writes an object. The object may exist already, because its name is
+// the hash of its content and an earlier reply may have been lost; an existing
+// object with the right content counts as written.
 func (c *Chain) putObject(ctx context.Context, name string, packed []byte, hash Hash) error {
 	putErr := c.objects.Put(ctx, name, packed)
 	if putErr == nil {
 		return nil
 	}
-	present, err := c.objects.Get(ctx, name)
+	existing, err := c.objects.Get(ctx, name)
 	if err != nil {
 		return putErr
 	}
-	_, err = unpack(present, hash)
+	_, err = unpack(existing, hash)
 	return err
 }
 
-// commit sends the transaction until its outcome is known.
+// commit sends the transaction until its outcome is known, at most
+// maxCommitAttempts times.
 //
-// A reply can be lost after the write took effect, and a write can take
-// effect after its reply was given up. Reading that the change id is absent
-// therefore proves nothing while the head has not moved; the same transaction
-// is sent again instead, and its conditions let only one copy through.
+// A reply can be lost after the writes took effect, and writes can take effect
+// after the sender stopped waiting for the reply. The absence of the change id
+// therefore proves nothing while the head has not moved. The same transaction is
+// sent again instead; its conditions let only one copy take effect.
 func (c *Chain) commit(ctx context.Context, change Change, next Version, writes []platform.Write) (Version, error) {
-	var unknown, last error
-	for range commitAttempts {
+	var unknownErr, lastErr error
+	for range maxCommitAttempts {
 		_, err := c.table.Commit(ctx, platform.UseConfig, writes...)
 		if err == nil {
 			return next, nil
 		}
-		last = err
+		lastErr = err
 		if hadNoEffect(err) {
 			break
 		}
 		if !isConflict(err) {
-			unknown = err
+			unknownErr = err
 		}
-		state, err := c.resolve(ctx, change)
+		state, err := c.readChangeState(ctx, change)
 		if err == nil && state.accepted != nil {
 			return *state.accepted, nil
 		}
 		if err != nil {
-			last = err
+			lastErr = err
 			break
 		}
 	}
-	return Version{}, settle(change, unknown, last)
+	return Version{}, commitError(change, unknownErr, lastErr)
 }
 
-// settle chooses the error of a commit. Once one copy of the transaction had
-// an unknown outcome, an error of the stores afterwards must not pass for
-// "not accepted": that copy may be in force.
-func settle(change Change, unknown, last error) error {
-	if unknown == nil || isFinal(last) {
-		return last
-	}
-	return &OutcomeUnknownError{ChangeID: change.ChangeID, Cause: last}
+// commitError selects the error that commit returns. Once one copy of the
+// transaction had an unknown outcome, a later error of the stores must not be
+// reported as "not accepted", because that copy may be active.
+func commitError(change Change, unknownErr, lastErr error) error {
+	if unknownErr == nil || isFinal(lastErr) {
+		return lastErr
+	}
+	return &OutcomeUnknownError{ChangeID: change.ChangeID, Cause: lastErr}
 }
 
-// hadNoEffect reports whether the table service says that nothing was sent. An
-// error of any other kind, such as a context's, proves nothing.
+// hadNoEffect reports whether the error means that nothing was sent to the table
+// service. Any other error, such as that of a context, does not prove it.
 func hadNoEffect(err error) bool {
 	return platform.ErrUnavailable.Has(err) || platform.ErrBudget.Has(err)
 }
@@ -379,8 +386,8 @@
 	return errors.As(err, &conflict)
 }
 
-// isFinal reports whether the error proves that the change was not accepted
-// and cannot be any more.
+// isFinal reports whether the error proves that the change was not accepted and
+// never will be.
 func isFinal(err error) bool {
 	var conflict *ConflictError
 	var reused *ChangeIDReusedError
--- a/internal/store/config/change.go
+++ b/internal/store/config/change.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// offeringKind tells apart what a site can offer.
+// offeringKind is the kind of an offering.
 type offeringKind string
 
 const (
@@ -14,17 +14,19 @@
 	kindService offeringKind = "service"
 )
 
-// inForcePrefix marks problems of the version in force, not of the change.
-const inForcePrefix = "in force: "
+// activePrefix marks the file name of a problem in the active version, as
+// opposed to the change.
+const activePrefix = "in force: "
 
-// offering is something that callers can ask a site for.
+// offering is a model, an adapter of a model or a plain service that a site
+// serves to callers.
 type offering struct {
 	kind    offeringKind
 	name    string
 	adapter string
 }
 
-// String names the offering for operators.
+// String returns the name of the offering for messages to operators.
 func (o offering) String() string {
 	if o.kind == kindAdapter {
 		return "adapter " + o.adapter + " of model " + o.name
@@ -40,78 +42,81 @@
 	)
 }
 
-// ValidateChange checks the step from one valid bundle to another: no site
-// may lose its last pool, or stop serving something without saying so.
+// ValidateChange checks the step from one valid bundle to another: no site may
+// lose its last pool, and no site may stop serving something unless the new
+// bundle confirms it.
 //
-// What goes wrong otherwise: a pool moved to another site, or a model renamed
-// in the pool alone, still makes a valid configuration; callers at the site
-// would be told "unknown model" seconds after the change. To withdraw
-// something on purpose, remove it from the document, set retire on the model,
-// or set retire on the pool in the site's overlay.
+// Without this check, a pool moved to another site, or a model renamed only in
+// its pool, would be a valid configuration, and callers at the site would get
+// "unknown model" seconds after the change. To withdraw something on purpose,
+// remove it from the document, set retire on the model, or set retire on the
+// pool in the site's overlay.
 func ValidateChange(old, new Bundle) []Problem {
-	withdrawals, empty := compareBundles(old, new)
-	return append(empty, withdrawals...)
+	withdrawals, emptiedSites := compareBundles(old, new)
+	return append(emptiedSites, withdrawals...)
 }
 
-// compareBundles returns the withdrawals that nobody confirmed and the sites
-// that lost their last pool. Only the former can be waived.
-func compareBundles(old, new Bundle) (withdrawals, empty Problems) {
-	after, err := new.Parse()
+// compareBundles returns the problems of a change: withdrawals that the new
+// bundle does not confirm, and sites that lose their last pool. Only withdrawals
+// can be waived.
+func compareBundles(old, new Bundle) (withdrawals, emptiedSites Problems) {
+	newParsed, err := new.Parse()
 	if err != nil {
 		return nil, asProblems(err)
 	}
-	before, err := old.Parse()
+	oldParsed, err := old.Parse()
 	if err != nil {
-		return unreadable(err), nil
+		return unreadableProblems(err), nil
 	}
-	for _, site := range before.Document.Sites {
-		lost, bare := compareSite(before, after, site.Name)
-		withdrawals = append(withdrawals, lost...)
-		empty = append(empty, bare...)
+	for _, site := range oldParsed.Document.Sites {
+		siteWithdrawals, siteEmptied := compareSite(oldParsed, newParsed, site.Name)
+		withdrawals = append(withdrawals, siteWithdrawals...)
+		emptiedSites = append(emptiedSites, siteEmptied...)
 	}
-	return withdrawals, empty
+	return withdrawals, emptiedSites
 }
 
-// unreadable reports an old bundle that this program can no longer read. It
-// counts as a withdrawal, which can be waived: otherwise no change could ever
-// follow a version that a later program refuses.
-func unreadable(err error) Problems {
+// unreadableProblems reports an old bundle that this program can't read. These
+// problems count as withdrawals, which can be waived: otherwise no change could
+// ever follow a version that a later program rejects.
+func unreadableProblems(err error) Problems {
 	problems := asProblems(err)
 	for i := range problems {
-		problems[i].File = inForcePrefix + problems[i].File
+		problems[i].File = activePrefix + problems[i].File
 	}
 	return problems
 }
 
-// compareSite compares one site. A site that is no longer in the document has
-// been closed on purpose.
-func compareSite(before, after *Parsed, site string) (withdrawals, empty Problems) {
-	was, err := NewEffective(before.Document, before.Overlays, site)
+// compareSite compares what one site serves before and after a change. The
+// removal of a site from the document is intended and not a problem.
+func compareSite(oldParsed, newParsed *Parsed, site string) (withdrawals, emptiedSites Problems) {
+	oldSite, err := NewEffective(oldParsed.Document, oldParsed.Overlays, site)
 	if err != nil {
 		return nil, nil
 	}
-	is, err := NewEffective(after.Document, after.Overlays, site)
+	newSite, err := NewEffective(newParsed.Document, newParsed.Overlays, site)
 	if err != nil {
 		return nil, nil
 	}
-	if len(was.Pools) > 0 && len(is.Pools) == 0 {
-		empty = append(empty, after.atSite(site, "site %s would have no pool left", site))
+	if len(oldSite.Pools) > 0 && len(newSite.Pools) == 0 {
+		emptiedSites = append(emptiedSites, newParsed.siteProblem(site, "site %s would have no pool left", site))
 	}
-	remaining := is.offerings()
-	for _, o := range was.offerings() {
-		if slices.Contains(remaining, o) || after.withdrawn(was, o) {
+	remaining := newSite.offerings()
+	for _, o := range oldSite.offerings() {
+		if slices.Contains(remaining, o) || newParsed.confirmsWithdrawal(oldSite, o) {
 			continue
 		}
-		withdrawals = append(withdrawals, after.atSite(site,
+		withdrawals = append(withdrawals, newParsed.siteProblem(site,
 			"site %s would stop serving %s; confirm with retire", site, o))
 	}
-	return withdrawals, empty
+	return withdrawals, emptiedSites
 }
 
-// withdrawn reports whether the new bundle says that the offering may go.
-func (p *Parsed) withdrawn(was *Effective, o offering) bool {
+// confirmsWithdrawal reports whether the new bundle p confirms that the site may
+// stop serving the offering.
+func (p *Parsed) confirmsWithdrawal(oldSite *Effective, o offering) bool {
 	if o.kind == kindService {
-		return p.serviceWithdrawn(was, o.name)
+		return p.confirmsServiceWithdrawal(oldSite, o.name)
 	}
 	model := p.model(o.name)
 	if model == nil || model.Retire {
@@ -120,26 +125,25 @@
 	if o.kind == kindAdapter && !slices.Contains(model.Adapters, o.adapter) {
 		return true
 	}
-	return p.poolsRetired(was, was.PoolsFor(o.name, o.adapter))
+	return p.poolsRetired(oldSite, oldSite.PoolsFor(o.name, o.adapter))
 }
 
-func (p *Parsed) serviceWithdrawn(was *Effective, name string) bool {
+func (p *Parsed) confirmsServiceWithdrawal(oldSite *Effective, name string) bool {
 	listed := slices.ContainsFunc(p.Document.Services, func(s Service) bool { return s.Name == name })
 	if !listed {
 		return true
 	}
-	service, _ := was.Service(name)
-	pool, _ := was.Pool(service.Pool)
-	return p.poolsRetired(was, []*Pool{pool})
+	service, _ := oldSite.Service(name)
+	pool, _ := oldSite.Pool(service.Pool)
+	return p.poolsRetired(oldSite, []*Pool{pool})
 }
 
-// poolsRetired reports whether the site's overlay retires every pool that
-// served the offering.
-func (p *Parsed) poolsRetired(was *Effective, pools []*Pool) bool {
-	overlay := p.Overlays[was.Site.Name]
+// poolsRetired reports whether the site's overlay retires all the given pools.
+func (p *Parsed) poolsRetired(oldSite *Effective, pools []*Pool) bool {
+	overlay := p.Overlays[oldSite.Site.Name]
 	for _, pool := range pools {
-		change := overlay.pool(pool.Name)
-		if change == nil || !change.Retire {
+		poolOverlay := overlay.pool(pool.Name)
+		if poolOverlay == nil || !poolOverlay.Retire {
 			return false
 		}
 	}
@@ -155,11 +159,11 @@
 	return nil
 }
 
-// atSite places a problem in the site's overlay, or in the base document for
-// a site without one.
-func (p *Parsed) atSite(site, format string, args ...any) Problem {
-	if src, ok := p.sites[site]; ok {
+// siteProblem returns a problem in the site's overlay, or in the base document
+// if the site has no overlay.
+func (p *Parsed) siteProblem(site, format string, args ...any) Problem {
+	if src, ok := p.overlaySources[site]; ok {
 		return src.At("pools", format, args...)
 	}
-	return p.base.At("pools", format, args...)
+	return p.baseSource.At("pools", format, args...)
 }
--- a/internal/store/config/defaults.go
+++ b/internal/store/config/defaults.go
@@ -31,38 +31,38 @@
 	DefaultRoutePriority = PriorityNormal
 )
 
-// UnmarshalYAML starts from the defaults, so that a value which is written
-// out stays as written: a capacity floor of 0 must not turn into the default
-// of 0.7, and a load bound of 0 must be refused and not replaced.
+// UnmarshalYAML decodes over the defaults, so that an explicit zero is kept: a
+// capacity floor of 0 must not become the default of 0.7, and a load bound of 0
+// must be rejected and not replaced.
 func (p *Pool) UnmarshalYAML(n *yaml.Node) error {
 	type plain Pool
-	filled := plain{
+	decoded := plain{
 		LoadBound:     DefaultLoadBound,
 		MaxBatch:      DefaultMaxBatch,
 		QueueLimit:    DefaultQueueLimit,
 		CapacityFloor: DefaultCapacityFloor,
 	}
-	if err := n.Decode(&filled); err != nil {
+	if err := n.Decode(&decoded); err != nil {
 		return err
 	}
-	*p = Pool(filled)
+	*p = Pool(decoded)
 	return nil
 }
 
-// UnmarshalYAML starts from the defaults, as for Pool.
+// UnmarshalYAML decodes over the defaults, so that an explicit zero is kept.
 func (a *Account) UnmarshalYAML(n *yaml.Node) error {
 	type plain Account
-	filled := plain{Weight: DefaultWeight, MaxPriority: DefaultMaxPriority}
-	if err := n.Decode(&filled); err != nil {
+	decoded := plain{Weight: DefaultWeight, MaxPriority: DefaultMaxPriority}
+	if err := n.Decode(&decoded); err != nil {
 		return err
 	}
-	*a = Account(filled)
+	*a = Account(decoded)
 	return nil
 }
 
-// fillDefaults completes a pool that was built in Go. A capacity floor of 0
-// is a valid choice and stays.
-func (p *Pool) fillDefaults() {
+// applyDefaults sets the defaults of a pool that was not decoded from YAML. It
+// leaves a capacity floor of 0, which is a valid value.
+func (p *Pool) applyDefaults() {
 	if p.LoadBound == 0 {
 		p.LoadBound = DefaultLoadBound
 	}
@@ -74,9 +74,9 @@
 	}
 }
 
-// fillDefaults completes an account. The default burst depends on the rate,
-// so it can only be set once the overlay has been applied.
-func (a *Account) fillDefaults() {
+// applyDefaults sets the defaults of an account. The default burst depends on
+// the rate, so it can be set only after the overlay has been applied.
+func (a *Account) applyDefaults() {
 	if a.Weight == 0 {
 		a.Weight = DefaultWeight
 	}
@@ -88,7 +88,7 @@
 	}
 }
 
-func (r *Route) fillDefaults() {
+func (r *Route) applyDefaults() {
 	if r.Priority == "" {
 		r.Priority = DefaultRoutePriority
 	}
@@ -98,9 +98,10 @@
 	}
 }
 
-// idempotentMethod is the default for a route that does not declare itself.
-// PUT and DELETE are idempotent by the HTTP standard, but services do not
-// always keep to it; a wrong "yes" here runs a receipt twice.
+// idempotentMethod returns the default of Route.Idempotent for a method. PUT and
+// DELETE are idempotent by the HTTP standard, but not every service complies,
+// and a wrong true would execute a request twice, such as one that books a
+// receipt.
 func idempotentMethod(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead
 }
--- a/internal/store/config/diff.go
+++ b/internal/store/config/diff.go
@@ -9,10 +9,10 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Op says what happened to a field between two bundles.
+// Op is the kind of a difference between two bundles.
 type Op string
 
-// The kinds of difference.
+// Kinds of differences.
 const (
 	OpAdded   Op = "added"
 	OpRemoved Op = "removed"
@@ -22,15 +22,16 @@
 // Line is one difference between two bundles.
 type Line struct {
 	Op Op `json:"op"`
-	// Path names the field, with list entries by name and not by position:
-	// base.yaml: pools[language].load_bound.
+	// Path is the file and the field, with list entries by name instead of
+	// position, for example base.yaml: pools[language].load_bound.
 	Path string `json:"path"`
-	// Old and New are the values; the one that does not exist is empty.
+	// Old and New are the values; Old is empty for an added field, New for a
+	// removed one.
 	Old string `json:"old,omitempty"`
 	New string `json:"new,omitempty"`
 }
 
-// String formats the line for a terminal.
+// String formats the difference as one line for a terminal.
 func (l Line) String() string {
 	switch l.Op {
 	case OpAdded:
@@ -41,8 +42,8 @@
 	return "~ " + l.Path + " " + l.Old + " -> " + l.New
 }
 
-// Diff returns what changed from a to b, in the order of the paths. It compares
-// meaning: comments, order and layout make no difference.
+// Diff returns the differences from a to b, sorted by path. It compares values:
+// comments, order and layout are ignored.
 func Diff(a, b Bundle) []Line {
 	before, after := flattenBundle(a), flattenBundle(b)
 	all := maps.Clone(before)
@@ -57,18 +58,18 @@
 }
 
 func diffLine(path string, before, after map[string]string) (Line, bool) {
-	old, was := before[path]
-	now, is := after[path]
+	oldValue, inOld := before[path]
+	newValue, inNew := after[path]
 	switch {
-	case !was:
-		return Line{Op: OpAdded, Path: path, New: now}, true
-	case !is:
-		return Line{Op: OpRemoved, Path: path, Old: old}, true
+	case !inOld:
+		return Line{Op: OpAdded, Path: path, New: newValue}, true
+	case !inNew:
+		return Line{Op: OpRemoved, Path: path, Old: oldValue}, true
 	}
-	return Line{Op: OpChanged, Path: path, Old: old, New: now}, old != now
+	return Line{Op: OpChanged, Path: path, Old: oldValue, New: newValue}, oldValue != newValue
 }
 
-// flattenBundle maps the path of each scalar of a bundle to its text.
+// flattenBundle returns the text of each scalar of a bundle by path.
 func flattenBundle(b Bundle) map[string]string {
 	flat := make(map[string]string)
 	for file, data := range b.Files() {
@@ -77,8 +78,8 @@
 	return flat
 }
 
-// flattenFile takes a text that is not YAML as one value, so that it can still
-// be compared.
+// flattenFile adds the scalars of one file to flat. Text that is not YAML is
+// added as one value, so that it can still be compared.
 func flattenFile(flat map[string]string, file string, data []byte) {
 	var doc yaml.Node
 	if err := yaml.Unmarshal(data, &doc); err != nil || len(doc.Content) == 0 {
@@ -116,31 +117,31 @@
 		if seen[label] > 1 {
 			label = fmt.Sprintf("%s#%d", label, seen[label])
 		}
-		at := path + "[" + label + "]"
+		entryPath := path + "[" + label + "]"
 		if item.Kind == yaml.ScalarNode {
-			flat[at] = ""
+			flat[entryPath] = ""
 			continue
 		}
-		flatten(flat, at, item)
+		flatten(flat, entryPath, item)
 	}
 }
 
-// entryLabel names a list entry by what it is: a scalar by its value, a route
-// by method and path, anything else by its name, and at last by its position.
+// entryLabel returns the label of a list entry: the value of a scalar, else the
+// name, else the method and path of a route, else the position.
 func entryLabel(item *yaml.Node, position int) string {
 	if item.Kind == yaml.ScalarNode {
 		return item.Value
 	}
-	if name := child(item, "name"); name != "" {
+	if name := childValue(item, "name"); name != "" {
 		return name
 	}
-	if method, path := child(item, "method"), child(item, "path"); path != "" {
+	if method, path := childValue(item, "method"), childValue(item, "path"); path != "" {
 		return method + " " + path
 	}
 	return fmt.Sprint(position)
 }
 
-func child(n *yaml.Node, key string) string {
+func childValue(n *yaml.Node, key string) string {
 	if n.Kind != yaml.MappingNode {
 		return ""
 	}
--- a/internal/store/config/effective.go
+++ b/internal/store/config/effective.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// Effective is the configuration as it applies at one site: the base document
-// with the site's overlay and with the defaults filled. It is immutable and
-// safe for concurrent use; callers must not change what it returns.
+// Effective is the configuration of one site: the base document with the site's
+// overlay and the defaults applied. It is immutable and safe for concurrent use;
+// callers must not modify what its methods return.
 type Effective struct {
-	// Site is the data centre that this is for.
+	// Site is the data centre that the configuration applies to.
 	Site Site
 	// Sites are all data centres of the fleet.
 	Sites []Site
 	// Models are the models of the fleet.
 	Models []Model
-	// Pools are those in service at the site, higher priority first.
+	// Pools are the pools in service at the site, highest priority first.
 	Pools []Pool
 	// Services are the plain services whose pool is in service at the site.
 	Services []Service
@@ -31,16 +31,16 @@
 	modelsByName   map[string]*Model
 }
 
-// NewEffective applies the site's overlay, if there is one, to the document.
-// The only error is ErrUnknownSite: the document is taken to be valid.
+// NewEffective applies the site's overlay, if there is one, to the document. The
+// document must be valid. The only error is ErrUnknownSite.
 func NewEffective(doc *Document, overlays map[string]*Overlay, site string) (*Effective, error) {
-	at := slices.IndexFunc(doc.Sites, func(s Site) bool { return s.Name == site })
-	if at < 0 {
+	index := slices.IndexFunc(doc.Sites, func(s Site) bool { return s.Name == site })
+	if index < 0 {
 		return nil, ErrUnknownSite.New("%q", site)
 	}
 	overlay := overlays[site]
 	e := &Effective{
-		Site:     doc.Sites[at],
+		Site:     doc.Sites[index],
 		Sites:    slices.Clone(doc.Sites),
 		Models:   slices.Clone(doc.Models),
 		Pools:    effectivePools(doc.Pools, overlay, site),
@@ -53,33 +53,33 @@
 }
 
 func effectivePools(pools []Pool, overlay *Overlay, site string) []Pool {
-	var out []Pool
+	var effective []Pool
 	for _, p := range pools {
-		change := overlay.pool(p.Name)
-		if !slices.Contains(p.Sites, site) || change != nil && !change.serves() {
+		poolOverlay := overlay.pool(p.Name)
+		if !slices.Contains(p.Sites, site) || poolOverlay != nil && !poolOverlay.inService() {
 			continue
 		}
-		if change != nil {
-			change.applyTo(&p)
+		if poolOverlay != nil {
+			poolOverlay.applyTo(&p)
 		}
-		p.fillDefaults()
-		out = append(out, p)
+		p.applyDefaults()
+		effective = append(effective, p)
 	}
-	slices.SortStableFunc(out, func(a, b Pool) int {
+	slices.SortStableFunc(effective, func(a, b Pool) int {
 		return cmp.Or(cmp.Compare(b.Priority, a.Priority), cmp.Compare(a.Name, b.Name))
 	})
-	return out
+	return effective
 }
 
 func effectiveAccounts(accounts []Account, overlay *Overlay) []Account {
-	out := slices.Clone(accounts)
-	for i := range out {
-		if change := overlay.account(out[i].Name); change != nil {
-			change.applyTo(&out[i])
+	effective := slices.Clone(accounts)
+	for i := range effective {
+		if accountOverlay := overlay.account(effective[i].Name); accountOverlay != nil {
+			accountOverlay.applyTo(&effective[i])
 		}
-		out[i].fillDefaults()
+		effective[i].applyDefaults()
 	}
-	return out
+	return effective
 }
 
 func (e *Effective) indexPools() {
@@ -117,7 +117,7 @@
 		}
 		s.Routes = slices.Clone(s.Routes)
 		for i := range s.Routes {
-			s.Routes[i].fillDefaults()
+			s.Routes[i].applyDefaults()
 		}
 		e.Services = append(e.Services, s)
 	}
@@ -127,55 +127,55 @@
 	}
 }
 
-// AccountByKeyHash finds the client account of an API key by the key's
-// SHA-256 sum in lower-case hexadecimal.
+// AccountByKeyHash returns the client account of an API key. The hash is the
+// key's SHA-256 sum in lower-case hexadecimal.
 func (e *Effective) AccountByKeyHash(hash string) (*Account, bool) {
 	a, ok := e.accountsByKey[hash]
 	return a, ok
 }
 
-// Account finds a client account by name.
+// Account returns a client account by name.
 func (e *Effective) Account(name string) (*Account, bool) {
 	a, ok := e.accountsByName[name]
 	return a, ok
 }
 
-// Pool finds a pool in service at the site.
+// Pool returns a pool in service at the site by name.
 func (e *Effective) Pool(name string) (*Pool, bool) {
 	p, ok := e.poolsByName[name]
 	return p, ok
 }
 
-// Model finds a model by name, whether or not the site serves it.
+// Model returns a model by name, whether or not the site serves it.
 func (e *Effective) Model(name string) (*Model, bool) {
 	m, ok := e.modelsByName[name]
 	return m, ok
 }
 
-// Service finds a plain service that the site serves.
+// Service returns a plain service that the site serves by name.
 func (e *Effective) Service(name string) (*Service, bool) {
 	s, ok := e.servicesByName[name]
 	return s, ok
 }
 
-// PoolsFor returns the pools at the site that serve the model with the
-// adapter, higher priority first. An empty adapter asks for the base model.
+// PoolsFor returns the pools at the site that serve the model with the adapter,
+// highest priority first. An empty adapter means the base model.
 func (e *Effective) PoolsFor(model, adapter string) []*Pool {
-	var out []*Pool
+	var serving []*Pool
 	for _, p := range e.poolsByModel[model] {
 		if adapter == "" || slices.Contains(p.Adapters, adapter) {
-			out = append(out, p)
+			serving = append(serving, p)
 		}
 	}
-	return out
+	return serving
 }
 
-// MatchRoute finds the route of a call to a plain service at the site; see
-// Service.Match. An unknown service gives ErrNoRoute.
+// MatchRoute returns the route of a request to a plain service at the site; see
+// Service.Match. For an unknown service the error is ErrNoRoute.
 func (e *Effective) MatchRoute(service, method, escapedPath string) (RouteMatch, error) {
 	s, ok := e.Service(service)
 	if !ok {
-		return RouteMatch{}, ErrNoRoute.New("service %q", service)
+		return RouteMatch{}, ErrNoRoute.New("no service is called %q", service)
 	}
 	return s.Match(method, escapedPath)
 }
@@ -190,7 +190,7 @@
 	return len(a.Models) == 0 || slices.Contains(a.Models, model)
 }
 
-// offerings lists what callers can ask of the site.
+// offerings returns what the site serves to callers, sorted.
 func (e *Effective) offerings() []offering {
 	set := make(map[offering]struct{})
 	for _, p := range e.Pools {
--- a/internal/store/config/errors.go
+++ b/internal/store/config/errors.go
@@ -13,35 +13,38 @@
 	ErrCorrupt = errs.Class("config: corrupt")
 	// ErrUnknownSite means that the configuration does not name the site.
 	ErrUnknownSite = errs.Class("config: unknown site")
-	// ErrBadChange means that a change lacks its id or its author.
+	// ErrBadChange means that a change has no valid id, has no author, or is
+	// too large.
 	ErrBadChange = errs.Class("config: bad change")
 	// ErrNoVersion means that the chain has no such version.
 	ErrNoVersion = errs.Class("config: no such version")
-	// ErrNoRoute means that the service does not allow the path.
+	// ErrNoRoute means that there is no such service, or that it does not allow
+	// the path.
 	ErrNoRoute = errs.Class("config: no route")
-	// ErrMethod means that the service allows the path, with another method.
+	// ErrMethod means that the service allows the path only with another
+	// method.
 	ErrMethod = errs.Class("config: method not allowed")
-	// ErrBadPath means that a path could be read in two ways.
+	// ErrBadPath means that a path is malformed or ambiguous.
 	ErrBadPath = errs.Class("config: bad path")
 )
 
 // ConflictError reports that another change was accepted first.
 type ConflictError struct {
-	// Version, Hash and Author are those of the version in force.
+	// Version, Hash and Author are those of the active version.
 	Version uint64
 	Hash    Hash
 	Author  string
-	// Expected is the version that the losing change was based on.
+	// Expected is the version that the rejected change was based on.
 	Expected uint64
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("config: change is based on version %d, but version %d by %s is in force",
+	return fmt.Sprintf("config: change is based on version %d, but version %d by %s is active",
 		e.Expected, e.Version, e.Author)
 }
 
-// InvalidError reports a change that was refused before anything was written.
+// InvalidError reports a change that was rejected before anything was written.
 type InvalidError struct {
 	Problems Problems
 }
@@ -49,8 +52,8 @@
 // Error implements error.
 func (e *InvalidError) Error() string { return "config: invalid:\n" + e.Problems.Error() }
 
-// OutcomeUnknownError reports that a change may or may not have been
-// accepted. Accepting it again with the same change id settles it.
+// OutcomeUnknownError reports that a change may or may not have been accepted. A
+// retry with the same change id resolves it.
 type OutcomeUnknownError struct {
 	ChangeID string
 	Cause    error
@@ -64,10 +67,10 @@
 // Unwrap returns the last error of the table service.
 func (e *OutcomeUnknownError) Unwrap() error { return e.Cause }
 
-// ChangeIDReusedError reports a change id that another content already used.
+// ChangeIDReusedError reports a change id that was accepted with other content.
 type ChangeIDReusedError struct {
 	ChangeID string
-	// Version is the version that the id was first used for.
+	// Version is the version that the id was accepted as.
 	Version uint64
 }
 
@@ -76,21 +79,21 @@
 	return fmt.Sprintf("config: change id %s was used for version %d with other content", e.ChangeID, e.Version)
 }
 
-// ForkError reports two contents for one version, which the chain rules out:
-// one of the two did not come from it.
+// ForkError reports two different contents for one version. The chain makes this
+// impossible, so one of the two did not come from it.
 type ForkError struct {
 	Version uint64
-	// InForce and Offered are the two hashes.
+	// InForce is the hash of the active content, Offered that of the other.
 	InForce, Offered Hash
 }
 
 // Error implements error.
 func (e *ForkError) Error() string {
-	return fmt.Sprintf("config: version %d has hash %s in force and was offered with hash %s",
+	return fmt.Sprintf("config: version %d is active with hash %s but was offered with hash %s",
 		e.Version, e.InForce, e.Offered)
 }
 
-// RejectedError reports an offered version that was not put in force.
+// RejectedError reports an offered version that was not activated.
 type RejectedError struct {
 	Version uint64
 	Hash    Hash
--- a/internal/store/config/files.go
+++ b/internal/store/config/files.go
@@ -8,32 +8,33 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrFiles means that the files of a configuration can't be read.
+// ErrFiles means that a file of a configuration can't be read.
 var ErrFiles = errs.Class("config: files")
 
 const overlaySuffix = ".yaml"
 
-// ReadBundle reads a base file and, from the folder sites, one overlay for
-// each site, named after it. An empty sites reads no overlays.
-func ReadBundle(base, sites string) (Bundle, error) {
+// ReadBundle reads a bundle from the file base and the overlays in the directory
+// sitesDir, one file per site, named after the site. If sitesDir is empty, the
+// bundle has no overlays. The error is ErrFiles.
+func ReadBundle(base, sitesDir string) (Bundle, error) {
 	data, err := os.ReadFile(base)
 	if err != nil {
 		return Bundle{}, ErrFiles.Wrap(err)
 	}
 	b := Bundle{Base: data, Overlays: make(map[string][]byte)}
-	if sites == "" {
+	if sitesDir == "" {
 		return b, nil
 	}
-	names, err := filepath.Glob(filepath.Join(sites, "*"+overlaySuffix))
+	files, err := filepath.Glob(filepath.Join(sitesDir, "*"+overlaySuffix))
 	if err != nil {
 		return Bundle{}, ErrFiles.Wrap(err)
 	}
-	for _, name := range names {
-		data, err := os.ReadFile(name)
+	for _, file := range files {
+		data, err := os.ReadFile(file)
 		if err != nil {
 			return Bundle{}, ErrFiles.Wrap(err)
 		}
-		site := strings.TrimSuffix(filepath.Base(name), overlaySuffix)
+		site := strings.TrimSuffix(filepath.Base(file), overlaySuffix)
 		b.Overlays[site] = data
 	}
 	return b, nil
--- a/internal/store/config/follower.go
+++ b/internal/store/config/follower.go
@@ -1,9 +1,9 @@
 package config
 
-// MaxRejections bounds the rejected offers that a Follower remembers.
+// MaxRejections is the maximum number of rejected offers that a Follower keeps.
 const MaxRejections = 32
 
-// InForce is the configuration that a router acts on. It is immutable.
+// InForce is the active configuration of a router. It is immutable.
 type InForce struct {
 	Version   uint64
 	Hash      Hash
@@ -11,89 +11,91 @@
 	Effective *Effective
 }
 
-// Rejection is an offer that was not put in force.
+// Rejection is an offered version that was not activated.
 type Rejection struct {
 	Version uint64
-	// Hash is the hash that was offered, Actual that of the bundle.
+	// Hash is the hash that was offered, Actual the hash of the bundle itself.
 	Hash, Actual Hash
-	// Cause says why.
+	// Cause is the reason for the rejection.
 	Cause error
 }
 
-// Follower decides which version is in force at one router. Offers come from
-// the store and from peers, in any order, repeated and damaged; the version in
-// force only ever rises.
+// Follower decides which version is active at one router. Offers come from the
+// store and from peers, in any order, and may be repeated or damaged. The active
+// version never decreases.
 //
-// It does no input or output and is not safe for concurrent use: it belongs
-// to the thread that owns the control state.
+// A Follower does no I/O. It is not safe for concurrent use; only the goroutine
+// that owns the control state may use it.
 type Follower struct {
 	site       string
-	current    *InForce
+	active     *InForce
 	rejections []Rejection
 }
 
-// NewFollower returns a follower for a router at the site. It has nothing in
-// force: a router must not serve before its first version.
+// NewFollower returns a follower for a router at the site. It has no active
+// configuration; a router must not serve before its first version.
 func NewFollower(site string) *Follower {
 	return &Follower{site: site}
 }
 
-// InForce returns the configuration in force, or nil before the first.
-func (f *Follower) InForce() *InForce { return f.current }
+// InForce returns the active configuration, or nil before the first version.
+func (f *Follower) InForce() *InForce { return f.active }
 
-// Rejections returns the remembered rejected offers, oldest first.
+// Rejections returns the last rejected offers, oldest first, at most
+// MaxRejections.
 func (f *Follower) Rejections() []Rejection { return f.rejections }
 
-// Wants reports whether the version is worth fetching: newer than what is in
-// force, and not one whose true content has been rejected already.
+// Wants reports whether the version should be fetched: it is newer than the
+// active one, and its undamaged content has not been rejected before.
 func (f *Follower) Wants(version uint64, hash Hash) bool {
-	return version > f.version() && f.rejection(version, hash, hash) == nil
+	return version > f.version() && f.findRejection(version, hash, hash) == nil
 }
 
-// Offer puts the bundle in force if its version is newer, and says whether it
-// did. An older or equal version is no error.
+// Offer activates the bundle if its version is newer than the active one, and
+// reports whether it did. An older or equal version is not an error.
 //
-// Errors: *ForkError for other content under the version in force;
-// *RejectedError for a bundle that does not match its hash or cannot be used
-// at this site. What was in force stays so.
+// Errors: *ForkError for other content under the active version;
+// *RejectedError for a bundle that does not match its hash or can't be used at
+// this site. After an error, the active configuration is unchanged.
 func (f *Follower) Offer(version uint64, hash Hash, b Bundle) (applied bool, err error) {
-	// What goes wrong otherwise: a router that was cut off still offers the
-	// version it knows, and a neighbour that has gone on falls back to it. One
-	// would see an accepted change disappear from some routers.
+	// A router that was partitioned still offers the last version it received.
+	// If its peers applied that, an accepted change would disappear from some
+	// routers.
 	if version < f.version() {
 		return false, nil
 	}
-	if f.current != nil && version == f.version() {
+	if f.active != nil && version == f.version() {
 		return false, f.checkFork(hash)
 	}
 	actual := b.Hash()
-	if known := f.rejection(version, hash, actual); known != nil {
-		return false, known.err()
+	if previous := f.findRejection(version, hash, actual); previous != nil {
+		return false, previous.asError()
 	}
-	next, err := f.compile(version, hash, actual, b)
+	next, err := f.build(version, hash, actual, b)
 	if err != nil {
 		return false, f.reject(Rejection{Version: version, Hash: hash, Actual: actual, Cause: err})
 	}
-	f.current = next
+	f.active = next
 	return true, nil
 }
 
 func (f *Follower) version() uint64 {
-	if f.current == nil {
+	if f.active == nil {
 		return 0
 	}
-	return f.current.Version
+	return f.active.Version
 }
 
 func (f *Follower) checkFork(hash Hash) error {
-	if hash == f.current.Hash {
+	if hash == f.active.Hash {
 		return nil
 	}
-	return &ForkError{Version: f.current.Version, InForce: f.current.Hash, Offered: hash}
+	return &ForkError{Version: f.active.Version, InForce: f.active.Hash, Offered: hash}
 }
 
-// compile prepares the whole configuration before any of it is in force.
-func (f *Follower) compile(version uint64, hash, actual Hash, b Bundle) (*InForce, error) {
+// build checks the offer and builds the complete configuration, so that no part
+// of it is active before all of it is usable.
+func (f *Follower) build(version uint64, hash, actual Hash, b Bundle) (*InForce, error) {
 	if version == 0 {
 		return nil, ErrCorrupt.New("versions start at 1")
 	}
@@ -111,9 +113,10 @@
 	return &InForce{Version: version, Hash: hash, Bundle: b, Effective: effective}, nil
 }
 
-// rejection finds a remembered offer. The bundle's own hash is part of what is
-// remembered: a peer's damaged copy must not shut out the sound one.
-func (f *Follower) rejection(version uint64, hash, actual Hash) *Rejection {
+// findRejection returns the recorded rejection of an offer, or nil. The lookup
+// includes the actual hash of the bundle, because the rejection of a peer's
+// damaged copy must not block an intact copy.
+func (f *Follower) findRejection(version uint64, hash, actual Hash) *Rejection {
 	for i := range f.rejections {
 		r := &f.rejections[i]
 		if r.Version == version && r.Hash == hash && r.Actual == actual {
@@ -128,9 +131,9 @@
 		f.rejections = f.rejections[1:]
 	}
 	f.rejections = append(f.rejections, r)
-	return r.err()
+	return r.asError()
 }
 
-func (r *Rejection) err() error {
+func (r *Rejection) asError() error {
 	return &RejectedError{Version: r.Version, Hash: r.Hash, Cause: r.Cause}
 }
--- a/internal/store/config/overlay.go
+++ b/internal/store/config/overlay.go
@@ -1,23 +1,23 @@
 package config
 
-// Overlay changes what one site serves. Only the fields that are written
-// replace the base document's.
+// Overlay overrides the base document at one site. Only fields that are present
+// replace those of the base document.
 type Overlay struct {
-	// Site is the site that the overlay is for.
+	// Site is the name of the site that the overlay applies to.
 	Site string `yaml:"site" json:"site" validate:"required,name"`
-	// Pools changes pools at the site.
+	// Pools overrides settings of pools at the site.
 	Pools []PoolOverlay `yaml:"pools,omitempty" json:"pools,omitempty" validate:"dive"`
-	// Accounts changes the limits of client accounts at the site.
+	// Accounts overrides the limits of client accounts at the site.
 	Accounts []AccountOverlay `yaml:"accounts,omitempty" json:"accounts,omitempty" validate:"dive"`
 }
 
-// PoolOverlay changes one pool at a site.
+// PoolOverlay overrides the settings of one pool at a site.
 type PoolOverlay struct {
 	Name string `yaml:"name" json:"name" validate:"required,name"`
-	// Enabled set to false takes the pool out of service at the site.
+	// Enabled takes the pool out of service at the site if it is false.
 	Enabled *bool `yaml:"enabled,omitempty" json:"enabled,omitempty"`
-	// Retire takes the pool out of service at the site, and confirms that the
-	// site may stop serving what only this pool served there.
+	// Retire takes the pool out of service at the site and confirms that the
+	// site may stop serving what only this pool serves there.
 	Retire     bool      `yaml:"retire,omitempty" json:"retire,omitempty"`
 	Version    *string   `yaml:"version,omitempty" json:"version,omitempty"`
 	Adapters   *[]string `yaml:"adapters,omitempty" json:"adapters,omitempty" validate:"omitempty,unique"`
@@ -27,7 +27,7 @@
 	Priority   *int      `yaml:"priority,omitempty" json:"priority,omitempty" validate:"omitempty,gte=-1000,lte=1000"`
 }
 
-// AccountOverlay changes the limits of one client account at a site.
+// AccountOverlay overrides the limits of one client account at a site.
 type AccountOverlay struct {
 	Name              string   `yaml:"name" json:"name" validate:"required,name"`
 	Weight            *float64 `yaml:"weight,omitempty" json:"weight,omitempty" validate:"omitempty,gt=0,lte=1000000"`
@@ -37,8 +37,8 @@
 	MaxPriority       *string  `yaml:"max_priority,omitempty" json:"max_priority,omitempty" validate:"omitempty,oneof=urgent high normal batch"`
 }
 
-// serves reports whether the pool stays in service at the site.
-func (o *PoolOverlay) serves() bool {
+// inService reports whether the pool is in service at the site.
+func (o *PoolOverlay) inService() bool {
 	if o.Retire {
 		return false
 	}
@@ -46,34 +46,35 @@
 }
 
 func (o *PoolOverlay) applyTo(p *Pool) {
-	set(&p.Version, o.Version)
-	set(&p.Adapters, o.Adapters)
-	set(&p.LoadBound, o.LoadBound)
-	set(&p.MaxBatch, o.MaxBatch)
-	set(&p.QueueLimit, o.QueueLimit)
-	set(&p.Priority, o.Priority)
+	setIfPresent(&p.Version, o.Version)
+	setIfPresent(&p.Adapters, o.Adapters)
+	setIfPresent(&p.LoadBound, o.LoadBound)
+	setIfPresent(&p.MaxBatch, o.MaxBatch)
+	setIfPresent(&p.QueueLimit, o.QueueLimit)
+	setIfPresent(&p.Priority, o.Priority)
 }
 
-// applyTo replaces the limits. A new rate without a new burst drops the base
-// document's burst, which was chosen for another rate.
+// applyTo replaces the account's limits that the overlay sets. If it sets the
+// rate but not the burst, the burst of the base document, which was set for
+// another rate, is reset to the default.
 func (o *AccountOverlay) applyTo(a *Account) {
 	if o.RequestsPerSecond != nil && o.Burst == nil {
 		a.Burst = 0
 	}
-	set(&a.Weight, o.Weight)
-	set(&a.RequestsPerSecond, o.RequestsPerSecond)
-	set(&a.Burst, o.Burst)
-	set(&a.Concurrency, o.Concurrency)
-	set(&a.MaxPriority, o.MaxPriority)
+	setIfPresent(&a.Weight, o.Weight)
+	setIfPresent(&a.RequestsPerSecond, o.RequestsPerSecond)
+	setIfPresent(&a.Burst, o.Burst)
+	setIfPresent(&a.Concurrency, o.Concurrency)
+	setIfPresent(&a.MaxPriority, o.MaxPriority)
 }
 
-func set[T any](field, value *T) {
+func setIfPresent[T any](field, value *T) {
 	if value != nil {
 		*field = *value
 	}
 }
 
-// pool returns the change of the named pool, or nil.
+// pool returns the overlay of the named pool, or nil. The receiver may be nil.
 func (o *Overlay) pool(name string) *PoolOverlay {
 	if o == nil {
 		return nil
@@ -86,7 +87,8 @@
 	return nil
 }
 
-// account returns the change of the named client account, or nil.
+// account returns the overlay of the named client account, or nil. The receiver
+// may be nil.
 func (o *Overlay) account(name string) *AccountOverlay {
 	if o == nil {
 		return nil
--- a/internal/store/config/record.go
+++ b/internal/store/config/record.go
@@ -9,41 +9,43 @@
 	"time"
 )
 
-// Tables of the chain. They are written only together, in one transaction.
+// Tables of the chain. Each accepted version writes all of them in one
+// transaction.
 const (
-	// TableHead holds one row, HeadKey, with the version in force.
+	// TableHead has one row, HeadKey, with the active version.
 	TableHead = "config_head"
-	// TableVersions holds every version, by zero-padded number.
+	// TableVersions has one row per version, keyed by zero-padded number.
 	TableVersions = "config_versions"
-	// TableChanges holds the version of every change, by change id.
+	// TableChanges has one row per change with its version, keyed by change id.
 	TableChanges = "config_changes"
-	// TableAudit is the audit trail, by zero-padded number and change id.
+	// TableAudit is the audit trail, keyed by zero-padded number and change id.
 	TableAudit = "audit"
-	// HeadKey is the key of the head row.
+	// HeadKey is the key of the only row of TableHead.
 	HeadKey = "head"
 )
 
-// ObjectPrefix starts the name of a bundle in the object store; the bundle's
-// hash follows.
+// ObjectPrefix is the prefix of the name of a bundle in the object store; the
+// rest of the name is the bundle's hash.
 const ObjectPrefix = "config/"
 
 // Sizes of bundles, in bytes.
 const (
-	// MaxEncodedBytes bounds a bundle's canonical encoding.
+	// MaxEncodedBytes is the maximum size of a bundle's canonical encoding.
 	MaxEncodedBytes = 16 << 20
-	// MaxInlineBytes bounds the compressed bundle that is kept in the version
-	// row itself; a larger one goes to the object store. A row holds 64 KB, and
-	// the bundle grows by a third when it is encoded.
+	// MaxInlineBytes is the maximum size of a compressed bundle that is stored
+	// in the version row itself; a larger one is stored in the object store. A
+	// row holds 64 KB, and the encoding in the row adds a third to the bundle.
 	MaxInlineBytes = 40 << 10
 )
 
 // AuditAccepted is the action of an audit entry for an accepted change.
 const AuditAccepted = "config.accept"
 
-// versionDigits holds the largest uint64, so that keys sort by number.
+// versionDigits is the number of digits of the largest uint64. Keys are padded
+// to it, so that they sort by number.
 const versionDigits = 20
 
-// Head names the version in force. The zero Head is that of an empty chain.
+// Head identifies the active version. The zero Head is that of an empty chain.
 type Head struct {
 	Version uint64 `json:"version"`
 	Hash    Hash   `json:"hash"`
@@ -51,40 +53,41 @@
 
 // Version is one entry of the chain.
 type Version struct {
-	// Number counts the versions from 1.
+	// Number is the number of the version; the first is 1.
 	Number uint64 `json:"version"`
-	// Hash is that of Bundle, Previous that of the version before.
+	// Hash is the hash of Bundle, Previous that of the preceding version.
 	Hash     Hash `json:"hash"`
 	Previous Hash `json:"previous"`
-	// ChangeID is the id that the author gave the change.
+	// ChangeID is the id that the author gave to the change.
 	ChangeID string `json:"change_id"`
 	Author   string `json:"author"`
 	// Time is when the change was accepted, by the clock of the router that
-	// did so; it orders nothing.
+	// accepted it. It is not used for ordering.
 	Time    time.Time `json:"time"`
 	Comment string    `json:"comment,omitempty"`
-	// RollbackTo is the version whose content this one repeats, or 0.
+	// RollbackTo is the version whose content a rollback restored, or 0.
 	RollbackTo uint64 `json:"rollback_to,omitempty"`
-	// Withdraw says that the author waived the check for withdrawals.
+	// Withdraw reports whether the author waived the check for withdrawals.
 	Withdraw bool `json:"withdraw,omitempty"`
-	// Bundle is the content. History leaves it out.
+	// Bundle is the content. History does not return it.
 	Bundle Bundle `json:"-"`
 }
 
-// AuditEntry is the row that the audit trail keeps of a version.
+// AuditEntry is the row of the audit trail for a version.
 type AuditEntry struct {
 	Action string `json:"action"`
 	Version
 }
 
-// storedVersion is a version row: the bundle compressed, or its object's name.
+// storedVersion is the row of a version, with either the compressed bundle or the
+// name of its object.
 type storedVersion struct {
 	Version
 	Packed []byte `json:"packed,omitempty"`
 	Object string `json:"object,omitempty"`
 }
 
-// changeRow says what a change id was used for.
+// changeRow is the row of a change id: the version that it was accepted as.
 type changeRow struct {
 	Version uint64 `json:"version"`
 	Hash    Hash   `json:"hash"`
@@ -98,7 +101,7 @@
 	return versionKey(v.Number) + "/" + v.ChangeID
 }
 
-// pack compresses a bundle.
+// pack returns the canonical encoding of a bundle, compressed with gzip.
 func pack(b Bundle) ([]byte, error) {
 	var buf bytes.Buffer
 	w := gzip.NewWriter(&buf)
@@ -111,9 +114,9 @@
 	return buf.Bytes(), nil
 }
 
-// unpack reads what pack wrote and checks it against the hash. The size is
-// bounded first: a few damaged bytes can claim gigabytes.
-func unpack(packed []byte, want Hash) (Bundle, error) {
+// unpack decodes the output of pack and checks it against the hash. It limits the
+// decompressed size, because a few damaged bytes can expand to gigabytes.
+func unpack(packed []byte, hash Hash) (Bundle, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return Bundle{}, ErrCorrupt.Wrap(err)
@@ -129,14 +132,14 @@
 	if err != nil {
 		return Bundle{}, err
 	}
-	if got := b.Hash(); got != want {
-		return Bundle{}, ErrCorrupt.New("bundle has hash %s, not %s", got, want)
+	if actual := b.Hash(); actual != hash {
+		return Bundle{}, ErrCorrupt.New("bundle has hash %s, not %s", actual, hash)
 	}
 	return b, nil
 }
 
-// encodeRow encodes a row of the chain. The rows hold only plain fields, so
-// the encoder cannot fail.
+// encodeRow encodes a row of the chain as JSON. Rows have only fields that are
+// always encodable, so encoding can't fail.
 func encodeRow(row any) []byte {
 	data, _ := json.Marshal(row)
 	return data
--- a/internal/store/config/route.go
+++ b/internal/store/config/route.go
@@ -7,38 +7,40 @@
 	"unicode/utf8"
 )
 
-// Wildcard is the pattern segment that matches any one segment.
+// Wildcard is the segment of a pattern that matches any one segment of a path.
 const Wildcard = "*"
 
-// RouteMatch is an allowed call of a plain service.
+// RouteMatch is an allowed request to a plain service.
 type RouteMatch struct {
-	// Route is the rule that matched, with its defaults filled.
+	// Route is the route that matched, with the defaults applied.
 	Route Route
-	// Path is the path to send upstream, encoded anew from its segments.
+	// Path is the path to send upstream, encoded again from the matched
+	// segments.
 	Path string
-	// Idempotent says that the call may be repeated.
+	// Idempotent reports whether the request may be repeated.
 	Idempotent bool
-	// Priority is the class of a request that names none.
+	// Priority is the class of a request that doesn't specify one.
 	Priority string
 }
 
-// Match finds the route for a method and an escaped path (url.URL's
-// EscapedPath) within the service. Where several match, the one with the
-// earliest literal segment wins. Errors: ErrBadPath, ErrNoRoute, ErrMethod.
+// Match returns the route of the service for a method and an escaped path, as
+// returned by url.URL.EscapedPath. If several routes match, it compares their
+// segments from the left and prefers a literal to a wildcard. Errors:
+// ErrBadPath, ErrNoRoute, ErrMethod.
 func (s *Service) Match(method, escapedPath string) (RouteMatch, error) {
 	segments, err := splitPath(escapedPath)
 	if err != nil {
 		return RouteMatch{}, err
 	}
 	var best *Route
-	otherMethod := false
+	methodMismatch := false
 	for i := range s.Routes {
 		r := &s.Routes[i]
 		if !r.matches(segments) {
 			continue
 		}
 		if r.Method != method {
-			otherMethod = true
+			methodMismatch = true
 			continue
 		}
 		if best == nil || moreSpecific(r.Path, best.Path) {
@@ -48,14 +50,14 @@
 	switch {
 	case best != nil:
 		return newMatch(*best, segments), nil
-	case otherMethod:
+	case methodMismatch:
 		return RouteMatch{}, ErrMethod.New("%s on %s", method, s.Name)
 	}
 	return RouteMatch{}, ErrNoRoute.New("%s %s on %s", method, escapedPath, s.Name)
 }
 
 func newMatch(r Route, segments []string) RouteMatch {
-	r.fillDefaults()
+	r.applyDefaults()
 	return RouteMatch{
 		Route:      r,
 		Path:       joinPath(segments),
@@ -69,26 +71,27 @@
 	if len(pattern) != len(segments) {
 		return false
 	}
-	for i, want := range pattern {
-		if want != Wildcard && want != segments[i] {
+	for i, patternSegment := range pattern {
+		if patternSegment != Wildcard && patternSegment != segments[i] {
 			return false
 		}
 	}
 	return true
 }
 
-// moreSpecific compares two patterns that match the same path.
+// moreSpecific reports whether b has the wildcard at the first segment where only
+// one of the two patterns has one. Both must match the same path.
 func moreSpecific(a, b string) bool {
-	as, bs := patternSegments(a), patternSegments(b)
-	for i := range as {
-		if (as[i] == Wildcard) != (bs[i] == Wildcard) {
-			return bs[i] == Wildcard
+	aSegments, bSegments := patternSegments(a), patternSegments(b)
+	for i := range aSegments {
+		if (aSegments[i] == Wildcard) != (bSegments[i] == Wildcard) {
+			return bSegments[i] == Wildcard
 		}
 	}
 	return false
 }
 
-// patternSegments splits a route's path, which validation has checked.
+// patternSegments splits the path of a route, which must be valid.
 func patternSegments(pattern string) []string {
 	trimmed := strings.TrimPrefix(pattern, "/")
 	if trimmed == "" {
@@ -97,13 +100,14 @@
 	return strings.Split(trimmed, "/")
 }
 
-// splitPath returns the decoded segments of an escaped path.
+// splitPath returns the decoded segments of an escaped path. It rejects every
+// path that an upstream could interpret in another way, with ErrBadPath.
 //
-// What goes wrong otherwise: the router matches one reading of the path, the
-// upstream acts on another, and a caller reaches an endpoint outside the
-// allow-list (/status/..%2forders). One would notice only in the upstream's
-// log. So every path that has a second reading is refused, and what is sent
-// on is encoded anew from the segments that were matched.
+// Otherwise the router could match one interpretation while the upstream acts
+// on another, and a caller could reach an endpoint outside the allow-list, for
+// example by /status/..%2forders; only the log of the upstream would show it. For
+// the same reason the path that is sent upstream is encoded again from the
+// segments that were matched.
 func splitPath(escaped string) ([]string, error) {
 	if !strings.HasPrefix(escaped, "/") {
 		return nil, ErrBadPath.New("does not start with a slash")
@@ -122,33 +126,34 @@
 	return parts, nil
 }
 
-func decodeSegment(part string) (string, error) {
-	segment, err := url.PathUnescape(part)
+func decodeSegment(escaped string) (string, error) {
+	segment, err := url.PathUnescape(escaped)
 	if err != nil {
 		return "", ErrBadPath.Wrap(err)
 	}
-	// Some servers drop what follows a semicolon before they resolve dots.
-	bare, _, _ := strings.Cut(segment, ";")
+	// Some servers remove what follows a semicolon before they resolve dot
+	// segments.
+	withoutParams, _, _ := strings.Cut(segment, ";")
 	switch {
-	case bare == "":
+	case withoutParams == "":
 		return "", ErrBadPath.New("empty segment")
-	case bare == "." || bare == "..":
+	case withoutParams == "." || withoutParams == "..":
 		return "", ErrBadPath.New("relative segment")
 	case strings.ContainsAny(segment, `/\?#`):
 		return "", ErrBadPath.New("encoded separator")
 	case !utf8.ValidString(segment) || strings.ContainsFunc(segment, unicode.IsControl):
 		return "", ErrBadPath.New("control character or invalid UTF-8")
-	case encodedTwice(segment):
+	case doubleEncoded(segment):
 		return "", ErrBadPath.New("encoded twice")
 	}
 	return segment, nil
 }
 
-// encodedTwice reports whether a decoded segment would change if it were
-// decoded again.
-func encodedTwice(segment string) bool {
-	again, err := url.PathUnescape(segment)
-	return err == nil && again != segment
+// doubleEncoded reports whether decoding an already decoded segment again would
+// change it.
+func doubleEncoded(segment string) bool {
+	decodedAgain, err := url.PathUnescape(segment)
+	return err == nil && decodedAgain != segment
 }
 
 func joinPath(segments []string) string {
@@ -163,8 +168,9 @@
 	return b.String()
 }
 
-// checkPattern returns why a route's path is not a valid pattern, or "".
-func checkPattern(pattern string) string {
+// invalidPatternReason returns why the path of a route is not a valid pattern, or
+// "" if it is valid.
+func invalidPatternReason(pattern string) string {
 	segments, err := splitPath(pattern)
 	if err != nil {
 		return err.Error()
@@ -175,7 +181,7 @@
 		}
 	}
 	if strings.Contains(pattern, "%") {
-		return "write the path decoded"
+		return "must not be percent-encoded"
 	}
 	return ""
 }
--- a/internal/store/config/validate.go
+++ b/internal/store/config/validate.go
@@ -10,29 +10,31 @@
 	"damaskrouter.example/damaskrouter/internal/store/config/strictyaml"
 )
 
-// fieldValidator is built on first use: it compiles the struct tags.
+// fieldValidator returns the shared validator of field constraints. It is created
+// on first use, because it compiles the struct tags.
 var fieldValidator = sync.OnceValue(strictyaml.NewValidator)
 
-// Validate checks a whole bundle: that its files can be read, that values are
-// within bounds, and that every name refers to something. It returns all
-// problems, base document first, then the overlays by site.
+// Validate checks a complete bundle: that its files can be parsed, that values
+// are within bounds, and that all references can be resolved. It returns the
+// problems of the base document, then those of the overlays, sorted by site. If
+// any file can't be parsed, it returns only the parse problems of all files.
 func Validate(b Bundle) []Problem {
 	parsed, err := b.Parse()
 	if err != nil {
 		return asProblems(err)
 	}
-	c := newBaseCheck(parsed)
+	c := newBaseChecker(parsed)
 	c.run()
 	problems := c.problems
 	for _, site := range slices.Sorted(maps.Keys(parsed.Overlays)) {
-		o := overlayCheck{base: c, site: site, src: parsed.sites[site], overlay: parsed.Overlays[site]}
+		o := overlayChecker{base: c, site: site, src: parsed.overlaySources[site], overlay: parsed.Overlays[site]}
 		o.run()
 		problems = append(problems, o.problems...)
 	}
 	return problems
 }
 
-// asProblems unwraps the error of Bundle.Parse.
+// asProblems returns the problems in an error of Bundle.Parse.
 func asProblems(err error) Problems {
 	var problems Problems
 	if errors.As(err, &problems) {
@@ -41,8 +43,8 @@
 	return Problems{{File: BaseFile, Line: 1, Reason: err.Error()}}
 }
 
-// baseCheck validates the base document.
-type baseCheck struct {
+// baseChecker validates the base document.
+type baseChecker struct {
 	doc      *Document
 	src      *strictyaml.Source
 	problems Problems
@@ -52,41 +54,41 @@
 	pools                  map[string]*Pool
 }
 
-func newBaseCheck(p *Parsed) *baseCheck {
-	return &baseCheck{
+func newBaseChecker(p *Parsed) *baseChecker {
+	return &baseChecker{
 		doc:    p.Document,
-		src:    p.base,
+		src:    p.baseSource,
 		models: make(map[string]*Model),
 		pools:  make(map[string]*Pool),
 	}
 }
 
-func (c *baseCheck) run() {
+func (c *baseChecker) run() {
 	c.problems = c.src.Fields(fieldValidator(), c.doc)
 	c.collectNames()
 	for i := range c.doc.Pools {
-		c.pool(fmt.Sprintf("pools[%d]", i), &c.doc.Pools[i])
+		c.checkPool(fmt.Sprintf("pools[%d]", i), &c.doc.Pools[i])
 	}
 	for i := range c.doc.Services {
-		c.service(fmt.Sprintf("services[%d]", i), &c.doc.Services[i])
+		c.checkService(fmt.Sprintf("services[%d]", i), &c.doc.Services[i])
 	}
 	for i := range c.doc.Accounts {
-		c.account(fmt.Sprintf("accounts[%d]", i), &c.doc.Accounts[i])
+		c.checkAccount(fmt.Sprintf("accounts[%d]", i), &c.doc.Accounts[i])
 	}
-	c.keyHashes()
+	c.checkKeyHashes()
 }
 
-func (c *baseCheck) fail(path, format string, args ...any) {
+func (c *baseChecker) addProblem(path, format string, args ...any) {
 	c.problems = append(c.problems, c.src.At(path, format, args...))
 }
 
-func (c *baseCheck) collectNames() {
-	c.teams = names(c, "teams", c.doc.Teams, func(t Team) string { return t.Name })
-	c.sites = names(c, "sites", c.doc.Sites, func(s Site) string { return s.Name })
-	c.services = names(c, "services", c.doc.Services, func(s Service) string { return s.Name })
-	names(c, "models", c.doc.Models, func(m Model) string { return m.Name })
-	names(c, "pools", c.doc.Pools, func(p Pool) string { return p.Name })
-	names(c, "accounts", c.doc.Accounts, func(a Account) string { return a.Name })
+func (c *baseChecker) collectNames() {
+	c.teams = uniqueNames(c, "teams", c.doc.Teams, func(t Team) string { return t.Name })
+	c.sites = uniqueNames(c, "sites", c.doc.Sites, func(s Site) string { return s.Name })
+	c.services = uniqueNames(c, "services", c.doc.Services, func(s Service) string { return s.Name })
+	uniqueNames(c, "models", c.doc.Models, func(m Model) string { return m.Name })
+	uniqueNames(c, "pools", c.doc.Pools, func(p Pool) string { return p.Name })
+	uniqueNames(c, "accounts", c.doc.Accounts, func(a Account) string { return a.Name })
 	for i := range c.doc.Models {
 		c.models[c.doc.Models[i].Name] = &c.doc.Models[i]
 	}
@@ -95,33 +97,33 @@
 	}
 }
 
-// names collects the names of a list and reports those that occur twice.
-func names[T any](c *baseCheck, list string, items []T, name func(T) string) map[string]bool {
+// uniqueNames returns the names in a list and reports duplicates as problems.
+func uniqueNames[T any](c *baseChecker, list string, items []T, name func(T) string) map[string]bool {
 	seen := make(map[string]bool, len(items))
 	for i, item := range items {
 		n := name(item)
 		if seen[n] {
-			c.fail(fmt.Sprintf("%s[%d].name", list, i), "%q is already defined", n)
+			c.addProblem(fmt.Sprintf("%s[%d].name", list, i), "%q is already defined", n)
 		}
 		seen[n] = true
 	}
 	return seen
 }
 
-func (c *baseCheck) pool(path string, p *Pool) {
+func (c *baseChecker) checkPool(path string, p *Pool) {
 	for i, site := range p.Sites {
 		if !c.sites[site] {
-			c.fail(fmt.Sprintf("%s.sites[%d]", path, i), "no site is called %q", site)
+			c.addProblem(fmt.Sprintf("%s.sites[%d]", path, i), "no site is called %q", site)
 		}
 	}
-	c.problems = append(c.problems, c.served(c.src, path, p)...)
+	c.problems = append(c.problems, c.checkModel(c.src, path, p)...)
 }
 
-// served checks what a pool's engines serve, in the base document or after an
-// overlay.
-func (c *baseCheck) served(src *strictyaml.Source, path string, p *Pool) Problems {
+// checkModel checks the model, version and adapters of a pool, as the base
+// document has it or with an overlay applied.
+func (c *baseChecker) checkModel(src *strictyaml.Source, path string, p *Pool) Problems {
 	if p.Model == "" {
-		return servedByPlain(src, path, p)
+		return checkPlainPool(src, path, p)
 	}
 	model, ok := c.models[p.Model]
 	if !ok {
@@ -133,143 +135,143 @@
 	}
 	for i, adapter := range p.Adapters {
 		if !slices.Contains(model.Adapters, adapter) {
-			at := fmt.Sprintf("%s.adapters[%d]", path, i)
-			problems = append(problems, src.At(at, "model %s has no adapter %q", p.Model, adapter))
+			adapterPath := fmt.Sprintf("%s.adapters[%d]", path, i)
+			problems = append(problems, src.At(adapterPath, "model %s has no adapter %q", p.Model, adapter))
 		}
 	}
 	return problems
 }
 
-func servedByPlain(src *strictyaml.Source, path string, p *Pool) Problems {
+func checkPlainPool(src *strictyaml.Source, path string, p *Pool) Problems {
 	if p.Version == "" && len(p.Adapters) == 0 {
 		return nil
 	}
 	return Problems{src.At(path, "a pool without a model has no version and no adapters")}
 }
 
-func (c *baseCheck) service(path string, s *Service) {
-	c.team(path, s.Team)
+func (c *baseChecker) checkService(path string, s *Service) {
+	c.checkTeam(path, s.Team)
 	pool, ok := c.pools[s.Pool]
 	switch {
 	case !ok:
-		c.fail(path+".pool", "no pool is called %q", s.Pool)
+		c.addProblem(path+".pool", "no pool is called %q", s.Pool)
 	case pool.Model != "":
-		c.fail(path+".pool", "pool %q serves a model, not plain services", s.Pool)
+		c.addProblem(path+".pool", "pool %q serves a model, not plain services", s.Pool)
 	}
 	seen := make(map[string]bool)
 	for i, r := range s.Routes {
-		at := fmt.Sprintf("%s.routes[%d]", path, i)
-		if reason := checkPattern(r.Path); reason != "" {
-			c.fail(at+".path", "%s", reason)
+		routePath := fmt.Sprintf("%s.routes[%d]", path, i)
+		if reason := invalidPatternReason(r.Path); reason != "" {
+			c.addProblem(routePath+".path", "%s", reason)
 		}
-		rule := r.Method + " " + r.Path
-		if seen[rule] {
-			c.fail(at, "route %s is already defined", rule)
+		route := r.Method + " " + r.Path
+		if seen[route] {
+			c.addProblem(routePath, "route %s is already defined", route)
 		}
-		seen[rule] = true
+		seen[route] = true
 	}
 }
 
-func (c *baseCheck) account(path string, a *Account) {
-	c.team(path, a.Team)
+func (c *baseChecker) checkAccount(path string, a *Account) {
+	c.checkTeam(path, a.Team)
 	for i, name := range a.Services {
 		if !c.services[name] {
-			c.fail(fmt.Sprintf("%s.services[%d]", path, i), "no service is called %q", name)
+			c.addProblem(fmt.Sprintf("%s.services[%d]", path, i), "no service is called %q", name)
 		}
 	}
 	for i, name := range a.Models {
 		if _, ok := c.models[name]; !ok {
-			c.fail(fmt.Sprintf("%s.models[%d]", path, i), "no model is called %q", name)
+			c.addProblem(fmt.Sprintf("%s.models[%d]", path, i), "no model is called %q", name)
 		}
 	}
 }
 
-func (c *baseCheck) team(path, name string) {
+func (c *baseChecker) checkTeam(path, name string) {
 	if !c.teams[name] {
-		c.fail(path+".team", "no team is called %q", name)
+		c.addProblem(path+".team", "no team is called %q", name)
 	}
 }
 
-// keyHashes refuses one API key for two accounts: the key would then decide
-// by chance whose chats and limits a caller gets.
-func (c *baseCheck) keyHashes() {
-	owner := make(map[string]string)
+// checkKeyHashes rejects an API key that belongs to two accounts, because it
+// would be undefined whose chats and limits apply to its callers.
+func (c *baseChecker) checkKeyHashes() {
+	owners := make(map[string]string)
 	for i, a := range c.doc.Accounts {
 		for j, hash := range a.KeyHashes {
-			if other, ok := owner[hash]; ok && other != a.Name {
-				c.fail(fmt.Sprintf("accounts[%d].key_hashes[%d]", i, j), "is a key of account %q", other)
+			if other, ok := owners[hash]; ok && other != a.Name {
+				c.addProblem(fmt.Sprintf("accounts[%d].key_hashes[%d]", i, j), "is already a key of account %q", other)
 			}
-			owner[hash] = a.Name
+			owners[hash] = a.Name
 		}
 	}
 }
 
-// overlayCheck validates one overlay against the base document.
-type overlayCheck struct {
-	base     *baseCheck
+// overlayChecker validates one overlay against the base document.
+type overlayChecker struct {
+	base     *baseChecker
 	site     string
 	src      *strictyaml.Source
 	overlay  *Overlay
 	problems Problems
 }
 
-func (c *overlayCheck) run() {
+func (c *overlayChecker) run() {
 	c.problems = c.src.Fields(fieldValidator(), c.overlay)
 	switch {
 	case c.overlay.Site != c.site:
-		c.fail("site", "the file is that of site %q", c.site)
+		c.addProblem("site", "must be %q, the site that the file is named after", c.site)
 	case !c.base.sites[c.site]:
-		c.fail("site", "no site is called %q", c.site)
+		c.addProblem("site", "no site is called %q", c.site)
 	}
-	c.pools()
-	c.accounts()
+	c.checkPools()
+	c.checkAccounts()
 }
 
-func (c *overlayCheck) fail(path, format string, args ...any) {
+func (c *overlayChecker) addProblem(path, format string, args ...any) {
 	c.problems = append(c.problems, c.src.At(path, format, args...))
 }
 
-func (c *overlayCheck) pools() {
+func (c *overlayChecker) checkPools() {
 	seen := make(map[string]bool)
 	for i := range c.overlay.Pools {
 		path := fmt.Sprintf("pools[%d]", i)
-		change := &c.overlay.Pools[i]
-		if seen[change.Name] {
-			c.fail(path+".name", "%q is already changed", change.Name)
+		override := &c.overlay.Pools[i]
+		if seen[override.Name] {
+			c.addProblem(path+".name", "%q has more than one entry", override.Name)
 		}
-		seen[change.Name] = true
-		c.pool(path, change)
+		seen[override.Name] = true
+		c.checkPool(path, override)
 	}
 }
 
-func (c *overlayCheck) pool(path string, change *PoolOverlay) {
-	pool, ok := c.base.pools[change.Name]
+func (c *overlayChecker) checkPool(path string, override *PoolOverlay) {
+	pool, ok := c.base.pools[override.Name]
 	if !ok || !slices.Contains(pool.Sites, c.site) {
-		c.fail(path+".name", "site %s has no pool called %q", c.site, change.Name)
+		c.addProblem(path+".name", "site %s has no pool called %q", c.site, override.Name)
 		return
 	}
-	changed := *pool
-	change.applyTo(&changed)
-	if change.Version == nil && change.Adapters == nil {
+	effective := *pool
+	override.applyTo(&effective)
+	if override.Version == nil && override.Adapters == nil {
 		return
 	}
-	c.problems = append(c.problems, c.base.served(c.src, path, &changed)...)
+	c.problems = append(c.problems, c.base.checkModel(c.src, path, &effective)...)
 }
 
-func (c *overlayCheck) accounts() {
+func (c *overlayChecker) checkAccounts() {
 	known := make(map[string]bool)
 	for _, a := range c.base.doc.Accounts {
 		known[a.Name] = true
 	}
 	seen := make(map[string]bool)
-	for i, change := range c.overlay.Accounts {
+	for i, override := range c.overlay.Accounts {
 		path := fmt.Sprintf("accounts[%d].name", i)
-		if !known[change.Name] {
-			c.fail(path, "no account is called %q", change.Name)
+		if !known[override.Name] {
+			c.addProblem(path, "no account is called %q", override.Name)
 		}
-		if seen[change.Name] {
-			c.fail(path, "%q is already changed", change.Name)
+		if seen[override.Name] {
+			c.addProblem(path, "%q has more than one entry", override.Name)
 		}
-		seen[change.Name] = true
+		seen[override.Name] = true
 	}
 }
