--- a/internal/store/config/bench_test.go
+++ b/internal/store/config/bench_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// largeBundle has the sizes that the project is built towards: 6 sites, 11
-// models, and the given number of client accounts.
+// largeBundle returns a bundle of the size that the project is designed for: 6
+// sites, 11 models, and the given number of client accounts.
 func largeBundle(accounts int) Bundle {
 	const sites, models = 6, 11
 	var b strings.Builder
@@ -34,8 +34,8 @@
 	return Bundle{Base: []byte(text)}
 }
 
-// BenchmarkOffer measures what a router spends to put one version in force,
-// and what the version weighs on the wire and in the table.
+// BenchmarkOffer measures the cost of activating one version at a router, and
+// reports the size of the version in bytes as text and compressed.
 func BenchmarkOffer(b *testing.B) {
 	for _, accounts := range []int{10, 410, 820} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
--- a/internal/store/config/chain.go
+++ b/internal/store/config/chain.go
@@ -105,7 +105,7 @@
 	return c.objects.Get(ctx, stored.Object)
 }
 
-// History returns the versions that start at number from, oldest first and
+// History returns the versions with number from and above, oldest first and
 // without their bundles: at most limit, and at most MaxHistory. Errors: those of
 // platform.Table, ErrCorrupt.
 func (c *Chain) History(ctx context.Context, from uint64, limit int) ([]Version, error) {
--- a/internal/store/config/chain_test.go
+++ b/internal/store/config/chain_test.go
@@ -25,7 +25,8 @@
 	return NewChain(table, fakeObjects{}, func() time.Time { return testTime }), table
 }
 
-// variant is a valid bundle that differs from the others by a comment.
+// variant returns a valid bundle that differs from other variants only by a
+// comment.
 func variant(n int) Bundle {
 	b := testBundle()
 	b.Base = append([]byte(fmt.Sprintf("# %d\n", n)), b.Base...)
@@ -53,9 +54,9 @@
 	first := mustAccept(t, chain, change("a", 0, 1))
 	second := mustAccept(t, chain, change("b", 1, 2))
 	assert.Equal(t, first.Hash, second.Previous)
-	back, err := chain.Rollback(ctx, 1, Change{Expected: 2, ChangeID: "c", Author: "op"})
+	rolledBack, err := chain.Rollback(ctx, 1, Change{Expected: 2, ChangeID: "c", Author: "op"})
 	require.NoError(t, err)
-	assert.Equal(t, []any{uint64(3), first.Hash, uint64(1)}, []any{back.Number, back.Hash, back.RollbackTo})
+	assert.Equal(t, []any{uint64(3), first.Hash, uint64(1)}, []any{rolledBack.Number, rolledBack.Hash, rolledBack.RollbackTo})
 
 	head, err = chain.Head(ctx)
 	require.NoError(t, err)
@@ -76,75 +77,74 @@
 	assert.True(t, ErrNoVersion.Has(err))
 }
 
-func TestAcceptRefuses(t *testing.T) {
+func TestAcceptRejectsInvalidChanges(t *testing.T) {
 	chain, table := newTestChain()
 	mustAccept(t, chain, change("a", 0, 1))
-	retired := change("b", 1, 2)
-	retired.Bundle = withNorth("site: north\npools: [{name: web, enabled: false}]\n")
+	withdrawal := change("b", 1, 2)
+	withdrawal.Bundle = withNorth("site: north\npools: [{name: web, enabled: false}]\n")
 	invalid := change("b", 1, 2)
 	invalid.Bundle = Bundle{Base: []byte("teams: []\n")}
 	cases := map[string]struct {
 		change Change
 		check  func(error) bool
 	}{
-		"old base":      {change("b", 0, 2), as[*ConflictError]},
-		"future base":   {change("b", 7, 2), as[*ConflictError]},
-		"invalid":       {invalid, as[*InvalidError]},
-		"withdrawal":    {retired, as[*InvalidError]},
-		"reused id":     {change("a", 1, 2), as[*ChangeIDReusedError]},
-		"id with slash": {change("a/b", 1, 2), ErrBadChange.Has},
-		"no author":     {Change{Bundle: variant(2), Expected: 1, ChangeID: "b"}, ErrBadChange.Has},
+		"stale version":   {change("b", 0, 2), hasType[*ConflictError]},
+		"future version":  {change("b", 7, 2), hasType[*ConflictError]},
+		"invalid":         {invalid, hasType[*InvalidError]},
+		"withdrawal":      {withdrawal, hasType[*InvalidError]},
+		"reused id":       {change("a", 1, 2), hasType[*ChangeIDReusedError]},
+		"id with a slash": {change("a/b", 1, 2), ErrBadChange.Has},
+		"no author":       {Change{Bundle: variant(2), Expected: 1, ChangeID: "b"}, ErrBadChange.Has},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			_, err := chain.Accept(context.Background(), c.change)
 			assert.True(t, c.check(err), "%v", err)
-			assert.Equal(t, 1, table.commits, "nothing was sent")
+			assert.Equal(t, 1, table.commits, "the change must not be committed")
 		})
 	}
-	retired.Withdraw = true
-	assert.True(t, mustAccept(t, chain, retired).Withdraw)
+	withdrawal.Withdraw = true
+	assert.True(t, mustAccept(t, chain, withdrawal).Withdraw)
 }
 
-func as[T error](err error) bool {
+func hasType[T error](err error) bool {
 	var target T
 	return errors.As(err, &target)
 }
 
-// Symptom: an operator is told that a change failed, and it is in force; or
-// repeats it, and it is in force twice. Sequence: the transaction is sent, and
-// its reply, the request itself, or the answer to the read afterwards is lost.
-// Cause: the outcome was guessed and not read back by the change id.
-func TestAcceptWithLostReplies(t *testing.T) {
+// Guards against a change that is reported as failed although it is active, or is
+// accepted twice when retried, because a request or reply was lost and the outcome
+// was assumed instead of looked up by the change id.
+func TestRetriedChangeIsAcceptedOnce(t *testing.T) {
 	cases := map[string]struct {
 		faults []fault
 		check  func(error) bool
 	}{
-		"reply lost after the effect":   {[]fault{faultLostAfter}, isNil},
-		"request lost":                  {[]fault{faultLostBefore}, isNil},
-		"request lost twice":            {[]fault{faultLostBefore, faultLostBefore}, isNil},
-		"lost, then reply lost":         {[]fault{faultLostBefore, faultLostAfter}, isNil},
-		"late effect between the reads": {[]fault{faultLate}, isNil},
-		"late, then not sent":           {[]fault{faultLate, faultUnsent}, isNil},
-		"never sent":                    {[]fault{faultUnsent}, platform.ErrUnavailable.Has},
-		"lost, then not sent":           {[]fault{faultLostBefore, faultUnsent}, as[*OutcomeUnknownError]},
-		"lost as often as it was tried": {[]fault{faultLostBefore, faultLostBefore, faultLostBefore}, as[*OutcomeUnknownError]},
-		"late after it was read back":   {[]fault{faultVeryLate}, isNil},
-		"later than all trials":         {[]fault{faultLostBefore, faultLostBefore, faultVeryLate}, as[*OutcomeUnknownError]},
+		"reply lost":                      {[]fault{faultLostAfter}, isNil},
+		"request lost":                    {[]fault{faultLostBefore}, isNil},
+		"request lost twice":              {[]fault{faultLostBefore, faultLostBefore}, isNil},
+		"request lost, then reply lost":   {[]fault{faultLostBefore, faultLostAfter}, isNil},
+		"delayed until between the reads": {[]fault{faultDelayed}, isNil},
+		"delayed, then not sent":          {[]fault{faultDelayed, faultUnsent}, isNil},
+		"never sent":                      {[]fault{faultUnsent}, platform.ErrUnavailable.Has},
+		"request lost, then not sent":     {[]fault{faultLostBefore, faultUnsent}, hasType[*OutcomeUnknownError]},
+		"request lost in every attempt":   {[]fault{faultLostBefore, faultLostBefore, faultLostBefore}, hasType[*OutcomeUnknownError]},
+		"delayed past the reads":          {[]fault{faultDelayedPastReads}, isNil},
+		"delayed past all attempts":       {[]fault{faultLostBefore, faultLostBefore, faultDelayedPastReads}, hasType[*OutcomeUnknownError]},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			chain, table := newTestChain()
 			mustAccept(t, chain, change("a", 0, 1))
-			table.next = sequence(c.faults...)
+			table.nextFault = faultSequence(c.faults...)
 			_, err := chain.Accept(context.Background(), change("b", 1, 2))
 			assert.True(t, c.check(err), "%v", err)
 
-			again := mustAccept(t, chain, change("b", 1, 2))
-			assert.EqualValues(t, 2, again.Number, "repeating the change settles it, once")
+			retried := mustAccept(t, chain, change("b", 1, 2))
+			assert.EqualValues(t, 2, retried.Number, "a retry must return the accepted version")
 			head, err := chain.Head(context.Background())
 			require.NoError(t, err)
-			assert.Equal(t, Head{Version: 2, Hash: again.Hash}, head)
+			assert.Equal(t, Head{Version: 2, Hash: retried.Hash}, head)
 			audited, err := table.Scan(context.Background(), platform.UseAudit, TableAudit, "", "", 10)
 			require.NoError(t, err)
 			assert.Len(t, audited, 2)
@@ -154,27 +154,26 @@
 
 func isNil(err error) bool { return err == nil }
 
-// Symptom: an author is told of a conflict with himself. Sequence: his
-// transaction is delayed; he reads that his change id is absent; it takes
-// effect; he reads that the head has moved. Cause: the change id was read
-// before the head.
-func TestLateEffectIsNoConflict(t *testing.T) {
+// Guards against a conflict of an author with his own change. If the change id
+// were read before the head, a delayed transaction could take effect between the
+// two reads: the id would be absent and the head would have moved.
+func TestDelayedCommitIsNotReportedAsConflict(t *testing.T) {
 	chain, table := newTestChain()
 	mustAccept(t, chain, change("a", 0, 1))
-	table.next = sequence(faultLate)
+	table.nextFault = faultSequence(faultDelayed)
 	v, err := chain.Accept(context.Background(), change("b", 1, 2))
 	require.NoError(t, err)
 	assert.EqualValues(t, 2, v.Number)
 	assert.Equal(t, 2, table.commits)
 }
 
-// Symptom: "not accepted" for a change that is in force. Sequence: the reply
-// is lost after the effect, then the store goes down. Cause: the store's "not
-// sent" for the read was passed on as the outcome of the write.
-func TestOutcomeUnknownWhileStoreIsDown(t *testing.T) {
+// Guards against reporting an active change as not accepted. The reply is lost
+// after the commit took effect, then the store fails; the "not sent" error of the
+// following read must not be returned as the outcome of the write.
+func TestStoreFailureAfterCommitIsOutcomeUnknown(t *testing.T) {
 	chain, table := newTestChain()
 	mustAccept(t, chain, change("a", 0, 1))
-	table.next = func() fault {
+	table.nextFault = func() fault {
 		table.readErr = platform.ErrUnavailable.New("down")
 		return faultLostAfter
 	}
@@ -183,18 +182,18 @@
 	require.ErrorAs(t, err, &unknown)
 	assert.Equal(t, "b", unknown.ChangeID)
 
-	table.next, table.readErr = nil, nil
+	table.nextFault, table.readErr = nil, nil
 	assert.EqualValues(t, 2, mustAccept(t, chain, change("b", 1, 2)).Number)
 }
 
-// Symptom: one of two changes disappears. Sequence: two operators start from
-// the same version and both send. Cause: the head was written unconditionally.
-// The loser learns which version won, and whose.
-func TestRaceOfTwoOperators(t *testing.T) {
+// Guards against a lost update when two operators change the same version, which
+// an unconditional write of the head would cause. The rejected operator must
+// learn which version is active and who its author is.
+func TestConcurrentChangesDoNotOverwriteEachOther(t *testing.T) {
 	chain, table := newTestChain()
 	mustAccept(t, chain, change("a", 0, 1))
 	raced := false
-	table.next = func() fault {
+	table.nextFault = func() fault {
 		if !raced {
 			raced = true
 			table.mu.Unlock()
@@ -209,21 +208,21 @@
 	assert.Equal(t, ConflictError{Version: 2, Hash: variant(2).Hash(), Author: "op-winner", Expected: 1}, *conflict)
 }
 
-// Symptom: routers refuse a version or, worse, act on half of it. Sequence: a
-// row or an object is damaged in the store. Cause: content that is not checked
-// against its hash. The large bundle takes the way through the object store.
-func TestLoadChecksTheHash(t *testing.T) {
+// Guards against routers that apply part of a version, or reject it, because a row
+// or an object in the store is damaged and its content is not checked against its
+// hash. The bundle is large enough to be stored as an object.
+func TestLoadRejectsDamagedContent(t *testing.T) {
 	chain, table := newTestChain()
 	large := change("a", 0, 1)
-	noise := rand.NewChaCha8([32]byte{1})
-	raw := make([]byte, MaxInlineBytes)
-	_, _ = noise.Read(raw)
-	large.Bundle.Base = append(fmt.Appendf(nil, "# %x\n", raw), large.Bundle.Base...)
+	random := rand.NewChaCha8([32]byte{1})
+	randomBytes := make([]byte, MaxInlineBytes)
+	_, _ = random.Read(randomBytes)
+	large.Bundle.Base = append(fmt.Appendf(nil, "# %x\n", randomBytes), large.Bundle.Base...)
 	v := mustAccept(t, chain, large)
 	require.Len(t, chain.objects, 1)
-	again := large
-	again.Expected, again.ChangeID = 1, "b"
-	mustAccept(t, chain, again)
+	sameContent := large
+	sameContent.Expected, sameContent.ChangeID = 1, "b"
+	mustAccept(t, chain, sameContent)
 	loaded, err := chain.Load(context.Background(), 1)
 	require.NoError(t, err)
 	assert.Equal(t, v.Hash, loaded.Hash)
@@ -241,8 +240,8 @@
 	}
 }
 
-// acceptInput and acceptOutput are one operation of the history below. An
-// input without an id reads the head.
+// acceptInput and acceptOutput are the input and output of one operation for the
+// linearizability check. An input without an id is a read of the head.
 type acceptInput struct {
 	id       string
 	expected uint64
@@ -253,8 +252,8 @@
 	conflict bool
 }
 
-// chainModel is the chain as one sequential number: an accept succeeds exactly
-// when it expects the current one.
+// chainModel is the sequential specification of the chain: a version number, where
+// an accept succeeds exactly if it expects the current number.
 var chainModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
@@ -269,15 +268,15 @@
 	},
 }
 
-// Symptom: a change accepted before another began is not below it. Sequence:
-// several operators and readers, with replies lost, requests lost, late and
-// not sent. Cause: any break of the compare-and-set or of the reading back.
+// Guards against a change with a higher version than one that began after it was
+// accepted. Several clients read and accept concurrently, with lost, delayed and
+// unsent requests and lost replies.
 func TestChainIsLinearizable(t *testing.T) {
 	const clients, operations, histories = 4, 12, 20
 	for seed := range uint64(histories) {
 		chain, table := newTestChain()
 		faults := rand.New(rand.NewPCG(seed, 1))
-		table.next = func() fault { return fault(max(0, faults.IntN(10)-4)) }
+		table.nextFault = func() fault { return fault(max(0, faults.IntN(10)-4)) }
 		recorded := make([][]porcupine.Operation, clients)
 		var clock atomic.Int64
 		var wg sync.WaitGroup
@@ -301,7 +300,7 @@
 	}
 }
 
-// perform reads the head, or accepts a change until its outcome is known.
+// perform reads the head, or retries a change until its outcome is known.
 func perform(chain *Chain, choices *rand.Rand, id string) (acceptInput, acceptOutput) {
 	ctx := context.Background()
 	head, _ := chain.Head(ctx)
--- a/internal/store/config/config_test.go
+++ b/internal/store/config/config_test.go
@@ -17,7 +17,7 @@
 	keyA        = "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"
 )
 
-// baseText is a small valid document; tests replace single lines of it.
+// baseText is a small valid base document. Tests replace parts of it.
 const baseText = `teams: [{name: desk}]
 sites: [{name: north, region: r1}, {name: south, region: r1}]
 models:
@@ -51,7 +51,7 @@
 	return Bundle{Base: []byte(baseText), Overlays: map[string][]byte{"north": []byte(northText)}}
 }
 
-// withBase replaces one text in the base document.
+// withBase returns the test bundle with one replacement in the base document.
 func withBase(t *testing.T, old, new string) Bundle {
 	t.Helper()
 	require.Contains(t, baseText, old)
@@ -75,27 +75,27 @@
 	return e
 }
 
-func TestStrictParsing(t *testing.T) {
+func TestParseRejectsMalformedDocuments(t *testing.T) {
 	cases := map[string]struct {
 		text string
 		want string
 	}{
-		"unknown key":       {"teams: []\nsitez: []\n", `f.yaml:2: unknown key "sitez"`},
-		"nested unknown":    {"pools:\n  - name: p\n    load_bund: 2\n", `f.yaml:3: pools[0]: unknown key "load_bund"`},
-		"duplicate key":     {"teams: []\nsites: []\nteams: []\n", `f.yaml:3: key "teams" is already set on line 1`},
-		"text for number":   {"pools:\n  - max_batch: many\n", "f.yaml:2: pools[0].max_batch: must be a whole number"},
-		"fraction for int":  {"pools:\n  - max_batch: 1.5\n", "f.yaml:2: pools[0].max_batch: must be a whole number"},
-		"huge int":          {"pools:\n  - max_batch: 99999999999999999999\n", "f.yaml:2: pools[0].max_batch: must be a whole number"},
-		"number for text":   {"models:\n  - versions: [1.10]\n", `f.yaml:2: models[0].versions[0]: must be a string; put "1.10" in quotes`},
-		"old style boolean": {"services:\n  - deduplicates: yes\n", "f.yaml:2: services[0].deduplicates: must be true or false"},
-		"map for list":      {"teams: {name: a}\n", "f.yaml:1: teams: must be a list"},
-		"list for map":      {"teams: [[a]]\n", "f.yaml:1: teams[0]: must be a mapping"},
-		"no value":          {"teams:\nsites: []\n", "f.yaml:1: teams: has no value; write one or leave the key out"},
-		"alias":             {"teams: &t []\nsites: *t\n", "f.yaml:1: teams: anchors and aliases are not allowed; write the value out"},
-		"merge key":         {"<<: {teams: []}\n", `f.yaml:1: unknown key "<<"`},
-		"broken":            {"teams:\n  - name: a\n  - name: b\n   - name: c\n", "f.yaml:4: value is not allowed in this context"},
-		"two documents":     {"teams: []\n---\nsites: []\n", "f.yaml:2: has more than one document"},
-		"empty":             {"# nothing\n", "f.yaml:1: is empty"},
+		"unknown key":             {"teams: []\nsitez: []\n", `f.yaml:2: unknown key "sitez"`},
+		"nested unknown key":      {"pools:\n  - name: p\n    load_bund: 2\n", `f.yaml:3: pools[0]: unknown key "load_bund"`},
+		"duplicate key":           {"teams: []\nsites: []\nteams: []\n", `f.yaml:3: key "teams" is already set on line 1`},
+		"text for a number":       {"pools:\n  - max_batch: many\n", "f.yaml:2: pools[0].max_batch: must be a whole number"},
+		"fraction for an integer": {"pools:\n  - max_batch: 1.5\n", "f.yaml:2: pools[0].max_batch: must be a whole number"},
+		"integer overflow":        {"pools:\n  - max_batch: 99999999999999999999\n", "f.yaml:2: pools[0].max_batch: must be a whole number"},
+		"number for a string":     {"models:\n  - versions: [1.10]\n", `f.yaml:2: models[0].versions[0]: must be a string; put "1.10" in quotes`},
+		"YAML 1.1 boolean":        {"services:\n  - deduplicates: yes\n", "f.yaml:2: services[0].deduplicates: must be true or false"},
+		"mapping for a list":      {"teams: {name: a}\n", "f.yaml:1: teams: must be a list"},
+		"list for a mapping":      {"teams: [[a]]\n", "f.yaml:1: teams[0]: must be a mapping"},
+		"no value":                {"teams:\nsites: []\n", "f.yaml:1: teams: has no value; write one or leave the key out"},
+		"alias":                   {"teams: &t []\nsites: *t\n", "f.yaml:1: teams: anchors and aliases are not allowed; write the value out"},
+		"merge key":               {"<<: {teams: []}\n", `f.yaml:1: unknown key "<<"`},
+		"broken":                  {"teams:\n  - name: a\n  - name: b\n   - name: c\n", "f.yaml:4: value is not allowed in this context"},
+		"two documents":           {"teams: []\n---\nsites: []\n", "f.yaml:2: has more than one document"},
+		"empty":                   {"# nothing\n", "f.yaml:1: is empty"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -107,45 +107,45 @@
 	}
 }
 
-func TestValidate(t *testing.T) {
+func TestValidateRejectsInvalidBundles(t *testing.T) {
 	base := func(old, new string) Bundle { return withBase(t, old, new) }
 	cases := map[string]struct {
 		bundle Bundle
 		want   string
 	}{
-		"dangling site":      {base("[north, south], model", "[north, west], model"), `base.yaml:6: pools[0].sites[1]: no site is called "west"`},
-		"dangling model":     {base(`model: m, version: "1"`, `model: x, version: "1"`), `base.yaml:6: pools[0].model: no model is called "x"`},
-		"dangling version":   {base(`version: "1", adapters`, `version: "7", adapters`), `base.yaml:6: pools[0].version: model m has no version "7"`},
-		"dangling adapter":   {base(`version: "1", adapters: [ad]`, `version: "1", adapters: [zz]`), `base.yaml:6: pools[0].adapters[0]: model m has no adapter "zz"`},
-		"dangling pool":      {base("pool: web", "pool: wob"), `base.yaml:12: services[0].pool: no pool is called "wob"`},
-		"service on model":   {base("pool: web", "pool: lang"), `base.yaml:12: services[0].pool: pool "lang" serves a model, not plain services`},
-		"dangling team":      {base("name: acct, team: desk", "name: acct, team: none"), `base.yaml:19: accounts[0].team: no team is called "none"`},
-		"dangling service":   {base("services: [portal]", "services: [door]"), `base.yaml:19: accounts[0].services[0]: no service is called "door"`},
-		"account's model":    {base("models: [m]}", "models: [q]}"), `base.yaml:19: accounts[0].models[0]: no model is called "q"`},
-		"version, no model":  {base("capacity_floor: 0}", `version: "1"}`), "base.yaml:8: pools[2]: a pool without a model has no version and no adapters"},
-		"twice a pool":       {base("name: spare", "name: lang"), `base.yaml:7: pools[1].name: "lang" is already defined`},
-		"twice a route":      {base("/status/all", "/status/*"), "base.yaml:15: services[0].routes[1]: route GET /status/* is already defined"},
-		"twice a key":        {base("key_hashes: []", "key_hashes: ["+keyA+"]"), `base.yaml:20: accounts[1].key_hashes[0]: is already a key of account "acct"`},
-		"low load bound":     {base("priority: 5", "load_bound: 1.04"), "base.yaml:7: pools[1].load_bound: must be at least 1.05"},
-		"zero load bound":    {base("priority: 5", "load_bound: 0"), "base.yaml:7: pools[1].load_bound: must be at least 1.05"},
-		"load bound nan":     {base("priority: 5", "load_bound: .nan"), "base.yaml:7: pools[1].load_bound: must be at least 1.05"},
-		"floor":              {base("capacity_floor: 0", "capacity_floor: 1.1"), "base.yaml:8: pools[2].capacity_floor: must be at most 1"},
-		"weight":             {base("requests_per_second: 2.5", "weight: 0"), "base.yaml:19: accounts[0].weight: must be more than 0"},
-		"short hash":         {base(keyA, keyA[1:]), "base.yaml:19: accounts[0].key_hashes[0]: must be 64 characters long"},
-		"upper-case hash":    {base(keyA, strings.ToUpper(keyA)), "base.yaml:19: accounts[0].key_hashes[0]: must be lower-case hexadecimal"},
-		"name with a slash":  {base("name: acct", "name: a/b"), "base.yaml:19: accounts[0].name: must be a name: a letter or digit, then letters, digits, '.', '_' or '-', 63 at most"},
-		"method":             {base("method: POST, path: /search", "method: post, path: /search"), "base.yaml:17: services[0].routes[3].method: must be one of GET HEAD POST PUT PATCH DELETE"},
-		"priority class":     {base("priority: high", "priority: top"), "base.yaml:15: services[0].routes[1].priority: must be one of urgent high normal batch"},
-		"relative route":     {base("/status/all", "/status/.."), "base.yaml:15: services[0].routes[1].path: config: bad path: relative segment"},
-		"part wildcard":      {base("/status/all", "/status/a*"), "base.yaml:15: services[0].routes[1].path: a wildcard must be a whole segment"},
-		"no sites":           {Bundle{Base: []byte("teams: []\n")}, "base.yaml:1: sites: must be at least 1 entries"},
-		"overlay of another": {withNorth("site: south\n"), `sites/north.yaml:1: site: must be "north", the site that the file is named after`},
-		"overlay version":    {withNorth("site: north\npools:\n  - name: lang\n    version: \"9\"\n"), `sites/north.yaml:4: pools[0].version: model m has no version "9"`},
-		"overlay pool":       {withNorth("site: north\npools:\n  - name: nix\n"), `sites/north.yaml:3: pools[0].name: site north has no pool called "nix"`},
-		"overlay account":    {withNorth("site: north\naccounts:\n  - name: nix\n"), `sites/north.yaml:3: accounts[0].name: no account is called "nix"`},
-		"overlay bound":      {withNorth("site: north\npools:\n  - name: lang\n    load_bound: 1\n"), "sites/north.yaml:4: pools[0].load_bound: must be at least 1.05"},
-		"overlay twice":      {withNorth("site: north\npools:\n  - name: lang\n  - name: lang\n"), `sites/north.yaml:4: pools[1].name: "lang" has more than one entry`},
-		"overlay key":        {withNorth("site: north\nmodels: []\n"), `sites/north.yaml:2: unknown key "models"`},
+		"dangling site":              {base("[north, south], model", "[north, west], model"), `base.yaml:6: pools[0].sites[1]: no site is called "west"`},
+		"dangling model":             {base(`model: m, version: "1"`, `model: x, version: "1"`), `base.yaml:6: pools[0].model: no model is called "x"`},
+		"dangling version":           {base(`version: "1", adapters`, `version: "7", adapters`), `base.yaml:6: pools[0].version: model m has no version "7"`},
+		"dangling adapter":           {base(`version: "1", adapters: [ad]`, `version: "1", adapters: [zz]`), `base.yaml:6: pools[0].adapters[0]: model m has no adapter "zz"`},
+		"dangling pool":              {base("pool: web", "pool: wob"), `base.yaml:12: services[0].pool: no pool is called "wob"`},
+		"service on model":           {base("pool: web", "pool: lang"), `base.yaml:12: services[0].pool: pool "lang" serves a model, not plain services`},
+		"dangling team":              {base("name: acct, team: desk", "name: acct, team: none"), `base.yaml:19: accounts[0].team: no team is called "none"`},
+		"dangling service":           {base("services: [portal]", "services: [door]"), `base.yaml:19: accounts[0].services[0]: no service is called "door"`},
+		"dangling account model":     {base("models: [m]}", "models: [q]}"), `base.yaml:19: accounts[0].models[0]: no model is called "q"`},
+		"version without a model":    {base("capacity_floor: 0}", `version: "1"}`), "base.yaml:8: pools[2]: a pool without a model has no version and no adapters"},
+		"duplicate pool":             {base("name: spare", "name: lang"), `base.yaml:7: pools[1].name: "lang" is already defined`},
+		"duplicate route":            {base("/status/all", "/status/*"), "base.yaml:15: services[0].routes[1]: route GET /status/* is already defined"},
+		"duplicate key hash":         {base("key_hashes: []", "key_hashes: ["+keyA+"]"), `base.yaml:20: accounts[1].key_hashes[0]: is already a key of account "acct"`},
+		"low load bound":             {base("priority: 5", "load_bound: 1.04"), "base.yaml:7: pools[1].load_bound: must be at least 1.05"},
+		"zero load bound":            {base("priority: 5", "load_bound: 0"), "base.yaml:7: pools[1].load_bound: must be at least 1.05"},
+		"load bound is NaN":          {base("priority: 5", "load_bound: .nan"), "base.yaml:7: pools[1].load_bound: must be at least 1.05"},
+		"floor":                      {base("capacity_floor: 0", "capacity_floor: 1.1"), "base.yaml:8: pools[2].capacity_floor: must be at most 1"},
+		"weight":                     {base("requests_per_second: 2.5", "weight: 0"), "base.yaml:19: accounts[0].weight: must be more than 0"},
+		"short hash":                 {base(keyA, keyA[1:]), "base.yaml:19: accounts[0].key_hashes[0]: must be 64 characters long"},
+		"upper-case hash":            {base(keyA, strings.ToUpper(keyA)), "base.yaml:19: accounts[0].key_hashes[0]: must be lower-case hexadecimal"},
+		"name with a slash":          {base("name: acct", "name: a/b"), "base.yaml:19: accounts[0].name: must be a name: a letter or digit, then letters, digits, '.', '_' or '-', 63 at most"},
+		"method":                     {base("method: POST, path: /search", "method: post, path: /search"), "base.yaml:17: services[0].routes[3].method: must be one of GET HEAD POST PUT PATCH DELETE"},
+		"priority class":             {base("priority: high", "priority: top"), "base.yaml:15: services[0].routes[1].priority: must be one of urgent high normal batch"},
+		"relative route":             {base("/status/all", "/status/.."), "base.yaml:15: services[0].routes[1].path: config: bad path: relative segment"},
+		"partial wildcard":           {base("/status/all", "/status/a*"), "base.yaml:15: services[0].routes[1].path: a wildcard must be a whole segment"},
+		"no sites":                   {Bundle{Base: []byte("teams: []\n")}, "base.yaml:1: sites: must be at least 1 entries"},
+		"overlay of another site":    {withNorth("site: south\n"), `sites/north.yaml:1: site: must be "north", the site that the file is named after`},
+		"unknown version in overlay": {withNorth("site: north\npools:\n  - name: lang\n    version: \"9\"\n"), `sites/north.yaml:4: pools[0].version: model m has no version "9"`},
+		"unknown pool in overlay":    {withNorth("site: north\npools:\n  - name: nix\n"), `sites/north.yaml:3: pools[0].name: site north has no pool called "nix"`},
+		"unknown account in overlay": {withNorth("site: north\naccounts:\n  - name: nix\n"), `sites/north.yaml:3: accounts[0].name: no account is called "nix"`},
+		"low load bound in overlay":  {withNorth("site: north\npools:\n  - name: lang\n    load_bound: 1\n"), "sites/north.yaml:4: pools[0].load_bound: must be at least 1.05"},
+		"duplicate pool in overlay":  {withNorth("site: north\npools:\n  - name: lang\n  - name: lang\n"), `sites/north.yaml:4: pools[1].name: "lang" has more than one entry`},
+		"unknown key in overlay":     {withNorth("site: north\nmodels: []\n"), `sites/north.yaml:2: unknown key "models"`},
 	}
 	assert.Empty(t, Validate(testBundle()))
 	for name, c := range cases {
@@ -159,17 +159,17 @@
 	}
 }
 
-func TestEffective(t *testing.T) {
+func TestEffectiveAppliesOverlayAndDefaults(t *testing.T) {
 	north, south := effectiveAt(t, testBundle(), "north"), effectiveAt(t, testBundle(), "south")
 
 	lang, _ := north.Pool("lang")
 	assert.Equal(t, Pool{Name: "lang", Sites: []string{"north", "south"}, Model: "m", Version: "2", Adapters: []string{},
 		LoadBound: 1.2, MaxBatch: 9, QueueLimit: 7, Priority: 9, CapacityFloor: DefaultCapacityFloor}, *lang)
 	lang, _ = south.Pool("lang")
-	assert.Equal(t, "1", lang.Version, "an overlay stays within its site")
+	assert.Equal(t, "1", lang.Version, "an overlay must not affect another site")
 	assert.Equal(t, []any{DefaultLoadBound, DefaultMaxBatch, DefaultQueueLimit}, []any{lang.LoadBound, lang.MaxBatch, lang.QueueLimit})
 	web, _ := north.Pool("web")
-	assert.Zero(t, web.CapacityFloor, "a floor that is written as 0 is not replaced by the default")
+	assert.Zero(t, web.CapacityFloor, "the default must not replace an explicit capacity floor of 0")
 
 	poolNames := func(pools []*Pool) (names []string) {
 		for _, p := range pools {
@@ -178,7 +178,7 @@
 		return names
 	}
 	assert.Equal(t, []string{"lang", "spare"}, poolNames(north.PoolsFor("m", "")))
-	assert.Empty(t, north.PoolsFor("m", "ad"), "the overlay removed the adapter")
+	assert.Empty(t, north.PoolsFor("m", "ad"), "the overlay removes the adapter")
 	assert.Equal(t, []string{"lang"}, poolNames(south.PoolsFor("m", "ad")))
 
 	atNorth, ok := north.AccountByKeyHash(keyA)
@@ -186,8 +186,8 @@
 	assert.Equal(t, []any{10.0, 10, 3, PriorityHigh}, []any{atNorth.RequestsPerSecond, atNorth.Burst, atNorth.Concurrency, atNorth.MaxPriority})
 	atSouth, _ := south.Account("acct")
 	assert.Equal(t, []any{2.5, 3, DefaultWeight, PriorityUrgent}, []any{atSouth.RequestsPerSecond, atSouth.Burst, atSouth.Weight, atSouth.MaxPriority})
-	_, served := south.Service("portal")
-	assert.False(t, served, "the service's pool has no VM in the south")
+	_, serves := south.Service("portal")
+	assert.False(t, serves, "the service's pool has no VM in the south")
 
 	parsed, err := testBundle().Parse()
 	require.NoError(t, err)
@@ -195,7 +195,7 @@
 	assert.True(t, ErrUnknownSite.Has(err))
 }
 
-func TestRouteMatch(t *testing.T) {
+func TestMatchRouteRejectsAmbiguousAndUnlistedPaths(t *testing.T) {
 	e := effectiveAt(t, testBundle(), "north")
 	allowed := map[string]struct {
 		method, path string
@@ -203,11 +203,11 @@
 		idempotent   bool
 		priority     string
 	}{
-		"wildcard":         {"GET", "/status/a%20b", "/status/a%20b", true, PriorityNormal},
-		"literal first":    {"GET", "/status/all", "/status/all", true, PriorityHigh},
-		"post by default":  {"POST", "/receipts", "/receipts", false, PriorityNormal},
-		"declared":         {"POST", "/search", "/search", true, PriorityNormal},
-		"encoded the same": {"GET", "/st%61tus/x", "/status/x", true, PriorityNormal},
+		"wildcard":                {"GET", "/status/a%20b", "/status/a%20b", true, PriorityNormal},
+		"literal before wildcard": {"GET", "/status/all", "/status/all", true, PriorityHigh},
+		"POST by default":         {"POST", "/receipts", "/receipts", false, PriorityNormal},
+		"declared":                {"POST", "/search", "/search", true, PriorityNormal},
+		"unneeded encoding":       {"GET", "/st%61tus/x", "/status/x", true, PriorityNormal},
 	}
 	for name, c := range allowed {
 		t.Run(name, func(t *testing.T) {
@@ -216,9 +216,8 @@
 			assert.Equal(t, []any{c.sent, c.idempotent, c.priority}, []any{m.Path, m.Idempotent, m.Priority})
 		})
 	}
-	// Symptom: a caller reaches an upstream's order endpoint. Sequence: the
-	// router matches one reading of the path, the upstream resolves another.
-	// Cause: a path with two readings was let through.
+	// Guards against a caller that reaches an endpoint outside the allow-list
+	// because the upstream resolves an ambiguous path differently.
 	for _, path := range []string{"", "status", "/status/..", "/status/.", "//status/a", "/status//", "/status/", "/status/%2e%2E",
 		"/status/a%2fb", "/status/a%5Cb", "/status/%00", "/status/a%0d%0ab", "/status/..;x", "/status/;x", "/status/%252e%252e",
 		"/status/%zz", "/status/%ff", "/status/a%3fb", "/status/a%23b"} {
@@ -233,42 +232,41 @@
 	}
 }
 
-// Symptom: callers at one site are told that a model is unknown, seconds after
-// a change to the fleet. Sequence: an operator edits the base document, the
-// result is valid as a whole, and a site's last pool for the model is gone.
-// Cause: the change was judged alone and not against what the site serves.
-func TestValidateChange(t *testing.T) {
-	full := testBundle()
-	full.Overlays = nil
+// Guards against a valid edit of the base document that removes a site's last pool
+// for a model, so that callers at the site get "unknown model" seconds later. The
+// change must be compared with what each site serves, not only checked by itself.
+func TestValidateChangeRejectsUnconfirmedWithdrawals(t *testing.T) {
+	original := testBundle()
+	original.Overlays = nil
 	edit := func(pairs ...string) Bundle {
 		return Bundle{Base: []byte(strings.NewReplacer(pairs...).Replace(baseText))}
 	}
 	south := func(text string) Bundle {
-		return Bundle{Base: full.Base, Overlays: map[string][]byte{"south": []byte("site: south\n" + text)}}
+		return Bundle{Base: original.Base, Overlays: map[string][]byte{"south": []byte("site: south\n" + text)}}
 	}
 	north := func(text string) Bundle {
-		return Bundle{Base: full.Base, Overlays: map[string][]byte{"north": []byte("site: north\n" + text)}}
+		return Bundle{Base: original.Base, Overlays: map[string][]byte{"north": []byte("site: north\n" + text)}}
 	}
 	cases := map[string]struct {
 		bundle Bundle
 		want   string
 	}{
-		"new version":        {edit(`version: "1", adapters`, `version: "2", adapters`), ""},
-		"another pool stays": {north("pools: [{name: spare, enabled: false}]\n"), ""},
-		"last pool":          {south("pools: [{name: lang, retire: true}]\n"), "would have no pool left"},
-		"adapter gone":       {south("pools: [{name: lang, adapters: []}]\n"), "would stop serving adapter ad of model m"},
-		"adapter dropped":    {edit("adapters: [ad]", "adapters: []"), ""},
-		"service gone":       {north("pools: [{name: web, enabled: false}]\n"), "would stop serving service portal"},
-		"service retired":    {north("pools: [{name: web, retire: true}]\n"), ""},
-		"pool leaves site":   {edit("[north, south], model", "[north], model"), "would have no pool left"},
-		"site closed":        {edit("[north, south], model", "[north], model", ", {name: south, region: r1}", ""), ""},
-		"model without pool": {edit(`model: m, version: "1", adapters: [ad]`, "priority: 1"), "site south would stop serving model m"},
-		"model retired":      {edit(`model: m, version: "1", adapters: [ad]`, "priority: 1", `adapters: [ad]}`, `adapters: [ad], retire: true}`), ""},
+		"new version":                    {edit(`version: "1", adapters`, `version: "2", adapters`), ""},
+		"another pool remains":           {north("pools: [{name: spare, enabled: false}]\n"), ""},
+		"last pool":                      {south("pools: [{name: lang, retire: true}]\n"), "would have no pool left"},
+		"adapter withdrawn":              {south("pools: [{name: lang, adapters: []}]\n"), "would stop serving adapter ad of model m"},
+		"adapter removed from the model": {edit("adapters: [ad]", "adapters: []"), ""},
+		"service withdrawn":              {north("pools: [{name: web, enabled: false}]\n"), "would stop serving service portal"},
+		"service retired":                {north("pools: [{name: web, retire: true}]\n"), ""},
+		"pool removed from site":         {edit("[north, south], model", "[north], model"), "would have no pool left"},
+		"site removed":                   {edit("[north, south], model", "[north], model", ", {name: south, region: r1}", ""), ""},
+		"model without pool":             {edit(`model: m, version: "1", adapters: [ad]`, "priority: 1"), "site south would stop serving model m"},
+		"model retired":                  {edit(`model: m, version: "1", adapters: [ad]`, "priority: 1", `adapters: [ad]}`, `adapters: [ad], retire: true}`), ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			require.Empty(t, Validate(c.bundle), "each case is valid on its own")
-			problems := Problems(ValidateChange(full, c.bundle))
+			require.Empty(t, Validate(c.bundle), "the new bundle must be valid by itself")
+			problems := Problems(ValidateChange(original, c.bundle))
 			if c.want == "" {
 				assert.Empty(t, problems)
 				return
@@ -278,16 +276,16 @@
 	}
 }
 
-// Symptom: after an upgrade no change is accepted any more. Sequence: the new
-// program refuses a text that is in force, and every change is compared with
-// it. Cause: a fault of the old version that the author could not waive.
-func TestChangeFromAnUnreadableVersion(t *testing.T) {
-	withdrawals, empty := compareBundles(Bundle{Base: []byte("gone: 1\n")}, testBundle())
-	assert.Empty(t, empty)
+// Guards against an upgrade after which no change can be accepted: the new program
+// rejects the text of the active version, and every change is compared with it.
+// Such problems must count as withdrawals, which the author can waive.
+func TestUnreadableActiveVersionCanBeWaived(t *testing.T) {
+	withdrawals, emptiedSites := compareBundles(Bundle{Base: []byte("gone: 1\n")}, testBundle())
+	assert.Empty(t, emptiedSites)
 	assert.ErrorContains(t, withdrawals, "in force: base.yaml:1: unknown key")
 }
 
-func TestBundleHash(t *testing.T) {
+func TestBundleEncodingKeepsContentAndHash(t *testing.T) {
 	b := testBundle()
 	decoded, err := DecodeBundle(b.Encode())
 	require.NoError(t, err)
@@ -298,12 +296,12 @@
 	assert.True(t, ErrCorrupt.Has(err))
 }
 
-func TestExamples(t *testing.T) {
+func TestExampleConfigurationsAreValid(t *testing.T) {
 	cases := map[string]struct {
-		services         []string
-		loosest          float64
-		nonIdempotent    [2]string
-		urgentWhenUnsaid string
+		services        []string
+		loadBound       float64
+		nonIdempotent   [2]string
+		urgentByDefault string
 	}{
 		"sebeke": {[]string{"portal"}, 1.45, [2]string{"portal", "/receipts"}, ""},
 		"glansa": {[]string{"booking", "keys"}, 1.25, [2]string{"keys", "/handovers"}, "/checks/7"},
@@ -318,12 +316,12 @@
 				assert.Len(t, e.Accounts, 10)
 				assert.Len(t, e.Services, len(c.services))
 				language, _ := e.Pool("language")
-				assert.Equal(t, c.loosest, language.LoadBound)
+				assert.Equal(t, c.loadBound, language.LoadBound)
 				m, err := e.MatchRoute(c.nonIdempotent[0], "POST", c.nonIdempotent[1])
 				require.NoError(t, err)
 				assert.False(t, m.Idempotent)
-				if c.urgentWhenUnsaid != "" {
-					m, err = e.MatchRoute("keys", "GET", c.urgentWhenUnsaid)
+				if c.urgentByDefault != "" {
+					m, err = e.MatchRoute("keys", "GET", c.urgentByDefault)
 					require.NoError(t, err)
 					assert.Equal(t, PriorityUrgent, m.Priority)
 				}
@@ -348,9 +346,9 @@
 	return b
 }
 
-// Symptom: a router dies on a configuration it was sent, on every router at
-// once. Sequence: an operator uploads odd text, the YAML library panics. Cause:
-// unchecked input; whatever the text, parsing must end in a value or Problems.
+// Guards against a panic of the YAML library on text that an operator uploads,
+// which would end the process of every router at once. For any text, parsing must
+// return a value or Problems.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{baseText, northText, "", "&a [*a]", "? [x]\n: y", "a: !!binary x", "\x00", "- - -\n -"} {
 		f.Add([]byte(seed))
@@ -359,15 +357,14 @@
 		b := Bundle{Base: data, Overlays: map[string][]byte{"north": data}}
 		for _, p := range Validate(b) {
 			if p.File == "" || p.Line < 0 || p.Reason == "" {
-				t.Errorf("problem without position or reason: %+v", p)
+				t.Errorf("problem without file, line or reason: %+v", p)
 			}
 		}
 	})
 }
 
-// Symptom: an upstream acts on another path than the one that was allowed.
-// Sequence: an accepted path is encoded anew, and reads differently. Cause: a
-// path with two readings was let through.
+// Guards against an upstream that acts on another path than the one that was
+// allowed: an accepted path that is encoded again must have the same segments.
 func FuzzSplitPath(f *testing.F) {
 	for _, seed := range []string{"/", "/a/b%20c", "/%2e%2e", "/a;b", "/%25", "/a%2fb"} {
 		f.Add(seed)
@@ -377,8 +374,8 @@
 		if err != nil {
 			return
 		}
-		again, err := splitPath(joinPath(segments))
+		encodedAgain, err := splitPath(joinPath(segments))
 		require.NoError(t, err)
-		require.Equal(t, segments, again)
+		require.Equal(t, segments, encodedAgain)
 	})
 }
--- a/internal/store/config/diff_test.go
+++ b/internal/store/config/diff_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestDiff(t *testing.T) {
+func TestDiffIgnoresLayout(t *testing.T) {
 	a := testBundle()
 	b := withBase(t, `version: "1", adapters: [ad]`, `version: "2", adapters: [ad, x]`)
 	b.Base = append([]byte("# a comment\n"), b.Base...)
--- a/internal/store/config/fake_test.go
+++ b/internal/store/config/fake_test.go
@@ -10,36 +10,37 @@
 	"damaskrouter.example/damaskrouter/internal/store/platform"
 )
 
-// fault is what happens to one commit.
+// fault is the failure of one commit.
 type fault int
 
 const (
 	faultNone fault = iota
-	// faultUnsent: no connection could be made.
+	// faultUnsent: the connection fails, so nothing is sent.
 	faultUnsent
-	// faultLostBefore: the request is lost, and the sender can't tell.
+	// faultLostBefore: the request is lost; the sender gets an unknown outcome.
 	faultLostBefore
-	// faultLostAfter: the reply is lost after the effect.
+	// faultLostAfter: the request takes effect, but its reply is lost.
 	faultLostAfter
-	// faultLate: the request takes effect after the sender's next read.
-	faultLate
-	// faultVeryLate: the request takes effect after the third read, and so
-	// after the sender has read back.
-	faultVeryLate
+	// faultDelayed: the request takes effect after the sender's next read.
+	faultDelayed
+	// faultDelayedPastReads: the request takes effect after the third read, when the
+	// sender has already read the head and the change id.
+	faultDelayedPastReads
 )
 
-// fakeTable is the table service in memory, with faults chosen by the test.
+// fakeTable is an in-memory table service with injected faults.
 type fakeTable struct {
 	mu   sync.Mutex
 	rows map[string]platform.Row
-	// next chooses the fault of a commit; nil means none.
-	next func() fault
-	// readErr is returned by every read, and before by every call, when set.
+	// nextFault returns the fault of a commit; nil means none.
+	nextFault func() fault
+	// readErr is returned by every read if it is not nil.
 	readErr error
-	late    func()
-	// lateAfter counts the reads until late runs.
-	lateAfter int
-	commits   int
+	// delayed applies the writes of a delayed commit.
+	delayed func()
+	// readsUntilDelayed is the number of calls of Get until delayed runs.
+	readsUntilDelayed int
+	commits           int
 }
 
 func newFakeTable() *fakeTable { return &fakeTable{rows: make(map[string]platform.Row)} }
@@ -50,26 +51,26 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.commits++
-	chosen := faultNone
-	if f.next != nil {
-		chosen = f.next()
+	injected := faultNone
+	if f.nextFault != nil {
+		injected = f.nextFault()
 	}
-	switch chosen {
+	switch injected {
 	case faultUnsent:
 		return nil, platform.ErrUnavailable.New("refused")
 	case faultLostBefore:
-		return nil, platform.ErrOutcomeUnknown.New("lost before")
-	case faultLate, faultVeryLate:
-		f.late = func() { _, _ = f.apply(writes) }
-		f.lateAfter = 1
-		if chosen == faultVeryLate {
-			f.lateAfter = 3
+		return nil, platform.ErrOutcomeUnknown.New("request lost")
+	case faultDelayed, faultDelayedPastReads:
+		f.delayed = func() { _, _ = f.apply(writes) }
+		f.readsUntilDelayed = 1
+		if injected == faultDelayedPastReads {
+			f.readsUntilDelayed = 3
 		}
 		return nil, platform.ErrOutcomeUnknown.New("late")
 	}
 	rows, err := f.apply(writes)
-	if chosen == faultLostAfter {
-		return nil, platform.ErrOutcomeUnknown.New("lost after")
+	if injected == faultLostAfter {
+		return nil, platform.ErrOutcomeUnknown.New("reply lost")
 	}
 	return rows, err
 }
@@ -92,14 +93,14 @@
 func (f *fakeTable) Get(_ context.Context, _ platform.Use, table, key string) (platform.Row, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	defer runtime.Gosched() // lets concurrent operations overlap
+	defer runtime.Gosched() // let concurrent operations overlap
 	if f.readErr != nil {
 		return platform.Row{}, f.readErr
 	}
 	row, ok := f.rows[rowID(table, key)]
-	f.lateAfter--
-	if f.late != nil && f.lateAfter == 0 {
-		f.late()
+	f.readsUntilDelayed--
+	if f.delayed != nil && f.readsUntilDelayed == 0 {
+		f.delayed()
 	}
 	if !ok {
 		return platform.Row{}, platform.ErrNotFound.New("%s", key)
@@ -119,8 +120,9 @@
 	return rows[:min(limit, len(rows))], f.readErr
 }
 
-// sequence returns the given faults one after the other, then none.
-func sequence(faults ...fault) func() fault {
+// faultSequence returns a function that returns the faults in order, then
+// faultNone.
+func faultSequence(faults ...fault) func() fault {
 	return func() fault {
 		if len(faults) == 0 {
 			return faultNone
@@ -131,7 +133,7 @@
 	}
 }
 
-// fakeObjects is the object store in memory. It refuses a name that exists.
+// fakeObjects is an in-memory object store. It rejects a name that exists.
 type fakeObjects map[string][]byte
 
 func (f fakeObjects) Put(_ context.Context, name string, data []byte) error {
--- a/internal/store/config/follower_test.go
+++ b/internal/store/config/follower_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// The property below draws the same offers in every run; -rapid.seed=0 on the
+// The property test draws the same offers in every run; -rapid.seed=0 on the
 // command line draws others.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
@@ -23,11 +23,10 @@
 	return f.Offer(uint64(version), b.Hash(), b)
 }
 
-// Symptom: an accepted change disappears from some routers after a while.
-// Sequence: versions reach a router from the store and from peers, in any
-// order, repeated, some damaged, some forked. Cause: an offer that is not
-// newer, or not sound, was put in force.
-func TestFollowerOnlyGoesForward(t *testing.T) {
+// Guards against an accepted change that disappears from some routers because an
+// offer that is older or damaged was activated. Versions reach a router from the
+// store and from peers in any order, repeated and damaged.
+func TestFollowerNeverActivatesOlderOrDamagedVersion(t *testing.T) {
 	const versions = 6
 	rapid.Check(t, func(t *rapid.T) {
 		f := NewFollower("north")
@@ -52,7 +51,7 @@
 				highest = uint64(version)
 			}
 			if got := f.version(); got != highest {
-				t.Fatalf("version %d in force, want %d", got, highest)
+				t.Fatalf("version %d active, want %d", got, highest)
 			}
 			if highest > 0 && f.InForce().Hash != variant(int(highest)).Hash() {
 				t.Fatalf("version %d has other content", highest)
@@ -61,9 +60,9 @@
 	})
 }
 
-func TestFollowerOffers(t *testing.T) {
+func TestFollowerRejectsOlderAndForkedOffers(t *testing.T) {
 	f := NewFollower("north")
-	assert.Nil(t, f.InForce(), "a fresh router has nothing to serve with")
+	assert.Nil(t, f.InForce(), "a new router must have no active configuration")
 	applied, err := offer(f, 3)
 	require.NoError(t, err)
 	assert.True(t, applied)
@@ -73,20 +72,19 @@
 	_, err = f.Offer(3, variant(4).Hash(), variant(4))
 	assert.Equal(t, &ForkError{Version: 3, InForce: variant(3).Hash(), Offered: variant(4).Hash()}, err)
 	_, err = NewFollower("north").Offer(0, variant(0).Hash(), variant(0))
-	assert.True(t, as[*RejectedError](err), "versions start at 1")
+	assert.True(t, hasType[*RejectedError](err), "versions start at 1")
 }
 
-// Symptom: a router stays behind although its peers have the version.
-// Sequence: one peer hands out a damaged copy; the version is remembered as
-// bad; the sound copies of the others are refused. Cause: the memory went by
-// version alone.
-func TestDamagedCopyDoesNotShutOutTheSoundOne(t *testing.T) {
+// Guards against a router that stays on an old version although its peers have the
+// new one: if rejections were recorded by version only, the damaged copy of one
+// peer would block the intact copies of the others.
+func TestDamagedCopyDoesNotBlockIntactCopy(t *testing.T) {
 	f := NewFollower("north")
 	for range 2 {
 		_, err := f.Offer(1, variant(1).Hash(), variant(2))
-		assert.True(t, as[*RejectedError](err))
+		assert.True(t, hasType[*RejectedError](err))
 	}
-	assert.Len(t, f.Rejections(), 1, "a repeated offer is remembered once")
+	assert.Len(t, f.Rejections(), 1, "a repeated offer must be recorded once")
 	assert.True(t, f.Wants(1, variant(1).Hash()))
 	applied, err := offer(f, 1)
 	require.NoError(t, err)
@@ -94,11 +92,10 @@
 	assert.False(t, f.Wants(1, variant(1).Hash()))
 }
 
-// Symptom: a router fetches the same version without end, or stops serving.
-// Sequence: a version that this program cannot read, or that does not name the
-// router's site, reaches it. Cause: the refusal was not remembered, or the
-// version in force was dropped for it.
-func TestUnusableVersionIsRememberedAndNotFetchedAgain(t *testing.T) {
+// Guards against a router that fetches the same version again and again, or stops
+// serving, after it received a version that it can't read or that does not name
+// its site. The rejection must be recorded and the active version kept.
+func TestUnusableVersionIsNotFetchedAgain(t *testing.T) {
 	unknownKey := Bundle{Base: []byte("future: true\n")}
 	otherSite := Bundle{Base: []byte("sites: [{name: west, region: r}]\n")}
 	f := NewFollower("north")
@@ -106,7 +103,7 @@
 	require.NoError(t, err)
 	for _, b := range []Bundle{unknownKey, otherSite} {
 		_, err = f.Offer(2, b.Hash(), b)
-		assert.True(t, as[*RejectedError](err))
+		assert.True(t, hasType[*RejectedError](err))
 		assert.False(t, f.Wants(2, b.Hash()))
 	}
 	assert.EqualValues(t, 1, f.InForce().Version)
