--- a/internal/base/engineconn/errors.go
+++ b/internal/base/engineconn/errors.go
@@ -11,9 +11,9 @@
 var (
 	// ErrNotSent means that no byte of the request left the router.
 	ErrNotSent = errs.Class("engine: not sent")
-	// ErrNoAnswer means that the request was sent, wholly or in part, and the
+	// ErrNoResponse means that the request was sent, wholly or in part, and the
 	// connection ended or its deadline passed before a response began.
-	ErrNoAnswer = errs.Class("engine: no response")
+	ErrNoResponse = errs.Class("engine: no response")
 	// ErrReused wraps ErrNoAnswer and ErrMalformed if the connection had carried
 	// another request before: it may have gone dead since, and other idle
 	// connections with it.
@@ -21,6 +21,6 @@
 	// ErrMalformed means that the received bytes are not a response to the
 	// request.
 	ErrMalformed = errs.Class("engine: malformed response")
-	// ErrCut means that a response ended before it was complete.
-	ErrCut = errs.Class("engine: response truncated")
+	// ErrTruncated means that a response ended before it was complete.
+	ErrTruncated = errs.Class("engine: response truncated")
 )
--- a/internal/base/engineconn/pool.go
+++ b/internal/base/engineconn/pool.go
@@ -65,11 +65,11 @@
 	// a drop becomes likelier the longer a connection was idle. A negative value
 	// forces a new connection.
 	MaxIdle time.Duration
-	// Keep is the maximum number of idle connections to the engine.
-	Keep int
-	// Own reports whether a response with the header belongs to the request. An
+	// MaxIdleConns is the maximum number of idle connections to the engine.
+	MaxIdleConns int
+	// Matches reports whether a response with the header belongs to the request. An
 	// engine may send a second response to an earlier request of the connection.
-	Own func(http.Header) bool
+	Matches func(http.Header) bool
 	// Traffic counts the bytes of the exchange; nil disables counting.
 	Traffic *Traffic
 }
@@ -144,10 +144,10 @@
 	return p.opts.MaxAge > 0 && now-c.openedAt >= p.opts.MaxAge
 }
 
-// Drop closes the idle connections to an engine. If one connection has gone
+// CloseIdle closes the idle connections to an engine. If one connection has gone
 // dead, the others most likely have too, and each would cost a request its time
 // limit.
-func (p *Pool) Drop(engine string) {
+func (p *Pool) CloseIdle(engine string) {
 	p.mu.Lock()
 	conns := p.idle[engine]
 	delete(p.idle, engine)
--- a/internal/base/engineconn/send.go
+++ b/internal/base/engineconn/send.go
@@ -21,8 +21,8 @@
 // maxStrayBody bounds the body of a skipped response, in bytes.
 const maxStrayBody = 1 << 20
 
-// Answer is the response of an engine. Close must be called once.
-type Answer struct {
+// Response is the response of an engine. Close must be called once.
+type Response struct {
 	Status int
 	Header http.Header
 	// Length is the length of the body in bytes; -1 if it is not known in advance.
@@ -81,7 +81,7 @@
 // arrived. The end of the context closes the connection, also while the body is
 // read; most engines then stop working on the request. Errors: ErrNotSent,
 // ErrNoAnswer, ErrMalformed.
-func (p *Pool) Send(ctx context.Context, to Target, r *Request) (*Answer, error) {
+func (p *Pool) Send(ctx context.Context, to Target, r *Request) (*Response, error) {
 	c, err := p.connect(ctx, to, r.MaxIdle)
 	if err != nil {
 		return nil, err
@@ -106,10 +106,10 @@
 	if timeout := parseKeepAlive(resp.Header.Get("Keep-Alive")); timeout > 0 {
 		c.idleTimeout = max(timeout-idleTimeoutMargin, time.Millisecond)
 	}
-	return &Answer{
+	return &Response{
 		Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength,
 		Framed: resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0, Reused: c.reused,
-		body: resp.Body, conn: c, pool: p, engine: to.ID, stopAbort: stopAbort, write: w, maxConns: r.Keep, keepAlive: !resp.Close,
+		body: resp.Body, conn: c, pool: p, engine: to.ID, stopAbort: stopAbort, write: w, maxConns: r.MaxIdleConns, keepAlive: !resp.Close,
 	}, nil
 }
 
@@ -181,21 +181,21 @@
 // skips stray responses before it. Errors: ErrNoAnswer, ErrMalformed.
 func readHeader(c *conn, r *Request) (*http.Response, error) {
 	if _, err := c.reader.Peek(1); err != nil {
-		return nil, ErrNoAnswer.Wrap(err)
+		return nil, ErrNoResponse.Wrap(err)
 	}
 	for range maxStrayResponses + 1 {
 		resp, err := readFinalHeader(c, r)
 		if err != nil {
 			return nil, err
 		}
-		if r.Own(resp.Header) {
+		if r.Matches(resp.Header) {
 			return resp, nil
 		}
 		if resp.ContentLength < 0 || resp.ContentLength > maxStrayBody || resp.Close {
 			return nil, ErrMalformed.New("response belongs to another request")
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			return nil, ErrNoAnswer.Wrap(err)
+			return nil, ErrNoResponse.Wrap(err)
 		}
 	}
 	return nil, ErrMalformed.New("%d responses belong to other requests", maxStrayResponses+1)
@@ -208,7 +208,7 @@
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: r.Method})
 		if err != nil {
 			if isConnectionEnd(err) {
-				return nil, ErrNoAnswer.Wrap(err)
+				return nil, ErrNoResponse.Wrap(err)
 			}
 			return nil, ErrMalformed.Wrap(err)
 		}
@@ -228,7 +228,7 @@
 // Read reads the body. It returns io.EOF if the body is complete: its announced
 // length or its last chunk was read or, if it has neither, the engine closed the
 // connection. Errors: ErrCut.
-func (a *Answer) Read(b []byte) (int, error) {
+func (a *Response) Read(b []byte) (int, error) {
 	n, err := a.body.Read(b)
 	switch {
 	case err == nil:
@@ -237,13 +237,13 @@
 		a.complete = true
 		return n, io.EOF
 	}
-	return n, ErrCut.Wrap(err)
+	return n, ErrTruncated.Wrap(err)
 }
 
 // Close ends the exchange. The connection returns to the pool if the response was
 // read to its end, the request was written whole, and the engine keeps the
 // connection open too.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	if a.stopAbort() && a.complete && a.keepAlive && a.write.finished() {
 		a.pool.putIdle(a.engine, a.conn, a.maxConns)
 		return
--- a/internal/base/engineconn/send_test.go
+++ b/internal/base/engineconn/send_test.go
@@ -44,7 +44,7 @@
 func request(id string, bodyLen int) *Request {
 	return &Request{
 		Method: http.MethodPost, Target: "/x", Host: "h", Header: http.Header{idHeader: {id}}, Body: bytes.Repeat([]byte("b"), bodyLen),
-		MaxIdle: time.Minute, Keep: 4, Own: func(h http.Header) bool { return h.Get(idHeader) == id },
+		MaxIdle: time.Minute, MaxIdleConns: 4, Matches: func(h http.Header) bool { return h.Get(idHeader) == id },
 	}
 }
 
@@ -66,7 +66,7 @@
 	_, err := NewPool(Options{Clock: clock}).Send(t.Context(), e.target, request("r", 32<<20))
 	require.Error(t, err)
 	require.False(t, ErrNotSent.Has(err), "%v", err)
-	require.True(t, ErrNoAnswer.Has(err) || ErrMalformed.Has(err), "%v", err)
+	require.True(t, ErrNoResponse.Has(err) || ErrMalformed.Has(err), "%v", err)
 }
 
 // A connection that could not be opened proves that nothing was sent.
@@ -122,7 +122,7 @@
 	require.NoError(t, err)
 	defer resp.Close()
 	body, err := io.ReadAll(resp)
-	require.True(t, ErrCut.Has(err), "%v", err)
+	require.True(t, ErrTruncated.Has(err), "%v", err)
 	require.Equal(t, "half", string(body))
 }
 
@@ -142,7 +142,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, cancel)
 	_, err := pool.Send(ctx, e.target, request("r", 1))
-	require.True(t, ErrNoAnswer.Has(err), "%v", err)
+	require.True(t, ErrNoResponse.Has(err), "%v", err)
 	<-closed
 
 	ctx, cancel = context.WithCancel(t.Context())
@@ -234,7 +234,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err := pool.Send(ctx, Target{ID: "e"}, request("r", 1))
-		require.True(t, ErrNoAnswer.Has(err), "%v", err)
+		require.True(t, ErrNoResponse.Has(err), "%v", err)
 		require.False(t, ErrNotSent.Has(err), "%v", err)
 	})
 }
@@ -252,7 +252,7 @@
 		got <- err
 	})
 	_, err := NewPool(Options{Clock: clock}).Send(ctx, e.target, request("r", 32<<20))
-	require.True(t, ErrNoAnswer.Has(err), "%v", err)
+	require.True(t, ErrNoResponse.Has(err), "%v", err)
 	close(aborted)
 	require.ErrorIs(t, <-got, syscall.ECONNRESET)
 }
--- a/internal/cli/evacuated_test.go
+++ b/internal/cli/evacuated_test.go
@@ -14,7 +14,7 @@
 	printEvacuated(&out, []feed.Status{
 		{Router: "r1", State: feed.StateServing, Evacuated: []string{"a", "b"}},
 		{Router: "r2", State: feed.StateServing, Evacuated: []string{"b"}},
-		{Router: "r3", State: feed.StateUnheard},
+		{Router: "r3", State: feed.StateNotHeard},
 	})
 	require.Equal(t, "evacuated: a, known to 1 of 2 routers\nevacuated: b, known to 2 of 2 routers\n", out.String())
 }
--- a/internal/cli/routers.go
+++ b/internal/cli/routers.go
@@ -129,7 +129,7 @@
 func groups(list []feed.Status) []settingsGroup {
 	byDigest := make(map[string][]feed.Status)
 	for _, s := range list {
-		if s.State != feed.StateUnheard {
+		if s.State != feed.StateNotHeard {
 			byDigest[s.Settings] = append(byDigest[s.Settings], s)
 		}
 	}
@@ -178,7 +178,7 @@
 	routers := make(map[string]int)
 	heard := 0
 	for _, s := range list {
-		if s.State != feed.StateUnheard {
+		if s.State != feed.StateNotHeard {
 			heard++
 		}
 		for _, site := range s.Evacuated {
--- a/internal/cli/routers_test.go
+++ b/internal/cli/routers_test.go
@@ -51,7 +51,7 @@
 		case 100:
 			s.Problem = "settings: field: line 9: bounds.revoke_ms fails the check min=1000000"
 		case 101:
-			s = feed.Status{Router: s.Router, Site: s.Site, State: feed.StateUnheard}
+			s = feed.Status{Router: s.Router, Site: s.Site, State: feed.StateNotHeard}
 		}
 		out.Statuses = append(out.Statuses, s)
 	}
--- a/internal/decide/gate/gate.go
+++ b/internal/decide/gate/gate.go
@@ -50,8 +50,8 @@
 	Rand *rand.Rand
 }
 
-// Ask is a request for a slot.
-type Ask struct {
+// Request is a request for a slot.
+type Request struct {
 	// ID is unique among the requests of all routers.
 	ID string
 	// Holder is the router that requests the slot.
@@ -78,8 +78,8 @@
 	Pace Pace
 }
 
-// Verdict is the gate's decision on a request.
-type Verdict struct {
+// Decision is the gate's decision on a request.
+type Decision struct {
 	ID      string
 	Granted bool
 	// Wait is how long the request would have had to wait. It is set on a refusal.
@@ -99,7 +99,7 @@
 	queue *queue.Queue
 	// classes is the number of classes for requests on time; there are as many for late ones.
 	classes int
-	waiting map[string]Ask
+	waiting map[string]Request
 	leases  map[string]lease
 	slots   int
 	pacer   pacer
@@ -109,7 +109,7 @@
 	meanHold   time.Duration
 	meanWeight float64
 	// undelivered holds decisions on queued requests that Settle has not returned yet.
-	undelivered []Verdict
+	undelivered []Decision
 }
 
 // New returns a gate without slots; see SetPlaces.
@@ -122,17 +122,17 @@
 			Limit: maxWaiting, AgeAfter: time.Hour, Classes: 2 * cfg.Classes, Window: cfg.Window, Reserve: reservedShare, Rand: cfg.Rand,
 		}),
 		classes: cfg.Classes,
-		waiting: make(map[string]Ask),
+		waiting: make(map[string]Request),
 		leases:  make(map[string]lease),
 	}
 }
 
-// SetPlaces sets how many requests may be at the engine at once.
-func (g *Gate) SetPlaces(n int) { g.slots = max(n, 0) }
+// SetSlots sets how many requests may be at the engine at once.
+func (g *Gate) SetSlots(n int) { g.slots = max(n, 0) }
 
-// SetOthers sets how many requests are at the engine without a lease of this gate: those sent while
+// SetUnleased sets how many requests are at the engine without a lease of this gate: those sent while
 // no lease was needed, or with a lease of another owner.
-func (g *Gate) SetOthers(n int) { g.unleased = max(n, 0) }
+func (g *Gate) SetUnleased(n int) { g.unleased = max(n, 0) }
 
 // Held returns the number of leases.
 func (g *Gate) Held() int { return len(g.leases) }
@@ -147,28 +147,28 @@
 	return len(g.leases)+g.unleased < g.slots && g.pacer.allows(now)
 }
 
-// Ask grants a slot, queues the request, or refuses it. The decision on a queued request is
+// Acquire grants a slot, queues the request, or refuses it. The decision on a queued request is
 // returned by a later call of Settle.
-func (g *Gate) Ask(now time.Time, req Ask) (v Verdict, queued bool) {
+func (g *Gate) Acquire(now time.Time, req Request) (v Decision, queued bool) {
 	if _, leased := g.leases[req.ID]; leased {
-		return Verdict{ID: req.ID, Granted: true}, false
+		return Decision{ID: req.ID, Granted: true}, false
 	}
 	g.pacer.set(now, req.Pace)
 	if g.queue.Len() == 0 && g.hasFreeSlot(now) {
 		g.grant(now, req)
-		return Verdict{ID: req.ID, Granted: true}, false
+		return Decision{ID: req.ID, Granted: true}, false
 	}
 	g.queue.SetRate(g.drainRate(now, req))
 	item := queue.Item{ID: req.ID, Account: req.Account, Class: g.queueClass(req), Weight: req.Weight, Deadline: req.Latest}
 	if err := g.queue.Push(now, item); err != nil {
-		return Verdict{ID: req.ID, Wait: g.queue.PredictWait(now, item)}, false
+		return Decision{ID: req.ID, Wait: g.queue.PredictWait(now, item)}, false
 	}
 	g.waiting[req.ID] = req
-	return Verdict{}, true
+	return Decision{}, true
 }
 
 // queueClass returns the class in which a request is queued.
-func (g *Gate) queueClass(req Ask) queue.Class {
+func (g *Gate) queueClass(req Request) queue.Class {
 	class := min(req.Class, queue.Class(g.classes-1))
 	if req.Late {
 		class += queue.Class(g.classes)
@@ -178,14 +178,14 @@
 
 // drainRate returns how much work would finish per second if leases lasted as long as they have so
 // far. A new backlog is assumed to drain at this rate.
-func (g *Gate) drainRate(now time.Time, req Ask) float64 {
+func (g *Gate) drainRate(now time.Time, req Request) float64 {
 	if perSecond, paced := g.pacer.perSecond(now); paced {
 		return min(g.unpacedDrainRate(req), perSecond*float64(max(req.Weight, 1)))
 	}
 	return g.unpacedDrainRate(req)
 }
 
-func (g *Gate) unpacedDrainRate(req Ask) float64 {
+func (g *Gate) unpacedDrainRate(req Request) float64 {
 	hold, weight := g.meanHold, g.meanWeight
 	if hold == 0 {
 		hold, weight = req.Hold, float64(max(req.Weight, 1))
@@ -196,7 +196,7 @@
 	return float64(g.slots) * weight / hold.Seconds()
 }
 
-func (g *Gate) grant(now time.Time, req Ask) {
+func (g *Gate) grant(now time.Time, req Request) {
 	g.pacer.recordGrant(now)
 	g.leases[req.ID] = lease{holder: req.Holder, weight: max(req.Weight, 1), granted: now, until: req.Until}
 }
@@ -228,7 +228,7 @@
 		delete(g.waiting, id)
 		return
 	}
-	g.undelivered = slices.DeleteFunc(g.undelivered, func(v Verdict) bool { return v.ID == id })
+	g.undelivered = slices.DeleteFunc(g.undelivered, func(v Decision) bool { return v.ID == id })
 	delete(g.leases, id)
 }
 
@@ -250,10 +250,10 @@
 // Settle returns the decisions on queued requests: those granted because slots are free, and those
 // refused because their turn would come too late. It must be called after every other call that may
 // free a slot, and every few milliseconds while requests are queued.
-func (g *Gate) Settle(now time.Time) []Verdict {
+func (g *Gate) Settle(now time.Time) []Decision {
 	g.expireLeases(now)
 	for _, item := range g.queue.Expire(now) {
-		g.undelivered = append(g.undelivered, Verdict{ID: item.ID, Wait: g.queue.PredictWait(now, item)})
+		g.undelivered = append(g.undelivered, Decision{ID: item.ID, Wait: g.queue.PredictWait(now, item)})
 		delete(g.waiting, item.ID)
 	}
 	for g.hasFreeSlot(now) {
@@ -262,7 +262,7 @@
 			break
 		}
 		g.grant(now, g.waiting[item.ID])
-		g.undelivered = append(g.undelivered, Verdict{ID: item.ID, Granted: true})
+		g.undelivered = append(g.undelivered, Decision{ID: item.ID, Granted: true})
 		delete(g.waiting, item.ID)
 	}
 	decisions := g.undelivered
@@ -272,10 +272,10 @@
 
 // RefuseAll refuses all queued requests and returns the decisions. It is used when the engine takes
 // no more requests.
-func (g *Gate) RefuseAll(now time.Time) []Verdict {
+func (g *Gate) RefuseAll(now time.Time) []Decision {
 	for id := range g.waiting {
 		g.queue.Remove(id)
-		g.undelivered = append(g.undelivered, Verdict{ID: id})
+		g.undelivered = append(g.undelivered, Decision{ID: id})
 	}
 	clear(g.waiting)
 	return g.Settle(now)
--- a/internal/decide/gate/gate_test.go
+++ b/internal/decide/gate/gate_test.go
@@ -17,12 +17,12 @@
 
 func newGate(slots int) *Gate {
 	g := New(Config{Classes: 10})
-	g.SetPlaces(slots)
+	g.SetSlots(slots)
 	return g
 }
 
-func newRequest(id string, now time.Duration, maxWait time.Duration) Ask {
-	return Ask{
+func newRequest(id string, now time.Duration, maxWait time.Duration) Request {
+	return Request{
 		ID: id, Holder: "r1", Account: "a", Weight: 1, Latest: at(now + maxWait), Until: at(now + time.Minute),
 		Hold: time.Second,
 	}
@@ -32,14 +32,14 @@
 // the same outdated report of a free slot: one of them has to wait until the slot is released.
 func TestSlotIsNotGrantedTwice(t *testing.T) {
 	g := newGate(1)
-	v, queued := g.Ask(at(0), newRequest("a", 0, 3*time.Second))
+	v, queued := g.Acquire(at(0), newRequest("a", 0, 3*time.Second))
 	require.True(t, v.Granted)
 	require.False(t, queued)
-	_, queued = g.Ask(at(0), newRequest("b", 0, 3*time.Second))
+	_, queued = g.Acquire(at(0), newRequest("b", 0, 3*time.Second))
 	require.True(t, queued)
 	require.Empty(t, g.Settle(at(time.Second)))
 	require.True(t, g.Release(at(time.Second), "a"))
-	require.Equal(t, []Verdict{{ID: "b", Granted: true}}, g.Settle(at(time.Second)))
+	require.Equal(t, []Decision{{ID: "b", Granted: true}}, g.Settle(at(time.Second)))
 	require.False(t, g.Release(at(2*time.Second), "a"), "releasing twice has no effect")
 	require.Equal(t, 1, g.Held())
 }
@@ -50,7 +50,7 @@
 	g := newGate(10)
 	refused := 0
 	for i := range 60 {
-		v, queued := g.Ask(at(0), newRequest(fmt.Sprint(i), 0, 500*time.Millisecond))
+		v, queued := g.Acquire(at(0), newRequest(fmt.Sprint(i), 0, 500*time.Millisecond))
 		if !v.Granted && !queued {
 			refused++
 			require.Greater(t, v.Wait, 400*time.Millisecond)
@@ -63,11 +63,11 @@
 // Guards against overloading an engine with requests that were sent without a lease.
 func TestUnleasedRequestsOccupySlots(t *testing.T) {
 	g := newGate(3)
-	g.SetOthers(3)
-	_, queued := g.Ask(at(0), newRequest("a", 0, time.Second))
+	g.SetUnleased(3)
+	_, queued := g.Acquire(at(0), newRequest("a", 0, time.Second))
 	require.True(t, queued)
 	require.Empty(t, g.Settle(at(0)))
-	g.SetOthers(2)
+	g.SetUnleased(2)
 	require.Len(t, g.Settle(at(0)), 1)
 }
 
@@ -77,13 +77,13 @@
 	g := newGate(2)
 	a, b := newRequest("a", 0, time.Second), newRequest("b", 0, time.Second)
 	b.Holder, b.Until = "r2", at(5*time.Second)
-	for _, req := range []Ask{a, b} {
-		v, _ := g.Ask(at(0), req)
+	for _, req := range []Request{a, b} {
+		v, _ := g.Acquire(at(0), req)
 		require.True(t, v.Granted)
 	}
 	waiting := newRequest("c", 0, time.Hour)
 	waiting.Holder = "r1"
-	_, queued := g.Ask(at(0), waiting)
+	_, queued := g.Acquire(at(0), waiting)
 	require.True(t, queued)
 	g.DropHolder(at(time.Second), "r1")
 	require.Equal(t, 1, g.Held())
@@ -97,7 +97,7 @@
 // late ones.
 func TestLateRequestsAreServedLast(t *testing.T) {
 	g := newGate(1)
-	g.Ask(at(0), newRequest("running", 0, time.Minute))
+	g.Acquire(at(0), newRequest("running", 0, time.Minute))
 	for _, tc := range []struct {
 		id    string
 		class queue.Class
@@ -105,13 +105,13 @@
 	}{{"late urgent", 0, true}, {"late", 9, true}, {"least urgent", 9, false}, {"urgent", 0, false}} {
 		req := newRequest(tc.id, 0, time.Minute)
 		req.Class, req.Late = tc.class, tc.late
-		_, queued := g.Ask(at(0), req)
+		_, queued := g.Acquire(at(0), req)
 		require.True(t, queued)
 	}
 	last := "running"
 	for _, next := range []string{"urgent", "least urgent", "late urgent", "late"} {
 		g.Release(at(time.Second), last)
-		require.Equal(t, []Verdict{{ID: next, Granted: true}}, g.Settle(at(time.Second)))
+		require.Equal(t, []Decision{{ID: next, Granted: true}}, g.Settle(at(time.Second)))
 		last = next
 	}
 }
@@ -122,9 +122,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGate(rapid.IntRange(0, 5).Draw(t, "places"))
 		now := time.Duration(0)
-		waiting, held := map[string]Ask{}, map[string]bool{}
+		waiting, held := map[string]Request{}, map[string]bool{}
 		unleased, next := 0, 0
-		record := func(v Verdict) {
+		record := func(v Decision) {
 			_, ok := waiting[v.ID]
 			require.True(t, ok, "%s got a second decision", v.ID)
 			delete(waiting, v.ID)
@@ -156,7 +156,7 @@
 				req.Late = rapid.Bool().Draw(t, "late")
 				req.Account = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "account")
 				waiting[req.ID] = req
-				v, queued := g.Ask(at(now), req)
+				v, queued := g.Acquire(at(now), req)
 				if !queued {
 					record(v)
 				}
@@ -175,7 +175,7 @@
 			},
 			"others": func(t *rapid.T) {
 				unleased = rapid.IntRange(0, 3).Draw(t, "others")
-				g.SetOthers(unleased)
+				g.SetUnleased(unleased)
 			},
 			"wait": func(t *rapid.T) { now += time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond },
 			"":     func(*rapid.T) { settle() },
@@ -187,7 +187,7 @@
 	g := newGate(48)
 	b.ReportAllocs()
 	for b.Loop() {
-		g.Ask(epoch, Ask{ID: "a", Holder: "r", Account: "a", Weight: 1, Latest: at(time.Second), Until: at(time.Minute)})
+		g.Acquire(epoch, Request{ID: "a", Holder: "r", Account: "a", Weight: 1, Latest: at(time.Second), Until: at(time.Minute)})
 		g.Release(epoch, "a")
 	}
 }
--- a/internal/decide/gate/overload.go
+++ b/internal/decide/gate/overload.go
@@ -20,12 +20,12 @@
 	return o.lastRefusal == 0 || now-o.lastRefusal > overloadGap
 }
 
-// ComeBack records a refusal at now and returns after how long the caller should retry. The
+// RetryAfter records a refusal at now and returns after how long the caller should retry. The
 // duration of an overload is not known; the best estimate is that it lasts for as long again as it
 // has lasted, and at least for the route's objective. With shorter delays many callers would retry
 // while all slots are still taken, and callers that return soon can't be told from new ones; see
 // Usual. The caller gives up after remaining; random is a number from 0 to 1.
-func (o *Overload) ComeBack(objective, remaining, now time.Duration, random float64) time.Duration {
+func (o *Overload) RetryAfter(objective, remaining, now time.Duration, random float64) time.Duration {
 	if o.Over(now) {
 		o.firstRefusal = now
 	}
--- a/internal/decide/gate/overload_test.go
+++ b/internal/decide/gate/overload_test.go
@@ -12,15 +12,15 @@
 func TestRetryDelayFollowsOverloadDuration(t *testing.T) {
 	const objective, remaining = 500 * time.Millisecond, time.Minute
 	var o Overload
-	require.Equal(t, objective, o.ComeBack(objective, remaining, time.Second, 0.5))
+	require.Equal(t, objective, o.RetryAfter(objective, remaining, time.Second, 0.5))
 	for now := time.Second; now <= 3*time.Second; now += time.Second {
-		o.ComeBack(objective, remaining, now, 0.5)
+		o.RetryAfter(objective, remaining, now, 0.5)
 	}
-	require.Equal(t, 2*time.Second, o.ComeBack(objective, remaining, 3*time.Second, 0.5))
-	require.Equal(t, time.Second, o.ComeBack(objective, 3*time.Second, 3*time.Second, 0.5))
-	require.Equal(t, objective, o.ComeBack(objective, remaining, 10*time.Second, 0.5), "the delay starts anew in a new overload")
-	require.Less(t, o.ComeBack(objective, remaining, 10*time.Second, 0), objective)
-	require.Greater(t, o.ComeBack(objective, remaining, 10*time.Second, 1), objective)
+	require.Equal(t, 2*time.Second, o.RetryAfter(objective, remaining, 3*time.Second, 0.5))
+	require.Equal(t, time.Second, o.RetryAfter(objective, 3*time.Second, 3*time.Second, 0.5))
+	require.Equal(t, objective, o.RetryAfter(objective, remaining, 10*time.Second, 0.5), "the delay starts anew in a new overload")
+	require.Less(t, o.RetryAfter(objective, remaining, 10*time.Second, 0), objective)
+	require.Greater(t, o.RetryAfter(objective, remaining, 10*time.Second, 1), objective)
 }
 
 // Guards against two faults in a surge of four times the usual load: links between engines that
--- a/internal/decide/gate/pace_test.go
+++ b/internal/decide/gate/pace_test.go
@@ -12,7 +12,7 @@
 )
 
 // newPacedRequest returns a request for a slot at a cold engine.
-func newPacedRequest(id string, now, maxWait time.Duration, pace Pace) Ask {
+func newPacedRequest(id string, now, maxWait time.Duration, pace Pace) Request {
 	req := newRequest(id, now, maxWait)
 	req.Pace = pace
 	return req
@@ -22,7 +22,7 @@
 // grants, 0 or 1.
 func (g *Gate) acquireAndRelease(now time.Duration, pace Pace) int {
 	req := newPacedRequest("a", now, 0, pace)
-	v, _ := g.Ask(at(now), req)
+	v, _ := g.Acquire(at(now), req)
 	g.Release(at(now), req.ID)
 	g.Withdraw(at(now), req.ID)
 	if v.Granted {
@@ -57,7 +57,7 @@
 		owners := []*Gate{newGate(64), newGate(64)}
 		var arrivals []time.Duration
 		now := time.Duration(0)
-		recordArrivals := func(decisions ...Verdict) {
+		recordArrivals := func(decisions ...Decision) {
 			for _, v := range decisions {
 				if v.Granted {
 					delay := time.Duration(rapid.IntRange(0, 200).Draw(t, "way")) * time.Millisecond
@@ -69,7 +69,7 @@
 			now += time.Duration(rapid.IntRange(0, 40).Draw(t, "gap")) * time.Millisecond
 			owner := owners[rapid.IntRange(0, 1).Draw(t, "owner")]
 			maxWait := time.Duration(rapid.IntRange(0, 300).Draw(t, "patience")) * time.Millisecond
-			v, queued := owner.Ask(at(now), newPacedRequest(fmt.Sprint(i), now, maxWait, pace))
+			v, queued := owner.Acquire(at(now), newPacedRequest(fmt.Sprint(i), now, maxWait, pace))
 			if !queued {
 				recordArrivals(v)
 			}
@@ -96,9 +96,9 @@
 // once and can go elsewhere.
 func TestRefuseAllLeavesNoRequestQueued(t *testing.T) {
 	g := newGate(1)
-	g.Ask(at(0), newRequest("running", 0, time.Second))
+	g.Acquire(at(0), newRequest("running", 0, time.Second))
 	for i := range 3 {
-		_, queued := g.Ask(at(0), newRequest(fmt.Sprint(i), 0, time.Minute))
+		_, queued := g.Acquire(at(0), newRequest(fmt.Sprint(i), 0, time.Minute))
 		require.True(t, queued)
 	}
 	decisions := g.RefuseAll(at(0))
--- a/internal/decide/gate/refusals.go
+++ b/internal/decide/gate/refusals.go
@@ -11,14 +11,14 @@
 	maxRefusals = 1 << 15
 )
 
-// Refused remembers for a while which requests were refused a slot, so that their retries are
+// RefusalHistory remembers for a while which requests were refused a slot, so that their retries are
 // recognized: an attempt does not refer to the previous one. The zero value is empty. It is not
 // safe for concurrent use.
 //
 // In a surge half of the requests for a slot are retries, whose answers are late whenever they
 // come. Served in turn with the others they make these late too, until every request is refused
 // once and then served late. See Ask.Late.
-type Refused struct {
+type RefusalHistory struct {
 	// recent holds the refusals since recentSince, and older those of the interval before.
 	recent, older map[uint64]refusal
 	recentSince   time.Duration
@@ -32,7 +32,7 @@
 
 // Note records that an attempt at a request was refused at now. The subject is the same for all
 // attempts at a request, and zero if the request can't be told from others.
-func (r *Refused) Note(subject uint64, attempt uint64, now time.Duration) {
+func (r *RefusalHistory) Note(subject uint64, attempt uint64, now time.Duration) {
 	if subject == 0 {
 		return
 	}
@@ -47,19 +47,19 @@
 
 // Forget removes a request that was granted a slot: the next request with the same subject is a new
 // one.
-func (r *Refused) Forget(subject uint64) {
+func (r *RefusalHistory) Forget(subject uint64) {
 	delete(r.recent, subject)
 	delete(r.older, subject)
 }
 
 // Late reports whether an earlier attempt at the request was refused so long ago that the request
 // can no longer start within slack of that refusal.
-func (r *Refused) Late(subject uint64, attempt uint64, slack, now time.Duration) bool {
+func (r *RefusalHistory) Late(subject uint64, attempt uint64, slack, now time.Duration) bool {
 	first, known := r.find(subject)
 	return known && first.attempt != attempt && now-first.at > slack
 }
 
-func (r *Refused) find(subject uint64) (refusal, bool) {
+func (r *RefusalHistory) find(subject uint64) (refusal, bool) {
 	if first, ok := r.recent[subject]; ok {
 		return first, true
 	}
--- a/internal/decide/gate/refusals_test.go
+++ b/internal/decide/gate/refusals_test.go
@@ -11,7 +11,7 @@
 // with first attempts and make these late too: a retry that can no longer be on time is recognized.
 func TestRetryTooLateToBeOnTimeIsLate(t *testing.T) {
 	const slack = 300 * time.Millisecond
-	var r Refused
+	var r RefusalHistory
 	r.Note(7, 1, time.Second)
 	require.False(t, r.Late(7, 1, slack, 2*time.Second), "the same attempt at another engine")
 	require.False(t, r.Late(7, 2, slack, time.Second+slack), "still on time")
@@ -25,13 +25,13 @@
 
 // Guards against taking two requests without a subject for attempts at the same one.
 func TestRequestWithoutSubjectIsNeverLate(t *testing.T) {
-	var r Refused
+	var r RefusalHistory
 	r.Note(0, 1, 0)
 	require.False(t, r.Late(0, 2, 0, time.Second))
 }
 
 func TestRefusalsExpireAndAreBounded(t *testing.T) {
-	var r Refused
+	var r RefusalHistory
 	r.Note(1, 1, 0)
 	r.Note(2, 1, refusalTTL+1)
 	require.True(t, r.Late(1, 2, 0, refusalTTL+1), "remembered for at least refusalTTL")
--- a/internal/decide/gate/throttle.go
+++ b/internal/decide/gate/throttle.go
@@ -28,9 +28,9 @@
 	updatedAt         time.Duration
 }
 
-// Refuses reports whether to refuse a request without asking for a slot; random is a number from 0
+// ShouldRefuse reports whether to refuse a request without asking for a slot; random is a number from 0
 // to 1. The refused share is what exceeds throttleFactor times the grants.
-func (t *Throttle) Refuses(now time.Duration, random float64) bool {
+func (t *Throttle) ShouldRefuse(now time.Duration, random float64) bool {
 	t.decay(now)
 	excess := t.requests - throttleFactor*t.granted - throttleSlack
 	return random < excess/(t.requests+1)
--- a/internal/decide/gate/throttle_test.go
+++ b/internal/decide/gate/throttle_test.go
@@ -18,7 +18,7 @@
 	for now := from; now < from+duration; now += gap {
 		available = min(available+float64(capacity)*gap.Seconds(), 3)
 		grant := false
-		if !t.Refuses(now, rng.Float64()) {
+		if !t.ShouldRefuse(now, rng.Float64()) {
 			if grant = available >= 1; grant {
 				available--
 			}
--- a/internal/decide/gate/timeouts.go
+++ b/internal/decide/gate/timeouts.go
@@ -20,17 +20,17 @@
 	lateMarginShare = 0.3
 )
 
-// Usual tracks the timeouts that callers of a route usually set. A refused caller that retries sets
+// TimeoutBaseline tracks the timeouts that callers of a route usually set. A refused caller that retries sets
 // what is left of its timeout, and so reveals that it has waited before: its answer will be late in
 // any case. The zero value has no samples.
-type Usual struct {
+type TimeoutBaseline struct {
 	samples  [timeoutSamples]time.Duration
 	count    int
 	baseline time.Duration
 }
 
 // Note adds the timeout of a request that came while no request was refused.
-func (u *Usual) Note(timeout time.Duration) {
+func (u *TimeoutBaseline) Note(timeout time.Duration) {
 	if timeout <= 0 {
 		return
 	}
@@ -42,7 +42,7 @@
 }
 
 // computeBaseline returns the timeout that all but a few samples reach.
-func (u *Usual) computeBaseline() time.Duration {
+func (u *TimeoutBaseline) computeBaseline() time.Duration {
 	sorted := slices.Clone(u.samples[:min(u.count, timeoutSamples)])
 	slices.Sort(sorted)
 	return sorted[int(baselineQuantile*float64(len(sorted)))]
@@ -51,7 +51,7 @@
 // Late reports whether a request with this timeout comes from a caller that has waited too long to
 // be answered on time. Timeouts differ between callers; only one below those of quiet times is sure
 // to be a remainder.
-func (u *Usual) Late(timeout, objective time.Duration) bool {
+func (u *TimeoutBaseline) Late(timeout, objective time.Duration) bool {
 	if u.baseline == 0 || timeout <= 0 {
 		return false
 	}
--- a/internal/decide/gate/timeouts_test.go
+++ b/internal/decide/gate/timeouts_test.go
@@ -12,7 +12,7 @@
 // usual timeouts.
 func TestShortTimeoutMarksRetryLate(t *testing.T) {
 	const objective = 300 * time.Millisecond
-	var u Usual
+	var u TimeoutBaseline
 	require.False(t, u.Late(time.Millisecond, objective), "no samples yet")
 	for i := range 200 {
 		// Callers set timeouts of 1.275 to 1.5 s.
@@ -27,7 +27,7 @@
 
 // Guards against a few retries in quiet times that lower the baseline.
 func TestFewShortTimeoutsDoNotLowerBaseline(t *testing.T) {
-	var u Usual
+	var u TimeoutBaseline
 	for i := range timeoutSamples {
 		timeout := 10 * time.Second
 		if i%100 == 0 {
--- a/internal/decide/limit/cache.go
+++ b/internal/decide/limit/cache.go
@@ -27,8 +27,8 @@
 	retryJitter = 0.5
 )
 
-// Verdict is the decision of Take.
-type Verdict struct {
+// Decision is the decision of Take.
+type Decision struct {
 	// OK admits the request; the caller must call Done when it ends.
 	OK bool
 	// NeedRefill tells the caller to send a request to the owner, see Ask. With OK it may do so in
@@ -114,7 +114,7 @@
 }
 
 // Take decides whether to admit one request of the account.
-func (c *Cache) Take(now time.Time, account string) Verdict {
+func (c *Cache) Take(now time.Time, account string) Decision {
 	lim := c.cfg.Limits(account)
 	s := c.state(account)
 	s.lastUsed = now
@@ -122,10 +122,10 @@
 	c.expire(now, s)
 	if lim.Rate <= 0 && lim.Concurrency <= 0 {
 		s.inUse++
-		return Verdict{OK: true}
+		return Decision{OK: true}
 	}
 	if !s.leased(now) && !s.ownerLost() {
-		return Verdict{NeedRefill: true}
+		return Decision{NeedRefill: true}
 	}
 	if lim.Concurrency > 0 && s.inUse >= c.slotLimit(now, account, lim, s) {
 		s.blocked++
@@ -137,7 +137,7 @@
 		return s.refuse(now, s.tokensRetryAt, &RateError{account, c.jitter(wait)})
 	}
 	s.inUse++
-	return Verdict{OK: true, NeedRefill: s.needsRefill(now, lim)}
+	return Decision{OK: true, NeedRefill: s.needsRefill(now, lim)}
 }
 
 // Done ends a request that Take admitted.
@@ -147,13 +147,13 @@
 	}
 }
 
-// Ask returns the request to send to the account's owner; ok is false while an earlier one is
+// NewRequest returns the request to send to the account's owner; ok is false while an earlier one is
 // pending. The caller must pass the outcome of every request to Fill or Failed.
-func (c *Cache) Ask(now time.Time, account string) (req Ask, ok bool) {
+func (c *Cache) NewRequest(now time.Time, account string) (req GrantRequest, ok bool) {
 	s := c.state(account)
 	c.expire(now, s)
 	if s.pendingSeq != 0 {
-		return Ask{}, false
+		return GrantRequest{}, false
 	}
 	c.seq++
 	s.updateDemandRate(now)
@@ -164,7 +164,7 @@
 	s.wantTokens = max(0, int(math.Ceil(s.demandRate*prefetchHorizon.Seconds()))+1-s.tokens)
 	s.wantSlots = max(0, s.inUse+s.blocked+s.spareSlots()-s.slots)
 	s.blocked = 0
-	return Ask{
+	return GrantRequest{
 		Report:     Report{Router: c.cfg.Self, Seq: s.pendingSeq, Held: s.slots},
 		WantTokens: s.wantTokens,
 		WantSlots:  s.wantSlots,
@@ -233,9 +233,9 @@
 	return due
 }
 
-// OwnerMoved makes the account due at once, so that its new owner learns what this router holds and
+// OwnerChanged makes the account due at once, so that its new owner learns what this router holds and
 // can end its warm-up.
-func (c *Cache) OwnerMoved(now time.Time, account string) {
+func (c *Cache) OwnerChanged(now time.Time, account string) {
 	s, ok := c.accounts[account]
 	if !ok {
 		return
@@ -355,14 +355,14 @@
 func (s *accountState) ownerLost() bool { return s.failures > 0 }
 
 // refuse refuses a request, or leaves it undecided if an answer of the owner could still admit it.
-func (s *accountState) refuse(now, notBefore time.Time, err error) Verdict {
+func (s *accountState) refuse(now, notBefore time.Time, err error) Decision {
 	if s.ownerLost() {
-		return Verdict{NeedRefill: s.pendingSeq == 0 && !now.Before(s.ownerRetryAt), Err: err}
+		return Decision{NeedRefill: s.pendingSeq == 0 && !now.Before(s.ownerRetryAt), Err: err}
 	}
 	if s.canRequest(now, notBefore) {
-		return Verdict{NeedRefill: true}
+		return Decision{NeedRefill: true}
 	}
-	return Verdict{Err: err}
+	return Decision{Err: err}
 }
 
 // needsRefill reports whether to send a request to the owner after admitting a request.
--- a/internal/decide/limit/ledger.go
+++ b/internal/decide/limit/ledger.go
@@ -112,7 +112,7 @@
 
 // Grant answers a request for tokens and slots. A repeated request gets the answer of the first
 // one.
-func (l *Ledger) Grant(now time.Time, req Ask) Batch {
+func (l *Ledger) Grant(now time.Time, req GrantRequest) Batch {
 	if h, ok := l.holders[req.Router]; ok && h.seq == req.Seq && h.lastBatch.Seq == req.Seq {
 		return h.lastBatch
 	}
--- a/internal/decide/limit/limit.go
+++ b/internal/decide/limit/limit.go
@@ -52,8 +52,8 @@
 	Held int
 }
 
-// Ask is a router's request for tokens and slots, together with its report.
-type Ask struct {
+// GrantRequest is a router's request for tokens and slots, together with its report.
+type GrantRequest struct {
 	Report
 	WantTokens int
 	WantSlots  int
--- a/internal/decide/limit/limit_test.go
+++ b/internal/decide/limit/limit_test.go
@@ -19,8 +19,8 @@
 	return epoch.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-func newRequest(router string, seq uint64, held, tokens, slots int) Ask {
-	return Ask{Report{router, seq, held}, tokens, slots}
+func newRequest(router string, seq uint64, held, tokens, slots int) GrantRequest {
+	return GrantRequest{Report{router, seq, held}, tokens, slots}
 }
 
 // Guards against slots or tokens that are granted twice or never come back: the ledger must count
@@ -102,9 +102,9 @@
 	totalSlots := 0
 	for _, self := range live {
 		c := NewCache(CacheConfig{Self: self, Limits: func(string) Limits { return lim }}, live)
-		assert.Equal(t, Verdict{NeedRefill: true}, c.Take(epoch, "x"), "undecided until the owner answers")
-		req, ok := c.Ask(epoch, "x")
-		_, again := c.Ask(epoch, "x")
+		assert.Equal(t, Decision{NeedRefill: true}, c.Take(epoch, "x"), "undecided until the owner answers")
+		req, ok := c.NewRequest(epoch, "x")
+		_, again := c.NewRequest(epoch, "x")
 		require.True(t, ok && !again)
 		c.Failed(epoch, "x", req.Seq)
 		admitted := 0
@@ -120,7 +120,7 @@
 		}
 		assert.ErrorAs(t, c.Take(at(200), "x").Err, new(*ConcurrencyError))
 
-		req, ok = c.Ask(at(200), "x")
+		req, ok = c.NewRequest(at(200), "x")
 		require.True(t, ok)
 		assert.Equal(t, c.InUse("x"), req.Held, "requests that outlived the lease are reported")
 		assert.True(t, c.Fill(at(200.5), "x", Batch{Seq: req.Seq, Slots: 1, Tokens: 1, TTL: DefaultTTL}))
@@ -128,7 +128,7 @@
 		assert.True(t, c.Take(at(200), "x").OK)
 		assert.False(t, c.Take(at(200), "x").OK)
 		c.Done("x")
-		req, _ = c.Ask(at(205), "x")
+		req, _ = c.NewRequest(at(205), "x")
 		assert.Equal(t, c.InUse("x"), req.Held, "the lease counts from the request: no idle slot is kept")
 	}
 	assert.Equal(t, lim.Concurrency, totalSlots, "the shares add up to the limit")
@@ -195,7 +195,7 @@
 		for i, r := range routers {
 			if next != nil && r.owner != next && s >= r.learnsOwnerAt {
 				r.owner = next
-				r.cache.OwnerMoved(now, "x")
+				r.cache.OwnerChanged(now, "x")
 			} else if next != nil && r.owner == old && !sc.oldOwnerStays {
 				r.owner = nil
 			}
@@ -244,7 +244,7 @@
 	if !needRequest {
 		return n
 	}
-	if req, ok := r.cache.Ask(now, "x"); ok {
+	if req, ok := r.cache.NewRequest(now, "x"); ok {
 		res.requests++
 		if r.owner == nil {
 			r.failedSeq = req.Seq
@@ -371,7 +371,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if c.Take(epoch, "x").NeedRefill {
-			req, _ := c.Ask(epoch, "x")
+			req, _ := c.NewRequest(epoch, "x")
 			req.WantTokens = 1e6
 			c.Fill(epoch, "x", l.Grant(epoch, req))
 		}
--- a/internal/decide/retry/budget.go
+++ b/internal/decide/retry/budget.go
@@ -60,8 +60,8 @@
 	b.tokens = min(b.tokens, b.cfg.Burst)
 }
 
-// Fresh counts the first attempt at a request.
-func (b *Budget) Fresh(now time.Time) {
+// RecordFirstAttempt counts the first attempt at a request.
+func (b *Budget) RecordFirstAttempt(now time.Time) {
 	b.advance(now)
 	b.deposit(b.cfg.Ratio)
 }
--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -11,14 +11,14 @@
 	"damaskrouter.example/damaskrouter/internal/serve/apierr"
 )
 
-// Known is what is known for certain about a failed attempt, ordered by how far the request may
+// Outcome is what is known for certain about a failed attempt, ordered by how far the request may
 // have got at the upstream.
-type Known uint8
+type Outcome uint8
 
 // Values of Known.
 const (
 	// NotSent means that no byte of the request left the router.
-	NotSent Known = iota
+	NotSent Outcome = iota
 	// RefusedBeforeExecuting means that the upstream refused the request in a protocol that
 	// guarantees that nothing was executed.
 	RefusedBeforeExecuting
@@ -30,7 +30,7 @@
 )
 
 // Ran returns what the caller is told about the execution of the request.
-func (k Known) Ran() apierr.Ran {
+func (k Outcome) Ran() apierr.Ran {
 	switch k {
 	case NotSent, RefusedBeforeExecuting:
 		return apierr.RanNo
@@ -50,10 +50,10 @@
 	// upstream deduplicates.
 	Idempotent bool
 	// Known is what is known about this attempt.
-	Known Known
+	Known Outcome
 	// Earlier is the maximum Known of the earlier attempts. A request whose second attempt was not
 	// sent may still have run in its first.
-	Earlier Known
+	Earlier Outcome
 	// Resumable means that the answer's stream can be continued.
 	Resumable bool
 	// Alternate means that another upstream can take the request.
@@ -65,7 +65,7 @@
 }
 
 // strongest returns the maximum Known of all attempts.
-func (a *Attempt) strongest() Known { return max(a.Known, a.Earlier) }
+func (a *Attempt) strongest() Outcome { return max(a.Known, a.Earlier) }
 
 // Action is what to do after a failed attempt.
 type Action uint8
--- a/internal/decide/retry/retry_test.go
+++ b/internal/decide/retry/retry_test.go
@@ -25,7 +25,7 @@
 // combinations and states its expectations independently of the code.
 func TestDecideIsSafeInEveryCombination(t *testing.T) {
 	type row struct {
-		known, earlier                   Known
+		known, earlier                   Outcome
 		idempotent, resumable, alternate bool
 		attempt                          int
 		inTime, budget                   bool
@@ -33,18 +33,18 @@
 	var rows []row
 	for i := range 4 * 4 * 4 * 32 {
 		bitSet := func(bit int) bool { return i>>bit&1 == 1 }
-		known, earlier, attempt := Known(i>>5&3), Known(i>>7&3), i>>9+1
+		known, earlier, attempt := Outcome(i>>5&3), Outcome(i>>7&3), i>>9+1
 		rows = append(rows, row{known, earlier, bitSet(0), bitSet(1), bitSet(2), attempt, bitSet(3), bitSet(4)})
 	}
 	// expected[maximum Known][idempotent] applies if nothing else rules it out.
 	again, resume, no := "again", "resume", "no"
-	expected := map[Known]map[bool]string{
+	expected := map[Outcome]map[bool]string{
 		NotSent:                {false: again, true: again},
 		RefusedBeforeExecuting: {false: again, true: again},
 		SentNoReply:            {false: no, true: again},
 		FirstByteDelivered:     {false: resume, true: resume},
 	}
-	ran := map[Known]apierr.Ran{
+	ran := map[Outcome]apierr.Ran{
 		NotSent: apierr.RanNo, RefusedBeforeExecuting: apierr.RanNo,
 		SentNoReply: apierr.RanUnknown, FirstByteDelivered: apierr.RanYes,
 	}
@@ -115,7 +115,7 @@
 		fresh := 60 * perSecond
 		for i := range fresh {
 			now := epoch.Add(time.Duration(i) * time.Second / time.Duration(perSecond))
-			b.Fresh(now)
+			b.RecordFirstAttempt(now)
 			for range 2 {
 				if b.Spend(now) {
 					retries++
--- a/internal/edge/catalog/catalog_test.go
+++ b/internal/edge/catalog/catalog_test.go
@@ -81,7 +81,7 @@
 // some seconds: engines could not renew their entries and register again within two seconds.
 func TestEngineWithoutEntryAfterStoreOutageIsDoubtfulForTwoSeconds(t *testing.T) {
 	const minOutage = 2400 * time.Millisecond
-	s := Empty()
+	s := NewSnapshot()
 	s, _ = s.WithEngines(EngineUpdate{Full: true, Upto: 10, Present: []Engine{engine("a", 5), engine("b", 6)}}, 10*time.Second, minOutage, 0)
 	s, _ = s.WithEngines(EngineUpdate{Full: true, Upto: 20}, 15*time.Second, minOutage, 0)
 	require.Len(t, s.Engines.ByID, 2)
@@ -96,7 +96,7 @@
 // were confirmed meanwhile.
 func TestEngineIsRemovedIfAnotherRouterReadTheStore(t *testing.T) {
 	const minOutage = 2400 * time.Millisecond
-	s := Empty()
+	s := NewSnapshot()
 	s, _ = s.WithEngines(EngineUpdate{Full: true, Upto: 10, Present: []Engine{engine("a", 5)}}, 10*time.Second, minOutage, 0)
 	for at := 11 * time.Second; at <= 15*time.Second; at += time.Second {
 		s, _ = s.WithEngines(EngineUpdate{Since: 10, Upto: 10}, at, minOutage, 0)
@@ -109,7 +109,7 @@
 // saturated for some seconds while no reader fails to reach the store, this is no outage.
 func TestEngineIsRemovedIfOnlyThisRouterLostContact(t *testing.T) {
 	const minOutage = 2400 * time.Millisecond
-	s := Empty()
+	s := NewSnapshot()
 	s, _ = s.WithEngines(EngineUpdate{Full: true, Upto: 10, Present: []Engine{engine("a", 5)}}, 10*time.Second, minOutage, time.Hour)
 	s, _ = s.WithEngines(EngineUpdate{Full: true, Upto: 20}, 15*time.Second, minOutage, 20*time.Second)
 	require.Empty(t, s.Engines.ByID)
@@ -118,7 +118,7 @@
 // Guards against keeping a draining engine in service after it lost its entry, even after a store
 // outage.
 func TestDrainingEngineIsNeverDoubtful(t *testing.T) {
-	s := Empty()
+	s := NewSnapshot()
 	draining := engine("a", 5)
 	draining.Draining = true
 	s, _ = s.WithEngines(EngineUpdate{Full: true, Upto: 10, Present: []Engine{draining}}, 10*time.Second, time.Second, 0)
@@ -129,7 +129,7 @@
 // Guards against handling requests by an older configuration after a newer one was received: a
 // confirmation of an older version must change neither the version nor its age.
 func TestOlderConfigIsIgnored(t *testing.T) {
-	s, _ := Empty().WithConfig(NewConfig(Config{Version: 9}), 5*time.Second)
+	s, _ := NewSnapshot().WithConfig(NewConfig(Config{Version: 9}), 5*time.Second)
 	unchanged, changed := s.WithConfig(NewConfig(Config{Version: 7}), 9*time.Second)
 	require.False(t, changed)
 	require.Equal(t, uint64(9), unchanged.Config.Version)
@@ -183,7 +183,7 @@
 // Guards against logging the time since the VM's boot as the age of state that was never confirmed:
 // the log of a router that had just started showed a configuration 22 hours old.
 func TestUnconfirmedStateHasNoAge(t *testing.T) {
-	require.Equal(t, []any{"config_age", neverConfirmed, "engines_age", neverConfirmed}, Empty().AgeFields(time.Hour))
-	s, _ := Empty().WithConfig(NewConfig(Config{Version: 1}), time.Minute)
+	require.Equal(t, []any{"config_age", neverConfirmed, "engines_age", neverConfirmed}, NewSnapshot().AgeFields(time.Hour))
+	s, _ := NewSnapshot().WithConfig(NewConfig(Config{Version: 1}), time.Minute)
 	require.Equal(t, []any{"config_age", "1m0s", "engines_age", neverConfirmed}, s.AgeFields(2*time.Minute))
 }
--- a/internal/edge/catalog/engine.go
+++ b/internal/edge/catalog/engine.go
@@ -85,8 +85,8 @@
 	return &EngineSet{ByID: map[string]Engine{}, Doubtful: map[string]time.Duration{}}
 }
 
-// Of returns the engines of a service, sorted by ID. The caller must not modify the slice.
-func (s *EngineSet) Of(service string) []Engine { return s.byService[service] }
+// ForService returns the engines of a service, sorted by ID. The caller must not modify the slice.
+func (s *EngineSet) ForService(service string) []Engine { return s.byService[service] }
 
 // Covers reports whether the update follows this set without a gap.
 func (s *EngineSet) Covers(u EngineUpdate) bool {
--- a/internal/edge/catalog/evacuation.go
+++ b/internal/edge/catalog/evacuation.go
@@ -45,8 +45,8 @@
 // Active reports whether the site is evacuated.
 func (e Evacuations) Active(site string) bool { return e.bySite[site].Active }
 
-// Of returns the newest change to a site, or the zero value if none is known.
-func (e Evacuations) Of(site string) Evacuation { return e.bySite[site] }
+// ForSite returns the newest change to a site, or the zero value if none is known.
+func (e Evacuations) ForSite(site string) Evacuation { return e.bySite[site] }
 
 // Sites returns the evacuated sites, sorted.
 func (e Evacuations) Sites() []string {
--- a/internal/edge/catalog/snapshot.go
+++ b/internal/edge/catalog/snapshot.go
@@ -109,7 +109,7 @@
 	return &next, changed
 }
 
-// Empty returns the snapshot of a router that has received no state yet.
-func Empty() *Snapshot {
+// NewSnapshot returns the snapshot of a router that has received no state yet.
+func NewSnapshot() *Snapshot {
 	return &Snapshot{Engines: NewEngineSet()}
 }
--- a/internal/edge/choose/choose.go
+++ b/internal/edge/choose/choose.go
@@ -44,16 +44,16 @@
 	InFlight int
 	// Slots is the number of requests that the engine executes concurrently; zero if unknown.
 	Slots int
-	// Near is set for engines in the router's own site.
-	Near bool
-	// Leaving is set for engines that get no new requests. Other engines can still fetch from their
+	// SameSite is set for engines in the router's own site.
+	SameSite bool
+	// Draining is set for engines that get no new requests. Other engines can still fetch from their
 	// cache.
-	Leaving bool
-	// Fresh is set for engines that were recently added or restarted with an empty cache, so that
+	Draining bool
+	// RecentlyAdded is set for engines that were recently added or restarted with an empty cache, so that
 	// other engines hold the prompts that now map to them. Came is the time when this happened, by
 	// the same clock for all engines.
-	Fresh bool
-	Came  time.Duration
+	RecentlyAdded bool
+	AddedAt       time.Duration
 	// Cold is set for engines that can serve few requests a second. They get a request only after a
 	// grant.
 	Cold bool
@@ -62,8 +62,8 @@
 	Share float64
 }
 
-// CanGive reports whether other engines may fetch from the engine's cache.
-func (e Engine) CanGive() bool { return e.Share > 0 || e.Leaving }
+// ServesCache reports whether other engines may fetch from the engine's cache.
+func (e Engine) ServesCache() bool { return e.Share > 0 || e.Draining }
 
 // simultaneousStart is the largest time between the additions of engines that were started
 // together.
@@ -72,12 +72,12 @@
 // addedWithOrAfter reports whether the engine was recently added, together with the other one or
 // later. Such an engine has not cached the prompts that the other one lacks.
 func (e Engine) addedWithOrAfter(other Engine) bool {
-	return e.Fresh && e.Came > other.Came-simultaneousStart
+	return e.RecentlyAdded && e.AddedAt > other.AddedAt-simultaneousStart
 }
 
-// HasRoom reports whether the engine takes requests and has a free slot.
-func (e Engine) HasRoom() bool {
-	return !e.Leaving && !e.Cold && e.Share > 0 && e.InFlight < max(e.Slots, 1)
+// HasFreeSlot reports whether the engine takes requests and has a free slot.
+func (e Engine) HasFreeSlot() bool {
+	return !e.Draining && !e.Cold && e.Share > 0 && e.InFlight < max(e.Slots, 1)
 }
 
 // Placement is the selected engine for a prompt and the engine to fetch its cache from.
@@ -92,38 +92,38 @@
 	Moved bool
 }
 
-// None is the index that stands for no engine.
-const None = -1
+// NoEngine is the index that stands for no engine.
+const NoEngine = -1
 
-// Prompted selects an engine for a prompt whose shared prefix hashes to key. It selects the first
+// PlacePrompt selects an engine for a prompt whose shared prefix hashes to key. It selects the first
 // engine in the prompt's order that stays within the load bound, or the least loaded one if none
 // does. The order depends only on the key and the engines present.
-func Prompted(engines []Engine, key uint64, rng *rand.Rand) Placement {
+func PlacePrompt(engines []Engine, key uint64, rng *rand.Rand) Placement {
 	candidates := usableEngines(engines)
 	if len(candidates) == 0 {
-		return Placement{Engine: None, Holder: None}
+		return Placement{Engine: NoEngine, Holder: NoEngine}
 	}
 	engine := firstWithinBound(engines, ranked(engines, key), loadBound(engines))
-	if engine == None {
+	if engine == NoEngine {
 		engine = leastLoaded(engines, candidates, rng)
 	}
-	return At(engines, engine, key)
+	return PlacementAt(engines, engine, key)
 }
 
-// At returns the placement of a prompt at an engine that is already selected. The holder is the
+// PlacementAt returns the placement of a prompt at an engine that is already selected. The holder is the
 // first other engine in the prompt's order that can serve its cache. If the selected engine is
 // the first in that order and was recently added, engines that were added with it or later are used
 // only if there is no other.
-func At(engines []Engine, engine int, key uint64) Placement {
+func PlacementAt(engines []Engine, engine int, key uint64) Placement {
 	order := ranked(engines, key)
-	out := Placement{Engine: engine, Holder: None}
-	recentlyAdded := order[0] == engine && engines[engine].Fresh
+	out := Placement{Engine: engine, Holder: NoEngine}
+	recentlyAdded := order[0] == engine && engines[engine].RecentlyAdded
 	out.Moved = order[0] != engine || recentlyAdded
-	canServe := func(i int) bool { return i != engine && engines[i].CanGive() }
+	canServe := func(i int) bool { return i != engine && engines[i].ServesCache() }
 	out.Holder = firstMatch(order, func(i int) bool {
 		return canServe(i) && !(recentlyAdded && engines[i].addedWithOrAfter(engines[engine]))
 	})
-	if out.Holder == None {
+	if out.Holder == NoEngine {
 		out.Holder = firstMatch(order, canServe)
 	}
 	return out
@@ -134,7 +134,7 @@
 	if at := slices.IndexFunc(order, ok); at >= 0 {
 		return order[at]
 	}
-	return None
+	return NoEngine
 }
 
 // crowdedUtilization is the part of a service's slots in use from which on its requests must
@@ -156,10 +156,10 @@
 // transit while a slot becomes free.
 const extraInFlight = 3
 
-// Places returns the number of requests that may be in flight at an engine: its slots and
+// MaxInFlight returns the number of requests that may be in flight at an engine: its slots and
 // extraInFlight, at most the load bound for prompts, and at least one. The owner of the engine's
 // gate counts these requests, so the bound needs no margin for requests from other routers.
-func Places(engines []Engine, i int) int {
+func MaxInFlight(engines []Engine, i int) int {
 	mean, _ := serviceLoad(engines)
 	bound := loadFactor*mean + loadSlack
 	return max(1, min(engines[i].Slots+extraInFlight, int(bound)))
@@ -174,13 +174,13 @@
 	alternativeSample = 3
 )
 
-// Candidates returns the indexes of the engines to ask for a slot, in order, for a prompt whose
+// PromptCandidates returns the indexes of the engines to ask for a slot, in order, for a prompt whose
 // shared prefix hashes to key: the engine that Prompted selects within the load bound, then less
 // loaded ones from random samples.
-func Candidates(engines []Engine, key uint64, rng *rand.Rand) []int {
+func PromptCandidates(engines []Engine, key uint64, rng *rand.Rand) []int {
 	var out []int
 	candidates := usableEngines(engines)
-	if preferred := firstWithinBound(engines, ranked(engines, key), loadBound(engines)); preferred != None {
+	if preferred := firstWithinBound(engines, ranked(engines, key), loadBound(engines)); preferred != NoEngine {
 		out = append(out, preferred)
 	}
 	return withAlternatives(out, engines, candidates, rng)
@@ -227,18 +227,18 @@
 func firstWithinBound(engines []Engine, order []int, bound float64) int {
 	for _, i := range order {
 		e := engines[i]
-		if !e.Leaving && e.Share >= minPromptShare && float64(e.InFlight)+1 <= bound {
+		if !e.Draining && e.Share >= minPromptShare && float64(e.InFlight)+1 <= bound {
 			return i
 		}
 	}
-	return None
+	return NoEngine
 }
 
-// Plain selects an engine for a request without a prompt, or returns None.
-func Plain(engines []Engine, rng *rand.Rand) int {
+// PickPlain selects an engine for a request without a prompt, or returns None.
+func PickPlain(engines []Engine, rng *rand.Rand) int {
 	candidates := usableEngines(engines)
 	if len(candidates) == 0 {
-		return None
+		return NoEngine
 	}
 	return leastLoaded(engines, sampleCandidates(candidates, rng), rng)
 }
@@ -260,16 +260,16 @@
 func WithoutCold(engines []Engine) []Engine {
 	out := slices.Clone(engines)
 	for i := range out {
-		out[i].Leaving = out[i].Leaving || out[i].Cold
+		out[i].Draining = out[i].Draining || out[i].Cold
 	}
 	return out
 }
 
-// OnlyCold reports whether there are engines that take requests and all of them are cold.
-func OnlyCold(engines []Engine) bool {
+// AllCold reports whether there are engines that take requests and all of them are cold.
+func AllCold(engines []Engine) bool {
 	cold := false
 	for _, e := range engines {
-		if e.Leaving || e.Share == 0 {
+		if e.Draining || e.Share == 0 {
 			continue
 		}
 		if !e.Cold {
@@ -286,7 +286,7 @@
 func usableEngines(engines []Engine) []int {
 	var available, all []int
 	for i, e := range engines {
-		if e.Leaving {
+		if e.Draining {
 			continue
 		}
 		all = append(all, i)
@@ -322,7 +322,7 @@
 	var active, draining, ejected loadSum
 	for _, e := range engines {
 		switch {
-		case e.Leaving:
+		case e.Draining:
 			draining.add(e)
 		case e.Share > 0:
 			active.add(e)
@@ -352,7 +352,7 @@
 func (s *loadSum) mean() float64 { return float64(s.load+1) / float64(s.count) }
 
 func leastLoaded(engines []Engine, candidates []int, rng *rand.Rand) int {
-	best, bestLoad := None, math.Inf(1)
+	best, bestLoad := NoEngine, math.Inf(1)
 	offset := rng.IntN(len(candidates))
 	for k := range candidates {
 		i := candidates[(k+offset)%len(candidates)]
@@ -370,7 +370,7 @@
 	if e.Share > 0 {
 		load /= e.Share
 	}
-	if !e.Near {
+	if !e.SameSite {
 		load += remoteSitePenalty
 	}
 	if e.Cold {
--- a/internal/edge/choose/choose_test.go
+++ b/internal/edge/choose/choose_test.go
@@ -24,9 +24,9 @@
 
 func TestSamePromptIsPlacedAtSameEngine(t *testing.T) {
 	engines := testEngines(9)
-	first := Prompted(engines, 42, testRand())
+	first := PlacePrompt(engines, 42, testRand())
 	for range 20 {
-		require.Equal(t, first, Prompted(engines, 42, testRand()))
+		require.Equal(t, first, PlacePrompt(engines, 42, testRand()))
 	}
 	require.False(t, first.Moved)
 	require.NotEqual(t, first.Engine, first.Holder)
@@ -37,14 +37,14 @@
 // first.
 func TestOverflowGoesToOneEngineAndNamesHolder(t *testing.T) {
 	engines := testEngines(9)
-	preferred := Prompted(engines, 42, testRand()).Engine
+	preferred := PlacePrompt(engines, 42, testRand()).Engine
 	engines[preferred].InFlight = 40
-	overflow := Prompted(engines, 42, testRand())
+	overflow := PlacePrompt(engines, 42, testRand())
 	require.NotEqual(t, preferred, overflow.Engine)
 	require.Equal(t, preferred, overflow.Holder)
 	require.True(t, overflow.Moved)
 	for range 20 {
-		require.Equal(t, overflow, Prompted(engines, 42, testRand()))
+		require.Equal(t, overflow, PlacePrompt(engines, 42, testRand()))
 	}
 }
 
@@ -52,18 +52,18 @@
 // is still the holder.
 func TestLeavingEngineIsOnlyHolder(t *testing.T) {
 	engines := testEngines(9)
-	preferred := Prompted(engines, 42, testRand()).Engine
-	engines[preferred].Leaving = true
-	p := Prompted(engines, 42, testRand())
+	preferred := PlacePrompt(engines, 42, testRand()).Engine
+	engines[preferred].Draining = true
+	p := PlacePrompt(engines, 42, testRand())
 	require.NotEqual(t, preferred, p.Engine)
 	require.Equal(t, preferred, p.Holder)
 }
 
 func TestEjectedEngineIsNeitherSelectedNorHolder(t *testing.T) {
 	engines := testEngines(9)
-	preferred := Prompted(engines, 42, testRand()).Engine
+	preferred := PlacePrompt(engines, 42, testRand()).Engine
 	engines[preferred].Share = 0
-	p := Prompted(engines, 42, testRand())
+	p := PlacePrompt(engines, 42, testRand())
 	require.NotEqual(t, preferred, p.Engine)
 	require.NotEqual(t, preferred, p.Holder)
 }
@@ -75,16 +75,16 @@
 	for i := range engines {
 		engines[i].Share = 0
 	}
-	require.NotEqual(t, None, Prompted(engines, 42, testRand()).Engine)
-	require.NotEqual(t, None, Plain(engines, testRand()))
+	require.NotEqual(t, NoEngine, PlacePrompt(engines, 42, testRand()).Engine)
+	require.NotEqual(t, NoEngine, PickPlain(engines, testRand()))
 }
 
 func TestNoEngineToSelect(t *testing.T) {
-	require.Equal(t, None, Plain(nil, testRand()))
-	require.Equal(t, None, Prompted(nil, 1, testRand()).Engine)
+	require.Equal(t, NoEngine, PickPlain(nil, testRand()))
+	require.Equal(t, NoEngine, PlacePrompt(nil, 1, testRand()).Engine)
 	leaving := testEngines(1)
-	leaving[0].Leaving = true
-	require.Equal(t, None, Prompted(leaving, 1, testRand()).Engine)
+	leaving[0].Draining = true
+	require.Equal(t, NoEngine, PlacePrompt(leaving, 1, testRand()).Engine)
 }
 
 // Guards against exceeding the load bound for prompts while an engine within it exists, and against
@@ -95,18 +95,18 @@
 		total, active := 0, 0
 		for i := range engines {
 			engines[i].InFlight = rapid.IntRange(0, 60).Draw(t, "load")
-			engines[i].Leaving = rapid.Bool().Draw(t, "leaving")
-			if !engines[i].Leaving {
+			engines[i].Draining = rapid.Bool().Draw(t, "leaving")
+			if !engines[i].Draining {
 				total += engines[i].InFlight
 				active++
 			}
 		}
-		p := Prompted(engines, rapid.Uint64().Draw(t, "key"), testRand())
+		p := PlacePrompt(engines, rapid.Uint64().Draw(t, "key"), testRand())
 		if active == 0 {
-			require.Equal(t, None, p.Engine)
+			require.Equal(t, NoEngine, p.Engine)
 			return
 		}
-		require.False(t, engines[p.Engine].Leaving)
+		require.False(t, engines[p.Engine].Draining)
 		mean := float64(total+1) / float64(active)
 		require.LessOrEqual(t, float64(engines[p.Engine].InFlight)+1, loadFactor*mean+loadSlack)
 	})
@@ -125,7 +125,7 @@
 	rng := testRand()
 	counts := make([]int, len(engines))
 	for range 4000 {
-		counts[Plain(engines, rng)]++
+		counts[PickPlain(engines, rng)]++
 	}
 	require.Greater(t, counts[2], 1500)
 	require.Less(t, counts[2], 2500)
@@ -139,11 +139,11 @@
 func TestLoadStaysWithinOperatorsLimitWhileManyEnginesLeave(t *testing.T) {
 	engines := testEngines(60)
 	for i := range 20 {
-		engines[i].Leaving = true
+		engines[i].Draining = true
 	}
 	rng := testRand()
 	for key := range uint64(400) {
-		at := Prompted(engines, key%23, rng)
+		at := PlacePrompt(engines, key%23, rng)
 		engines[at.Engine].InFlight++
 	}
 	mean := 400.0 / 60
@@ -159,11 +159,11 @@
 	order := ranked(engines, 42)
 	first, second, third := order[0], order[1], order[2]
 	for _, i := range []int{first, second} {
-		engines[i].Fresh, engines[i].Came = true, time.Minute
+		engines[i].RecentlyAdded, engines[i].AddedAt = true, time.Minute
 	}
-	require.Equal(t, Placement{Engine: first, Holder: third, Moved: true}, Prompted(engines, 42, testRand()))
-	engines[first].Came = time.Minute + simultaneousStart
-	require.Equal(t, second, Prompted(engines, 42, testRand()).Holder, "it was added earlier and has served requests since")
+	require.Equal(t, Placement{Engine: first, Holder: third, Moved: true}, PlacePrompt(engines, 42, testRand()))
+	engines[first].AddedAt = time.Minute + simultaneousStart
+	require.Equal(t, second, PlacePrompt(engines, 42, testRand()).Holder, "it was added earlier and has served requests since")
 }
 
 // Guards against a small service that uses only a third of its slots while all of its engines but
@@ -171,9 +171,9 @@
 func TestLastEngineOfServiceMayUseAllItsSlots(t *testing.T) {
 	engines := testEngines(3)
 	for i := range engines {
-		engines[i].Slots, engines[i].Leaving = 6, i > 0
+		engines[i].Slots, engines[i].Draining = 6, i > 0
 	}
-	for engines[0].InFlight < Places(engines, 0) {
+	for engines[0].InFlight < MaxInFlight(engines, 0) {
 		engines[0].InFlight++
 	}
 	require.GreaterOrEqual(t, engines[0].InFlight, engines[0].Slots)
@@ -184,13 +184,13 @@
 // cold.
 func TestEjectedEnginesAreNotCold(t *testing.T) {
 	engines := testEngines(3)
-	require.False(t, OnlyCold(engines))
+	require.False(t, AllCold(engines))
 	for i := range engines {
 		engines[i].Share = 0
 	}
-	require.False(t, OnlyCold(engines))
+	require.False(t, AllCold(engines))
 	engines[0].Share, engines[0].Cold = 1, true
-	require.True(t, OnlyCold(engines))
+	require.True(t, AllCold(engines))
 	engines[1].Share = 1
-	require.False(t, OnlyCold(engines))
+	require.False(t, AllCold(engines))
 }
--- a/internal/edge/choose/ranking_test.go
+++ b/internal/edge/choose/ranking_test.go
@@ -165,10 +165,10 @@
 
 var placements = map[string]func(engines []Engine, p prompt, rng *rand.Rand) int{
 	"longest shared prefix": func(e []Engine, p prompt, rng *rand.Rand) int {
-		return Prompted(e, rendezvous.ID(p.shared), rng).Engine
+		return PlacePrompt(e, rendezvous.ID(p.shared), rng).Engine
 	},
 	"first segment": func(e []Engine, p prompt, rng *rand.Rand) int {
-		return Prompted(e, rendezvous.ID(p.first), rng).Engine
+		return PlacePrompt(e, rendezvous.ID(p.first), rng).Engine
 	},
 	"first segment, no bound": func(e []Engine, p prompt, _ *rand.Rand) int {
 		return ranked(e, rendezvous.ID(p.first))[0]
@@ -176,7 +176,7 @@
 	"least loaded": func(e []Engine, _ prompt, rng *rand.Rand) int {
 		return leastLoaded(e, usableEngines(e), rng)
 	},
-	"better of two": func(e []Engine, _ prompt, rng *rand.Rand) int { return Plain(e, rng) },
+	"better of two": func(e []Engine, _ prompt, rng *rand.Rand) int { return PickPlain(e, rng) },
 }
 
 // Guards against a policy with a lower cost than hashing the longest shared prefix: hashing the
--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -18,16 +18,16 @@
 	Address string
 }
 
-// Question describes a client that queries router addresses.
-type Question struct {
+// Query describes a client that queries router addresses.
+type Query struct {
 	// Host is the host name that the client wants to reach.
 	Host   string
 	Region string
 	Site   string
 }
 
-// Answer is a list of router addresses and the time for which a client may use it.
-type Answer struct {
+// Response is a list of router addresses and the time for which a client may use it.
+type Response struct {
 	Addresses []string
 	TTL       time.Duration
 }
@@ -40,11 +40,11 @@
 	minLocalRouters = 2
 )
 
-// Answers returns the addresses that the router named self returns to a client: the routers of the
+// Resolve returns the addresses that the router named self returns to a client: the routers of the
 // client's site, or all routers if the site has fewer than minLocalRouters. Traffic between sites
 // has a cost, and a local router answers faster. The answer has at least one address unless routers
 // is empty.
-func Answers(self string, routers []Router, query Question, ttl time.Duration) Answer {
+func Resolve(self string, routers []Router, query Query, ttl time.Duration) Response {
 	var local []Router
 	for _, r := range routers {
 		if r.Site == query.Site {
@@ -57,7 +57,7 @@
 	}
 	selected = sampleRouters(self, selected)
 	slices.SortFunc(selected, func(a, b Router) int { return strings.Compare(a.Name, b.Name) })
-	out := Answer{TTL: ttl}
+	out := Response{TTL: ttl}
 	for _, r := range selected {
 		out.Addresses = append(out.Addresses, r.Address)
 	}
--- a/internal/edge/entry/entry_test.go
+++ b/internal/edge/entry/entry_test.go
@@ -19,14 +19,14 @@
 }
 
 func TestLocalRoutersAreReturnedIfEnough(t *testing.T) {
-	query := Question{Site: "x"}
-	local := Answers("0", routers("x", "y", "x"), query, time.Second)
+	query := Query{Site: "x"}
+	local := Resolve("0", routers("x", "y", "x"), query, time.Second)
 	require.Equal(t, []string{"10.0.0.0:1", "10.0.0.2:1"}, local.Addresses)
 	require.Equal(t, time.Second, local.TTL)
-	require.Len(t, Answers("0", routers("x", "y", "y"), query, time.Second).Addresses, 3, "one local router is not enough")
-	require.Len(t, Answers("0", routers("y", "z"), query, time.Second).Addresses, 2)
+	require.Len(t, Resolve("0", routers("x", "y", "y"), query, time.Second).Addresses, 3, "one local router is not enough")
+	require.Len(t, Resolve("0", routers("y", "z"), query, time.Second).Addresses, 2)
 	many := make([]string, 100)
-	require.Len(t, Answers("0", routers(many...), Question{}, time.Second).Addresses, maxAddresses)
+	require.Len(t, Resolve("0", routers(many...), Query{}, time.Second).Addresses, maxAddresses)
 }
 
 // Guards against overloading some routers after a site has lost all of its own: when each router
@@ -41,7 +41,7 @@
 	all := routers(sites...)
 	answersByAddress := make(map[string]int)
 	for i := range asked {
-		for _, a := range Answers(all[i].Name, all, Question{Site: "lost"}, time.Second).Addresses {
+		for _, a := range Resolve(all[i].Name, all, Query{Site: "lost"}, time.Second).Addresses {
 			answersByAddress[a]++
 		}
 	}
@@ -58,11 +58,11 @@
 // longer in the answer.
 func TestRouterThatLeavesRemovesOnlyItsOwnAddress(t *testing.T) {
 	all := routers(make([]string, 100)...)
-	query := Question{}
-	before := Answers("asked", all, query, time.Second).Addresses
+	query := Query{}
+	before := Resolve("asked", all, query, time.Second).Addresses
 	for i := range all {
 		removed := all[i].Address
-		after := Answers("asked", slices.Delete(slices.Clone(all), i, i+1), query, time.Second).Addresses
+		after := Resolve("asked", slices.Delete(slices.Clone(all), i, i+1), query, time.Second).Addresses
 		for _, a := range before {
 			if a != removed {
 				require.Contains(t, after, a, "without %s", removed)
--- a/internal/edge/feed/contacts.go
+++ b/internal/edge/feed/contacts.go
@@ -118,8 +118,8 @@
 	contactsTimeout = time.Second
 )
 
-// Keeper keeps the list of contacts current while this router reads the store.
-type Keeper struct {
+// ContactsUpdater keeps the list of contacts current while this router reads the store.
+type ContactsUpdater struct {
 	Contacts Contacts
 	Reads    func() bool
 	Live     func() []Peer
@@ -135,7 +135,7 @@
 }
 
 // Run keeps the list current until the context is canceled.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *ContactsUpdater) Run(ctx context.Context) {
 	for pause.For(ctx, contactsCheckInterval) {
 		if err := k.update(ctx); err != nil {
 			k.loaded = false
@@ -144,7 +144,7 @@
 	}
 }
 
-func (k *Keeper) update(ctx context.Context) error {
+func (k *ContactsUpdater) update(ctx context.Context) error {
 	now := k.Clock()
 	if !k.Reads() {
 		k.readerSince, k.loaded = 0, false
--- a/internal/edge/feed/fleet_test.go
+++ b/internal/edge/feed/fleet_test.go
@@ -235,7 +235,7 @@
 	settings atomic.Value
 	statuses *Statuses
 	roster   *fakeRoster
-	keeper   *Keeper
+	keeper   *ContactsUpdater
 	board    *Board
 	reader   *Reader
 	follower *Follower
@@ -307,13 +307,13 @@
 	loads := NewLoads(func() map[string]EngineLoad { return map[string]EngineLoad{"e1": {InFlight: ownInFlight}} })
 	n.loads = loads
 	n.reader = &Reader{Board: n.board, Store: store, Clock: f.clock, Timing: func() Timing { return testTiming }, Start: start, Log: discardLogger(),
-		Reads: func() bool { return n.follower.Reads() }, OthersLost: func() bool { return n.follower.ToldLost() },
+		Reads: func() bool { return n.follower.Reads() }, OthersLost: func() bool { return n.follower.ReportedStoreLost() },
 		LostAgo: func() time.Duration { return n.follower.LostAgo() }}
 	n.follower = &Follower{Self: self, Board: n.board, Loads: loads, Clock: f.clock, Timing: func() Timing { return testTiming }, Log: discardLogger(),
-		Start: start, Roster: n.roster, Contacts: Contacts{Table: store}, Statuses: n.statuses, Live: live, StoreLost: n.reader.Lost, Call: f.caller(self)}
-	n.keeper = &Keeper{Contacts: Contacts{Table: store}, Reads: n.follower.Reads, Live: live, Clock: f.clock, Log: discardLogger()}
+		Start: start, Roster: n.roster, Contacts: Contacts{Table: store}, Statuses: n.statuses, Live: live, StoreLost: n.reader.StoreLost, Call: f.caller(self)}
+	n.keeper = &ContactsUpdater{Contacts: Contacts{Table: store}, Reads: n.follower.Reads, Live: live, Clock: f.clock, Log: discardLogger()}
 	n.relay = &Relay{Board: n.board, Loads: loads, Roster: n.roster, Statuses: n.statuses, Clock: f.clock, Done: ctx.Done(), Log: discardLogger(),
-		StoreLost: n.reader.Lost, LostAgo: n.follower.LostAgo, Failures: n.follower.Failures, Chain: n.follower.Chain}
+		StoreLost: n.reader.StoreLost, LostAgo: n.follower.LostAgo, Failures: n.follower.Failures, Chain: n.follower.Chain}
 	return n
 }
 
--- a/internal/edge/feed/follower.go
+++ b/internal/edge/feed/follower.go
@@ -95,18 +95,18 @@
 	return f.Clock() - time.Duration(f.storeLostAt.Load())
 }
 
-// Lost reports whether the data of this router is old because the store cannot be reached.
-func (f *Follower) Lost() bool { return f.LostAgo() < storeLostMemory }
+// StoreDown reports whether the data of this router is old because the store cannot be reached.
+func (f *Follower) StoreDown() bool { return f.LostAgo() < storeLostMemory }
 
 // maxAnswerAge is the age of the last answer from another router up to which its report on the
 // store counts. It covers two pulls, one of which may be lost.
 const maxAnswerAge = 2 * pullTimeout
 
-// ToldLost reports whether other routers report the store as unreachable and still answer. The
+// ReportedStoreLost reports whether other routers report the store as unreachable and still answer. The
 // report of a router that went silent does not count: this router may be the only one left that can
 // notice when the store is reachable again.
-func (f *Follower) ToldLost() bool {
-	return f.Lost() && f.Clock()-time.Duration(f.lastAnswerAt.Load()) < maxAnswerAge
+func (f *Follower) ReportedStoreLost() bool {
+	return f.StoreDown() && f.Clock()-time.Duration(f.lastAnswerAt.Load()) < maxAnswerAge
 }
 
 // recordStoreLost records that a reader failed to reach the store at a boot time.
@@ -342,7 +342,7 @@
 	case f.Clock()-f.parentSince <= newParentGrace:
 	case reply.StoreLost:
 		f.distrustRouter(parent, reasonStoreLost, nil)
-	case f.Lost():
+	case f.StoreDown():
 		// A reader further up failed. The routers next to it select another one.
 	case f.isStale(reply):
 		f.distrustRouter(parent, reasonStale, nil)
--- a/internal/edge/feed/publish.go
+++ b/internal/edge/feed/publish.go
@@ -66,16 +66,16 @@
 		clock:   clock,
 		updates: make(chan update),
 	}
-	b.SetBeat(renewInterval)
-	b.snapshot.Store(catalog.Empty())
+	b.SetRenewInterval(renewInterval)
+	b.snapshot.Store(catalog.NewSnapshot())
 	b.pastConfigs.Store(&[]*catalog.Config{})
 	changed := make(chan struct{})
 	b.changed.Store(&changed)
 	return b
 }
 
-// SetBeat sets how often engines renew their entries.
-func (b *Board) SetBeat(renewInterval time.Duration) {
+// SetRenewInterval sets how often engines renew their entries.
+func (b *Board) SetRenewInterval(renewInterval time.Duration) {
 	b.minOutage.Store(int64(minOutageRenewals * renewInterval))
 }
 
--- a/internal/edge/feed/reader.go
+++ b/internal/edge/feed/reader.go
@@ -84,8 +84,8 @@
 
 var watchNames = [...]string{"configuration", "engines"}
 
-// Lost reports whether this router is the reader and cannot reach the store.
-func (r *Reader) Lost() bool {
+// StoreLost reports whether this router is the reader and cannot reach the store.
+func (r *Reader) StoreLost() bool {
 	now := r.Clock()
 	for i := range r.downSince {
 		since := time.Duration(r.downSince[i].Load())
--- a/internal/edge/feed/report.go
+++ b/internal/edge/feed/report.go
@@ -81,7 +81,7 @@
 // round drops zero loads and rounds the others, which halves the size of a report.
 func (r *LoadReport) round() {
 	for id, l := range r.Engines {
-		l.Evidence = l.Evidence.Coarse()
+		l.Evidence = l.Evidence.Rounded()
 		if l == (EngineLoad{}) {
 			delete(r.Engines, id)
 			continue
--- a/internal/edge/feed/report_test.go
+++ b/internal/edge/feed/report_test.go
@@ -99,7 +99,7 @@
 		for range n {
 			if b.rng.Float64() < ends {
 				b.inFlight[i]--
-				b.ends[i].Note(true, now)
+				b.ends[i].Observe(true, now)
 			}
 		}
 	}
--- a/internal/edge/feed/status.go
+++ b/internal/edge/feed/status.go
@@ -20,8 +20,8 @@
 	// StateStoreLost means that the router serves requests but cannot reach the store, or hears
 	// that no router can.
 	StateStoreLost State = "store lost"
-	// StateUnheard means that the router is a member from which no status has arrived.
-	StateUnheard State = "not heard"
+	// StateNotHeard means that the router is a member from which no status has arrived.
+	StateNotHeard State = "not heard"
 )
 
 // Status describes a router for operators. Ages are as of the time at which the status was made.
@@ -242,7 +242,7 @@
 func (f *Fleet) addMissing(members []Peer) {
 	for _, p := range members {
 		if !slices.ContainsFunc(f.Statuses, func(s Status) bool { return s.Router == p.Name }) {
-			f.Statuses = append(f.Statuses, Status{Router: p.Name, Site: p.Site, State: StateUnheard})
+			f.Statuses = append(f.Statuses, Status{Router: p.Name, Site: p.Site, State: StateNotHeard})
 		}
 	}
 	slices.SortFunc(f.Statuses, func(a, b Status) int { return strings.Compare(a.Router, b.Router) })
--- a/internal/edge/feed/status_test.go
+++ b/internal/edge/feed/status_test.go
@@ -13,7 +13,7 @@
 func settingsOf(n *fakeNode) map[string]int {
 	out := make(map[string]int)
 	for _, s := range n.follower.Fleet(context.Background()).Statuses {
-		if s.State == StateUnheard {
+		if s.State == StateNotHeard {
 			out[string(s.State)]++
 			continue
 		}
@@ -63,7 +63,7 @@
 		got := f.nodes[live[1].Name].follower.Fleet(context.Background())
 		require.Len(t, got.Statuses, 20)
 		for _, s := range got.Statuses {
-			require.Equal(t, s.Router == silent, s.State == StateUnheard, s.Router)
+			require.Equal(t, s.Router == silent, s.State == StateNotHeard, s.Router)
 		}
 	})
 }
--- a/internal/edge/flow/client.go
+++ b/internal/edge/flow/client.go
@@ -50,8 +50,8 @@
 	Log     *log.Logger
 }
 
-// Asker requests slots from the owners of gates. It is safe for concurrent use.
-type Asker struct {
+// Client requests slots from the owners of gates. It is safe for concurrent use.
+type Client struct {
 	Options
 	owners ownerCache
 	seq    atomic.Uint64
@@ -61,9 +61,9 @@
 	pendingReleases map[feed.Peer][]LeaseRef
 }
 
-// NewAsker returns an Asker.
-func NewAsker(o Options) *Asker {
-	return &Asker{
+// NewClient returns an Asker.
+func NewClient(o Options) *Client {
+	return &Client{
 		Options: o, owners: ownerCache{live: o.Live, engines: o.Engines},
 		cooldownUntil: make(map[string]time.Duration), pendingReleases: make(map[feed.Peer][]LeaseRef),
 	}
@@ -76,9 +76,9 @@
 	id     string
 }
 
-// Ask requests a slot and waits for the decision. It fails with ErrRefused, ErrOwnerUnreachable or
+// Acquire requests a slot and waits for the decision. It fails with ErrRefused, ErrOwnerUnreachable or
 // ErrCanceled. If the owner refused the request, the answer has the details.
-func (c *Asker) Ask(ctx context.Context, req Ask) (*Permit, Answer, error) {
+func (c *Client) Acquire(ctx context.Context, req SlotRequest) (*Permit, Answer, error) {
 	now := c.Clock()
 	owner, ok := c.owners.ownerOf(req.Engine, now)
 	if !ok || c.coolingDown(owner.Name, now) {
@@ -93,7 +93,7 @@
 	return c.acquireRemote(ctx, permit, req)
 }
 
-func (c *Asker) result(ctx context.Context, permit *Permit, answer Answer) (*Permit, Answer, error) {
+func (c *Client) result(ctx context.Context, permit *Permit, answer Answer) (*Permit, Answer, error) {
 	if answer.Granted {
 		return permit, answer, nil
 	}
@@ -106,7 +106,7 @@
 // acquireRemote requests a slot from another router. Canceling the call would close the connection
 // with the calls of other requests on it. When ctx ends, it therefore returns but waits for the
 // answer in the background, and releases the slot if it was granted.
-func (c *Asker) acquireRemote(ctx context.Context, permit *Permit, req Ask) (*Permit, Answer, error) {
+func (c *Client) acquireRemote(ctx context.Context, permit *Permit, req SlotRequest) (*Permit, Answer, error) {
 	type outcome struct {
 		answer Answer
 		err    error
@@ -137,7 +137,7 @@
 
 // handleNoAnswer starts the cooldown of an owner that gave no answer. It also releases the slot,
 // which the owner may have granted.
-func (c *Asker) handleNoAnswer(permit *Permit, err error) error {
+func (c *Client) handleNoAnswer(permit *Permit, err error) error {
 	now := c.Clock()
 	c.mu.Lock()
 	firstFailure := now >= c.cooldownUntil[permit.owner.Name]
@@ -150,14 +150,14 @@
 	return ErrOwnerUnreachable.Wrap(err)
 }
 
-func (c *Asker) coolingDown(owner string, now time.Duration) bool {
+func (c *Client) coolingDown(owner string, now time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return now < c.cooldownUntil[owner]
 }
 
 // Release releases a slot.
-func (c *Asker) Release(p *Permit) {
+func (c *Client) Release(p *Permit) {
 	if p.owner.Name == c.Self {
 		c.Owner.Release(p.engine, p.id)
 		return
@@ -172,7 +172,7 @@
 }
 
 // flush sends the pending releases to an owner. If they are lost, the leases expire.
-func (c *Asker) flush(owner feed.Peer) {
+func (c *Client) flush(owner feed.Peer) {
 	c.mu.Lock()
 	leases := c.pendingReleases[owner]
 	delete(c.pendingReleases, owner)
--- a/internal/edge/flow/flow_test.go
+++ b/internal/edge/flow/flow_test.go
@@ -19,10 +19,10 @@
 	origin   time.Time
 	live     []feed.Peer
 	owners   map[string]*Owner
-	clients  map[string]*Asker
+	clients  map[string]*Client
 	mu       sync.Mutex
 	silent   map[string]bool
-	reported map[string]Known
+	reported map[string]ReportedLoad
 	// outOfService holds the engines that take no more requests.
 	outOfService map[string]bool
 }
@@ -43,7 +43,7 @@
 	if method == ReleaseMethod {
 		return service.Release(args.(ReleaseArgs), reply.(*Empty))
 	}
-	return service.Ask(args.(Ask), reply.(*Answer))
+	return service.Ask(args.(SlotRequest), reply.(*Answer))
 }
 
 // runInFleet runs a test with three routers, of which one owns the gate of the engine "e".
@@ -51,18 +51,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		f := &fakeFleet{
-			origin: time.Now(), owners: map[string]*Owner{}, clients: map[string]*Asker{},
-			silent: map[string]bool{}, reported: map[string]Known{}, outOfService: map[string]bool{},
+			origin: time.Now(), owners: map[string]*Owner{}, clients: map[string]*Client{},
+			silent: map[string]bool{}, reported: map[string]ReportedLoad{}, outOfService: map[string]bool{},
 		}
 		for _, name := range []string{"a", "b", "c"} {
 			f.live = append(f.live, feed.Peer{Name: name})
 		}
 		var running sync.WaitGroup
 		for _, p := range f.live {
-			o := NewOwner(f.clock, func(engine string) Known { return f.reported[engine] }, func(engine string) bool { return f.outOfService[engine] })
+			o := NewOwner(f.clock, func(engine string) ReportedLoad { return f.reported[engine] }, func(engine string) bool { return f.outOfService[engine] })
 			f.owners[p.Name] = o
 			running.Go(func() { o.Run(ctx) })
-			f.clients[p.Name] = NewAsker(Options{
+			f.clients[p.Name] = NewClient(Options{
 				Self: p.Name, Owner: o, Clock: f.clock, Call: f.call, Log: log.New(io.Discard),
 				Live: func() []feed.Peer { return f.live }, Engines: func() int { return 1 },
 			})
@@ -81,8 +81,8 @@
 	})
 }
 
-func newRequest(slots int, maxWait time.Duration) Ask {
-	return Ask{Engine: "e", Places: slots, Weight: 1, MaxWait: maxWait, Lease: 30 * time.Second, Hold: time.Second}
+func newRequest(slots int, maxWait time.Duration) SlotRequest {
+	return SlotRequest{Engine: "e", Places: slots, Weight: 1, MaxWait: maxWait, Lease: 30 * time.Second, Hold: time.Second}
 }
 
 // Guards against sending several requests to an engine with one slot when routers see the free slot
@@ -90,17 +90,17 @@
 func TestOneSlotIsNotGrantedTwice(t *testing.T) {
 	runInFleet(t, func(f *fakeFleet, owner string, others []string) {
 		ctx := context.Background()
-		first, _, err := f.clients[others[0]].Ask(ctx, newRequest(1, time.Second))
+		first, _, err := f.clients[others[0]].Acquire(ctx, newRequest(1, time.Second))
 		require.NoError(t, err)
 		granted := make(chan *Permit, 1)
 		go func() {
-			p, _, err := f.clients[others[1]].Ask(ctx, newRequest(1, time.Second))
+			p, _, err := f.clients[others[1]].Acquire(ctx, newRequest(1, time.Second))
 			require.NoError(t, err)
 			granted <- p
 		}()
 		time.Sleep(100 * time.Millisecond)
 		require.Empty(t, granted)
-		_, answer, err := f.clients[owner].Ask(ctx, newRequest(1, 10*time.Millisecond))
+		_, answer, err := f.clients[owner].Acquire(ctx, newRequest(1, 10*time.Millisecond))
 		require.True(t, ErrRefused.Has(err))
 		require.Positive(t, answer.Wait)
 		f.clients[others[0]].Release(first)
@@ -114,12 +114,12 @@
 // the owner's answer arrived: a slot granted to it is released.
 func TestSlotIsReleasedAfterCallerLeft(t *testing.T) {
 	runInFleet(t, func(f *fakeFleet, owner string, others []string) {
-		first, _, err := f.clients[others[0]].Ask(context.Background(), newRequest(1, time.Second))
+		first, _, err := f.clients[others[0]].Acquire(context.Background(), newRequest(1, time.Second))
 		require.NoError(t, err)
 		for _, name := range []string{owner, others[1]} {
 			ctx, leave := context.WithCancel(context.Background())
 			time.AfterFunc(50*time.Millisecond, leave)
-			_, _, err = f.clients[name].Ask(ctx, newRequest(1, 3*time.Second))
+			_, _, err = f.clients[name].Acquire(ctx, newRequest(1, 3*time.Second))
 			require.True(t, ErrCanceled.Has(err))
 		}
 		f.clients[others[0]].Release(first)
@@ -136,18 +136,18 @@
 		f.silent[owner] = true
 		client := f.clients[others[0]]
 		start := f.clock()
-		_, _, err := client.Ask(context.Background(), newRequest(1, 100*time.Millisecond))
+		_, _, err := client.Acquire(context.Background(), newRequest(1, 100*time.Millisecond))
 		require.True(t, ErrOwnerUnreachable.Has(err))
 		require.LessOrEqual(t, f.clock()-start, 100*time.Millisecond+callMargin)
 		start = f.clock()
-		_, _, err = client.Ask(context.Background(), newRequest(1, 100*time.Millisecond))
+		_, _, err = client.Acquire(context.Background(), newRequest(1, 100*time.Millisecond))
 		require.True(t, ErrOwnerUnreachable.Has(err))
 		require.Zero(t, f.clock()-start)
 		f.mu.Lock()
 		f.silent[owner] = false
 		f.mu.Unlock()
 		time.Sleep(ownerCooldown)
-		_, _, err = client.Ask(context.Background(), newRequest(1, 100*time.Millisecond))
+		_, _, err = client.Acquire(context.Background(), newRequest(1, 100*time.Millisecond))
 		require.NoError(t, err)
 	})
 }
@@ -157,14 +157,14 @@
 // slots.
 func TestNewOwnerCountsReportedRequests(t *testing.T) {
 	runInFleet(t, func(f *fakeFleet, owner string, others []string) {
-		f.reported["e"] = Known{Unasked: 2, Leased: 3}
-		_, _, err := f.clients[others[0]].Ask(context.Background(), newRequest(5, 20*time.Millisecond))
+		f.reported["e"] = ReportedLoad{Unleased: 2, Leased: 3}
+		_, _, err := f.clients[others[0]].Acquire(context.Background(), newRequest(5, 20*time.Millisecond))
 		require.True(t, ErrRefused.Has(err))
-		p, _, err := f.clients[others[0]].Ask(context.Background(), newRequest(6, 20*time.Millisecond))
+		p, _, err := f.clients[others[0]].Acquire(context.Background(), newRequest(6, 20*time.Millisecond))
 		require.NoError(t, err)
 		// The reports now include the gate's own lease, which must not count twice.
-		f.reported["e"] = Known{Unasked: 2, Leased: 4}
-		_, _, err = f.clients[others[1]].Ask(context.Background(), newRequest(7, 20*time.Millisecond))
+		f.reported["e"] = ReportedLoad{Unleased: 2, Leased: 4}
+		_, _, err = f.clients[others[1]].Acquire(context.Background(), newRequest(7, 20*time.Millisecond))
 		require.NoError(t, err)
 		f.clients[others[0]].Release(p)
 	})
@@ -175,11 +175,11 @@
 // time.
 func TestOwnerServesLateRetryLast(t *testing.T) {
 	runInFleet(t, func(f *fakeFleet, owner string, others []string) {
-		running, _, err := f.clients[owner].Ask(context.Background(), newRequest(1, 0))
+		running, _, err := f.clients[owner].Acquire(context.Background(), newRequest(1, 0))
 		require.NoError(t, err)
 		req := newRequest(1, 10*time.Millisecond)
 		req.Subject, req.Attempt, req.Slack = 7, 1, 300*time.Millisecond
-		_, answer, err := f.clients[others[0]].Ask(context.Background(), req)
+		_, answer, err := f.clients[others[0]].Acquire(context.Background(), req)
 		require.True(t, ErrRefused.Has(err))
 		require.False(t, answer.Late)
 		time.Sleep(time.Second)
@@ -187,7 +187,7 @@
 		wait := func(router string, attempt, subject uint64) {
 			req := newRequest(1, 10*time.Second)
 			req.Subject, req.Attempt, req.Slack = subject, attempt, 300*time.Millisecond
-			p, answer, err := f.clients[router].Ask(context.Background(), req)
+			p, answer, err := f.clients[router].Acquire(context.Background(), req)
 			require.NoError(t, err)
 			require.Equal(t, attempt == 2, answer.Late)
 			order <- attempt
@@ -208,10 +208,10 @@
 // Guards against slots that stay occupied for good after a router dies with leases.
 func TestLeasesOfDeadRouterEnd(t *testing.T) {
 	runInFleet(t, func(f *fakeFleet, owner string, others []string) {
-		_, _, err := f.clients[others[0]].Ask(context.Background(), newRequest(1, time.Second))
+		_, _, err := f.clients[others[0]].Acquire(context.Background(), newRequest(1, time.Second))
 		require.NoError(t, err)
-		f.owners[owner].Gone(others[0])
-		_, _, err = f.clients[others[1]].Ask(context.Background(), newRequest(1, 0))
+		f.owners[owner].RouterGone(others[0])
+		_, _, err = f.clients[others[1]].Acquire(context.Background(), newRequest(1, 0))
 		require.NoError(t, err)
 	})
 }
@@ -221,11 +221,11 @@
 // it would wait for good.
 func TestQueuedRequestsOfDeadRouterEnd(t *testing.T) {
 	runInFleet(t, func(f *fakeFleet, owner string, others []string) {
-		first, _, err := f.clients[owner].Ask(context.Background(), newRequest(1, time.Second))
+		first, _, err := f.clients[owner].Acquire(context.Background(), newRequest(1, time.Second))
 		require.NoError(t, err)
-		for _, end := range []func(Ask){
-			func(Ask) { f.owners[owner].Gone(others[0]) },
-			func(a Ask) { f.owners[owner].Release(a.Engine, a.ID) },
+		for _, end := range []func(SlotRequest){
+			func(SlotRequest) { f.owners[owner].RouterGone(others[0]) },
+			func(a SlotRequest) { f.owners[owner].Release(a.Engine, a.ID) },
 		} {
 			req := newRequest(1, 5*time.Second)
 			req.ID, req.From = others[0]+"#1", others[0]
--- a/internal/edge/flow/owner.go
+++ b/internal/edge/flow/owner.go
@@ -34,23 +34,23 @@
 // Clock returns the time since the VM booted, including suspends.
 type Clock func() time.Duration
 
-// Known is the load of an engine according to reports, which lag behind.
-type Known struct {
-	// Unasked is the number of requests at the engine without a lease, and Leased the number with a
+// ReportedLoad is the load of an engine according to reports, which lag behind.
+type ReportedLoad struct {
+	// Unleased is the number of requests at the engine without a lease, and Leased the number with a
 	// lease of any gate.
-	Unasked, Leased int
+	Unleased, Leased int
 }
 
 // Owner keeps the gates of the engines that this router owns. It is safe for concurrent use.
 type Owner struct {
 	clock        Clock
-	reportedLoad func(engine string) Known
+	reportedLoad func(engine string) ReportedLoad
 	// outOfService reports whether an engine takes no more requests.
 	outOfService func(engine string) bool
 
 	mu      sync.Mutex
 	gates   map[string]*ownedGate
-	refused gate.Refused
+	refused gate.RefusalHistory
 	wakeup  chan struct{}
 }
 
@@ -67,18 +67,18 @@
 
 // waiter is a waiting request and the channel for its decision.
 type waiter struct {
-	req     Ask
-	decided chan gate.Verdict
+	req     SlotRequest
+	decided chan gate.Decision
 }
 
 // NewOwner returns an Owner. reportedLoad returns an engine's load according to reports, and
 // outOfService reports whether the engine takes no more requests.
-func NewOwner(clock Clock, reportedLoad func(engine string) Known, outOfService func(engine string) bool) *Owner {
+func NewOwner(clock Clock, reportedLoad func(engine string) ReportedLoad, outOfService func(engine string) bool) *Owner {
 	return &Owner{clock: clock, reportedLoad: reportedLoad, outOfService: outOfService, gates: make(map[string]*ownedGate), wakeup: make(chan struct{}, 1)}
 }
 
-// Ask is a request for a slot.
-type Ask struct {
+// SlotRequest is a request for a slot.
+type SlotRequest struct {
 	// Engine is the engine's ID, and Places its number of slots.
 	Engine string
 	Places int
@@ -116,7 +116,7 @@
 
 // Acquire requests a slot from a gate of this router. It returns once there is a decision, which takes
 // MaxWait at most, or when the context ends.
-func (o *Owner) Acquire(ctx context.Context, req Ask) Answer {
+func (o *Owner) Acquire(ctx context.Context, req SlotRequest) Answer {
 	decision, late, decided := o.submit(req)
 	if decided != nil {
 		select {
@@ -130,18 +130,18 @@
 
 // submit passes a request to its gate and reports whether it is late. The channel is nil if the
 // decision is immediate.
-func (o *Owner) submit(req Ask) (v gate.Verdict, late bool, decided chan gate.Verdict) {
+func (o *Owner) submit(req SlotRequest) (v gate.Decision, late bool, decided chan gate.Decision) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.clock()
 	if o.outOfService(req.Engine) {
-		return gate.Verdict{ID: req.ID}, req.Late, nil
+		return gate.Decision{ID: req.ID}, req.Late, nil
 	}
 	late = req.Late || o.refused.Late(req.Subject, req.Attempt, req.Slack, now)
 	g := o.gateFor(req.Engine, now)
-	g.SetPlaces(req.Places)
+	g.SetSlots(req.Places)
 	o.updateUnleased(req.Engine, g, now)
-	decision, queued := g.Ask(at(now), gate.Ask{
+	decision, queued := g.Acquire(at(now), gate.Request{
 		ID: req.ID, Holder: req.From, Account: req.Account, Class: queue.Class(min(max(req.Urgency, 0), UrgencyClasses-1)),
 		Late: late, Weight: req.Weight, Latest: at(now + req.MaxWait), Until: at(now + req.MaxWait + req.Lease), Hold: req.Hold,
 		Pace: req.Pace,
@@ -151,15 +151,15 @@
 		o.recordDecision(req, decision, now)
 		return decision, late, nil
 	}
-	decided = make(chan gate.Verdict, 1)
+	decided = make(chan gate.Decision, 1)
 	g.waiting[req.ID] = waiter{req: req, decided: decided}
 	o.wake()
-	return gate.Verdict{}, late, decided
+	return gate.Decision{}, late, decided
 }
 
 // recordDecision remembers a refusal, so that a retry of the request is recognized. The caller must
 // hold o.mu.
-func (o *Owner) recordDecision(req Ask, v gate.Verdict, now time.Duration) {
+func (o *Owner) recordDecision(req SlotRequest, v gate.Decision, now time.Duration) {
 	if v.Granted {
 		o.refused.Forget(req.Subject)
 		return
@@ -189,7 +189,7 @@
 func (o *Owner) updateUnleased(engine string, g *ownedGate, now time.Duration) {
 	reported := o.reportedLoad(engine)
 	g.updatePeak(now)
-	g.SetOthers(reported.Unasked + max(0, reported.Leased-max(g.peak, g.previousPeak)))
+	g.SetUnleased(reported.Unleased + max(0, reported.Leased-max(g.peak, g.previousPeak)))
 }
 
 // updatePeak records the current number of leases in the peak.
@@ -201,7 +201,7 @@
 }
 
 // withdraw removes a request whose caller has left.
-func (o *Owner) withdraw(req Ask) {
+func (o *Owner) withdraw(req SlotRequest) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	g := o.gates[req.Engine]
@@ -235,12 +235,12 @@
 func (g *ownedGate) abandon(id string) {
 	if w, ok := g.waiting[id]; ok {
 		delete(g.waiting, id)
-		w.decided <- gate.Verdict{ID: id}
+		w.decided <- gate.Decision{ID: id}
 	}
 }
 
-// Gone ends the leases and waiting requests of a router that is gone.
-func (o *Owner) Gone(router string) {
+// RouterGone ends the leases and waiting requests of a router that is gone.
+func (o *Owner) RouterGone(router string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.clock()
--- a/internal/edge/flow/service.go
+++ b/internal/edge/flow/service.go
@@ -25,7 +25,7 @@
 type Service struct{ Owner *Owner }
 
 // Ask requests a slot and returns once there is a decision.
-func (s *Service) Ask(args Ask, reply *Answer) error {
+func (s *Service) Ask(args SlotRequest, reply *Answer) error {
 	*reply = s.Owner.Acquire(context.Background(), args)
 	return nil
 }
--- a/internal/edge/forward/admit_test.go
+++ b/internal/edge/forward/admit_test.go
@@ -22,7 +22,7 @@
 		Version: 1, Routes: []catalog.Route{{Name: "r", Host: "h", Prefix: "/a/", Public: true}},
 	})
 	snapshot := func() *catalog.Snapshot {
-		s := catalog.Empty()
+		s := catalog.NewSnapshot()
 		s.Config, s.ConfigAsOf = config, asOf
 		s.Engines, _ = s.Engines.Apply(catalog.EngineUpdate{Full: true, Upto: 1}, 0)
 		if confirmedAfter > 0 && clock() >= time.Minute+confirmedAfter {
@@ -86,7 +86,7 @@
 			x.r = httptest.NewRequestWithContext(t.Context(), http.MethodGet, "http://h/a/x", nil)
 			known := x.f.Snapshot
 			x.f.Snapshot = func() *catalog.Snapshot {
-				s := catalog.Empty()
+				s := catalog.NewSnapshot()
 				if now := x.f.Clock() - x.started; now >= tc.config {
 					s.Config, s.ConfigAsOf = known().Config, x.f.Clock()
 				}
--- a/internal/edge/forward/attempttimeout.go
+++ b/internal/edge/forward/attempttimeout.go
@@ -18,29 +18,29 @@
 // answerTimes records how long answers take, by service. It is safe for concurrent use.
 type answerTimes struct {
 	mu        sync.Mutex
-	byService map[string]*health.Pace
+	byService map[string]*health.Latency
 }
 
-func newAnswerTimes() *answerTimes { return &answerTimes{byService: make(map[string]*health.Pace)} }
+func newAnswerTimes() *answerTimes { return &answerTimes{byService: make(map[string]*health.Latency)} }
 
 // record adds the time to an answer, or to an attempt's timeout.
 func (a *answerTimes) record(service string, took time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.pace(service).Note(took)
+	a.pace(service).Observe(took)
 }
 
 func (a *answerTimes) attemptTimeout(service string, objective time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.pace(service).Patience(objective)
+	return a.pace(service).SilenceTimeout(objective)
 }
 
 // pace returns the answer times of a service. The caller holds the mutex.
-func (a *answerTimes) pace(service string) *health.Pace {
+func (a *answerTimes) pace(service string) *health.Latency {
 	pace := a.byService[service]
 	if pace == nil {
-		pace = &health.Pace{}
+		pace = &health.Latency{}
 		a.byService[service] = pace
 	}
 	return pace
--- a/internal/edge/forward/budget.go
+++ b/internal/edge/forward/budget.go
@@ -7,9 +7,9 @@
 	"damaskrouter.example/damaskrouter/internal/decide/retry"
 )
 
-// BudgetLimits limit how many sends beyond the first send of each request the whole fleet may make
+// RetryBudgetLimits limit how many sends beyond the first send of each request the whole fleet may make
 // to one service.
-type BudgetLimits struct {
+type RetryBudgetLimits struct {
 	// Ratio is the allowed share of the requests in a window. Slack is the number of sends allowed
 	// in addition.
 	Ratio float64
@@ -26,32 +26,32 @@
 // fewer has most likely not discovered the others yet.
 const minRouters = 6
 
-// Budgets holds one router's share of the fleet's retry budget for each service. Each router uses
+// RetryBudgets holds one router's share of the fleet's retry budget for each service. Each router uses
 // the ratio of its own requests and an equal part of the slack, which keeps the sum within the
 // limits for any traffic split without communication. It is safe for concurrent use.
-type Budgets struct {
-	limits  func() BudgetLimits
+type RetryBudgets struct {
+	limits  func() RetryBudgetLimits
 	routers func() int
 
 	mu        sync.Mutex
 	byService map[string]*retry.Budget
 }
 
-// NewBudgets returns full budgets. The function limits returns the limits in force, and routers the
+// NewRetryBudgets returns full budgets. The function limits returns the limits in force, and routers the
 // number of routers that share them.
-func NewBudgets(limits func() BudgetLimits, routers func() int) *Budgets {
-	return &Budgets{limits: limits, routers: routers, byService: make(map[string]*retry.Budget)}
+func NewRetryBudgets(limits func() RetryBudgetLimits, routers func() int) *RetryBudgets {
+	return &RetryBudgets{limits: limits, routers: routers, byService: make(map[string]*retry.Budget)}
 }
 
 // RecordRequest counts the first send of a request at the boot time now.
-func (b *Budgets) RecordRequest(service string, now time.Duration) {
+func (b *RetryBudgets) RecordRequest(service string, now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.budget(service, now).Fresh(bootTime(now))
+	b.budget(service, now).RecordFirstAttempt(bootTime(now))
 }
 
 // Spend takes one retry out of the service's budget and reports whether one was available.
-func (b *Budgets) Spend(service string, now time.Duration) bool {
+func (b *RetryBudgets) Spend(service string, now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.budget(service, now).Spend(bootTime(now))
@@ -60,7 +60,7 @@
 // budget returns the service's budget, sized for the current number of routers. A router that has
 // just started knows no others; a size fixed at that time would give it the whole slack. The caller
 // holds the mutex.
-func (b *Budgets) budget(service string, now time.Duration) *retry.Budget {
+func (b *RetryBudgets) budget(service string, now time.Duration) *retry.Budget {
 	budget := b.byService[service]
 	if budget == nil {
 		budget = retry.NewBudget(bootTime(now), b.config())
@@ -73,7 +73,7 @@
 
 // config returns this router's share of the limits. Half of the slack can accumulate as burst and
 // the other half refills evenly over a window, so that both together stay within the slack.
-func (b *Budgets) config() retry.BudgetConfig {
+func (b *RetryBudgets) config() retry.BudgetConfig {
 	limits := b.limits()
 	slack := budgetMargin * limits.Slack / float64(max(b.routers(), minRouters))
 	return retry.BudgetConfig{
--- a/internal/edge/forward/cold.go
+++ b/internal/edge/forward/cold.go
@@ -31,7 +31,7 @@
 	if entryChanged {
 		e.coldUntil = max(e.coldUntil, now+e.engine.ColdFor)
 	}
-	evacuation := s.Evacuations.Of(e.engine.Site)
+	evacuation := s.Evacuations.ForSite(e.engine.Site)
 	ended := evacuation.Revision > e.evacuationRevision && !evacuation.Active
 	emptied = known && ended
 	if emptied {
@@ -44,19 +44,19 @@
 
 // SetColdLimits sets the limits on requests to cold engines. The default is the rate stated by
 // their service. It must be called before the first request.
-func (p *Engines) SetColdLimits(limits func() ColdLimits) { p.coldLimits = limits }
+func (p *Balancer) SetColdLimits(limits func() ColdLimits) { p.coldLimits = limits }
 
 // coldRemaining returns how much longer an engine counts as cold, or zero if it is not cold or its
 // service states no rate for cold engines. The caller holds the mutex.
-func (p *Engines) coldRemaining(service *catalog.Service, engine string, now time.Duration) time.Duration {
+func (p *Balancer) coldRemaining(service *catalog.Service, engine string, now time.Duration) time.Duration {
 	if service == nil || service.ColdRate <= 0 {
 		return 0
 	}
 	return max(p.states[engine].coldUntil-now, 0)
 }
 
-// Cold returns the remaining cold time of each cold engine by engine ID.
-func (p *Engines) Cold(s *catalog.Snapshot) map[string]time.Duration {
+// ColdRemaining returns the remaining cold time of each cold engine by engine ID.
+func (p *Balancer) ColdRemaining(s *catalog.Snapshot) map[string]time.Duration {
 	now := p.clock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,7 +74,7 @@
 
 // pace returns the rate limit for requests to an engine; the zero Pace means no limit. The caller
 // holds the mutex.
-func (p *Engines) pace(service *catalog.Service, engine string, now time.Duration) gate.Pace {
+func (p *Balancer) pace(service *catalog.Service, engine string, now time.Duration) gate.Pace {
 	remaining := p.coldRemaining(service, engine, now)
 	if remaining == 0 {
 		return gate.Pace{}
--- a/internal/edge/forward/cold_test.go
+++ b/internal/edge/forward/cold_test.go
@@ -25,7 +25,7 @@
 		}
 		u.Present = append(u.Present, e)
 	}
-	s, _ := catalog.Empty().WithEngines(u, 0, time.Second, 0)
+	s, _ := catalog.NewSnapshot().WithEngines(u, 0, time.Second, 0)
 	service := catalog.Service{Name: "llm", ColdStart: 3 * time.Second, ColdRate: 11}
 	s, _ = s.WithConfig(catalog.NewConfig(catalog.Config{Version: 1, Services: []catalog.Service{service}}), 0)
 	return s
--- a/internal/edge/forward/engines.go
+++ b/internal/edge/forward/engines.go
@@ -14,9 +14,9 @@
 	"damaskrouter.example/damaskrouter/internal/edge/health"
 )
 
-// Engines tracks the requests of this router at each engine and how they end, and chooses engines
+// Balancer tracks the requests of this router at each engine and how they end, and chooses engines
 // for requests. It is safe for concurrent use.
-type Engines struct {
+type Balancer struct {
 	site string
 	// otherLoads returns the loads reported by the other routers, by engine ID.
 	otherLoads func() map[string]feed.EngineLoad
@@ -53,10 +53,10 @@
 	record           health.Record
 }
 
-// NewEngines returns an Engines for a router in a site. The function others returns the loads
+// NewBalancer returns an Engines for a router in a site. The function others returns the loads
 // reported by the other routers, by engine ID.
-func NewEngines(site string, others func() map[string]feed.EngineLoad, clock func() time.Duration, rng *rand.Rand) *Engines {
-	return &Engines{
+func NewBalancer(site string, others func() map[string]feed.EngineLoad, clock func() time.Duration, rng *rand.Rand) *Balancer {
+	return &Balancer{
 		site: site, otherLoads: others, clock: clock, rng: rng, promptCaches: newPromptCaches(),
 		ownLoads:       make(map[string]*ownLoad),
 		states:         make(map[string]engineState),
@@ -66,15 +66,15 @@
 	}
 }
 
-// ReleaseBy sets the function that releases permits. It must be called before the first request.
-func (p *Engines) ReleaseBy(release func(*flow.Permit)) { p.release = release }
+// SetRelease sets the function that releases permits. It must be called before the first request.
+func (p *Balancer) SetRelease(release func(*flow.Permit)) { p.release = release }
 
 // OnRestart sets the function that is called with the ID of each restarted engine. The function
 // runs while the mutex is held, so it must neither block nor call methods of p.
-func (p *Engines) OnRestart(restarted func(engine string)) { p.onRestart = restarted }
+func (p *Balancer) OnRestart(restarted func(engine string)) { p.onRestart = restarted }
 
-// Own returns this router's load and outcome counts by engine ID.
-func (p *Engines) Own() map[string]feed.EngineLoad {
+// OwnLoads returns this router's load and outcome counts by engine ID.
+func (p *Balancer) OwnLoads() map[string]feed.EngineLoad {
 	now := p.clock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,7 +86,7 @@
 }
 
 // load returns the engine's load and creates it if needed. The caller holds the mutex.
-func (p *Engines) load(engine string) *ownLoad {
+func (p *Balancer) load(engine string) *ownLoad {
 	l := p.ownLoads[engine]
 	if l == nil {
 		l = &ownLoad{}
@@ -112,7 +112,7 @@
 // Pick chooses an engine of the service and counts a request to it until Done is called. shared are
 // the IDs of the prompt parts that other requests may have too, in order. Pick skips the engines in
 // excluded, and cold ones, which require a permit. It returns false if there is no engine left.
-func (p *Engines) Pick(s *catalog.Snapshot, service string, shared []string, excluded map[string]bool) (Choice, bool) {
+func (p *Balancer) Pick(s *catalog.Snapshot, service string, shared []string, excluded map[string]bool) (Choice, bool) {
 	now := p.clock()
 	others := p.otherLoads()
 	p.mu.Lock()
@@ -123,16 +123,16 @@
 }
 
 // placement chooses among the candidates. The caller holds the mutex.
-func (p *Engines) placement(candidates []choose.Engine, shared []string) choose.Placement {
+func (p *Balancer) placement(candidates []choose.Engine, shared []string) choose.Placement {
 	if len(shared) == 0 {
-		return choose.Placement{Engine: choose.Plain(candidates, p.rng), Holder: choose.None}
+		return choose.Placement{Engine: choose.PickPlain(candidates, p.rng), Holder: choose.NoEngine}
 	}
-	return choose.Prompted(candidates, rendezvous.ID(shared[len(shared)-1]), p.rng)
+	return choose.PlacePrompt(candidates, rendezvous.ID(shared[len(shared)-1]), p.rng)
 }
 
 // commit counts a request at the engine of a placement and records its prompt parts there. The
 // caller holds the mutex.
-func (p *Engines) commit(engines []catalog.Engine, candidates []choose.Engine, placement choose.Placement, shared []string, now time.Duration) (Choice, bool) {
+func (p *Balancer) commit(engines []catalog.Engine, candidates []choose.Engine, placement choose.Placement, shared []string, now time.Duration) (Choice, bool) {
 	choice, ok := p.start(engines, placement.Engine, now)
 	if !ok || len(shared) == 0 {
 		return choice, ok
@@ -143,8 +143,8 @@
 }
 
 // start counts a request at the i-th engine. The caller holds the mutex.
-func (p *Engines) start(engines []catalog.Engine, i int, now time.Duration) (Choice, bool) {
-	if i == choose.None {
+func (p *Balancer) start(engines []catalog.Engine, i int, now time.Duration) (Choice, bool) {
+	if i == choose.NoEngine {
 		return Choice{}, false
 	}
 	p.load(engines[i].ID).inFlight++
@@ -157,7 +157,7 @@
 // the engine that had the prompt before according to the hash order, and the engines to which this
 // router last sent shorter parts. If none qualifies, it falls back to the first other engine of the
 // hash order. The caller holds the mutex.
-func (p *Engines) fetchSource(engines []catalog.Engine, candidates []choose.Engine, placement choose.Placement, shared []string, now time.Duration) string {
+func (p *Balancer) fetchSource(engines []catalog.Engine, candidates []choose.Engine, placement choose.Placement, shared []string, now time.Duration) string {
 	chosen := engines[placement.Engine].ID
 	longest := len(shared) - 1
 	if p.promptCaches.contains(chosen, shared[longest], now) {
@@ -166,7 +166,7 @@
 	if address, ok := p.sourceAddress(engines, candidates, chosen, shared[longest], now); ok {
 		return address
 	}
-	if placement.Holder != choose.None && placement.Moved {
+	if placement.Holder != choose.NoEngine && placement.Moved {
 		return engines[placement.Holder].Address
 	}
 	for i := longest - 1; i >= 0 && !p.promptCaches.contains(chosen, shared[i], now); i-- {
@@ -174,7 +174,7 @@
 			return address
 		}
 	}
-	if placement.Holder == choose.None {
+	if placement.Holder == choose.NoEngine {
 		return ""
 	}
 	return engines[placement.Holder].Address
@@ -183,14 +183,14 @@
 // sourceAddress returns the address of the engine, other than the chosen one, to which this router
 // last sent the part. It returns false for an ejected engine: a request would wait for an engine
 // that does not respond. The caller holds the mutex.
-func (p *Engines) sourceAddress(engines []catalog.Engine, candidates []choose.Engine, chosen, part string, now time.Duration) (string, bool) {
+func (p *Balancer) sourceAddress(engines []catalog.Engine, candidates []choose.Engine, chosen, part string, now time.Duration) (string, bool) {
 	holder, ok := p.promptCaches.otherEngine(chosen, part, now)
 	if !ok {
 		return "", false
 	}
 	for i, e := range engines {
 		if e.ID == holder {
-			return e.Address, candidates[i].CanGive()
+			return e.Address, candidates[i].ServesCache()
 		}
 	}
 	return "", false
@@ -198,12 +198,12 @@
 
 // candidates returns the engines of the service that are not excluded, and the same engines in the
 // same order as package choose needs them. It observes each of them. The caller holds the mutex.
-func (p *Engines) candidates(s *catalog.Snapshot, service string, excluded map[string]bool, others map[string]feed.EngineLoad, now time.Duration) ([]catalog.Engine, []choose.Engine) {
+func (p *Balancer) candidates(s *catalog.Snapshot, service string, excluded map[string]bool, others map[string]feed.EngineLoad, now time.Duration) ([]catalog.Engine, []choose.Engine) {
 	var engines []catalog.Engine
 	var out []choose.Engine
 	var evidence []health.Evidence
 	config := s.Config.Service(service)
-	for _, e := range s.Engines.Of(service) {
+	for _, e := range s.Engines.ForService(service) {
 		if excluded[e.ID] {
 			continue
 		}
@@ -221,12 +221,12 @@
 		evidence = append(evidence, load.Evidence)
 		out = append(out, choose.Engine{
 			ID: e.ID, Key: rendezvous.ID(e.ID), InFlight: load.InFlight, Slots: slots,
-			Near: e.Site == p.site, Leaving: !s.TakesRequests(e), Fresh: p.recentlyStarted(e.ID, now),
-			Came: p.states[e.ID].firstSeen,
-			Cold: p.coldRemaining(config, e.ID, now) > 0,
+			SameSite: e.Site == p.site, Draining: !s.TakesRequests(e), RecentlyAdded: p.recentlyStarted(e.ID, now),
+			AddedAt: p.states[e.ID].firstSeen,
+			Cold:    p.coldRemaining(config, e.ID, now) > 0,
 		})
 	}
-	for i, share := range health.Shares(evidence) {
+	for i, share := range health.LoadShares(evidence) {
 		out[i].Share = share
 	}
 	return engines, out
@@ -235,7 +235,7 @@
 // observe records an engine of the current snapshot. For an engine that has restarted under the
 // same ID, it discards the prompt parts and outcomes recorded before the restart. The caller holds
 // the mutex.
-func (p *Engines) observe(s *catalog.Snapshot, e catalog.Engine, now time.Duration) {
+func (p *Balancer) observe(s *catalog.Snapshot, e catalog.Engine, now time.Duration) {
 	if len(p.states) == 0 {
 		p.knownSince = now
 	}
@@ -264,24 +264,24 @@
 
 // recentlyStarted reports whether the engine was added within the last promptCacheTTL, and after
 // the engines that this router found at its own start. The caller holds the mutex.
-func (p *Engines) recentlyStarted(engine string, now time.Duration) bool {
+func (p *Balancer) recentlyStarted(engine string, now time.Duration) bool {
 	firstSeen := p.states[engine].firstSeen
 	return firstSeen > p.knownSince+startupSettleTime && now-firstSeen <= promptCacheTTL
 }
 
 // HasFreeSlot reports whether any engine of the service, other than those in excluded, accepts
 // requests and has a free slot.
-func (p *Engines) HasFreeSlot(s *catalog.Snapshot, service string, excluded map[string]bool) bool {
+func (p *Balancer) HasFreeSlot(s *catalog.Snapshot, service string, excluded map[string]bool) bool {
 	others := p.otherLoads()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_, candidates := p.candidates(s, service, excluded, others, p.clock())
-	return slices.ContainsFunc(candidates, choose.Engine.HasRoom)
+	return slices.ContainsFunc(candidates, choose.Engine.HasFreeSlot)
 }
 
 // Done ends the count of a request and releases its permit. It must be called once for each choice
 // that Pick, Plan or StartLeased has counted.
-func (p *Engines) Done(choice Choice) {
+func (p *Balancer) Done(choice Choice) {
 	if choice.permit != nil {
 		p.release(choice.permit)
 	}
@@ -296,8 +296,8 @@
 	p.recordHold(choice.Engine.Service, now-choice.startedAt)
 }
 
-// Known returns an engine's load from this router's own requests and the reports of the others.
-func (p *Engines) Known(engine string) flow.Known {
+// KnownLoad returns an engine's load from this router's own requests and the reports of the others.
+func (p *Balancer) KnownLoad(engine string) flow.ReportedLoad {
 	load := p.otherLoads()[engine]
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -305,15 +305,15 @@
 		load.InFlight += own.inFlight
 		load.Leased += own.leased
 	}
-	return flow.Known{Unasked: max(load.InFlight-load.Leased, 0), Leased: load.Leased}
+	return flow.ReportedLoad{Unleased: max(load.InFlight-load.Leased, 0), Leased: load.Leased}
 }
 
 // RecordOutcome records whether a request at an engine ended well.
-func (p *Engines) RecordOutcome(engine string, good bool) {
+func (p *Balancer) RecordOutcome(engine string, good bool) {
 	now := p.clock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.load(engine).record.Note(good, now)
+	p.load(engine).record.Observe(good, now)
 }
 
 // EjectionChange reports that an engine was ejected or restored.
@@ -324,9 +324,9 @@
 	Evidence health.Evidence
 }
 
-// Review drops the state of removed engines, and returns the engines that were ejected or restored
+// EjectionChanges drops the state of removed engines, and returns the engines that were ejected or restored
 // since the last call.
-func (p *Engines) Review(s *catalog.Snapshot) []EjectionChange {
+func (p *Balancer) EjectionChanges(s *catalog.Snapshot) []EjectionChange {
 	others := p.otherLoads()
 	now := p.clock()
 	p.mu.Lock()
--- a/internal/edge/forward/forward_test.go
+++ b/internal/edge/forward/forward_test.go
@@ -63,11 +63,11 @@
 func TestFleetRetryBudgetHoldsForAnyTrafficSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(6, 90).Draw(t, "routers")
-		limits := BudgetLimits{Ratio: 0.2, Slack: rapid.Float64Range(58, 216).Draw(t, "slack"), Window: 10 * time.Second}
+		limits := RetryBudgetLimits{Ratio: 0.2, Slack: rapid.Float64Range(58, 216).Draw(t, "slack"), Window: 10 * time.Second}
 		known := 1
-		budgets := make([]*Budgets, n)
+		budgets := make([]*RetryBudgets, n)
 		for i := range budgets {
-			budgets[i] = NewBudgets(func() BudgetLimits { return limits }, func() int { return known })
+			budgets[i] = NewRetryBudgets(func() RetryBudgetLimits { return limits }, func() int { return known })
 			budgets[i].RecordRequest("s", 0)
 		}
 		known = n
--- a/internal/edge/forward/forwarder.go
+++ b/internal/edge/forward/forwarder.go
@@ -34,10 +34,10 @@
 	Clock   func() time.Duration
 	Codec   Codec
 	Conns   *engineconn.Pool
-	Engines *Engines
+	Engines *Balancer
 	// Places requests permits.
-	Places *flow.Asker
-	Budget *Budgets
+	Places *flow.Client
+	Budget *RetryBudgets
 	Log    *log.Logger
 	// KeyLease returns the maximum age of a configuration's last confirmation at which requests
 	// with API keys are served. Older configurations may contain revoked keys.
@@ -80,7 +80,7 @@
 		Options: o, stats: newStats(), answerTimes: newAnswerTimes(), servedLogLimiter: rate.NewLimiter(servedLogsPerSecond, servedLogsPerSecond),
 		overloads:      overloads{random: rand.Float64, byService: make(map[string]*gate.Overload)},
 		throttles:      throttles{random: rand.Float64, byKey: make(map[throttleKey]*gate.Throttle)},
-		callerTimeouts: callerTimeouts{byRoute: make(map[string]*gate.Usual)},
+		callerTimeouts: callerTimeouts{byRoute: make(map[string]*gate.TimeoutBaseline)},
 	}
 }
 
@@ -90,9 +90,9 @@
 // InFlight returns the number of requests in progress.
 func (f *Forwarder) InFlight() int64 { return f.inFlight.Load() }
 
-// Leave starts draining: each caller's connection is closed after the next response, and requests
+// Drain starts draining: each caller's connection is closed after the next response, and requests
 // are accepted only if they can finish before the process ends, timeout from now.
-func (f *Forwarder) Leave(timeout time.Duration) {
+func (f *Forwarder) Drain(timeout time.Duration) {
 	f.draining.Store(&drainState{startedAt: f.Clock(), timeout: timeout})
 }
 
--- a/internal/edge/forward/permit.go
+++ b/internal/edge/forward/permit.go
@@ -50,7 +50,7 @@
 		if plan.Warm {
 			maxWait = min(maxWait, gate.ColdWait(x.route.Objective))
 		}
-		permit, answer, err := x.f.Places.Ask(ctx, x.permitRequest(candidate, plan, maxWait))
+		permit, answer, err := x.f.Places.Acquire(ctx, x.permitRequest(candidate, plan, maxWait))
 		x.late = x.late || answer.Late
 		refused = refused || flow.ErrRefused.Has(err)
 		switch {
@@ -103,8 +103,8 @@
 }
 
 // permitRequest returns the request to the owner of an engine's gate.
-func (x *exchange) permitRequest(a PermitCandidate, plan Plan, maxWait time.Duration) flow.Ask {
-	out := flow.Ask{
+func (x *exchange) permitRequest(a PermitCandidate, plan Plan, maxWait time.Duration) flow.SlotRequest {
+	out := flow.SlotRequest{
 		Engine: a.Choice.Engine.ID, Places: a.MaxInFlight, Urgency: x.urgency(), Weight: x.req.Cost(),
 		MaxWait: maxWait, Lease: x.remaining(), Hold: plan.Hold,
 		Subject: x.req.RetryKey(), Attempt: rendezvous.ID(x.req.ID), Slack: gate.StartWithin(x.route.Objective), Late: x.late,
@@ -129,7 +129,7 @@
 // concurrent use.
 type callerTimeouts struct {
 	mu      sync.Mutex
-	byRoute map[string]*gate.Usual
+	byRoute map[string]*gate.TimeoutBaseline
 }
 
 // record adds the timeout of a request that arrived while nothing was refused.
@@ -138,7 +138,7 @@
 	defer l.mu.Unlock()
 	usual := l.byRoute[route]
 	if usual == nil {
-		usual = &gate.Usual{}
+		usual = &gate.TimeoutBaseline{}
 		l.byRoute[route] = usual
 	}
 	usual.Note(limit)
@@ -163,7 +163,7 @@
 func (o *overloads) retryAfter(service string, objective, left, now time.Duration) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.state(service).ComeBack(objective, left, now, o.random())
+	return o.state(service).RetryAfter(objective, left, now, o.random())
 }
 
 // ended reports whether the service has refused no request for a while.
--- a/internal/edge/forward/permit_test.go
+++ b/internal/edge/forward/permit_test.go
@@ -32,14 +32,14 @@
 		started := time.Now()
 		clock := func() time.Duration { return time.Minute + time.Since(started) }
 		tr := &testRouter{snapshot: newSnapshot(n), otherLoads: make(map[string]feed.EngineLoad)}
-		engines := NewEngines("site", func() map[string]feed.EngineLoad { return tr.otherLoads }, clock, rand.New(rand.NewPCG(1, 2)))
-		tr.owner = flow.NewOwner(clock, engines.Known, func(string) bool { return false })
+		engines := NewBalancer("site", func() map[string]feed.EngineLoad { return tr.otherLoads }, clock, rand.New(rand.NewPCG(1, 2)))
+		tr.owner = flow.NewOwner(clock, engines.KnownLoad, func(string) bool { return false })
 		self := feed.Peer{Name: "self"}
-		places := flow.NewAsker(flow.Options{
+		places := flow.NewClient(flow.Options{
 			Self: self.Name, Owner: tr.owner, Clock: clock, Log: log.New(io.Discard),
 			Live: func() []feed.Peer { return []feed.Peer{self} }, Engines: func() int { return n },
 		})
-		engines.ReleaseBy(places.Release)
+		engines.SetRelease(places.Release)
 		tr.f = New(Options{
 			Snapshot: func() *catalog.Snapshot { return tr.snapshot }, Clock: clock, Engines: engines, Places: places,
 			Log: log.New(io.Discard),
@@ -55,7 +55,7 @@
 
 // setOtherLoads makes other routers report n requests without permits at each engine.
 func (tr *testRouter) setOtherLoads(n int) {
-	for _, e := range tr.snapshot.Engines.Of("llm") {
+	for _, e := range tr.snapshot.Engines.ForService("llm") {
 		tr.otherLoads[e.ID] = feed.EngineLoad{InFlight: n}
 	}
 }
--- a/internal/edge/forward/plan.go
+++ b/internal/edge/forward/plan.go
@@ -44,7 +44,7 @@
 // requests may have too, in order. Plan skips the engines in excluded and returns false if there is
 // no engine left. If Ask is empty, Plan has counted the request, and Done must be called with
 // Choice.
-func (p *Engines) Plan(s *catalog.Snapshot, service string, shared []string, excluded map[string]bool) (Plan, bool) {
+func (p *Balancer) Plan(s *catalog.Snapshot, service string, shared []string, excluded map[string]bool) (Plan, bool) {
 	now := p.clock()
 	others := p.otherLoads()
 	p.mu.Lock()
@@ -53,9 +53,9 @@
 	plan := Plan{Hold: p.meanHolds[service]}
 	var order []int
 	switch placement := p.placement(candidates, shared); {
-	case p.congested(service, candidates, now), choose.OnlyCold(candidates):
+	case p.congested(service, candidates, now), choose.AllCold(candidates):
 		order = p.permitOrder(candidates, shared)
-	case placement.Engine != choose.None && candidates[placement.Engine].Cold:
+	case placement.Engine != choose.NoEngine && candidates[placement.Engine].Cold:
 		plan.Warm = true
 		order = []int{placement.Engine}
 	default:
@@ -65,7 +65,7 @@
 	config := s.Config.Service(service)
 	for _, i := range order {
 		plan.Ask = append(plan.Ask, PermitCandidate{
-			Choice: p.candidateChoice(engines, candidates, i, shared, now), MaxInFlight: choose.Places(candidates, i),
+			Choice: p.candidateChoice(engines, candidates, i, shared, now), MaxInFlight: choose.MaxInFlight(candidates, i),
 			Pace: p.pace(config, engines[i].ID, now),
 		})
 	}
@@ -73,15 +73,15 @@
 }
 
 // permitOrder returns the indexes of the engines to request a permit from, in order.
-func (p *Engines) permitOrder(candidates []choose.Engine, shared []string) []int {
+func (p *Balancer) permitOrder(candidates []choose.Engine, shared []string) []int {
 	if len(shared) == 0 {
 		return choose.PlainCandidates(candidates, p.rng)
 	}
-	return choose.Candidates(candidates, rendezvous.ID(shared[len(shared)-1]), p.rng)
+	return choose.PromptCandidates(candidates, rendezvous.ID(shared[len(shared)-1]), p.rng)
 }
 
 // congested reports whether requests of the service need a permit. The caller holds the mutex.
-func (p *Engines) congested(service string, candidates []choose.Engine, now time.Duration) bool {
+func (p *Balancer) congested(service string, candidates []choose.Engine, now time.Duration) bool {
 	if choose.Crowded(candidates) {
 		p.congestedUntil[service] = now + congestedFor
 	}
@@ -90,17 +90,17 @@
 
 // candidateChoice returns the choice of the i-th engine, to be used if it grants a permit. The
 // caller holds the mutex.
-func (p *Engines) candidateChoice(engines []catalog.Engine, candidates []choose.Engine, i int, shared []string, now time.Duration) Choice {
+func (p *Balancer) candidateChoice(engines []catalog.Engine, candidates []choose.Engine, i int, shared []string, now time.Duration) Choice {
 	choice := Choice{Engine: engines[i]}
 	if len(shared) > 0 {
-		placement := choose.At(candidates, i, rendezvous.ID(shared[len(shared)-1]))
+		placement := choose.PlacementAt(candidates, i, rendezvous.ID(shared[len(shared)-1]))
 		choice.FetchFrom = p.fetchSource(engines, candidates, placement, shared, now)
 	}
 	return choice
 }
 
 // StartLeased counts a request at an engine that has granted a permit, until Done is called.
-func (p *Engines) StartLeased(choice Choice, shared []string) Choice {
+func (p *Balancer) StartLeased(choice Choice, shared []string) Choice {
 	now := p.clock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -116,7 +116,7 @@
 
 // recordHold updates the mean time that requests of the service occupy an engine. The caller holds
 // the mutex.
-func (p *Engines) recordHold(service string, took time.Duration) {
+func (p *Balancer) recordHold(service string, took time.Duration) {
 	mean, ok := p.meanHolds[service]
 	if !ok {
 		p.meanHolds[service] = took
--- a/internal/edge/forward/promptcache_test.go
+++ b/internal/edge/forward/promptcache_test.go
@@ -15,13 +15,13 @@
 type promptPicker struct {
 	t       *testing.T
 	now     time.Duration
-	engines *Engines
+	engines *Balancer
 }
 
 func newPromptPicker(t *testing.T) *promptPicker {
 	p := &promptPicker{t: t, now: time.Minute}
 	nobody := func() map[string]feed.EngineLoad { return nil }
-	p.engines = NewEngines("site", nobody, func() time.Duration { return p.now }, rand.New(rand.NewPCG(1, 2)))
+	p.engines = NewBalancer("site", nobody, func() time.Duration { return p.now }, rand.New(rand.NewPCG(1, 2)))
 	return p
 }
 
@@ -40,7 +40,7 @@
 			ID: fmt.Sprint("e", i), Service: "llm", Address: fmt.Sprint("10.0.0.", i, ":1"), Slots: 64, Revision: 1,
 		})
 	}
-	s, _ := catalog.Empty().WithEngines(u, 0, time.Second, 0)
+	s, _ := catalog.NewSnapshot().WithEngines(u, 0, time.Second, 0)
 	s, _ = s.WithConfig(catalog.NewConfig(catalog.Config{Version: 1, Services: []catalog.Service{{Name: "llm"}}}), 0)
 	return s
 }
@@ -117,7 +117,7 @@
 			var restarted []string
 			p.engines.OnRestart(func(engine string) { restarted = append(restarted, engine) })
 			s := newSnapshot(3)
-			engines := s.Engines.Of("llm")
+			engines := s.Engines.ForService("llm")
 			for i := range engines {
 				engines[i].Born, engines[i].Orders = 1000, 3
 			}
@@ -132,12 +132,12 @@
 			}
 			p.now += startupSettleTime + time.Second
 			require.True(t, p.engines.promptCaches.contains(first.Engine.ID, "dossier-1", p.now))
-			p.engines.Review(s)
+			p.engines.EjectionChanges(s)
 			require.Equal(t, []string{first.Engine.ID}, restarted)
-			require.Zero(t, p.engines.Own()[first.Engine.ID].Evidence)
+			require.Zero(t, p.engines.OwnLoads()[first.Engine.ID].Evidence)
 			require.False(t, p.engines.promptCaches.contains(first.Engine.ID, "dossier-1", p.now))
 			require.True(t, p.engines.recentlyStarted(first.Engine.ID, p.now), "other engines may have its prompts")
-			p.engines.Review(s)
+			p.engines.EjectionChanges(s)
 			require.Len(t, restarted, 1)
 		})
 	}
--- a/internal/edge/forward/relay.go
+++ b/internal/edge/forward/relay.go
@@ -15,7 +15,7 @@
 const maxBufferedAnswer = 1 << 20
 
 // relayBuffered reads the complete answer and passes it on.
-func (x *exchange) relayBuffered(e catalog.Engine, answer *engineconn.Answer) sendResult {
+func (x *exchange) relayBuffered(e catalog.Engine, answer *engineconn.Response) sendResult {
 	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedAnswer))
 	if err == nil && len(body) == maxBufferedAnswer {
 		return x.relayUnbuffered(answer, body)
@@ -68,7 +68,7 @@
 
 // relayUnbuffered passes on an answer that is too long to buffer. start is the part that was
 // already read.
-func (x *exchange) relayUnbuffered(answer *engineconn.Answer, start []byte) sendResult {
+func (x *exchange) relayUnbuffered(answer *engineconn.Response, start []byte) sendResult {
 	x.writeHeader(answer.Status, answer.Header)
 	if answer.Length >= 0 {
 		x.w.Header().Set("Content-Length", strconv.FormatInt(answer.Length, 10))
--- a/internal/edge/forward/request.go
+++ b/internal/edge/forward/request.go
@@ -76,8 +76,8 @@
 	return int64(max(own, 0) + outputTokenCost*r.OutputTokens)
 }
 
-// Sending is what the router adds to the caller's headers for an engine.
-type Sending struct {
+// EngineRequestInfo is what the router adds to the caller's headers for an engine.
+type EngineRequestInfo struct {
 	Engine catalog.Engine
 	// Account is the name of the client account; empty on public routes.
 	Account string
@@ -111,7 +111,7 @@
 	Decode(r *http.Request) (Request, error)
 	// EngineHeader returns the header to send to an engine. It contains the caller's header without
 	// the fields that concern only the caller's connection and those that only the router may set.
-	EngineHeader(caller http.Header, r *Request, s Sending) http.Header
+	EngineHeader(caller http.Header, r *Request, s EngineRequestInfo) http.Header
 	// Reply reads the header of an engine's answer.
 	Reply(status int, h http.Header) Reply
 	// CallerHeader writes the header of an engine's answer to the caller's response.
--- a/internal/edge/forward/send.go
+++ b/internal/edge/forward/send.go
@@ -217,7 +217,7 @@
 }
 
 func (x *exchange) engineRequest(choice Choice, lastEvent string) *engineconn.Request {
-	sending := Sending{
+	sending := EngineRequestInfo{
 		Engine: choice.Engine, FetchFrom: choice.FetchFrom,
 		Remaining: x.remaining(), Urgency: engineUrgency, LastEvent: lastEvent,
 	}
@@ -231,8 +231,8 @@
 	return &engineconn.Request{
 		Method: x.r.Method, Target: x.requestTarget(), Host: x.r.Host,
 		Header: x.f.Codec.EngineHeader(x.r.Header, &x.req, sending),
-		Body:   x.body, MaxIdle: maxIdle, Keep: x.idleConnLimit(choice.Engine.Service),
-		Own: func(h http.Header) bool {
+		Body:   x.body, MaxIdle: maxIdle, MaxIdleConns: x.idleConnLimit(choice.Engine.Service),
+		Matches: func(h http.Header) bool {
 			id := x.f.Codec.Reply(0, h).RequestID
 			return id == "" || id == x.req.ID
 		},
@@ -337,7 +337,7 @@
 
 // handleEngineRefusal decides what to do after an engine's promise that it did not execute the
 // request.
-func (x *exchange) handleEngineRefusal(e catalog.Engine, answer *engineconn.Answer, reply Reply) sendResult {
+func (x *exchange) handleEngineRefusal(e catalog.Engine, answer *engineconn.Response, reply Reply) sendResult {
 	x.logAttempt(e, errEngineRefused.New("status %d", answer.Status), 0)
 	if reply.WrongEngine {
 		// The failure keeps other requests away from the address until the store has the new owner.
--- a/internal/edge/forward/stream.go
+++ b/internal/edge/forward/stream.go
@@ -52,7 +52,7 @@
 
 // relayStream passes a stream on, event by event. If the route allows it, a broken stream resumes
 // at another engine after the last complete event.
-func (x *exchange) relayStream(ctx context.Context, e catalog.Engine, answer *engineconn.Answer) sendResult {
+func (x *exchange) relayStream(ctx context.Context, e catalog.Engine, answer *engineconn.Response) sendResult {
 	splitter := &eventSplitter{lastID: x.req.LastEvent}
 	for {
 		err := x.copyEvents(answer, splitter)
@@ -87,7 +87,7 @@
 
 // copyEvents passes on events until the stream ends. Errors: errCallerLeft, engineconn.ErrCut,
 // engineconn.ErrMalformed.
-func (x *exchange) copyEvents(answer *engineconn.Answer, splitter *eventSplitter) error {
+func (x *exchange) copyEvents(answer *engineconn.Response, splitter *eventSplitter) error {
 	control := http.NewResponseController(x.w)
 	buf := make([]byte, streamBufferSize)
 	for {
@@ -119,7 +119,7 @@
 // resume continues a broken stream at another engine, if the route and the retry budget allow it.
 // If an engine refuses, it tries the next one. The returned function closes the answer and ends the
 // count of the request.
-func (x *exchange) resume(ctx context.Context, broken catalog.Engine, lastID string) (catalog.Engine, *engineconn.Answer, func()) {
+func (x *exchange) resume(ctx context.Context, broken catalog.Engine, lastID string) (catalog.Engine, *engineconn.Response, func()) {
 	x.excluded[broken.ID] = true
 	for range maxEngineRefusals {
 		if !x.mayResume(lastID) {
@@ -154,7 +154,7 @@
 
 // sendResume requests the events after lastID from an engine. If there is no answer to relay, it
 // returns nil and whether the engine has not executed the request.
-func (x *exchange) sendResume(ctx context.Context, choice Choice, lastID string) (answer *engineconn.Answer, refused bool) {
+func (x *exchange) sendResume(ctx context.Context, choice Choice, lastID string) (answer *engineconn.Response, refused bool) {
 	e := choice.Engine
 	if !x.f.Budget.Spend(e.Service, x.f.Clock()) {
 		return nil, false
--- a/internal/edge/forward/throttle.go
+++ b/internal/edge/forward/throttle.go
@@ -26,7 +26,7 @@
 func (t *throttles) shouldRefuse(key throttleKey, now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	refused := t.throttle(key).Refuses(now, t.random())
+	refused := t.throttle(key).ShouldRefuse(now, t.random())
 	if refused {
 		t.throttle(key).Note(now, false)
 	}
--- a/internal/edge/health/health.go
+++ b/internal/edge/health/health.go
@@ -45,8 +45,8 @@
 // priorSuccesses.
 const roundingStep = 1.0 / 16
 
-// Coarse returns the evidence rounded to multiples of roundingStep, which need fewer bytes to send.
-func (e Evidence) Coarse() Evidence {
+// Rounded returns the evidence rounded to multiples of roundingStep, which need fewer bytes to send.
+func (e Evidence) Rounded() Evidence {
 	return Evidence{Good: math.Round(e.Good/roundingStep) * roundingStep, Bad: math.Round(e.Bad/roundingStep) * roundingStep}
 }
 
@@ -69,8 +69,8 @@
 // At returns the evidence decayed to now.
 func (r *Record) At(now time.Duration) Evidence { return r.evidence.After(now - r.updatedAt) }
 
-// Note adds the outcome of a request that ended at now.
-func (r *Record) Note(good bool, now time.Duration) {
+// Observe adds the outcome of a request that ended at now.
+func (r *Record) Observe(good bool, now time.Duration) {
 	r.evidence = r.At(now)
 	r.updatedAt = now
 	if good {
@@ -88,10 +88,10 @@
 	ejectionExcess = 0.5
 )
 
-// Shares returns the part of its normal load that each engine of a service should get, from 0 to 1,
+// LoadShares returns the part of its normal load that each engine of a service should get, from 0 to 1,
 // in the order of the evidence. It compares each engine with the rest of its service: if all fail
 // alike, the cause is elsewhere, and ejecting some would only move their load to the others.
-func Shares(evidence []Evidence) []float64 {
+func LoadShares(evidence []Evidence) []float64 {
 	var total Evidence
 	for _, e := range evidence {
 		total = total.Add(e)
--- a/internal/edge/health/health_test.go
+++ b/internal/edge/health/health_test.go
@@ -11,21 +11,21 @@
 // from chance: if seven routers see one failure each, the sum of their evidence ejects the engine.
 func TestEvidenceOfManyRoutersEjectsEngineThatOneRouterCannot(t *testing.T) {
 	var one Record
-	one.Note(false, 0)
+	one.Observe(false, 0)
 	seven := Evidence{}
 	for range 7 {
 		seven = seven.Add(one.At(0))
 	}
 	good := Evidence{Good: 10}
-	require.Zero(t, Shares([]Evidence{seven, good, good})[0])
-	require.Positive(t, Shares([]Evidence{one.At(0), good, good})[0])
+	require.Zero(t, LoadShares([]Evidence{seven, good, good})[0])
+	require.Positive(t, LoadShares([]Evidence{one.At(0), good, good})[0])
 }
 
 // Guards against ejecting all engines after a fault of the clients or of all engines: each engine
 // is compared with the rest of its service.
 func TestEnginesThatFailAlikeAreNotEjected(t *testing.T) {
 	bad := Evidence{Good: 5, Bad: 5}
-	for _, share := range Shares([]Evidence{bad, bad, bad}) {
+	for _, share := range LoadShares([]Evidence{bad, bad, bad}) {
 		require.Equal(t, 1.0, share)
 	}
 }
@@ -35,18 +35,18 @@
 func TestEvidenceDecays(t *testing.T) {
 	var r Record
 	for range 10 {
-		r.Note(false, time.Second)
+		r.Observe(false, time.Second)
 	}
 	good := Evidence{Good: 10}
-	require.Zero(t, Shares([]Evidence{r.At(time.Second), good})[0])
+	require.Zero(t, LoadShares([]Evidence{r.At(time.Second), good})[0])
 	later := time.Second + 6*halfLife
-	require.Equal(t, 1.0, Shares([]Evidence{r.At(later), good})[0])
+	require.Equal(t, 1.0, LoadShares([]Evidence{r.At(later), good})[0])
 	require.InDelta(t, 5, r.At(time.Second+halfLife).Bad, 1e-9)
 }
 
 func TestEnginesWithLittleEvidenceGetTheirFullShare(t *testing.T) {
-	require.Equal(t, []float64{1, 1}, Shares(make([]Evidence, 2)))
-	require.Equal(t, []float64{1}, Shares([]Evidence{{Bad: 0.4}}))
+	require.Equal(t, []float64{1, 1}, LoadShares(make([]Evidence, 2)))
+	require.Equal(t, []float64{1}, LoadShares([]Evidence{{Bad: 0.4}}))
 }
 
 // Guards against evidence that grows if the clock seems to go back.
--- a/internal/edge/health/latency.go
+++ b/internal/edge/health/latency.go
@@ -16,17 +16,17 @@
 	minObjectiveShare = 0.5
 )
 
-// Pace is the moving average of the response times of a service. The zero value has no answers. It
+// Latency is the moving average of the response times of a service. The zero value has no answers. It
 // is not safe for concurrent use.
-type Pace struct {
+type Latency struct {
 	mean    time.Duration
 	answers int
 }
 
-// Note adds the response time of an answer, or the time after which the router stopped waiting for
+// Observe adds the response time of an answer, or the time after which the router stopped waiting for
 // one. The latter makes the average follow if all engines are slow, so that later requests wait
 // long enough.
-func (p *Pace) Note(took time.Duration) {
+func (p *Latency) Observe(took time.Duration) {
 	p.answers++
 	if p.answers == 1 {
 		p.mean = took
@@ -35,11 +35,11 @@
 	p.mean += time.Duration(newestWeight * float64(took-p.mean))
 }
 
-// Patience returns the time to wait for an engine before a request is sent to another one; zero
+// SilenceTimeout returns the time to wait for an engine before a request is sent to another one; zero
 // means no limit. It follows the service's response times, because a fixed limit would give up all
 // requests of a service that is only busy. objective is the service's latency objective, or zero if
-// it has none. Patience returns the objective until there are minAnswers answers.
-func (p *Pace) Patience(objective time.Duration) time.Duration {
+// it has none. SilenceTimeout returns the objective until there are minAnswers answers.
+func (p *Latency) SilenceTimeout(objective time.Duration) time.Duration {
 	if p.answers < minAnswers {
 		return objective
 	}
--- a/internal/edge/health/latency_test.go
+++ b/internal/edge/health/latency_test.go
@@ -12,34 +12,34 @@
 // times, including those of requests that were given up.
 func TestPatienceFollowsSlowService(t *testing.T) {
 	const objective = 100 * time.Millisecond
-	var p Pace
+	var p Latency
 	for range 100 {
-		p.Note(20 * time.Millisecond)
+		p.Observe(20 * time.Millisecond)
 	}
-	require.Equal(t, 60*time.Millisecond, p.Patience(objective))
+	require.Equal(t, 60*time.Millisecond, p.SilenceTimeout(objective))
 	givenUp := 0
 	for range 100 {
 		took := 300 * time.Millisecond
-		if patience := p.Patience(objective); patience < took {
+		if patience := p.SilenceTimeout(objective); patience < took {
 			took = patience
 			givenUp++
 		}
-		p.Note(took)
+		p.Observe(took)
 	}
 	require.Less(t, givenUp, 25)
-	require.Greater(t, p.Patience(objective), 300*time.Millisecond)
+	require.Greater(t, p.SilenceTimeout(objective), 300*time.Millisecond)
 }
 
 // Guards against suspecting an engine after few answers, or after fast ones only: without enough
 // answers, patience is the objective, or unlimited if there is none, and fast answers do not reduce
 // it below half of the objective.
 func TestPatienceWithFewOrFastAnswers(t *testing.T) {
-	var p Pace
-	require.Equal(t, time.Second, p.Patience(time.Second))
-	require.Zero(t, p.Patience(0))
+	var p Latency
+	require.Equal(t, time.Second, p.SilenceTimeout(time.Second))
+	require.Zero(t, p.SilenceTimeout(0))
 	for range minAnswers {
-		p.Note(time.Millisecond)
+		p.Observe(time.Millisecond)
 	}
-	require.Equal(t, 500*time.Millisecond, p.Patience(time.Second))
-	require.Equal(t, patienceFactor*time.Millisecond, p.Patience(0))
+	require.Equal(t, 500*time.Millisecond, p.SilenceTimeout(time.Second))
+	require.Equal(t, patienceFactor*time.Millisecond, p.SilenceTimeout(0))
 }
--- a/internal/edge/node/apply.go
+++ b/internal/edge/node/apply.go
@@ -78,7 +78,7 @@
 		case "limits.memory_mb":
 			r.limitMemory()
 		case "bounds.beat_ms":
-			r.board.SetBeat(time.Duration(current.Bounds.Beat))
+			r.board.SetRenewInterval(time.Duration(current.Bounds.Beat))
 		case "listen.ready", "listen.directory", "listen.control", "listen.metrics":
 			r.logApplyError(c.Path, r.openMounts())
 		}
--- a/internal/edge/node/leave.go
+++ b/internal/edge/node/leave.go
@@ -37,7 +37,7 @@
 	r.leaving.Store(true)
 	r.log.Info("leaving", "in_flight", r.forwarder.InFlight())
 	timeout := drainTimeout(time.Duration(r.settings().Bounds.Stop))
-	r.forwarder.Leave(timeout)
+	r.forwarder.Drain(timeout)
 	if err := r.gossip.Leave(); err != nil {
 		r.log.Warn("failed to announce leaving", "cause", err)
 	}
--- a/internal/edge/node/metrics.go
+++ b/internal/edge/node/metrics.go
@@ -39,7 +39,7 @@
 // by its ID.
 func (r *Router) coldEngines() map[string]int64 {
 	out := make(map[string]int64)
-	for id, left := range r.engines.Cold(r.board.Snapshot()) {
+	for id, left := range r.engines.ColdRemaining(r.board.Snapshot()) {
 		out[id] = left.Milliseconds()
 	}
 	return out
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -60,7 +60,7 @@
 type Platform struct {
 	Codec          forward.Codec
 	Store          func(address string) Store
-	MountDirectory func(*echo.Echo, func(entry.Question) entry.Answer)
+	MountDirectory func(*echo.Echo, func(entry.Query) entry.Response)
 	MountReady     func(*echo.Echo, func() bool)
 }
 
@@ -85,10 +85,10 @@
 	reader       *feed.Reader
 	follower     *feed.Follower
 	statuses     *feed.Statuses
-	keeper       *feed.Keeper
-	engines      *forward.Engines
+	keeper       *feed.ContactsUpdater
+	engines      *forward.Balancer
 	gateOwner    *flow.Owner
-	gateClient   *flow.Asker
+	gateClient   *flow.Client
 	forwarder    *forward.Forwarder
 	gossip       *gossip.Driver
 	peerClient   *peer.Caller
@@ -147,13 +147,13 @@
 	r.store = newStoreProxy(r.platform.Store, r.settings().Store)
 	contacts := feed.Contacts{Table: r.store}
 	r.board = feed.NewBoard(bootclock.Now, time.Duration(r.settings().Bounds.Beat))
-	r.loads = feed.NewLoads(func() map[string]feed.EngineLoad { return r.engines.Own() })
+	r.loads = feed.NewLoads(func() map[string]feed.EngineLoad { return r.engines.OwnLoads() })
 	r.reader = &feed.Reader{
 		Board: r.board, Store: r.store, Clock: bootclock.Now, Log: r.log,
 		Timing:     r.timing,
 		Start:      r.start,
 		Reads:      func() bool { return r.follower.Reads() },
-		OthersLost: func() bool { return r.follower.ToldLost() },
+		OthersLost: func() bool { return r.follower.ReportedStoreLost() },
 		LostAgo:    func() time.Duration { return r.follower.LostAgo() },
 	}
 	r.peerClient = peer.NewCaller(r.self.Name, r.fleetKeys, &r.peerCounters)
@@ -161,10 +161,10 @@
 	r.statuses = feed.NewStatuses(r.status, bootclock.Now)
 	r.follower = &feed.Follower{
 		Self: r.self, Board: r.board, Loads: r.loads, Clock: bootclock.Now, Log: r.log,
-		Timing: r.timing, Start: r.start, Contacts: contacts, Statuses: r.statuses, Live: r.liveRouters, StoreLost: r.reader.Lost,
+		Timing: r.timing, Start: r.start, Contacts: contacts, Statuses: r.statuses, Live: r.liveRouters, StoreLost: r.reader.StoreLost,
 		Call: r.call,
 	}
-	r.keeper = &feed.Keeper{Contacts: contacts, Reads: r.follower.Reads, Live: r.liveRouters, Clock: bootclock.Now, Log: r.log}
+	r.keeper = &feed.ContactsUpdater{Contacts: contacts, Reads: r.follower.Reads, Live: r.liveRouters, Clock: bootclock.Now, Log: r.log}
 }
 
 // call calls a method of another router.
@@ -174,28 +174,28 @@
 
 func (r *Router) assembleForwarder() {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	r.engines = forward.NewEngines(r.self.Site, r.loads.Others, bootclock.Now, rng)
+	r.engines = forward.NewBalancer(r.self.Site, r.loads.Others, bootclock.Now, rng)
 	r.engines.SetColdLimits(r.coldLimits)
-	r.gateOwner = flow.NewOwner(bootclock.Now, r.engines.Known, r.refusesRequests)
-	r.gateClient = flow.NewAsker(flow.Options{
+	r.gateOwner = flow.NewOwner(bootclock.Now, r.engines.KnownLoad, r.refusesRequests)
+	r.gateClient = flow.NewClient(flow.Options{
 		Self: r.self.Name, Owner: r.gateOwner, Clock: bootclock.Now, Call: r.call, Live: r.liveRouters,
 		Engines: func() int { return len(r.board.Snapshot().Engines.ByID) }, Log: r.log,
 	})
-	r.engines.ReleaseBy(r.gateClient.Release)
+	r.engines.SetRelease(r.gateClient.Release)
 	conns := engineconn.NewPool(engineconn.Options{Clock: bootclock.Now})
 	r.engines.OnRestart(func(engine string) {
 		r.log.Info("engine restarted", "engine", engine)
-		go conns.Drop(engine)
+		go conns.CloseIdle(engine)
 	})
 	r.forwarder = forward.New(forward.Options{
 		Snapshot: r.board.Snapshot, Clock: bootclock.Now, Codec: r.platform.Codec,
 		Conns: conns, Engines: r.engines, Places: r.gateClient,
 		Log:       r.log,
 		FreshFor:  r.changeBound,
-		StoreLost: func() bool { return r.follower.Lost() || r.reader.Lost() },
+		StoreLost: func() bool { return r.follower.StoreDown() || r.reader.StoreLost() },
 		KeyLease:  r.keyLease,
 		Settings:  func() string { return r.active.Load().digest },
-		Budget:    forward.NewBudgets(r.budgetLimits, r.routerCount),
+		Budget:    forward.NewRetryBudgets(r.budgetLimits, r.routerCount),
 		Routers:   r.routerCount,
 	})
 }
@@ -212,9 +212,9 @@
 	return forward.ColdLimits{Over: b.ColdOver, Slack: b.ColdSlack}
 }
 
-func (r *Router) budgetLimits() forward.BudgetLimits {
+func (r *Router) budgetLimits() forward.RetryBudgetLimits {
 	b := r.settings().Bounds
-	return forward.BudgetLimits{Ratio: b.RetryRatio, Slack: b.RetrySlack, Window: time.Duration(b.RetryWindow)}
+	return forward.RetryBudgetLimits{Ratio: b.RetryRatio, Slack: b.RetrySlack, Window: time.Duration(b.RetryWindow)}
 }
 
 // Start begins to listen and serve. If it fails, the router is closed. Errors: Error.
@@ -314,7 +314,7 @@
 	cold := map[string]time.Duration{}
 	for pause.For(ctx, reviewInterval) {
 		cold = r.logColdEngines(cold)
-		for _, v := range r.engines.Review(r.board.Snapshot()) {
+		for _, v := range r.engines.EjectionChanges(r.board.Snapshot()) {
 			r.log.Info("engine judged", "engine", v.Engine, "service", v.Service, "ejected", v.Ejected,
 				"good", v.Evidence.Good, "bad", v.Evidence.Bad)
 		}
@@ -324,7 +324,7 @@
 // logColdEngines logs the engines that became cold or warm, and returns the cold ones with the time
 // for which they will still be treated as cold.
 func (r *Router) logColdEngines(before map[string]time.Duration) map[string]time.Duration {
-	now := r.engines.Cold(r.board.Snapshot())
+	now := r.engines.ColdRemaining(r.board.Snapshot())
 	for id, left := range now {
 		if _, was := before[id]; !was {
 			r.log.Info("engine cold", "engine", id, "for", left)
@@ -340,7 +340,7 @@
 
 // resolve answers a client's query for addresses of routers. A router that
 // leaves names only the others, or itself if it knows no other.
-func (r *Router) resolve(q entry.Question) entry.Answer {
+func (r *Router) resolve(q entry.Query) entry.Response {
 	var routers []entry.Router
 	for _, p := range r.liveRouters() {
 		if p.Name == r.self.Name && r.leaving.Load() {
@@ -351,7 +351,7 @@
 	if len(routers) == 0 {
 		routers = []entry.Router{{Name: r.self.Name, Site: r.self.Site, Address: r.clientAddress()}}
 	}
-	return entry.Answers(r.self.Name, routers, q, min(addressTTL, time.Duration(r.settings().Bounds.MaxTTL)))
+	return entry.Resolve(r.self.Name, routers, q, min(addressTTL, time.Duration(r.settings().Bounds.MaxTTL)))
 }
 
 // ready reports whether requests of clients can be served.
--- a/internal/edge/node/peers.go
+++ b/internal/edge/node/peers.go
@@ -93,7 +93,7 @@
 	r.follower.Roster = r.gossip
 	relay := &feed.Relay{
 		Board: r.board, Loads: r.loads, Roster: r.gossip, Statuses: r.statuses, Clock: bootclock.Now, Done: r.ctx.Done(),
-		StoreLost: r.reader.Lost, LostAgo: r.follower.LostAgo, Failures: r.follower.Failures,
+		StoreLost: r.reader.StoreLost, LostAgo: r.follower.LostAgo, Failures: r.follower.Failures,
 		Chain: r.follower.Chain, Log: r.log,
 	}
 	if err := r.peerServer.Register(feed.RelayName, relay); err != nil {
@@ -153,7 +153,7 @@
 func (r *Router) logMemberEvent(e membership.Event) {
 	if e.Type == membership.EventDead || e.Type == membership.EventJoined {
 		// A process that is gone releases no permits, and one that joins holds none.
-		r.gateOwner.Gone(e.Member.Name)
+		r.gateOwner.RouterGone(e.Member.Name)
 	}
 	if e.Type == membership.EventJoined && !r.start.Settled(bootclock.Now()) {
 		// 300 routers that start together would write 87,000 such lines; logFleetSize
--- a/internal/edge/node/status.go
+++ b/internal/edge/node/status.go
@@ -43,7 +43,7 @@
 		return feed.StateLeaving
 	case !r.ready():
 		return feed.StateNotReady
-	case r.reader.Lost() || r.follower.Lost():
+	case r.reader.StoreLost() || r.follower.StoreDown():
 		return feed.StateStoreLost
 	}
 	return feed.StateServing
--- a/internal/edge/settings/watch.go
+++ b/internal/edge/settings/watch.go
@@ -87,7 +87,7 @@
 		// It is still changing; the next poll checks it again.
 		return
 	}
-	s, err := ParseWhole(content)
+	s, err := ParseComplete(content)
 	if err != nil {
 		w.reject(content, err)
 		return
@@ -107,9 +107,9 @@
 	w.Log.Warn("settings changed and are not usable; those before stay in force", "file", w.File, "cause", err)
 }
 
-// ParseWhole parses settings that may be incompletely written: the last line must end with a newline.
+// ParseComplete parses settings that may be incompletely written: the last line must end with a newline.
 // Errors: ErrIncomplete, ErrRead, ErrField.
-func ParseWhole(data []byte) (*Settings, error) {
+func ParseComplete(data []byte) (*Settings, error) {
 	if !bytes.HasSuffix(data, []byte("\n")) {
 		return nil, ErrIncomplete.New("the file does not end with the end of a line")
 	}
--- a/internal/lab/capacity/quota_test.go
+++ b/internal/lab/capacity/quota_test.go
@@ -27,7 +27,7 @@
 	seq := uint64(0)
 	ask := func() {
 		seq++
-		args := quota.GrantArgs{Account: account, Ask: limit.Ask{
+		args := quota.GrantArgs{Account: account, Ask: limit.GrantRequest{
 			Report:     limit.Report{Router: "entry-123#1hlyev0kq0nl3", Seq: seq, Held: 3},
 			WantTokens: 2, WantSlots: 1,
 		}}
@@ -220,7 +220,7 @@
 }
 
 func (s *accountRun) ask(c *limit.Cache) {
-	a, ok := c.Ask(s.now, account)
+	a, ok := c.NewRequest(s.now, account)
 	if !ok {
 		return
 	}
--- a/internal/lab/model/direct.go
+++ b/internal/lab/model/direct.go
@@ -31,7 +31,7 @@
 	out := make([]choose.Engine, len(r.Engines()))
 	for i, e := range r.Engines() {
 		out[i] = choose.Engine{
-			ID: e.ID, Key: e.Key, InFlight: r.InFlight[i] + r.OthersInFlight(i), Slots: e.config.Slots, Near: true, Share: 1,
+			ID: e.ID, Key: e.Key, InFlight: r.InFlight[i] + r.OthersInFlight(i), Slots: e.config.Slots, SameSite: true, Share: 1,
 		}
 		if e.Down {
 			out[i].Share = 0
@@ -43,7 +43,7 @@
 // Arrived implements Policy.
 func (d *Direct) Arrived(req *Request) {
 	engine, fetchFrom := selectEngine(d.router, EngineStates(d.router), d.holders, req, d.rng)
-	if engine == choose.None {
+	if engine == choose.NoEngine {
 		d.router.Refuse(req, retryAfter)
 		return
 	}
@@ -54,11 +54,11 @@
 // the prompt from, or -1.
 func selectEngine(router *Router, engines []choose.Engine, holders map[string]int, req *Request, rng *rand.Rand) (engine, fetchFrom int) {
 	if !req.hasPrompt() {
-		return choose.Plain(engines, rng), -1
+		return choose.PickPlain(engines, rng), -1
 	}
-	at := choose.Prompted(engines, req.prefixKey(), rng)
-	if at.Engine == choose.None {
-		return choose.None, -1
+	at := choose.PlacePrompt(engines, req.prefixKey(), rng)
+	if at.Engine == choose.NoEngine {
+		return choose.NoEngine, -1
 	}
 	return at.Engine, FetchSource(holders, req, at)
 }
@@ -72,7 +72,7 @@
 	if known {
 		return source
 	}
-	if at.Holder != choose.None && at.Moved {
+	if at.Holder != choose.NoEngine && at.Moved {
 		return at.Holder
 	}
 	return -1
--- a/internal/lab/model/gated.go
+++ b/internal/lab/model/gated.go
@@ -33,20 +33,20 @@
 	settleScheduled bool
 	// withoutPermit is how many requests without a permit are at each engine.
 	withoutPermit []int
-	refused       gate.Refused
+	refused       gate.RefusalHistory
 }
 
 // permitRequest is a request that waits for the decision of a gate.
 type permitRequest struct {
 	engine     int
-	onDecision func(gate.Verdict)
+	onDecision func(gate.Decision)
 }
 
 func newGates(sim *Simulation) *engineGates {
 	g := &engineGates{sim: sim, waiting: make(map[string]*permitRequest), withoutPermit: make([]int, len(sim.Engines))}
 	for _, e := range sim.Engines {
 		engineGate := gate.New(gate.Config{Classes: urgencyClasses})
-		engineGate.SetPlaces(e.config.Slots)
+		engineGate.SetSlots(e.config.Slots)
 		g.byEngine = append(g.byEngine, engineGate)
 	}
 	sim.After(0, g.reportLoads)
@@ -57,7 +57,7 @@
 // all load reports.
 func (g *engineGates) reportLoads() {
 	for i, n := range g.withoutPermit {
-		g.sim.After(g.sim.config.ReportDelay, func() { g.byEngine[i].SetOthers(n) })
+		g.sim.After(g.sim.config.ReportDelay, func() { g.byEngine[i].SetUnleased(n) })
 	}
 	g.sim.After(g.sim.config.ReportInterval, g.reportLoads)
 }
@@ -66,12 +66,12 @@
 
 // request sets the number of permits of an engine's gate, requests one, and returns the
 // ID of the request.
-func (g *engineGates) request(engine, permits int, ask gate.Ask, onDecision func(gate.Verdict)) string {
+func (g *engineGates) request(engine, permits int, ask gate.Request, onDecision func(gate.Decision)) string {
 	g.lastID++
 	ask.ID = strconv.Itoa(g.lastID)
 	now := g.sim.Now()
-	g.byEngine[engine].SetPlaces(permits)
-	decision, waits := g.byEngine[engine].Ask(toTime(now), ask)
+	g.byEngine[engine].SetSlots(permits)
+	decision, waits := g.byEngine[engine].Acquire(toTime(now), ask)
 	if !waits {
 		onDecision(decision)
 		return ask.ID
@@ -138,7 +138,7 @@
 	meanDuration   time.Duration
 	overload       gate.Overload
 	// timeouts holds the usual timeouts of callers, by class.
-	timeouts map[int]*gate.Usual
+	timeouts map[int]*gate.TimeoutBaseline
 }
 
 // NewGated returns a constructor for the policies of the routers of a simulation, which
@@ -152,7 +152,7 @@
 		return &Gated{
 			router: r, rng: rng, gates: shared[r.sim], holders: make(map[string]int),
 			leases: make(map[*Request]string), waiting: make(map[*Request]string),
-			timeouts: make(map[int]*gate.Usual),
+			timeouts: make(map[int]*gate.TimeoutBaseline),
 		}
 	}
 }
@@ -162,7 +162,7 @@
 	engines := EngineStates(p.router)
 	now := p.router.Now()
 	if p.timeouts[req.ClassIndex] == nil {
-		p.timeouts[req.ClassIndex] = &gate.Usual{}
+		p.timeouts[req.ClassIndex] = &gate.TimeoutBaseline{}
 	}
 	if p.overload.Over(now) {
 		p.timeouts[req.ClassIndex].Note(req.timeoutLeft)
@@ -176,18 +176,18 @@
 	}
 	candidates := choose.PlainCandidates(engines, p.rng)
 	if req.hasPrompt() {
-		candidates = choose.Candidates(engines, req.prefixKey(), p.rng)
+		candidates = choose.PromptCandidates(engines, req.prefixKey(), p.rng)
 	}
 	var permits []int
 	for _, i := range candidates {
-		permits = append(permits, choose.Places(engines, i))
+		permits = append(permits, choose.MaxInFlight(engines, i))
 	}
 	p.requestPermit(req, candidates, permits, 0)
 }
 
 func (p *Gated) sendWithoutPermit(req *Request, engines []choose.Engine) {
 	engine, fetchFrom := selectEngine(p.router, engines, p.holders, req, p.rng)
-	if engine == choose.None {
+	if engine == choose.NoEngine {
 		p.refuse(req)
 		return
 	}
@@ -209,7 +209,7 @@
 		p.refuse(req)
 		return
 	}
-	ask := gate.Ask{
+	ask := gate.Request{
 		Holder: strconv.Itoa(p.router.Index), Account: strconv.Itoa(req.Account), Class: queue.Class(req.Class.Urgency), Late: late,
 		Weight: int64(req.UniqueTokens + outputTokenWeight*req.OutputTokens), Latest: toTime(now + routerRoundTrip/2 + wait), Hold: p.meanDuration,
 	}
@@ -219,7 +219,7 @@
 			return
 		}
 		var id string
-		id = p.gates.request(engine, permits[i], ask, func(decision gate.Verdict) {
+		id = p.gates.request(engine, permits[i], ask, func(decision gate.Decision) {
 			id = decision.ID
 			delete(p.waiting, req)
 			sim.After(routerRoundTrip/2, func() { p.handleDecision(req, candidates, permits, i, decision) })
@@ -230,7 +230,7 @@
 	})
 }
 
-func (p *Gated) handleDecision(req *Request, candidates, permits []int, i int, decision gate.Verdict) {
+func (p *Gated) handleDecision(req *Request, candidates, permits []int, i int, decision gate.Decision) {
 	engine := candidates[i]
 	switch {
 	case req.state != pending && decision.Granted:
@@ -240,7 +240,7 @@
 		p.leases[req] = decision.ID
 		fetchFrom := -1
 		if req.hasPrompt() {
-			fetchFrom = FetchSource(p.holders, req, choose.At(EngineStates(p.router), engine, req.prefixKey()))
+			fetchFrom = FetchSource(p.holders, req, choose.PlacementAt(EngineStates(p.router), engine, req.prefixKey()))
 		}
 		p.router.Send(req, engine, engineUrgency, fetchFrom)
 	default:
@@ -262,7 +262,7 @@
 	if req.hasPrompt() {
 		p.gates.refused.Note(uint64(req.ID), uint64(req.Attempt), now)
 	}
-	p.router.Refuse(req, p.overload.ComeBack(req.Class.Objective, req.Remaining(now), now, p.rng.Float64()))
+	p.router.Refuse(req, p.overload.RetryAfter(req.Class.Objective, req.Remaining(now), now, p.rng.Float64()))
 }
 
 // durationWeight is the weight of the latest request in the moving mean of request
--- a/internal/serve/quota/owner.go
+++ b/internal/serve/quota/owner.go
@@ -11,7 +11,7 @@
 // GrantArgs asks the owner of an account for a batch.
 type GrantArgs struct {
 	Account string
-	Ask     limit.Ask
+	Ask     limit.GrantRequest
 }
 
 // GrantReply is the owner's answer.
@@ -38,7 +38,7 @@
 	return nil
 }
 
-func (q *Quota) grant(account string, ask limit.Ask) limit.Batch {
+func (q *Quota) grant(account string, ask limit.GrantRequest) limit.Batch {
 	now := time.Now()
 	limits := q.limits(account)
 	q.mu.Lock()
@@ -98,7 +98,7 @@
 			continue
 		}
 		if q.owners[a.Name] != "" {
-			q.cache.OwnerMoved(now, a.Name)
+			q.cache.OwnerChanged(now, a.Name)
 		}
 		q.owners[a.Name] = owner.Name
 	}
--- a/internal/serve/quota/quota.go
+++ b/internal/serve/quota/quota.go
@@ -120,7 +120,7 @@
 	return nil, refusal(&limit.RateError{Account: a.Name, RetryAfter: time.Second})
 }
 
-func (q *Quota) take(account string) limit.Verdict {
+func (q *Quota) take(account string) limit.Decision {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.cache.Take(time.Now(), account)
@@ -154,7 +154,7 @@
 // ask asks the account's owner for more, or waits for the ask under way.
 func (q *Quota) ask(ctx context.Context, account string) {
 	q.mu.Lock()
-	args, ok := q.cache.Ask(time.Now(), account)
+	args, ok := q.cache.NewRequest(time.Now(), account)
 	if !ok {
 		under := q.asking[account]
 		q.mu.Unlock()
@@ -190,7 +190,7 @@
 }
 
 // grantOf gets a batch from the account's owner, which may be this router.
-func (q *Quota) grantOf(ctx context.Context, account string, args limit.Ask) (limit.Batch, error) {
+func (q *Quota) grantOf(ctx context.Context, account string, args limit.GrantRequest) (limit.Batch, error) {
 	owner, ok := q.opts.Board.Snapshot().Owner(accountID(account))
 	if !ok {
 		return limit.Batch{}, peer.ErrNotSent.New("no router owns the account")
--- a/internal/serve/traffic/again.go
+++ b/internal/serve/traffic/again.go
@@ -31,7 +31,7 @@
 func (r *retries) fresh() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.budget.Fresh(time.Now())
+	r.budget.RecordFirstAttempt(time.Now())
 }
 
 func (r *retries) decide(a retry.Attempt) retry.Decision {
@@ -51,7 +51,7 @@
 	number     int
 	// worst is the strongest of what is known of the attempts so far: a
 	// request whose second attempt was not sent may still have run in its first.
-	worst retry.Known
+	worst retry.Outcome
 }
 
 func (s *Server) newAttempts(idempotent bool, deadline time.Time) *attempts {
@@ -102,7 +102,7 @@
 	return time.Until(a.deadline)
 }
 
-func knownOf(s upstream.Sent) retry.Known {
+func knownOf(s upstream.Sent) retry.Outcome {
 	switch s {
 	case upstream.NotSent:
 		return retry.NotSent
--- a/internal/serve/upstream/call.go
+++ b/internal/serve/upstream/call.go
@@ -83,7 +83,7 @@
 	// ctx ends with the exchange; its cause says why.
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	answer *engineconn.Answer
+	answer *engineconn.Response
 }
 
 // close ends the exchange. The connection is kept if the body has been read to its end.
@@ -107,7 +107,7 @@
 	if err == nil && ctx.Err() != nil {
 		// It came after its time: whoever asked has been told so.
 		answer.Close()
-		err = engineconn.ErrNoAnswer.Wrap(ctx.Err())
+		err = engineconn.ErrNoResponse.Wrap(ctx.Err())
 	}
 	if err != nil {
 		defer cancel(nil)
@@ -128,7 +128,7 @@
 }
 
 // responseOf puts an answer in the form that replies are checked in.
-func responseOf(a *engineconn.Answer) *http.Response {
+func responseOf(a *engineconn.Response) *http.Response {
 	res := &http.Response{StatusCode: a.Status, Header: a.Header, ContentLength: a.Length, Body: io.NopCloser(a)}
 	if a.Framed && a.Length < 0 {
 		res.TransferEncoding = []string{"chunked"}
@@ -150,7 +150,7 @@
 		f.Sent = NotSent
 	}
 	if engineconn.ErrReused.Has(err) && ErrTimeout.Has(f.Cause) {
-		c.conns.Drop(r.call.Address)
+		c.conns.CloseIdle(r.call.Address)
 	}
 	return f
 }
@@ -186,12 +186,12 @@
 		Body:    r.body,
 		MaxIdle: neverReuse,
 		// Whose answer it is, is checked where the answer is read.
-		Own:     func(http.Header) bool { return true },
+		Matches: func(http.Header) bool { return true },
 		Traffic: c.meters.of(r.op),
 	}
 	if r.pooled {
 		out.MaxIdle = c.opts.IdleConn
-		out.Keep = c.opts.MaxIdlePerHost
+		out.MaxIdleConns = c.opts.MaxIdlePerHost
 	} else {
 		out.Header.Set("Connection", "close")
 	}
--- a/internal/serve/upstream/service.go
+++ b/internal/serve/upstream/service.go
@@ -134,7 +134,7 @@
 		f.Cause = transportCause(rep.ctx, err)
 	}
 	if rep.answer.Reused && ErrTimeout.Has(f.Cause) {
-		c.conns.Drop(r.call.Address)
+		c.conns.CloseIdle(r.call.Address)
 	}
 	return f
 }
--- a/internal/serve/upstream/stream.go
+++ b/internal/serve/upstream/stream.go
@@ -293,7 +293,7 @@
 func (s *Stream) fail(cause error) error {
 	s.err = &Failure{Op: s.op, Sent: SentNoReply, Status: s.rep.res.StatusCode, Cause: cause}
 	if s.rep.answer.Reused && ErrIdle.Has(cause) {
-		s.client.conns.Drop(s.call.Address)
+		s.client.conns.CloseIdle(s.call.Address)
 	}
 	s.rep.close()
 	return s.err
