--- a/internal/decide/queue/class.go
+++ b/internal/decide/queue/class.go
@@ -5,8 +5,8 @@
 // Class is the priority class of a request; a smaller value is served first.
 type Class uint8
 
-// The classes that have names, most pressing first. A queue may have others; see
-// Config.Classes.
+// The named classes, highest priority first. A queue may have a different number of
+// classes; see Config.Classes.
 const (
 	Urgent Class = iota
 	High
@@ -29,8 +29,8 @@
 // Valid reports whether c has a name.
 func (c Class) Valid() bool { return int(c) < namedClasses }
 
-// ParseClass returns the class with the given name; the empty name means
-// Normal. Any other name yields a *ClassError.
+// ParseClass returns the class with the given name; the empty name means Normal. It
+// returns a *ClassError for any other name.
 func ParseClass(name string) (Class, error) {
 	if name == "" {
 		return Normal, nil
--- a/internal/decide/queue/errors.go
+++ b/internal/decide/queue/errors.go
@@ -15,20 +15,22 @@
 	return fmt.Sprintf("queue: unknown priority class %q", e.Name)
 }
 
-// Scope names the bound that a refused item ran into.
+// Scope identifies the limit that a rejected item would have exceeded.
 type Scope string
 
-// The bounds on the number of waiting items.
+// The limits on the number of waiting items: of the whole queue, of a class with those
+// below it, and of one client account.
 const (
 	ScopeQueue   Scope = "queue"
 	ScopeClass   Scope = "class"
 	ScopeAccount Scope = "account"
 )
 
-// FullError reports that no room was left. The item did not enter the queue.
+// FullError reports that a limit on waiting items is reached. The item isn't in the
+// queue.
 type FullError struct {
 	Scope Scope
-	// RetryAfter suggests when to ask again, jittered.
+	// RetryAfter is the suggested time until a retry, with jitter.
 	RetryAfter time.Duration
 }
 
@@ -37,12 +39,12 @@
 	return fmt.Sprintf("queue: %s full, retry after %v", e.Scope, e.RetryAfter)
 }
 
-// DeadlineError reports that the item would wait beyond its deadline. The item
-// did not enter the queue.
+// DeadlineError reports that the item would wait beyond its deadline. The item isn't in
+// the queue.
 type DeadlineError struct {
 	// PredictedWait is how long the item would have waited.
 	PredictedWait time.Duration
-	// RetryAfter suggests when to ask again, jittered.
+	// RetryAfter is the suggested time until a retry, with jitter.
 	RetryAfter time.Duration
 }
 
@@ -52,7 +54,7 @@
 		e.PredictedWait, e.RetryAfter)
 }
 
-// DuplicateError reports that an item with the same id is already waiting.
+// DuplicateError reports that an item with the same ID is already waiting.
 type DuplicateError struct {
 	ID string
 }
--- a/internal/decide/queue/estimate.go
+++ b/internal/decide/queue/estimate.go
@@ -6,75 +6,76 @@
 )
 
 const (
-	// staleWindows is for how many windows the queue may be empty before the last rate
-	// says nothing about the next backlog.
-	staleWindows = 6
-	// trustShare is the part of a window, in averaged busy time, for which a backlog
-	// that has seen nothing finish predicts nothing. It is reached after one window.
-	trustShare = 0.6
-	// priorShare is the part of a window for which a rate that is given counts like one
-	// that was seen. A third of a window later the two weigh the same.
+	// idleResetWindows is the number of windows that the queue may stay empty before
+	// the last measured rate is discarded as no longer valid for the next backlog.
+	idleResetWindows = 6
+	// warmupShare is the part of a window, in averaged busy time, during which a
+	// backlog without any completed work predicts no wait. It is reached after about
+	// one window.
+	warmupShare = 0.6
+	// priorShare is the part of a window for which a configured rate counts like a
+	// measured one. The two have equal weight after about a quarter of a window.
 	priorShare = 0.3
-	// leastShare bounds from below the part of the drain that is left for a class by
-	// more pressing ones, so that a prediction stays finite where they took all of it
-	// and nothing is reserved.
-	leastShare = 0.01
-	// maxPrediction caps a predicted wait, so that sums of times stay finite.
-	maxPrediction = time.Hour
+	// minRateShare is the least part of the drain rate that a class is assumed to get.
+	// It keeps a prediction finite where higher classes took the whole rate and nothing
+	// is reserved.
+	minRateShare = 0.01
+	// maxPredictedWait caps a predicted wait, so that sums of times don't overflow.
+	maxPredictedWait = time.Hour
 )
 
-// estimate is an exponentially decayed drain rate in weight per second.
+// drainEstimator measures the drain rate, in weight per second, as an exponentially
+// decayed average.
 //
-// Only time with a backlog counts, and only work that finished during it. An
-// average over all time would fall whenever demand is low; the first burst
-// after a quiet night would then look hopeless and be refused although every
-// engine is free.
-type estimate struct {
-	window time.Duration
-	prior  float64
-	// least is the part of the drain that is left for each class at least.
-	least   float64
-	last    time.Time
-	busy    bool
-	work    float64
-	seconds float64
-	// taken is the weight of what was dispatched of each class. What more pressing
-	// classes take of the drain is not there for the others.
-	taken []float64
+// Only time with a backlog counts, and only work that completed during it. An average
+// over all time would fall whenever demand is low: the first burst after an idle night
+// would then be rejected as too late although every engine is free.
+type drainEstimator struct {
+	window    time.Duration
+	priorRate float64
+	// minShare is the least part of the drain rate that each class is assumed to get.
+	minShare    float64
+	lastUpdate  time.Time
+	busy        bool
+	completed   float64
+	busySeconds float64
+	// dispatched is the decayed weight of the dispatched work by class. What higher
+	// classes take of the drain rate isn't available to lower ones.
+	dispatched []float64
 }
 
-func newEstimate(cfg Config) estimate {
-	e := estimate{window: cfg.Window, prior: cfg.Rate, least: math.Max(cfg.Reserve, leastShare), taken: make([]float64, cfg.Classes)}
+func newDrainEstimator(cfg Config) drainEstimator {
+	e := drainEstimator{window: cfg.Window, priorRate: cfg.Rate, minShare: math.Max(cfg.Reserve, minRateShare), dispatched: make([]float64, cfg.Classes)}
 	e.reset()
 	return e
 }
 
-func (e *estimate) setPrior(rate float64) {
-	e.prior = rate
-	if e.seconds == 0 {
+func (e *drainEstimator) setPriorRate(rate float64) {
+	e.priorRate = rate
+	if e.busySeconds == 0 {
 		e.reset()
 	}
 }
 
-// reset forgets what was seen.
-func (e *estimate) reset() {
-	e.work, e.seconds = 0, 0
-	clear(e.taken)
-	if e.prior > 0 {
-		e.seconds = priorShare * e.window.Seconds()
-		e.work = e.prior * e.seconds
+// reset discards the measurements and starts again from priorRate, if there is one.
+func (e *drainEstimator) reset() {
+	e.completed, e.busySeconds = 0, 0
+	clear(e.dispatched)
+	if e.priorRate > 0 {
+		e.busySeconds = priorShare * e.window.Seconds()
+		e.completed = e.priorRate * e.busySeconds
 	}
 }
 
-// advance moves the estimate to now; backlogged says what has been true of
-// the queue since the previous call.
-func (e *estimate) advance(now time.Time, backlogged bool) {
-	dt := now.Sub(e.last)
-	if e.last.IsZero() {
+// advance moves the estimate to now. backlogged reports whether the queue held items
+// since the previous call.
+func (e *drainEstimator) advance(now time.Time, backlogged bool) {
+	dt := now.Sub(e.lastUpdate)
+	if e.lastUpdate.IsZero() {
 		dt = 0
 	}
 	if !backlogged {
-		if dt > staleWindows*e.window {
+		if dt > idleResetWindows*e.window {
 			e.reset()
 		}
 		e.busy = false
@@ -83,68 +84,69 @@
 	if !e.busy {
 		// The backlog began with the push that preceded this call.
 		e.busy = true
-		e.last = now
+		e.lastUpdate = now
 		return
 	}
 	if dt <= 0 {
 		return
 	}
 	decay := math.Exp(-dt.Seconds() / e.window.Seconds())
-	e.work *= decay
-	for c := range e.taken {
-		e.taken[c] *= decay
+	e.completed *= decay
+	for c := range e.dispatched {
+		e.dispatched[c] *= decay
 	}
-	e.seconds = e.seconds*decay + e.window.Seconds()*(1-decay)
-	e.last = now
+	e.busySeconds = e.busySeconds*decay + e.window.Seconds()*(1-decay)
+	e.lastUpdate = now
 }
 
-// begin marks the start of a backlog.
-func (e *estimate) begin(now time.Time) {
+// beginBacklog marks the start of a backlog.
+func (e *drainEstimator) beginBacklog(now time.Time) {
 	e.busy = true
-	e.last = now
+	e.lastUpdate = now
 }
 
-// observe counts finished work of the given weight.
-func (e *estimate) observe(weight int64) {
+// recordCompleted counts completed work of the given weight.
+func (e *drainEstimator) recordCompleted(weight int64) {
 	if e.busy {
-		e.work += float64(weight)
+		e.completed += float64(weight)
 	}
 }
 
-// take counts dispatched work of a class.
-func (e *estimate) take(c Class, weight int64) {
+// recordDispatched counts dispatched work of a class.
+func (e *drainEstimator) recordDispatched(c Class, weight int64) {
 	if e.busy {
-		e.taken[c] += float64(weight)
+		e.dispatched[c] += float64(weight)
 	}
 }
 
-// wait predicts how long work of the given weight, ahead of an item of a class, takes to
-// drain. At least the mean weight of an item counts as seen, so that a backlog which has
-// seen little finish is not taken for one that never drains.
+// drainTime predicts how long work of the given weight, ahead of an item of class c,
+// takes to drain. mean is the mean weight of an item: at least that much counts as
+// completed, so that a backlog with few completions isn't taken for one that never
+// drains.
 //
-// A backlog that has only just begun says nothing, unless a rate was given. Requests take
-// seconds, so at first none finishes; taken for a drain rate, that would refuse work which
-// a full batch is about to make room for.
-func (e *estimate) wait(c Class, work, mean float64) time.Duration {
-	if e.seconds <= 0 || work <= 0 {
+// A backlog that has only just begun predicts no wait, unless a rate was configured.
+// Requests take seconds, so at first none completes; using that as the drain rate would
+// reject work for which a full batch is about to make room.
+func (e *drainEstimator) drainTime(c Class, work, mean float64) time.Duration {
+	if e.busySeconds <= 0 || work <= 0 {
 		return 0
 	}
-	if e.work <= 0 && e.seconds < trustShare*e.window.Seconds() {
+	if e.completed <= 0 && e.busySeconds < warmupShare*e.window.Seconds() {
 		return 0
 	}
-	seconds := work / (e.left(c, mean) / e.seconds)
-	if seconds >= maxPrediction.Seconds() {
-		return maxPrediction
+	seconds := work / (e.availableWork(c, mean) / e.busySeconds)
+	if seconds >= maxPredictedWait.Seconds() {
+		return maxPredictedWait
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// left is the weight that was seen to finish, less what more pressing classes took of it.
-func (e *estimate) left(c Class, mean float64) float64 {
-	all := math.Max(e.work, mean)
-	rest := all
-	for _, taken := range e.taken[:c] {
-		rest -= taken
+// availableWork returns the completed weight, less what higher classes took of it.
+func (e *drainEstimator) availableWork(c Class, mean float64) float64 {
+	total := math.Max(e.completed, mean)
+	available := total
+	for _, work := range e.dispatched[:c] {
+		available -= work
 	}
-	return math.Max(rest, e.least*all)
+	return math.Max(available, e.minShare*total)
 }
--- a/internal/decide/queue/flow.go
+++ b/internal/decide/queue/flow.go
@@ -6,148 +6,148 @@
 	"time"
 )
 
-// minSweep is the number of flows below which idle ones are not looked for.
-const minSweep = 64
+// minSweepFlows is the number of flows below which a level isn't swept.
+const minSweepFlows = 64
 
-// flowKey names a flow. Items that aged into a class stay apart from those
-// that were pushed into it: an account's own urgent requests must not wait
-// behind its aged batch work.
+// flowKey identifies a flow. Items that aged into a class form a flow of their own,
+// apart from those pushed into it: an account's urgent requests must not wait behind
+// its aged batch work.
 type flowKey struct {
-	account string
-	native  Class
+	account     string
+	nativeClass Class
 }
 
-// flow is the FIFO of one account and native class within a level.
+// flow is the FIFO queue of one account and native class within a level.
 type flow struct {
 	key   flowKey
 	share float64
 	items *list.List // of *entry
 	work  int64
-	// tag is the virtual start time of the first item, or, while the flow is
-	// idle, the virtual finish time of the last one served.
-	tag   float64
-	order uint64
-	index int // position in the heap, -1 while idle
+	// startTag is the virtual start time of the first item or, while the flow is idle,
+	// the virtual finish time of the last one served.
+	startTag   float64
+	activation uint64
+	heapIndex  int // index in the heap, -1 while idle
 }
 
-// entry is an item together with its places in the lists.
+// entry is an item and its positions in the lists.
 type entry struct {
 	item Item
-	// level is that of the effective class, and entered the time of entry into it.
-	level   *level
-	entered time.Time
-	flow    *flow
-	inFlow  *list.Element
-	inAge   *list.Element
+	// level is that of the effective class; entered is when the entry came into it.
+	level       *level
+	entered     time.Time
+	flow        *flow
+	flowElement *list.Element
+	ageElement  *list.Element
 }
 
-// level holds the items of one effective class and shares the service between
-// its flows by start-time fair queueing: the flow with the smallest start tag
-// is next, and serving weight w moves its tag on by w divided by its share.
+// level holds the items of one effective class and divides the service between its
+// flows by start-time fair queueing: the flow with the smallest start tag is next, and
+// serving weight w advances its tag by w divided by its share.
 type level struct {
-	class   Class
-	virtual float64
-	flows   map[flowKey]*flow
-	active  flowHeap
-	ages    *list.List // of *entry, by time of entry into the level
-	work    int64
-	orders  uint64
-	sweepAt int
+	class          Class
+	virtualTime    float64
+	flows          map[flowKey]*flow
+	active         flowHeap
+	byAge          *list.List // of *entry, in order of entry into the level
+	work           int64
+	activations    uint64
+	sweepThreshold int
 }
 
 func newLevel(c Class) *level {
-	return &level{class: c, flows: map[flowKey]*flow{}, ages: list.New(), sweepAt: minSweep}
+	return &level{class: c, flows: map[flowKey]*flow{}, byAge: list.New(), sweepThreshold: minSweepFlows}
 }
 
-// shareOf returns the share of a flow of native class c in this level.
-func (l *level) shareOf(it *Item) float64 {
+// effectiveShare returns the share of the item's flow in this level.
+func (l *level) effectiveShare(it *Item) float64 {
 	if it.Class != l.class {
-		return it.Share * agedShare
+		return it.Share * agedShareFactor
 	}
 	return it.Share
 }
 
 // push appends e to its flow.
 func (l *level) push(e *entry) {
-	k := flowKey{account: e.item.Account, native: e.item.Class}
+	k := flowKey{account: e.item.Account, nativeClass: e.item.Class}
 	f, ok := l.flows[k]
 	if !ok {
 		l.sweep()
-		f = &flow{key: k, items: list.New(), index: -1}
+		f = &flow{key: k, items: list.New(), heapIndex: -1}
 		l.flows[k] = f
 	}
-	f.share = l.shareOf(&e.item)
+	f.share = l.effectiveShare(&e.item)
 	f.work += e.item.Weight
 	l.work += e.item.Weight
 	e.level = l
 	e.flow = f
-	e.inFlow = f.items.PushBack(e)
-	e.inAge = l.ages.PushBack(e)
-	if f.index < 0 {
-		// A flow that was idle gains no credit for it: it starts at the
-		// present virtual time, or later if it is still ahead of its share.
-		f.tag = max(f.tag, l.virtual)
-		l.orders++
-		f.order = l.orders
+	e.flowElement = f.items.PushBack(e)
+	e.ageElement = l.byAge.PushBack(e)
+	if f.heapIndex < 0 {
+		// An idle flow earns no credit: it starts at the current virtual time, or later
+		// if it has already had more than its share.
+		f.startTag = max(f.startTag, l.virtualTime)
+		l.activations++
+		f.activation = l.activations
 		heap.Push(&l.active, f)
 	}
 }
 
-// next returns the entry to be served next, nil if there is none.
-func (l *level) next() *entry {
+// peek returns the entry to be served next, or nil if there is none.
+func (l *level) peek() *entry {
 	if len(l.active) == 0 {
 		return nil
 	}
 	return l.active[0].items.Front().Value.(*entry)
 }
 
-// serve removes e, which next has returned, and charges its flow.
+// serve removes e, which peek must have returned, and charges its flow.
 func (l *level) serve(e *entry) {
 	f := e.flow
-	l.virtual = f.tag
-	f.tag += float64(e.item.Weight) / f.share
-	heap.Fix(&l.active, f.index)
+	l.virtualTime = f.startTag
+	f.startTag += float64(e.item.Weight) / f.share
+	heap.Fix(&l.active, f.heapIndex)
 	l.remove(e)
 }
 
 // remove takes e out without charging its flow.
 func (l *level) remove(e *entry) {
 	f := e.flow
-	f.items.Remove(e.inFlow)
-	l.ages.Remove(e.inAge)
+	f.items.Remove(e.flowElement)
+	l.byAge.Remove(e.ageElement)
 	f.work -= e.item.Weight
 	l.work -= e.item.Weight
 	if f.items.Len() > 0 {
 		return
 	}
-	heap.Remove(&l.active, f.index)
+	heap.Remove(&l.active, f.heapIndex)
 	if len(l.active) == 0 {
-		// The busy period is over; nobody is owed anything.
+		// The busy period is over; no flow is owed service.
 		clear(l.flows)
-		l.virtual = 0
+		l.virtualTime = 0
 	}
 }
 
-// sweep forgets idle flows that are no longer ahead of their share. Without it
-// every account ever seen would stay in memory while the level is never empty.
-// The threshold doubles with what is left, so that the cost per push is
-// constant on average.
+// sweep deletes idle flows that have had no more than their share. Without it every
+// account ever seen would stay in memory for as long as the level isn't empty. The
+// threshold doubles with the number of remaining flows, so that the cost per push is
+// amortised constant.
 func (l *level) sweep() {
-	if len(l.flows) < l.sweepAt {
+	if len(l.flows) < l.sweepThreshold {
 		return
 	}
 	for k, f := range l.flows {
-		if f.index < 0 && f.tag <= l.virtual {
+		if f.heapIndex < 0 && f.startTag <= l.virtualTime {
 			delete(l.flows, k)
 		}
 	}
-	l.sweepAt = max(minSweep, 2*len(l.flows))
+	l.sweepThreshold = max(minSweepFlows, 2*len(l.flows))
 }
 
-// ahead returns the work of this level that would be served before a new item
-// of the given flow: the flow's own backlog, and of each other flow what fair
-// sharing gives it in the same time.
-func (l *level) ahead(k flowKey, share float64) float64 {
+// workAhead returns the work of this level that would be served before a new item of
+// the given flow: the flow's own backlog, and of each other flow what fair queueing
+// serves in the same time.
+func (l *level) workAhead(k flowKey, share float64) float64 {
 	var own float64
 	if f, ok := l.flows[k]; ok {
 		own = float64(f.work)
@@ -162,20 +162,20 @@
 	return sum
 }
 
-// cursor is a flow's place during a walk.
+// cursor is the position in a flow during a walk.
 type cursor struct {
-	flow *flow
-	next *list.Element
-	tag  float64
+	flow     *flow
+	next     *list.Element
+	startTag float64
 }
 
-// walk visits the entries in the order in which they would be served if
-// nothing else arrived. An entry for which visit returns false is left out,
-// and what follows it moves up. The level itself stays as it is.
+// walk visits the entries in the order in which they would be served if nothing else
+// arrived. An entry for which visit returns false isn't charged, so what follows it
+// moves up. The level isn't changed.
 func (l *level) walk(visit func(*entry) bool) {
 	h := make(cursorHeap, 0, len(l.active))
 	for _, f := range l.active {
-		h = append(h, cursor{flow: f, next: f.items.Front(), tag: f.tag})
+		h = append(h, cursor{flow: f, next: f.items.Front(), startTag: f.startTag})
 	}
 	heap.Init(&h)
 	for len(h) > 0 {
@@ -183,7 +183,7 @@
 		e := c.next.Value.(*entry)
 		c.next = c.next.Next()
 		if visit(e) {
-			c.tag += float64(e.item.Weight) / c.flow.share
+			c.startTag += float64(e.item.Weight) / c.flow.share
 		}
 		if c.next == nil {
 			heap.Pop(&h)
@@ -193,25 +193,25 @@
 	}
 }
 
-// flowHeap orders active flows by start tag; ties go to the one that became
-// active first.
+// flowHeap orders active flows by start tag; ties go to the flow that became active
+// first.
 type flowHeap []*flow
 
 func (h flowHeap) Len() int { return len(h) }
 func (h flowHeap) Less(i, j int) bool {
-	if h[i].tag != h[j].tag {
-		return h[i].tag < h[j].tag
+	if h[i].startTag != h[j].startTag {
+		return h[i].startTag < h[j].startTag
 	}
-	return h[i].order < h[j].order
+	return h[i].activation < h[j].activation
 }
 func (h flowHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index = i
-	h[j].index = j
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
 func (h *flowHeap) Push(x any) {
 	f := x.(*flow)
-	f.index = len(*h)
+	f.heapIndex = len(*h)
 	*h = append(*h, f)
 }
 func (h *flowHeap) Pop() any {
@@ -219,7 +219,7 @@
 	f := (*h)[last]
 	(*h)[last] = nil
 	*h = (*h)[:last]
-	f.index = -1
+	f.heapIndex = -1
 	return f
 }
 
@@ -228,10 +228,10 @@
 
 func (h cursorHeap) Len() int { return len(h) }
 func (h cursorHeap) Less(i, j int) bool {
-	if h[i].tag != h[j].tag {
-		return h[i].tag < h[j].tag
+	if h[i].startTag != h[j].startTag {
+		return h[i].startTag < h[j].startTag
 	}
-	return h[i].flow.order < h[j].flow.order
+	return h[i].flow.activation < h[j].flow.activation
 }
 func (h cursorHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *cursorHeap) Push(x any)   { *h = append(*h, x.(cursor)) }
--- a/internal/decide/queue/queue.go
+++ b/internal/decide/queue/queue.go
@@ -1,13 +1,13 @@
 // Package queue orders the requests that wait at one router for one pool.
 //
-// Classes are served strictly by priority, client accounts within a class by
-// weighted fair queueing. An item that waits rises one class after each
-// ageing interval, so that no class is starved. An item that cannot be
-// dispatched by its deadline is refused when it arrives, or as soon as that
-// becomes clear, and never held until the deadline.
+// Classes are served by strict priority, and client accounts within a class by weighted
+// fair queueing. A waiting item is promoted by one class after each ageing interval, so
+// that no class starves. An item that can't be dispatched by its deadline is rejected
+// on arrival, or as soon as that becomes clear, instead of being held until the
+// deadline.
 //
-// A Queue is not safe for concurrent use, and it reads no clock: every method
-// takes the time from its caller, which must not let it run backwards.
+// A Queue isn't safe for concurrent use and reads no clock: every method takes the time
+// from its caller, and successive times must not decrease.
 package queue
 
 import (
@@ -20,56 +20,56 @@
 const (
 	// DefaultLimit is the number of items that may wait.
 	DefaultLimit = 1000
-	// DefaultAgeAfter is how long an item waits in a class before it rises to
-	// the next. A batch item competes with urgent ones after three intervals.
+	// DefaultAgeAfter is how long an item waits in a class before it is promoted to the
+	// next. A batch item competes with urgent ones after three intervals.
 	DefaultAgeAfter = 10 * time.Second
 	// DefaultWindow is the time constant, in busy time, over which the drain rate is
 	// averaged.
 	DefaultWindow = 10 * time.Second
 
-	// agedShare scales an account's share for items above their own class:
-	// enough not to starve, too little to crowd out those who belong there.
-	agedShare = 0.1
-	// accountAlpha bounds what one account may hold to this multiple of the
-	// free room. Alone it can take 4/5 of the queue, so that an account which
+	// agedShareFactor scales an account's share for items above their own class: enough
+	// to prevent starvation, too little to crowd out the items that belong to that
+	// class.
+	agedShareFactor = 0.1
+	// accountAlpha limits the items of one account to this multiple of the free
+	// capacity. A single account can fill 4/5 of the queue, so that an account which
 	// arrives during another's surge still finds room.
 	accountAlpha = 4
-	// expireMargin is by how much the predicted wait must exceed the time left
-	// before a waiting item is given up. Without it each dip of the measured
-	// rate would throw out items that the next second could serve.
+	// expireMargin is the factor by which the predicted wait must exceed the remaining
+	// time before a waiting item is expired. Without it each dip of the measured rate
+	// would expire items that could be served a second later.
 	expireMargin = 1.25
 
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
-	// retryJitter is the random part added to a suggested wait, as a share of
-	// it; refused callers would otherwise come back in the same instant.
+	// retryJitter is the largest random addition to a suggested wait, as a share of it.
+	// Without it all rejected callers would retry at the same moment.
 	retryJitter = 0.5
 )
 
-// namedRoom is the share of the queue that items of a named class and of those
-// below it may fill. The rest is kept for more pressing ones.
-var namedRoom = []float64{Urgent: 1, High: 0.9, Normal: 0.8, Batch: 0.6}
+// namedFillLimits is the share of the queue, by named class, that items of the class
+// and those below it may fill. The rest is kept for higher classes.
+var namedFillLimits = []float64{Urgent: 1, High: 0.9, Normal: 0.8, Batch: 0.6}
 
-// Config sets up a Queue. Zero fields take the defaults.
+// Config configures a Queue. Zero fields take the defaults.
 type Config struct {
 	// Limit is the number of items that may wait.
 	Limit int
 	// AgeAfter is the ageing interval.
 	AgeAfter time.Duration
-	// Rand jitters Retry-After suggestions; nil means no jitter.
+	// Rand jitters the suggested retry times; nil means no jitter.
 	Rand *rand.Rand
-	// Classes is how many classes there are; the default are the named ones.
+	// Classes is the number of classes; the default is that of the named ones.
 	Classes int
-	// Window is the time constant of the drain rate; the default suits requests of
-	// seconds.
+	// Window is the time constant of the drain rate. The default suits requests that
+	// take seconds.
 	Window time.Duration
-	// Rate is the drain rate, in weight per second, that a backlog is taken to have
-	// before any of it has been seen to finish; zero means that nothing is known, and
-	// that a new backlog predicts no wait.
+	// Rate is the drain rate, in weight per second, assumed for a backlog of which
+	// nothing has completed yet. With zero, a new backlog predicts no wait.
 	Rate float64
-	// Reserve is the part of the service, 0 to 1, that goes to the class below the
-	// most pressing one that waits. Without it a class is not served at all while
-	// more pressing work fills the pool, unless AgeAfter is short.
+	// Reserve is the part of the service, from 0 to less than 1, that goes to the
+	// second highest class with waiting items. Without it, and unless AgeAfter is
+	// short, a class isn't served at all while work of higher classes fills the pool.
 	Reserve float64
 }
 
@@ -97,17 +97,17 @@
 	Class   Class
 	// Weight is the work in the pool's unit of load; less than 1 counts as 1.
 	Weight int64
-	// Share is the account's weight against other accounts; values that are
-	// not positive and finite count as 1.
+	// Share is the account's weight against other accounts; values that aren't positive
+	// and finite count as 1.
 	Share float64
-	// Deadline is the latest useful moment of dispatch; zero means none.
+	// Deadline is the latest useful time of dispatch; zero means none.
 	Deadline time.Time
-	// Value is the caller's own; the queue does not look at it.
+	// Value is opaque to the queue.
 	Value any
 }
 
-// late reports whether dispatch at t would miss the deadline.
-func (it *Item) late(t time.Time) bool {
+// missesDeadline reports whether a dispatch at t would be after the deadline.
+func (it *Item) missesDeadline(t time.Time) bool {
 	return !it.Deadline.IsZero() && t.After(it.Deadline)
 }
 
@@ -120,63 +120,64 @@
 	it.Class = min(it.Class, Class(len(q.levels)-1))
 }
 
-// Queue holds the waiting items of one pool. Use New.
+// Queue holds the waiting items of one pool. It must be created with New.
 type Queue struct {
-	cfg      Config
-	levels   []*level
-	byID     map[string]*entry
-	accounts map[string]int
-	work     int64
-	est      estimate
-	// overdue are items that Pop met after their deadline.
+	cfg            Config
+	levels         []*level
+	byID           map[string]*entry
+	itemsByAccount map[string]int
+	totalWork      int64
+	drain          drainEstimator
+	// overdue are items that Pop found past their deadline.
 	overdue []*entry
-	// credit is the weight that the reserve owes to less pressing classes.
-	credit float64
+	// reserveCredit is the weight that the reserve owes to lower classes.
+	reserveCredit float64
 }
 
 // New returns an empty queue.
 func New(cfg Config) *Queue {
 	cfg = cfg.withDefaults()
-	q := &Queue{cfg: cfg, byID: map[string]*entry{}, accounts: map[string]int{}, est: newEstimate(cfg)}
+	q := &Queue{cfg: cfg, byID: map[string]*entry{}, itemsByAccount: map[string]int{}, drain: newDrainEstimator(cfg)}
 	for c := range cfg.Classes {
 		q.levels = append(q.levels, newLevel(Class(c)))
 	}
 	return q
 }
 
-// Len returns the number of items that have not left the queue.
+// Len returns the number of items in the queue, including overdue ones that Expire
+// hasn't returned yet.
 func (q *Queue) Len() int { return len(q.byID) }
 
-// Work returns the summed weight of the items that have not left the queue.
-func (q *Queue) Work() int64 { return q.work }
+// Work returns the total weight of the items that Len counts.
+func (q *Queue) Work() int64 { return q.totalWork }
 
-// Observe tells the queue that work of the given weight finished at the pool,
-// which is what makes room for waiting items.
+// Observe records that work of the given weight completed at the pool, which makes room
+// for waiting items.
 func (q *Queue) Observe(now time.Time, weight int64) {
 	q.advance(now)
-	q.est.observe(weight)
+	q.drain.recordCompleted(weight)
 }
 
-// SetRate replaces Config.Rate. It counts for the next backlog of which nothing is known.
-func (q *Queue) SetRate(rate float64) { q.est.setPrior(rate) }
+// SetRate replaces Config.Rate. It applies to the next backlog without any measurement.
+func (q *Queue) SetRate(rate float64) { q.drain.setPriorRate(rate) }
 
-// Push adds an item. It fails with *DuplicateError, *FullError or
-// *DeadlineError; the item is then not in the queue.
+// Push adds an item. It returns *DuplicateError, *FullError or *DeadlineError if the
+// item isn't accepted.
 func (q *Queue) Push(now time.Time, it Item) error {
 	q.normalise(&it)
 	q.advance(now)
 	if _, ok := q.byID[it.ID]; ok {
 		return &DuplicateError{ID: it.ID}
 	}
-	if scope, full := q.full(&it); full {
-		return &FullError{Scope: scope, RetryAfter: q.retryAfter(q.wait(it.Class, q.workUpTo(it.Class)) / 2)}
+	if scope, exceeded := q.exceededBound(&it); exceeded {
+		return &FullError{Scope: scope, RetryAfter: q.retryAfter(q.drainTime(it.Class, q.workUpTo(it.Class)) / 2)}
 	}
-	wait := q.predict(&it)
-	if it.late(now.Add(wait)) {
+	wait := q.predictWait(&it)
+	if it.missesDeadline(now.Add(wait)) {
 		excess := now.Add(wait).Sub(it.Deadline)
 		return &DeadlineError{PredictedWait: wait, RetryAfter: q.retryAfter(excess)}
 	}
-	q.add(now, it)
+	q.enqueue(now, it)
 	return nil
 }
 
@@ -184,30 +185,30 @@
 func (q *Queue) PredictWait(now time.Time, it Item) time.Duration {
 	q.normalise(&it)
 	q.advance(now)
-	return q.predict(&it)
+	return q.predictWait(&it)
 }
 
-// Pop removes and returns the next item; ok is false if there is none. Items
-// found past their deadline are skipped and returned by the next Expire.
+// Pop removes and returns the next item; ok is false if there is none. Items found past
+// their deadline are skipped and returned by the next call of Expire.
 func (q *Queue) Pop(now time.Time) (it Item, ok bool) {
 	q.advance(now)
-	first, second := q.fronts(now)
+	first, second := q.heads(now)
 	if first == nil {
 		return Item{}, false
 	}
-	e := q.turn(first, second)
+	e := q.selectHead(first, second)
 	e.level.serve(e)
-	q.est.take(e.level.class, e.item.Weight)
-	q.forget(e)
+	q.drain.recordDispatched(e.level.class, e.item.Weight)
+	q.untrack(e)
 	return e.item, true
 }
 
-// fronts returns the next item of the most pressing class with any, and that of the
-// next class below it. Overdue items are put aside.
-func (q *Queue) fronts(now time.Time) (first, second *entry) {
+// heads returns the next item of the highest class that has any, and that of the next
+// class below it that has any. It moves overdue items to q.overdue.
+func (q *Queue) heads(now time.Time) (first, second *entry) {
 	for _, l := range q.levels {
-		e := l.next()
-		for ; e != nil && e.item.late(now); e = l.next() {
+		e := l.peek()
+		for ; e != nil && e.item.missesDeadline(now); e = l.peek() {
 			l.remove(e)
 			q.overdue = append(q.overdue, e)
 		}
@@ -222,37 +223,37 @@
 	return first, nil
 }
 
-// turn returns which of the two is served: the second one when the reserve has saved up
-// its weight.
-func (q *Queue) turn(first, second *entry) *entry {
+// selectHead returns the entry to be served: second once the reserve has accumulated
+// its weight, else first.
+func (q *Queue) selectHead(first, second *entry) *entry {
 	if second == nil || q.cfg.Reserve <= 0 {
 		return first
 	}
-	if weight := float64(second.item.Weight); q.credit >= weight {
-		q.credit -= weight
+	if weight := float64(second.item.Weight); q.reserveCredit >= weight {
+		q.reserveCredit -= weight
 		return second
 	}
-	q.credit += q.cfg.Reserve / (1 - q.cfg.Reserve) * float64(first.item.Weight)
+	q.reserveCredit += q.cfg.Reserve / (1 - q.cfg.Reserve) * float64(first.item.Weight)
 	return first
 }
 
-// Expire removes and returns every item whose deadline has passed or, by the
-// present drain rate, cannot be met any more. Each is to be refused at once.
+// Expire removes and returns every item whose deadline has passed or can't be met at
+// the current drain rate. The caller should refuse each of them at once.
 func (q *Queue) Expire(now time.Time) []Item {
 	q.advance(now)
-	lost := q.overdue
+	expired := q.overdue
 	q.overdue = nil
-	lost = append(lost, q.hopeless(now)...)
+	expired = append(expired, q.removeUnmeetable(now)...)
 	var items []Item
-	for _, e := range lost {
-		q.forget(e)
+	for _, e := range expired {
+		q.untrack(e)
 		items = append(items, e.item)
 	}
 	return items
 }
 
-// Remove takes an item out whose caller has gone; ok is false if it has
-// already left the queue.
+// Remove removes an item whose caller has disconnected; ok is false if it has already
+// left the queue.
 func (q *Queue) Remove(id string) (it Item, ok bool) {
 	e, ok := q.byID[id]
 	if !ok {
@@ -263,44 +264,44 @@
 	} else {
 		e.level.remove(e)
 	}
-	q.forget(e)
+	q.untrack(e)
 	return e.item, true
 }
 
-// add puts an accepted item into its level.
-func (q *Queue) add(now time.Time, it Item) {
+// enqueue adds an accepted item to its level.
+func (q *Queue) enqueue(now time.Time, it Item) {
 	if len(q.byID) == 0 {
-		q.est.begin(now)
+		q.drain.beginBacklog(now)
 	}
 	e := &entry{item: it, entered: now}
 	q.byID[it.ID] = e
-	q.accounts[it.Account]++
-	q.work += it.Weight
+	q.itemsByAccount[it.Account]++
+	q.totalWork += it.Weight
 	q.levels[it.Class].push(e)
 }
 
-// forget ends the account of an entry that is in no level any more.
-func (q *Queue) forget(e *entry) {
+// untrack removes an entry that is in no level any more from the index and the totals.
+func (q *Queue) untrack(e *entry) {
 	delete(q.byID, e.item.ID)
-	q.work -= e.item.Weight
-	q.accounts[e.item.Account]--
-	if q.accounts[e.item.Account] == 0 {
-		delete(q.accounts, e.item.Account)
+	q.totalWork -= e.item.Weight
+	q.itemsByAccount[e.item.Account]--
+	if q.itemsByAccount[e.item.Account] == 0 {
+		delete(q.itemsByAccount, e.item.Account)
 	}
 }
 
 // advance moves the drain estimate and the ageing to now.
 func (q *Queue) advance(now time.Time) {
-	q.est.advance(now, len(q.byID) > 0)
+	q.drain.advance(now, len(q.byID) > 0)
 	for c := 1; c < len(q.levels); c++ {
-		q.age(now, q.levels[c], q.levels[c-1])
+		q.promoteAged(now, q.levels[c], q.levels[c-1])
 	}
 }
 
-// age moves items that have waited long enough in from to the level above.
-// Entries sit in the order of entry, so only the front has to be looked at.
-func (q *Queue) age(now time.Time, from, to *level) {
-	for front := from.ages.Front(); front != nil; front = from.ages.Front() {
+// promoteAged moves items that have waited long enough in from to the level above.
+// Entries are in order of entry, so only the front has to be checked.
+func (q *Queue) promoteAged(now time.Time, from, to *level) {
+	for front := from.byAge.Front(); front != nil; front = from.byAge.Front() {
 		e := front.Value.(*entry)
 		if now.Sub(e.entered) < q.cfg.AgeAfter {
 			return
@@ -311,45 +312,45 @@
 	}
 }
 
-// full reports whether a bound on the number of items keeps it out.
-func (q *Queue) full(it *Item) (Scope, bool) {
+// exceededBound returns the limit on the number of items that it would exceed, if any.
+func (q *Queue) exceededBound(it *Item) (Scope, bool) {
 	n := len(q.byID)
 	if n >= q.cfg.Limit {
 		return ScopeQueue, true
 	}
-	if float64(n) >= math.Ceil(float64(q.cfg.Limit)*q.room(it.Class)) {
+	if float64(n) >= math.Ceil(float64(q.cfg.Limit)*q.fillLimit(it.Class)) {
 		return ScopeClass, true
 	}
-	if q.accounts[it.Account] >= accountAlpha*(q.cfg.Limit-n) {
+	if q.itemsByAccount[it.Account] >= accountAlpha*(q.cfg.Limit-n) {
 		return ScopeAccount, true
 	}
 	return "", false
 }
 
-// room is the share of the queue that a class and those below it may fill.
-func (q *Queue) room(c Class) float64 {
+// fillLimit returns the share of the queue that a class and those below it may fill.
+func (q *Queue) fillLimit(c Class) float64 {
 	if len(q.levels) != namedClasses {
 		return 1
 	}
-	return namedRoom[c]
+	return namedFillLimits[c]
 }
 
-// predict returns the wait that a new item faces. It leaves out what may yet
-// arrive in higher classes; Expire corrects that as it comes.
-func (q *Queue) predict(it *Item) time.Duration {
+// predictWait returns the expected wait of a new item. It leaves out later arrivals in
+// higher classes; Expire takes them into account once they are there.
+func (q *Queue) predictWait(it *Item) time.Duration {
 	ahead := float64(q.workAbove(it.Class))
-	k := flowKey{account: it.Account, native: it.Class}
-	ahead += q.levels[it.Class].ahead(k, it.Share)
-	return q.wait(it.Class, ahead)
+	k := flowKey{account: it.Account, nativeClass: it.Class}
+	ahead += q.levels[it.Class].workAhead(k, it.Share)
+	return q.drainTime(it.Class, ahead)
 }
 
-// wait converts work ahead of an item of a class into a time.
-func (q *Queue) wait(c Class, work float64) time.Duration {
+// drainTime converts the work ahead of an item of a class into a wait.
+func (q *Queue) drainTime(c Class, work float64) time.Duration {
 	mean := 1.0
 	if n := len(q.byID); n > 0 {
-		mean = float64(q.work) / float64(n)
+		mean = float64(q.totalWork) / float64(n)
 	}
-	return q.est.wait(c, work, mean)
+	return q.drain.drainTime(c, work, mean)
 }
 
 // workAbove returns the waiting work in the classes above c.
@@ -366,41 +367,41 @@
 	return float64(q.workAbove(c) + q.levels[c].work)
 }
 
-// hopeless removes from the levels, and returns, the entries whose deadline is
-// out of reach. It goes through the queue in the order of service and counts
-// only entries that stay, so that giving one up can save those behind it.
-func (q *Queue) hopeless(now time.Time) []*entry {
-	var lost []*entry
+// removeUnmeetable removes from the levels, and returns, the entries whose deadline
+// can't be met. It goes through the queue in the order of service and counts only
+// entries that stay, since removing one can save those behind it.
+func (q *Queue) removeUnmeetable(now time.Time) []*entry {
+	var unmeetable []*entry
 	var ahead float64
 	for _, l := range q.levels {
-		var here []*entry
+		var inLevel []*entry
 		l.walk(func(e *entry) bool {
-			if q.reachable(now, &e.item, ahead) {
+			if q.canMeetDeadline(now, &e.item, ahead) {
 				ahead += float64(e.item.Weight)
 				return true
 			}
-			here = append(here, e)
+			inLevel = append(inLevel, e)
 			return false
 		})
-		for _, e := range here {
+		for _, e := range inLevel {
 			l.remove(e)
 		}
-		lost = append(lost, here...)
+		unmeetable = append(unmeetable, inLevel...)
 	}
-	return lost
+	return unmeetable
 }
 
-// reachable reports whether it can still be dispatched in time behind the
-// given work.
-func (q *Queue) reachable(now time.Time, it *Item, ahead float64) bool {
-	if it.late(now) {
+// canMeetDeadline reports whether it can still be dispatched in time behind work of
+// weight ahead.
+func (q *Queue) canMeetDeadline(now time.Time, it *Item, ahead float64) bool {
+	if it.missesDeadline(now) {
 		return false
 	}
-	wait := time.Duration(float64(q.wait(it.Class, ahead)) / expireMargin)
-	return !it.late(now.Add(wait))
+	wait := time.Duration(float64(q.drainTime(it.Class, ahead)) / expireMargin)
+	return !it.missesDeadline(now.Add(wait))
 }
 
-// retryAfter turns a wait into a suggestion with jitter.
+// retryAfter converts a wait into a suggested retry time, with jitter.
 func (q *Queue) retryAfter(wait time.Duration) time.Duration {
 	d := min(max(wait, minRetryAfter), maxRetryAfter)
 	if q.cfg.Rand != nil {
--- a/internal/decide/queue/queue_test.go
+++ b/internal/decide/queue/queue_test.go
@@ -31,9 +31,9 @@
 	assert.Equal(t, &ClassError{Name: "Urgent"}, err)
 }
 
-// saturate makes q believe that it drains rate units of weight a second, and
-// returns the time at which the last of them finished.
-func saturate(t *testing.T, q *Queue, rate int) time.Duration {
+// primeDrainRate makes q measure a drain rate of rate units of weight a second, and
+// returns the time since epoch at which the last of them completed.
+func primeDrainRate(t *testing.T, q *Queue, rate int) time.Duration {
 	t.Helper()
 	require.NoError(t, q.Push(epoch, Item{ID: "seed", Account: "seed", Class: Urgent}))
 	var now time.Duration
@@ -46,12 +46,11 @@
 	return now
 }
 
-// Symptom: a caller waits until its deadline and only then learns that nobody
-// was going to serve it. Sequence: the backlog is longer than the deadline
-// allows when the request arrives. Cause: admission by queue length alone.
-func TestPushRefusesAtOnceWhatCannotBeMet(t *testing.T) {
+// A request that can't be served before its deadline must be rejected on arrival, not
+// after waiting until then. Admission by queue length alone would accept it.
+func TestPushRejectsUnmeetableDeadline(t *testing.T) {
 	q := New(Config{AgeAfter: time.Hour, Rand: rand.New(rand.NewPCG(1, 1))})
-	now := saturate(t, q, 10)
+	now := primeDrainRate(t, q, 10)
 	for i := range 100 {
 		require.NoError(t, q.Push(at(now), Item{ID: fmt.Sprint(i), Account: "a", Class: Normal}))
 	}
@@ -63,18 +62,17 @@
 	assert.Equal(t, 100, q.Len())
 
 	late.Class = Urgent
-	assert.NoError(t, q.Push(at(now), late), "a higher class does not wait for this backlog")
+	assert.NoError(t, q.Push(at(now), late), "a higher class does not wait behind this backlog")
 	other := Item{ID: "y", Account: "b", Class: Normal, Deadline: at(now + time.Second)}
 	assert.NoError(t, q.Push(at(now), other), "nor does another account")
 	var dup *DuplicateError
 	require.ErrorAs(t, q.Push(at(now), other), &dup)
 }
 
-// Symptom: a request that was accepted is refused only when its deadline has
-// passed. Sequence: it is accepted behind a short backlog; then the engines
-// stop, or more pressing work arrives. Cause: the prediction made at admission
-// is never looked at again.
-func TestExpireGivesUpWhatHasBecomeHopeless(t *testing.T) {
+// An accepted item must be expired once its deadline can't be met any more, because the
+// engines stopped or because work of a higher class arrived. A prediction made only on
+// admission would hold it until the deadline.
+func TestExpireRemovesItemsThatBecomeUnmeetable(t *testing.T) {
 	cases := map[string]func(q *Queue, now time.Duration) time.Duration{
 		"engines stop": func(_ *Queue, now time.Duration) time.Duration { return now + 15*time.Second },
 		"urgent work arrives": func(q *Queue, now time.Duration) time.Duration {
@@ -84,32 +82,31 @@
 			return now
 		},
 	}
-	for name, happen := range cases {
+	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
 			q := New(Config{AgeAfter: time.Hour})
-			now := saturate(t, q, 10)
+			now := primeDrainRate(t, q, 10)
 			for i := range 100 {
 				it := Item{ID: fmt.Sprint(i), Account: "a", Class: Normal, Deadline: at(now + 20*time.Second)}
 				require.NoError(t, q.Push(at(now), it))
 			}
 			require.Empty(t, q.Expire(at(now)))
-			now = happen(q, now)
-			lost := q.Expire(at(now))
-			assert.NotEmpty(t, lost)
-			for _, it := range lost {
-				assert.True(t, it.Deadline.After(at(now)), "given up before the deadline, not at it")
+			now = change(q, now)
+			expired := q.Expire(at(now))
+			assert.NotEmpty(t, expired)
+			for _, it := range expired {
+				assert.True(t, it.Deadline.After(at(now)), "expired before the deadline, not at it")
 			}
 			if name == "engines stop" {
-				assert.NotZero(t, q.Len(), "those at the front can still make it")
+				assert.NotZero(t, q.Len(), "items at the front can still meet their deadline")
 			}
 		})
 	}
 }
 
-// Symptom: the first burst after a quiet time is refused though every engine
-// is free. Sequence: demand is low for an hour, then 50 requests come at once.
-// Cause: a drain rate measured over idle time says how low demand was.
-func TestQuietTimeDoesNotLowerTheRate(t *testing.T) {
+// The first burst after an hour of low demand must not be rejected while every engine
+// is free. A drain rate measured over idle time would reflect demand, not capacity.
+func TestIdleTimeDoesNotLowerDrainRate(t *testing.T) {
 	q := New(Config{})
 	var now time.Duration
 	for i := range 360 {
@@ -123,45 +120,42 @@
 		it := Item{ID: fmt.Sprint(i), Account: "a", Deadline: at(now + time.Second)}
 		require.NoError(t, q.Push(at(now), it))
 	}
-	// Nor does work that finished while nobody waited raise it.
+	// Nor does work that completed while nothing waited raise it.
 	for s := range 9 {
 		q.Observe(at(now+time.Duration(s)*time.Second), 1)
 	}
 	assert.InDelta(t, 1, q.Stats(at(now+8*time.Second)).DrainRate, 0.2)
 }
 
-// Symptom: a surge of batch work fills the queue and key checks are refused.
-// Sequence: one account pushes until it is refused, then others arrive.
-// Cause: one bound for all, taken by whoever comes first.
-// Symptom: chats are refused for their deadline in the first seconds of a
-// backlog, although all would have been served in time.
-// Sequence: 130 chats of two seconds come at once to an engine with room for
-// 50; 80 wait, each for up to thirty seconds, and none finishes at first.
-// Cause: seconds without anything finished are taken for a drain rate.
-func TestNewBacklogIsNotHopeless(t *testing.T) {
-	const room, waiting, chat = 50, 80, 2 * time.Second
+// A new backlog must not be rejected for its deadline before anything has completed.
+// 130 chats of two seconds arrive at an engine with 50 slots, so that 80 wait, each for
+// up to thirty seconds. Time without a completion must not be taken for a drain rate.
+func TestNewBacklogIsNotRejected(t *testing.T) {
+	const slots, waiting, duration = 50, 80, 2 * time.Second
 	q := New(Config{AgeAfter: time.Hour})
-	refused, served := 0, 0
+	rejected, served := 0, 0
 	deadline := at(30 * time.Second)
 	for i := range waiting {
 		if q.Push(at(time.Duration(i)*20*time.Millisecond), Item{ID: fmt.Sprint(i), Account: "a", Class: Normal, Deadline: deadline}) != nil {
-			refused++
+			rejected++
 		}
 	}
-	for now := chat; now <= 3*chat; now += chat {
-		refused += len(q.Expire(at(now - time.Millisecond)))
-		for range room {
+	for now := duration; now <= 3*duration; now += duration {
+		rejected += len(q.Expire(at(now - time.Millisecond)))
+		for range slots {
 			q.Observe(at(now), 1)
 			if _, ok := q.Pop(at(now)); ok {
 				served++
 			}
 		}
 	}
-	require.Zero(t, refused)
+	require.Zero(t, rejected)
 	require.Equal(t, waiting, served)
 }
 
-func TestBoundsKeepRoomForOthers(t *testing.T) {
+// One account that fills the queue with batch work must not cause the rejection of key
+// checks and other requests of higher classes, as a single limit for all would.
+func TestLimitsKeepRoomForOtherAccountsAndClasses(t *testing.T) {
 	q := New(Config{Limit: 100})
 	fill := func(account string, c Class) (n int, err error) {
 		for ; ; n++ {
@@ -193,9 +187,8 @@
 	assert.Positive(t, n)
 }
 
-// Two backlogged accounts may differ from their shares by no more than one
-// item each, whatever their weights: the known bound of start-time fair
-// queueing.
+// The service of two backlogged accounts may differ from their shares by no more than
+// one item each, whatever the weights: the known bound of start-time fair queueing.
 func TestFairnessBetweenBackloggedAccounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(Config{Limit: 10000, AgeAfter: time.Hour})
@@ -222,11 +215,10 @@
 	})
 }
 
-// Symptom: a batch request never runs. Sequence: more urgent work arrives than
-// the pool can do, for good. Cause: strict priority without ageing. The second
-// half is the reverse: an account's aged batch work must not hold up its own
+// Without ageing, strict priority would never serve a batch item while urgent work
+// exceeds the capacity. Conversely an account's aged batch items must not delay its own
 // urgent requests.
-func TestAgeingServesTheLowestClassWithoutCrowdingTheHighest(t *testing.T) {
+func TestAgedBatchIsServedWithoutDelayingUrgent(t *testing.T) {
 	q := New(Config{AgeAfter: 10 * time.Second})
 	for i := range 200 {
 		require.NoError(t, q.Push(epoch, Item{ID: fmt.Sprint("b", i), Account: "a", Class: Batch}))
@@ -249,19 +241,19 @@
 	}
 	t.Logf("first batch item after %d s; %d batch, %d urgent served", firstBatch, batch, urgent)
 	assert.Equal(t, 30, firstBatch)
-	assert.InDelta(t, 90*agedShare/(1+agedShare), batch, 2)
+	assert.InDelta(t, 90*agedShareFactor/(1+agedShareFactor), batch, 2)
 }
 
-// Random pushes, pops, removals and expiries: each item that was accepted
-// leaves exactly once, and the counts return to zero.
+// Under random pushes, pops, removals and expiries each accepted item leaves exactly
+// once, and the counts return to zero.
 func TestEachItemLeavesExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(Config{Limit: 40, AgeAfter: 3 * time.Second})
-		held, now, next := map[string]Item{}, epoch, 0
+		waiting, now, next := map[string]Item{}, epoch, 0
 		leave := func(it Item) {
-			_, ok := held[it.ID]
+			_, ok := waiting[it.ID]
 			require.True(t, ok, "%s left twice or never entered", it.ID)
-			delete(held, it.ID)
+			delete(waiting, it.ID)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
@@ -277,12 +269,12 @@
 					it.Deadline = now.Add(time.Duration(rapid.IntRange(-1, 9).Draw(t, "in")) * time.Second)
 				}
 				if q.Push(now, it) == nil {
-					held[it.ID] = it
+					waiting[it.ID] = it
 				}
 			},
 			"pop": func(t *rapid.T) {
 				if it, ok := q.Pop(now); ok {
-					require.False(t, it.late(now))
+					require.False(t, it.missesDeadline(now))
 					leave(it)
 				}
 			},
@@ -290,8 +282,8 @@
 				for _, it := range q.Expire(now) {
 					leave(it)
 				}
-				for _, it := range held {
-					require.False(t, it.late(now), "%s is overdue and still held", it.ID)
+				for _, it := range waiting {
+					require.False(t, it.missesDeadline(now), "%s is overdue and still waiting", it.ID)
 				}
 			},
 			"remove": func(t *rapid.T) {
@@ -309,8 +301,8 @@
 				for _, c := range s.Classes {
 					s.Overdue += c.Items
 				}
-				require.Len(t, held, s.Overdue)
-				require.Len(t, held, q.Len())
+				require.Len(t, waiting, s.Overdue)
+				require.Len(t, waiting, q.Len())
 			},
 		})
 		for it, ok := q.Pop(now); ok; it, ok = q.Pop(now) {
@@ -319,35 +311,34 @@
 		for _, it := range q.Expire(now) {
 			leave(it)
 		}
-		require.Empty(t, held)
+		require.Empty(t, waiting)
 		require.Zero(t, q.Work())
-		require.Empty(t, q.accounts)
+		require.Empty(t, q.itemsByAccount)
 		for _, l := range q.levels {
 			require.Empty(t, l.flows)
-			require.Zero(t, l.work+int64(l.ages.Len()))
+			require.Zero(t, l.work+int64(l.byAge.Len()))
 		}
 	})
 }
 
-// Symptom: memory grows with every account ever seen. Sequence: a level never
-// runs empty while thousands of accounts come, send three requests and go.
-// Cause: idle flows kept for good.
-func TestIdleFlowsAreForgotten(t *testing.T) {
+// Idle flows must not stay in memory for every account ever seen while a level never
+// runs empty: here 10,000 accounts send three requests each and don't return.
+func TestIdleFlowsAreDeleted(t *testing.T) {
 	q := New(Config{AgeAfter: time.Hour})
-	most := 0
+	maxFlows := 0
 	for i := range 30000 {
 		it := Item{ID: fmt.Sprint(i), Account: fmt.Sprint(i / 3), Class: High}
 		require.NoError(t, q.Push(epoch, it))
 		if i >= 10 {
 			q.Pop(epoch)
 		}
-		most = max(most, len(q.levels[High].flows))
+		maxFlows = max(maxFlows, len(q.levels[High].flows))
 	}
-	assert.LessOrEqual(t, most, 2*minSweep)
+	assert.LessOrEqual(t, maxFlows, 2*minSweepFlows)
 }
 
-// backlog returns a queue of 1,000 items and the items that follow them.
-func backlog() (*Queue, []Item) {
+// newBacklog returns a queue of 1,000 items and the items that follow them.
+func newBacklog() (*Queue, []Item) {
 	q := New(Config{Limit: 2000})
 	items := make([]Item, 4000)
 	for i := range items {
@@ -360,7 +351,7 @@
 }
 
 func BenchmarkPushPop(b *testing.B) {
-	q, items := backlog()
+	q, items := newBacklog()
 	b.ReportAllocs()
 	for i := 1000; b.Loop(); i++ {
 		_ = q.Push(epoch, items[i%len(items)])
@@ -369,18 +360,17 @@
 }
 
 func BenchmarkExpire1000(b *testing.B) {
-	q, _ := backlog()
+	q, _ := newBacklog()
 	b.ReportAllocs()
 	for b.Loop() {
 		q.Expire(epoch)
 	}
 }
 
-// Symptom: requests of a low class wait for as long as they may and are refused then,
-// though it was clear when they came that next to nothing would be left for them.
-// Sequence: ten requests a second drain; nine more pressing ones come in that time.
-// Cause: the wait was predicted from the whole drain rate.
-func TestPredictionLeavesOutWhatMorePressingClassesTake(t *testing.T) {
+// Items of a low class must be rejected on arrival when higher classes leave too little
+// of the drain rate for them, instead of waiting until their deadline. Ten requests a
+// second drain, and nine of a higher class arrive in that time.
+func TestPredictionAccountsForHigherClasses(t *testing.T) {
 	const tick = 100 * time.Millisecond
 	q := New(Config{AgeAfter: time.Hour, Window: time.Second})
 	push := func(now time.Duration, c Class) {
@@ -402,35 +392,35 @@
 			push(now, Normal)
 		}
 	}
-	// Five wait, and one in a second is served.
+	// Five wait, and one is served each second.
 	wait := q.PredictWait(at(now), Item{Account: "a", Class: Normal})
 	require.InDelta(t, 5, wait.Seconds(), 2.5)
-	require.Zero(t, q.PredictWait(at(now), Item{Account: "a", Class: Urgent}), "nobody is before an urgent one")
+	require.Zero(t, q.PredictWait(at(now), Item{Account: "a", Class: Urgent}), "nothing is ahead of an urgent item")
 }
 
-// Symptom: the first second of a surge accepts ten times what can be served in time.
-// Sequence: a backlog begins; nothing has finished yet. Cause handled: the rate that the
-// places and the length of requests give counts until there is something better.
-func TestGivenRatePredictsFromTheStart(t *testing.T) {
+// Without a configured rate, the first second of a surge accepts ten times what can be
+// served in time, since nothing has completed yet. The rate derived from the slots and
+// the duration of requests counts until there are measurements.
+func TestConfiguredRatePredictsNewBacklog(t *testing.T) {
 	q := New(Config{Window: time.Second, Rate: 20})
-	refused := 0
+	rejected := 0
 	for i := range 40 {
 		it := Item{ID: fmt.Sprint(i), Account: "a", Deadline: at(time.Second)}
 		if q.Push(epoch, it) != nil {
-			refused++
+			rejected++
 		}
 	}
-	require.InDelta(t, 19, refused, 4)
-	// What is seen counts more before long: five a second.
+	require.InDelta(t, 19, rejected, 4)
+	// Measurements soon count for more: five a second.
 	for i := range 15 {
 		q.Observe(at(time.Duration(i)*200*time.Millisecond), 1)
 	}
 	require.InDelta(t, 5, q.Stats(at(3*time.Second)).DrainRate, 2)
 }
 
-// Symptom: labels are not served at all while a surge of questions lasts. Cause handled: a
-// part of the service is reserved for the class below; the pressing class keeps the rest.
-func TestReserveServesTheNextClass(t *testing.T) {
+// A class below the highest one must not starve during a surge: it gets the reserved
+// part of the service, and the higher class the rest.
+func TestReservePreventsStarvationOfNextClass(t *testing.T) {
 	q := New(Config{AgeAfter: time.Hour, Reserve: 0.1, Classes: 10, Limit: 2000})
 	for i := range 500 {
 		weight := int64(1 + i%7)
