--- a/internal/decide/prefix/evidence.go
+++ b/internal/decide/prefix/evidence.go
@@ -8,40 +8,41 @@
 	"damaskrouter.example/damaskrouter/internal/serve/chat"
 )
 
-// Confidences estimate how likely it is that an engine still holds a prefix.
-// In a run of the bench 94 of 100 turns placed by evidence found their prefix;
-// the values are not fitted to each source. Only their order is relied on by tests: an event beats the owner's record, that beats a hint, a
-// diverged chat comes last but for what is known to be evicted.
+// Confidences estimate the likelihood that an engine still holds a prefix in its cache.
+// In a benchmark run 94 of 100 turns placed by evidence found their prefix; the values
+// aren't fitted to each source. Tests rely only on their order: a cache event outranks
+// the owner's record, which outranks a hint; a chat that diverged ranks below these,
+// and a prefix known to be evicted last.
 const (
-	// ViewConfidence is for a prefix that cache events report, without a gap since.
+	// ViewConfidence applies to a prefix reported by cache events, without a gap since.
 	ViewConfidence = 0.99
-	// RecentConfidence is for a chat that the owner has just placed.
+	// RecentConfidence applies to a chat that the owner has just recorded.
 	RecentConfidence = 0.98
-	// HintConfidence is for a hint, which tells nothing of its age.
+	// HintConfidence applies to a hint, whose age is unknown.
 	HintConfidence = 0.9
-	// DivergedFactor lowers a record or hint of the same chat whose prefix is
-	// none of the request's boundaries, because the caller edited the chat. Only
-	// the first boundary, usually the system prompt, is then counted as cached.
+	// DivergedFactor lowers a record or hint of the same chat whose prefix is none of
+	// the request's boundaries, because the caller edited the chat. Only the first
+	// boundary, usually the system prompt, then counts as cached.
 	DivergedFactor = 0.4
-	// EvictedFactor lowers a record or hint that a certain eviction
-	// contradicts. It is not 0: the event may be older than the hint.
+	// EvictedFactor lowers a record or hint that a certain eviction contradicts. It
+	// isn't 0, since the eviction may be older than the hint.
 	EvictedFactor = 0.1
-	// GapFactor lowers an event's confidence for each gap since.
+	// GapFactor lowers the confidence in an event for each gap after it.
 	GapFactor = 0.5
-	// MinGapConfidence is the least that gaps leave.
+	// MinGapConfidence is the least confidence that gaps leave.
 	MinGapConfidence = 0.05
-	// StaleFactor lowers a view that has had no page for ViewStaleAfter.
+	// StaleFactor lowers the confidence in a view without a page for ViewStaleAfter.
 	StaleFactor = 0.5
 )
 
 const (
-	// ViewStaleAfter is the age of the last page from which a view is stale.
+	// ViewStaleAfter is the age of the last page beyond which a view is stale.
 	ViewStaleAfter = 30 * time.Second
-	// RecentHalfLife is the time in which the confidence of a record halves.
+	// RecentHalfLife is the time in which the confidence in a record halves.
 	RecentHalfLife = 2 * time.Hour
 )
 
-// Source names where evidence came from.
+// Source identifies where evidence came from.
 type Source uint8
 
 // The sources of evidence.
@@ -51,33 +52,33 @@
 	SourceView
 )
 
-// Evidence says that an engine probably holds the beginning of a request.
+// Evidence states that an engine probably has a prefix of a request in its cache.
 type Evidence struct {
-	// Engine is the EngineID.
+	// Engine is the hash of the engine's name.
 	Engine uint64
-	// CachedTokens is how much of the request is cached if the evidence holds.
+	// CachedTokens is the length of the cached prefix, if the evidence holds.
 	CachedTokens int
-	// Confidence is the likelihood that it holds, 0 to 1.
+	// Confidence is the likelihood that the evidence holds, 0 to 1.
 	Confidence float64
-	// Source is where it came from.
+	// Source is where the evidence came from.
 	Source Source
 }
 
-// Value is the expected number of tokens that need no prefill.
+// Value returns the expected number of tokens that need no prefill.
 func (e Evidence) Value() float64 { return float64(e.CachedTokens) * e.Confidence }
 
-// Incarnations tells which engines are there.
+// Incarnations reports which incarnations of engines are current.
 type Incarnations interface {
-	// Incarnation returns the current incarnation of an engine, and false for
-	// an engine that is not known.
+	// Incarnation returns the current incarnation of an engine; ok is false for an
+	// unknown engine.
 	Incarnation(engine uint64) (incarnation uint64, ok bool)
 }
 
-// Query is a request whose prefix is sought.
+// Query is a request whose cached prefix is to be located.
 type Query struct {
-	// Boundaries are the request's, shortest first.
+	// Boundaries are those of the request, shortest first.
 	Boundaries []chat.Boundary
-	// Hint is the verified hint of the caller, or nil.
+	// Hint is the verified hint from the caller, or nil.
 	Hint *token.Hint
 	// Chat is the ChatID, or 0 for a request that names no chat.
 	Chat uint64
@@ -87,54 +88,54 @@
 	Now time.Time
 }
 
-// Locator brings the sources together.
+// Locator combines the sources of evidence.
 type Locator struct {
-	// Recent is the owner's table, or nil.
+	// Recent is the owner's table of recent chats, or nil.
 	Recent *Recent
-	// Views are those of the engines whose events this router follows.
+	// Views are those of the engines whose cache events this router follows.
 	Views []*View
-	// Current tells which incarnations are there. Evidence for any other is
-	// dropped: its cache is gone.
+	// Current reports the current incarnations. Evidence for any other is dropped,
+	// since its cache is gone.
 	Current Incarnations
 }
 
-// Evidence appends to dst what is known of q, at most one item per engine: the
-// one of the greatest value. The items appended are ordered by falling value,
-// ties by engine. Nothing is allocated if dst has room.
+// Evidence appends the evidence for q to dst, at most one item per engine: the one with
+// the highest value. The appended items are ordered by descending value, ties by
+// engine. It doesn't allocate if dst has enough capacity.
 func (l *Locator) Evidence(dst []Evidence, q Query) []Evidence {
 	if len(q.Boundaries) == 0 {
 		return dst
 	}
 	s := search{Locator: l, q: q, found: dst, start: len(dst)}
-	s.hint()
-	s.recent()
+	s.addHint()
+	s.addRecent()
 	for _, v := range l.Views {
-		s.view(v)
+		s.addView(v)
 	}
 	s.sort()
 	return s.found
 }
 
-// search is one call of Evidence.
+// search is the state of one call of Evidence.
 type search struct {
 	*Locator
 	q     Query
 	found []Evidence
-	// start is where this call's evidence begins in found.
+	// start is the index in found of the first item of this call.
 	start int
 }
 
-func (s *search) hint() {
+func (s *search) addHint() {
 	h := s.q.Hint
 	if h == nil || h.Model != s.q.Model {
 		return
 	}
 	p := Place{Engine: h.Engine, Incarnation: h.Incarnation, Prefix: h.Prefix, Tokens: h.Tokens}
 	sameChat := s.q.Chat != 0 && h.Chat == s.q.Chat
-	s.record(p, claim{HintConfidence, unknownAge, SourceHint, sameChat})
+	s.addLocation(p, provenance{HintConfidence, unknownAge, SourceHint, sameChat})
 }
 
-func (s *search) recent() {
+func (s *search) addRecent() {
 	if s.Recent == nil || s.q.Chat == 0 {
 		return
 	}
@@ -142,11 +143,11 @@
 	if !ok {
 		return
 	}
-	s.record(p, claim{RecentConfidence * decay(age), age, SourceRecent, true})
+	s.addLocation(p, provenance{RecentConfidence * recencyFactor(age), age, SourceRecent, true})
 }
 
-// claim is how a source vouches for a place.
-type claim struct {
+// provenance describes the source of a location and the confidence in it.
+type provenance struct {
 	confidence float64
 	age        time.Duration
 	source     Source
@@ -156,28 +157,28 @@
 // unknownAge is older than any event.
 const unknownAge = time.Duration(math.MaxInt64)
 
-// record adds the evidence of a recorded place. A prefix that is none of the
-// request's boundaries still counts for a little if the chat is the same.
-func (s *search) record(p Place, c claim) {
-	if !s.current(p.Engine, p.Incarnation) {
+// addLocation adds the evidence of a recorded location. A prefix that is none of the
+// request's boundaries counts with a lower confidence if the chat is the same.
+func (s *search) addLocation(p Place, from provenance) {
+	if !s.isCurrent(p.Engine, p.Incarnation) {
 		return
 	}
-	b, ok := s.boundary(p.Prefix)
+	b, ok := s.findBoundary(p.Prefix)
 	if !ok {
-		if !c.sameChat {
+		if !from.sameChat {
 			return
 		}
 		b = s.q.Boundaries[0]
-		c.confidence *= DivergedFactor
+		from.confidence *= DivergedFactor
 	}
-	c.confidence *= s.evictionFactor(p.Engine, b.Hash, c.age)
-	s.add(Evidence{Engine: p.Engine, CachedTokens: b.Tokens, Confidence: c.confidence, Source: c.source})
+	from.confidence *= s.evictionFactor(p.Engine, b.Hash, from.age)
+	s.add(Evidence{Engine: p.Engine, CachedTokens: b.Tokens, Confidence: from.confidence, Source: from.source})
 }
 
-// view adds the boundary of the greatest value that v knows of. Boundaries
-// grow, so the search ends where even full confidence could not win.
-func (s *search) view(v *View) {
-	if !s.current(v.engine, v.incarnation) {
+// addView adds the cached boundary of the highest value in v. Boundaries grow, so the
+// search ends where even full confidence couldn't yield a higher value.
+func (s *search) addView(v *View) {
+	if !s.isCurrent(v.engine, v.incarnation) {
 		return
 	}
 	best := Evidence{Engine: v.engine, Source: SourceView}
@@ -186,9 +187,9 @@
 		if float64(b.Tokens)*ViewConfidence <= best.Value() {
 			break
 		}
-		f := v.lookup(b.Hash, s.q.Now)
-		if f.tokens > 0 && float64(b.Tokens)*f.confidence > best.Value() {
-			best.CachedTokens, best.Confidence = b.Tokens, f.confidence
+		state := v.lookup(b.Hash, s.q.Now)
+		if state.tokens > 0 && float64(b.Tokens)*state.confidence > best.Value() {
+			best.CachedTokens, best.Confidence = b.Tokens, state.confidence
 		}
 	}
 	if best.CachedTokens > 0 {
@@ -196,9 +197,9 @@
 	}
 }
 
-// boundary finds the request's boundary with the given hash. The latest ones
-// are the likeliest.
-func (s *search) boundary(hash uint64) (chat.Boundary, bool) {
+// findBoundary returns the request's boundary with the given hash. It starts with the
+// latest ones, which are the likeliest.
+func (s *search) findBoundary(hash uint64) (chat.Boundary, bool) {
 	for i := len(s.q.Boundaries) - 1; i >= 0; i-- {
 		if s.q.Boundaries[i].Hash == hash {
 			return s.q.Boundaries[i], true
@@ -207,32 +208,32 @@
 	return chat.Boundary{}, false
 }
 
-func (s *search) current(engine, incarnation uint64) bool {
-	now, ok := s.Current.Incarnation(engine)
-	return ok && now == incarnation
+func (s *search) isCurrent(engine, incarnation uint64) bool {
+	current, ok := s.Current.Incarnation(engine)
+	return ok && current == incarnation
 }
 
-// evictionFactor lowers a claim of the given age if a view says that engine
-// dropped prefix, by as much as the view can be trusted. A claim younger than
-// the eviction stands: the chat was served after it, and the event that says
-// so is late. Without that, a chat that has just missed would be sent away from
-// the one engine that now holds it.
+// evictionFactor returns the factor for evidence of the given age if a view reports
+// that engine evicted prefix; it lowers the evidence by as much as the view is trusted.
+// Evidence newer than the eviction isn't lowered: the chat was served after it, and the
+// stored event is late. Otherwise a chat that has just missed would be sent away from
+// the one engine that now holds its prefix.
 func (s *search) evictionFactor(engine, prefix uint64, age time.Duration) float64 {
 	for _, v := range s.Views {
 		if v.engine != engine {
 			continue
 		}
-		f := v.lookup(prefix, s.q.Now)
-		if f.tokens > 0 || f.age > age {
+		state := v.lookup(prefix, s.q.Now)
+		if state.tokens > 0 || state.age > age {
 			return 1
 		}
-		trust := f.confidence / ViewConfidence
+		trust := state.confidence / ViewConfidence
 		return 1 - trust*(1-EvictedFactor)
 	}
 	return 1
 }
 
-// add keeps the evidence of the greater value for each engine.
+// add keeps the evidence of the higher value for each engine.
 func (s *search) add(e Evidence) {
 	for i := s.start; i < len(s.found); i++ {
 		if s.found[i].Engine != e.Engine {
@@ -246,29 +247,29 @@
 	s.found = append(s.found, e)
 }
 
-// sort is an insertion sort: there are few items, and it does not allocate.
+// sort is an insertion sort, since there are few items and it doesn't allocate.
 func (s *search) sort() {
 	items := s.found[s.start:]
 	for i := 1; i < len(items); i++ {
-		for j := i; j > 0 && before(items[j], items[j-1]); j-- {
+		for j := i; j > 0 && ranksBefore(items[j], items[j-1]); j-- {
 			items[j], items[j-1] = items[j-1], items[j]
 		}
 	}
 }
 
-func before(a, b Evidence) bool {
+func ranksBefore(a, b Evidence) bool {
 	if a.Value() != b.Value() {
 		return a.Value() > b.Value()
 	}
 	return a.Engine < b.Engine
 }
 
-// decay halves with each RecentHalfLife.
-func decay(age time.Duration) float64 {
+// recencyFactor returns 1 for age 0 and halves with each RecentHalfLife.
+func recencyFactor(age time.Duration) float64 {
 	return math.Exp2(-float64(age) / float64(RecentHalfLife))
 }
 
-// gapConfidence is ViewConfidence lowered by the gaps since an event.
+// gapConfidence returns ViewConfidence lowered by the number of gaps since an event.
 func gapConfidence(gaps int) float64 {
 	return max(ViewConfidence*math.Pow(GapFactor, float64(gaps)), MinGapConfidence)
 }
--- a/internal/decide/prefix/evidence_test.go
+++ b/internal/decide/prefix/evidence_test.go
@@ -70,7 +70,7 @@
 	cases := map[string]struct {
 		hint   *token.Hint
 		recent *Place
-		pages  []wire.CacheEvents // of engine A
+		pages  []wire.CacheEvents // of engineA
 		chat   uint64
 		after  time.Duration
 		want   []Evidence
@@ -83,24 +83,24 @@
 			want: []item{{engineB, 1000, RecentConfidence / 2, SourceRecent}}},
 		"recent beats hint on one engine": {hint: hintAt(engineB, 102), recent: &Place{engineB, 1, 102, 1000}, chat: chatC,
 			want: []item{{engineB, 1000, RecentConfidence, SourceRecent}}},
-		"old record leaves the hint": {hint: hintAt(engineB, 102), recent: &Place{engineB, 1, 102, 1000}, chat: chatC, after: RecentHalfLife,
+		"hint beats old record": {hint: hintAt(engineB, 102), recent: &Place{engineB, 1, 102, 1000}, chat: chatC, after: RecentHalfLife,
 			want: []item{{engineB, 1000, HintConfidence, SourceHint}}},
-		"view takes the longest":    {pages: []wire.CacheEvents{full}, want: []item{{engineA, 2000, ViewConfidence, SourceView}}},
+		"longest prefix of a view":  {pages: []wire.CacheEvents{full}, want: []item{{engineA, 2000, ViewConfidence, SourceView}}},
 		"view of a shared prefix":   {pages: []wire.CacheEvents{page(1, stored(0, 101))}, want: []item{{engineA, 100, ViewConfidence, SourceView}}},
-		"gap halves what is older":  {pages: gapped, want: []item{{engineA, 2000, ViewConfidence / 2, SourceView}}},
+		"gap halves older entries":  {pages: gapped, want: []item{{engineA, 2000, ViewConfidence / 2, SourceView}}},
 		"stored again after a gap":  {pages: append(gapped, page(1, stored(10, 103))), want: []item{{engineA, 2000, ViewConfidence, SourceView}}},
 		"eviction shortens":         {pages: []wire.CacheEvents{full, page(1, evicted(3, 103))}, want: []item{{engineA, 1000, ViewConfidence, SourceView}}},
-		"no page for long":          {pages: []wire.CacheEvents{full}, after: time.Minute, want: []item{{engineA, 2000, ViewConfidence * StaleFactor, SourceView}}},
+		"stale view":                {pages: []wire.CacheEvents{full}, after: time.Minute, want: []item{{engineA, 2000, ViewConfidence * StaleFactor, SourceView}}},
 		"view of a new incarnation": {pages: []wire.CacheEvents{full, page(2)}},
-		"longer and likelier first": {hint: hintAt(engineB, 103), pages: []wire.CacheEvents{page(1, stored(0, 102))},
+		"ordered by value": {hint: hintAt(engineB, 103), pages: []wire.CacheEvents{page(1, stored(0, 102))},
 			want: []item{{engineB, 2000, HintConfidence, SourceHint}, {engineA, 1000, ViewConfidence, SourceView}}},
-		"hint against an eviction": {hint: hintAt(engineA, 102), pages: []wire.CacheEvents{gone},
+		"hint contradicted by an eviction": {hint: hintAt(engineA, 102), pages: []wire.CacheEvents{gone},
 			want: []item{{engineA, 1000, HintConfidence * EvictedFactor, SourceHint}}},
 		"record older than eviction": {recent: &Place{engineA, 1, 102, 1000}, pages: []wire.CacheEvents{gone}, chat: chatC,
 			want: []item{{engineA, 1000, RecentConfidence * EvictedFactor, SourceRecent}}},
 		"hint of an older incarnation":   {hint: &token.Hint{Chat: chatC, Model: modelM, Engine: engineA, Incarnation: 0, Prefix: 102}, chat: chatC},
 		"record of an older incarnation": {recent: &Place{engineA, 9, 102, 1000}, chat: chatC},
-		"engine that left":               {hint: hintAt(999, 102), chat: chatC},
+		"unknown engine":                 {hint: hintAt(999, 102), chat: chatC},
 		"hint of another model":          {hint: &token.Hint{Chat: chatC, Model: 4, Engine: engineA, Incarnation: 1, Prefix: 102}, chat: chatC},
 		"edited chat":                    {hint: hintAt(engineA, 66), chat: chatC, want: []item{{engineA, 100, HintConfidence * DivergedFactor, SourceHint}}},
 		"other chat, other prefix":       {hint: hintAt(engineA, 66), chat: 8},
@@ -126,11 +126,10 @@
 	}
 }
 
-// Symptom: a chat that just missed moves on to miss at a second engine.
-// Sequence: the eviction is told, the chat is served at that engine all the
-// same, and returns before the stored event. Cause: an eviction that is older
-// than the record counted against it.
-func TestRecordAfterEvictionStands(t *testing.T) {
+// A chat that has just missed must not be sent on to miss at a second engine. The view
+// reports an eviction, the chat is served at that engine nevertheless, and it returns
+// before the stored event arrives: an eviction older than the record must not count.
+func TestRecordNewerThanEvictionIsTrusted(t *testing.T) {
 	r, later := newRecent(t, 100), epoch.Add(time.Minute)
 	require.NoError(t, r.Record(chatC, Place{engineA, 1, 102, 1000}, later))
 	l := Locator{Recent: r, Views: []*View{newView(t, engineA, page(1, evicted(0, 102)))}, Current: incarnations{engineA: 1}}
@@ -138,20 +137,20 @@
 	assert.Equal(t, []Evidence{{engineA, 1000, RecentConfidence, SourceRecent}}, got)
 }
 
-// Symptom: chats are sent to an engine that has evicted their prefix.
-// Sequence: a page of events arrives twice, or after its successor, or after
-// the engine restarted. Cause: an old event applied over a newer one.
-func TestLatePages(t *testing.T) {
+// Chats must not be sent to an engine that has evicted their prefix. A page of events
+// may arrive twice, after its successor or after a restart of the engine; an old event
+// must not overwrite a newer one.
+func TestLatePageDoesNotOverwriteNewerState(t *testing.T) {
 	first, second := page(1, stored(0, 101)), page(1, evicted(1, 101))
 	for name, tc := range map[string]struct {
 		pages []wire.CacheEvents
 		want  ViewStats
 	}{
-		"page twice":                {[]wire.CacheEvents{first, second, first}, ViewStats{Repeats: 1}},
-		"pages swapped":             {[]wire.CacheEvents{second, first}, ViewStats{Gaps: 1, Repeats: 1}},
-		"page of a former life":     {[]wire.CacheEvents{first, page(2), first}, ViewStats{StalePages: 1}},
-		"log cut short, no events":  {[]wire.CacheEvents{second, {Incarnation: 1, Next: 9}}, ViewStats{Gaps: 2}},
-		"stored without any tokens": {[]wire.CacheEvents{page(1, wire.CacheEvent{Kind: wire.CacheStored, Prefix: 101})}, ViewStats{Unknown: 1}},
+		"page twice":                     {[]wire.CacheEvents{first, second, first}, ViewStats{Repeats: 1}},
+		"pages swapped":                  {[]wire.CacheEvents{second, first}, ViewStats{Gaps: 1, Repeats: 1}},
+		"page of an earlier incarnation": {[]wire.CacheEvents{first, page(2), first}, ViewStats{StalePages: 1}},
+		"truncated log, no events":       {[]wire.CacheEvents{second, {Incarnation: 1, Next: 9}}, ViewStats{Gaps: 2}},
+		"stored without any tokens":      {[]wire.CacheEvents{page(1, wire.CacheEvent{Kind: wire.CacheStored, Prefix: 101})}, ViewStats{Unknown: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			v := newView(t, engineA, tc.pages...)
@@ -161,9 +160,9 @@
 	}
 }
 
-// Symptom: the view of an engine stays empty for good. Sequence: a page of a
-// former incarnation arrives after its successor's, twice over. Cause: the
-// present incarnation is then taken for the previous one and refused.
+// The view of an engine must not stay empty when a page of an earlier incarnation
+// arrives after its successor's, twice over. The current incarnation is then taken for
+// the previous one, and its pages are rejected only a limited number of times.
 func TestViewRecoversFromStalePage(t *testing.T) {
 	v := newView(t, engineA, page(1), page(2), page(3), page(1))
 	for range maxStaleRun {
@@ -173,9 +172,9 @@
 	assert.Equal(t, 50, v.lookup(101, epoch).tokens)
 }
 
-// Symptom: a view that hears nothing new is trusted as if it did. Sequence: one
-// old page is delivered again and again. Cause: any page taken for news.
-func TestLatePageIsNoNews(t *testing.T) {
+// A view that receives nothing new must become stale, even if one old page is delivered
+// again and again.
+func TestRepeatedPageDoesNotRefreshView(t *testing.T) {
 	v, later := newView(t, engineA, page(1, stored(0, 101))), epoch.Add(2*ViewStaleAfter)
 	v.Apply(page(1, stored(0, 101)), later)
 	assert.Equal(t, ViewConfidence*StaleFactor, v.lookup(101, later).confidence)
@@ -212,7 +211,7 @@
 			require.Contains(t, current, e.Engine)
 			require.True(t, e.Confidence > 0 && e.Confidence <= ViewConfidence)
 			require.True(t, e.CachedTokens > 0 && e.CachedTokens <= 40)
-			require.True(t, i == 0 || got[i].Value() >= e.Value(), "falling value")
+			require.True(t, i == 0 || got[i].Value() >= e.Value(), "descending value")
 		}
 	})
 }
--- a/internal/decide/prefix/recent.go
+++ b/internal/decide/prefix/recent.go
@@ -7,49 +7,51 @@
 	"github.com/zeebo/errs"
 )
 
-// maxRefs bounds how many engine incarnations a table of recent chats tells
-// apart: ten restarts of each of 850 engines, without a call of DropEngine.
-const maxRefs = 8500
+// maxIncarnations limits the number of distinct engine incarnations in a table of
+// recent chats: ten restarts of each of 850 engines, without a call of DropEngine.
+const maxIncarnations = 8500
 
-// ErrTooManyEngines reports a chat that was not recorded, because the table
-// already names the greatest number of engine incarnations.
-var ErrTooManyEngines = errs.Class("prefix: too many engine incarnations")
+// ErrTooManyEngines reports that a chat wasn't recorded because the table already
+// refers to the maximum number of engine incarnations.
+var ErrTooManyEngines = errs.Class("prefix: number of engine incarnations exceeds the limit")
 
-// Recent is a bounded table of the chats that an owner placed last. When it is
-// full, recording a chat forgets one that was used least recently among a few.
+// Recent is a bounded table of the chats that an owner recorded last. When it is full,
+// recording a chat evicts the least recently used one of a bucket.
 type Recent struct {
-	table *table[recentEntry]
-	refs  refs
-	epoch time.Time
+	table        *table[recentEntry]
+	incarnations incarnationTable
+	epoch        time.Time
 }
 
 type recentEntry struct {
 	prefix uint64
 	tokens uint32
-	ref    uint16
+	slot   uint16
 }
 
-// NewRecent makes a table for capacity chats. Times passed to its methods are
-// compared with epoch only, so a monotonic clock's readings will do.
+// NewRecent returns a table with capacity for the given number of chats. The times
+// passed to its methods are only compared with epoch, so readings of a monotonic clock
+// suffice. It returns ErrCapacity if capacity isn't positive.
 func NewRecent(capacity int, seed uint64, epoch time.Time) (*Recent, error) {
 	t, err := newTable[recentEntry](capacity, seed)
 	if err != nil {
 		return nil, err
 	}
-	return &Recent{table: t, refs: newRefs(), epoch: epoch}, nil
+	return &Recent{table: t, incarnations: newIncarnationTable(), epoch: epoch}, nil
 }
 
-// Record notes that chat was served at p.
+// Record records that chat was served at p. It returns ErrTooManyEngines if p is of a
+// new engine incarnation and the table refers to the maximum number of them.
 func (r *Recent) Record(chat uint64, p Place, now time.Time) error {
-	ref, ok := r.refs.acquire(engineRef{p.Engine, p.Incarnation})
+	slot, ok := r.incarnations.acquire(engineIncarnation{p.Engine, p.Incarnation})
 	if !ok {
-		return ErrTooManyEngines.New("%d", maxRefs)
+		return ErrTooManyEngines.New("%d", maxIncarnations)
 	}
 	e, old, replaced := r.table.put(chat, stampAt(r.epoch, now))
 	if replaced {
-		r.refs.release(old.ref)
+		r.incarnations.release(old.slot)
 	}
-	*e = recentEntry{prefix: p.Prefix, tokens: clampTokens(p.Tokens), ref: ref}
+	*e = recentEntry{prefix: p.Prefix, tokens: clampTokens(p.Tokens), slot: slot}
 	return nil
 }
 
@@ -59,30 +61,30 @@
 	if e == nil {
 		return Place{}, 0, false
 	}
-	return r.place(e), used.age(stampAt(r.epoch, now)), true
+	return r.location(e), used.age(stampAt(r.epoch, now)), true
 }
 
-// Visit calls f with each chat that was served by the given incarnation of
-// engine, for the export of its cache before it leaves. f must not change r.
+// Visit calls f for each chat that was served by the given incarnation of engine, to
+// export its cache before it leaves. f must not change r.
 func (r *Recent) Visit(engine, incarnation uint64, now time.Time, f func(chat uint64, p Place, age time.Duration)) {
-	want, at := engineRef{engine, incarnation}, stampAt(r.epoch, now)
+	want, nowStamp := engineIncarnation{engine, incarnation}, stampAt(r.epoch, now)
 	r.table.sweep(func(chat uint64, e *recentEntry, used stamp) bool {
-		if r.refs.slots[e.ref].engineRef == want {
-			f(chat, r.place(e), used.age(at))
+		if r.incarnations.slots[e.slot].engineIncarnation == want {
+			f(chat, r.location(e), used.age(nowStamp))
 		}
 		return false
 	})
 }
 
-// DropEngine forgets the chats served by engine at any incarnation but keep,
-// which is 0 for an engine that is gone for good.
+// DropEngine removes the chats served by any incarnation of engine except keep, which
+// is 0 for an engine that is gone for good.
 func (r *Recent) DropEngine(engine, keep uint64) {
 	r.table.sweep(func(_ uint64, e *recentEntry, _ stamp) bool {
-		at := r.refs.slots[e.ref].engineRef
-		if at.engine != engine || at.incarnation == keep {
+		servedBy := r.incarnations.slots[e.slot].engineIncarnation
+		if servedBy.engine != engine || servedBy.incarnation == keep {
 			return false
 		}
-		r.refs.release(e.ref)
+		r.incarnations.release(e.slot)
 		return true
 	})
 }
@@ -90,11 +92,11 @@
 // Len returns the number of chats in the table.
 func (r *Recent) Len() int { return r.table.len }
 
-func (r *Recent) place(e *recentEntry) Place {
-	at := r.refs.slots[e.ref].engineRef
+func (r *Recent) location(e *recentEntry) Place {
+	servedBy := r.incarnations.slots[e.slot].engineIncarnation
 	return Place{
-		Engine:      at.engine,
-		Incarnation: at.incarnation,
+		Engine:      servedBy.engine,
+		Incarnation: servedBy.incarnation,
 		Prefix:      e.prefix,
 		Tokens:      int(e.tokens),
 	}
--- a/internal/decide/prefix/recent_test.go
+++ b/internal/decide/prefix/recent_test.go
@@ -12,7 +12,7 @@
 	"damaskrouter.example/damaskrouter/internal/serve/chat"
 )
 
-func TestRecentAgainstModel(t *testing.T) {
+func TestRecentMatchesMapModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 24
 		r, now := newRecent(t, capacity), epoch
@@ -43,8 +43,8 @@
 				require.Equal(t, model[c], p)
 			}
 		}
-		for _, s := range r.refs.slots {
-			uses += s.count
+		for _, s := range r.incarnations.slots {
+			uses += s.refCount
 		}
 		require.Equal(t, known, r.Len())
 		require.Equal(t, known, int(uses))
@@ -55,7 +55,7 @@
 func TestRecentEvictsLeastRecentlyUsed(t *testing.T) {
 	r := newRecent(t, 1) // one bucket
 	for c := range uint64(ways + 1) {
-		require.NoError(t, r.Record(c, Place{Engine: 1}, epoch.Add(time.Duration(c)*ageUnit)))
+		require.NoError(t, r.Record(c, Place{Engine: 1}, epoch.Add(time.Duration(c)*stampUnit)))
 	}
 	_, _, ok := r.Lookup(0, epoch)
 	assert.False(t, ok)
@@ -66,46 +66,46 @@
 	assert.Equal(t, ways, visited)
 }
 
-// Symptom: chats of other accounts are forgotten early. Sequence: a caller picks
-// chat ids that share a bucket. Cause: the bucket follows from the id alone.
-func TestSeedSpreadsChosenKeys(t *testing.T) {
+// A caller must not be able to evict the chats of other accounts by chat ids that share
+// a bucket, so the bucket of an id depends on a seed as well.
+func TestSeedPreventsBucketFlooding(t *testing.T) {
 	one, err := newTable[recentEntry](12_000, 1)
 	require.NoError(t, err)
 	two, err := newTable[recentEntry](12_000, 2)
 	require.NoError(t, err)
-	chosen := map[*bucket[recentEntry]]bool{}
+	buckets := map[*bucket[recentEntry]]bool{}
 	for key := range uint64(100_000) {
 		if one.bucket(key) == &one.buckets[0] {
-			chosen[two.bucket(key)] = true
+			buckets[two.bucket(key)] = true
 		}
 	}
-	assert.Greater(t, len(chosen), 50)
+	assert.Greater(t, len(buckets), 50)
 }
 
-func TestStampWraps(t *testing.T) {
-	const span = (1<<16 - 1) * ageUnit
-	before, after := stampAt(epoch, epoch.Add(span-ageUnit)), stampAt(epoch, epoch.Add(span+ageUnit))
-	assert.Equal(t, 2*ageUnit, before.age(after))
+func TestStampAgeAfterWrap(t *testing.T) {
+	const span = (1<<16 - 1) * stampUnit
+	before, after := stampAt(epoch, epoch.Add(span-stampUnit)), stampAt(epoch, epoch.Add(span+stampUnit))
+	assert.Equal(t, 2*stampUnit, before.age(after))
 	assert.Equal(t, stamp(1), stampAt(epoch, epoch.Add(-time.Hour)), "a clock that steps back")
 }
 
-func TestBounds(t *testing.T) {
+func TestCapacityAndIncarnationLimits(t *testing.T) {
 	_, err := NewRecent(0, 1, epoch)
 	assert.True(t, ErrCapacity.Has(err))
 	_, err = NewView(1, -1, 1, epoch)
 	assert.True(t, ErrCapacity.Has(err))
-	r := newRecent(t, 4*maxRefs)
-	for i := range uint64(maxRefs) {
+	r := newRecent(t, 4*maxIncarnations)
+	for i := range uint64(maxIncarnations) {
 		require.NoError(t, r.Record(i, Place{Engine: i}, epoch))
 	}
-	assert.True(t, ErrTooManyEngines.Has(r.Record(1, Place{Engine: maxRefs}, epoch)))
+	assert.True(t, ErrTooManyEngines.Has(r.Record(1, Place{Engine: maxIncarnations}, epoch)))
 	r.DropEngine(0, 1)
-	assert.NoError(t, r.Record(1, Place{Engine: maxRefs}, epoch))
+	assert.NoError(t, r.Record(1, Place{Engine: maxIncarnations}, epoch))
 	assert.NotEqual(t, ChatID("acme", "1"), ChatID("bolt", "1"))
 }
 
-// heapOf returns the heap bytes that make keeps alive.
-func heapOf[T any](make func() T) (T, float64) {
+// measureHeap returns the value of make and the heap bytes that it keeps alive.
+func measureHeap[T any](make func() T) (T, float64) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -115,20 +115,20 @@
 	return v, float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// BenchmarkRecentMemory fills a table to its capacity: 5.7 million chats over
-// 380 routers, each held by three of them.
+// BenchmarkRecentMemory fills a table to its capacity: 5.7 million chats over 380
+// routers, each recorded by three of them.
 func BenchmarkRecentMemory(b *testing.B) {
 	const chats, engines = 45_000, 850
 	var kept, bytes float64
 	for b.Loop() {
-		r, heap := heapOf(func() *Recent {
+		r, heapBytes := measureHeap(func() *Recent {
 			r := newRecent(b, chats)
 			for c := range uint64(chats) {
 				_ = r.Record(mix(c+1), Place{Engine: mix(c % engines), Incarnation: 1, Prefix: c, Tokens: 1}, epoch)
 			}
 			return r
 		})
-		kept, bytes = float64(r.Len()), heap
+		kept, bytes = float64(r.Len()), heapBytes
 	}
 	b.ReportMetric(bytes/kept, "B/chat")
 	b.ReportMetric(100*kept/chats, "%kept")
@@ -139,14 +139,14 @@
 	const prefixes = 20_000
 	var kept, bytes float64
 	for b.Loop() {
-		v, heap := heapOf(func() *View {
+		v, heapBytes := measureHeap(func() *View {
 			v, _ := NewView(1, prefixes, 1, epoch)
 			for i := range uint64(prefixes) {
 				v.Apply(page(1, stored(i, mix(i))), epoch)
 			}
 			return v
 		})
-		kept, bytes = float64(v.Len()), heap
+		kept, bytes = float64(v.Len()), heapBytes
 	}
 	b.ReportMetric(bytes/kept, "B/prefix")
 }
@@ -159,8 +159,8 @@
 	}
 }
 
-// BenchmarkEvidence asks for a chat of 40 messages at a router that follows
-// three engines.
+// BenchmarkEvidence locates a chat of 40 messages at a router that follows three
+// engines.
 func BenchmarkEvidence(b *testing.B) {
 	var bs []chat.Boundary
 	for i := range 40 {
--- a/internal/decide/prefix/table.go
+++ b/internal/decide/prefix/table.go
@@ -6,59 +6,60 @@
 )
 
 const (
-	// ways is the number of slots in a bucket. More ways fill better before
-	// they evict, and cost a longer scan: 16 keys are two cache lines.
+	// ways is the number of slots in a bucket. With more of them a bucket fills better
+	// before it evicts, but a scan takes longer: 16 keys are two cache lines.
 	ways = 16
-	// fillPercent is the load for which a table is sized. Buckets fill
-	// unevenly; the spare slots keep evictions rare until capacity is reached.
-	fillPercent = 75
-	// ageUnit is the grain of last use. 16 bits of it are 12 days; an entry
-	// untouched for longer looks young again and is merely evicted later.
-	ageUnit = 16 * time.Second
+	// loadPercent is the load factor for which a table is sized. Buckets fill unevenly;
+	// the extra slots keep evictions rare until capacity is reached.
+	loadPercent = 75
+	// stampUnit is the resolution of the time of last use. 16 bits of it span 12 days;
+	// an entry unused for longer appears recent again and is merely evicted later.
+	stampUnit = 16 * time.Second
 )
 
-// stamp is a coarse time. 0 marks an empty slot.
+// stamp is a time in units of stampUnit. 0 marks an empty slot.
 type stamp uint16
 
-// stampAt counts units since epoch, leaving out 0.
+// stampAt returns the units since epoch, wrapped to 16 bits without 0.
 func stampAt(epoch, now time.Time) stamp {
-	units := max(now.Sub(epoch), 0) / ageUnit
+	units := max(now.Sub(epoch), 0) / stampUnit
 	return stamp(units%(1<<16-1)) + 1
 }
 
-// age returns how long ago s was, as seen at now.
+// age returns the time from s to now, if s hasn't wrapped since.
 func (s stamp) age(now stamp) time.Duration {
 	units := int(now) - int(s)
 	if units < 0 {
 		units += 1<<16 - 1
 	}
-	return time.Duration(units) * ageUnit
+	return time.Duration(units) * stampUnit
 }
 
-// bucket holds keys apart from values, so that a scan reads few cache lines.
+// bucket stores keys apart from values, so that a scan reads few cache lines.
 type bucket[V any] struct {
-	keys [ways]uint64
-	used [ways]stamp
-	vals [ways]V
+	keys     [ways]uint64
+	lastUsed [ways]stamp
+	values   [ways]V
 }
 
-// table is a set-associative map from hashes: a key lives in one bucket, and a
-// full bucket evicts its least recently used entry. It never allocates after
-// it is made, and needs no tombstones, rehashing or clock hand.
+// table is a set-associative map keyed by hashes: a key belongs to one bucket, and a
+// full bucket evicts its least recently used entry. It allocates only on creation, and
+// needs no tombstones, rehashing or clock hand.
 type table[V any] struct {
 	buckets []bucket[V]
 	seed    uint64
 	len     int
 }
 
-// newTable makes room for capacity entries at the load of fillPercent. A
-// random seed keeps callers, who choose their chat ids, from filling one bucket
-// on purpose and so evicting the chats of others.
+// newTable returns a table sized for capacity entries at a load of loadPercent. A
+// random seed keeps callers, who choose their chat ids, from filling one bucket on
+// purpose and so evicting the chats of others. It returns ErrCapacity if capacity isn't
+// positive.
 func newTable[V any](capacity int, seed uint64) (*table[V], error) {
 	if capacity <= 0 {
 		return nil, ErrCapacity.New("%d", capacity)
 	}
-	perBucket := ways * fillPercent / 100
+	perBucket := ways * loadPercent / 100
 	n := (capacity + perBucket - 1) / perBucket
 	return &table[V]{buckets: make([]bucket[V], n), seed: seed}, nil
 }
@@ -68,7 +69,7 @@
 	return &t.buckets[i]
 }
 
-// mix is the finaliser of splitmix64.
+// mix is the finaliser of SplitMix64.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -78,7 +79,7 @@
 // find returns the slot of key, or -1.
 func (b *bucket[V]) find(key uint64) int {
 	for i, k := range b.keys {
-		if k == key && b.used[i] != 0 {
+		if k == key && b.lastUsed[i] != 0 {
 			return i
 		}
 	}
@@ -88,7 +89,7 @@
 // victim returns an empty slot, or else the least recently used one.
 func (b *bucket[V]) victim(now stamp) int {
 	oldest, oldestAge := 0, time.Duration(-1)
-	for i, u := range b.used {
+	for i, u := range b.lastUsed {
 		if u == 0 {
 			return i
 		}
@@ -99,39 +100,39 @@
 	return oldest
 }
 
-// get returns the value of key and its last use, or nil.
+// get returns the value of key and its time of last use, or nil.
 func (t *table[V]) get(key uint64) (*V, stamp) {
 	b := t.bucket(key)
 	i := b.find(key)
 	if i < 0 {
 		return nil, 0
 	}
-	return &b.vals[i], b.used[i]
+	return &b.values[i], b.lastUsed[i]
 }
 
-// put returns the value of key for the caller to set, and what the slot held
-// before. Without an old entry, old is the zero value and replaced is false.
+// put returns the value of key for the caller to set, and what the slot held before. If
+// the slot was empty, old is the zero value and replaced is false.
 func (t *table[V]) put(key uint64, now stamp) (v *V, old V, replaced bool) {
 	b := t.bucket(key)
 	i := b.find(key)
 	if i < 0 {
 		i = b.victim(now)
 	}
-	old, replaced = b.vals[i], b.used[i] != 0
+	old, replaced = b.values[i], b.lastUsed[i] != 0
 	if !replaced {
 		t.len++
 	}
-	b.keys[i], b.used[i] = key, now
-	return &b.vals[i], old, replaced
+	b.keys[i], b.lastUsed[i] = key, now
+	return &b.values[i], old, replaced
 }
 
-// sweep calls f with every entry, and removes those for which it returns true.
+// sweep calls f for every entry, and removes those for which it returns true.
 func (t *table[V]) sweep(f func(key uint64, v *V, used stamp) (remove bool)) {
 	for n := range t.buckets {
 		b := &t.buckets[n]
 		for i := range ways {
-			if b.used[i] != 0 && f(b.keys[i], &b.vals[i], b.used[i]) {
-				b.used[i] = 0
+			if b.lastUsed[i] != 0 && f(b.keys[i], &b.values[i], b.lastUsed[i]) {
+				b.lastUsed[i] = 0
 				t.len--
 			}
 		}
--- a/internal/decide/prefix/view.go
+++ b/internal/decide/prefix/view.go
@@ -6,20 +6,20 @@
 	"damaskrouter.example/damaskrouter/internal/serve/wire"
 )
 
-// maxStaleRun is the number of pages in a row of the previous incarnation after
-// which it is believed to be the present one.
+// maxStaleRun is the number of consecutive pages of the previous incarnation after
+// which it is taken for the current one.
 const maxStaleRun = 3
 
-// View is what one engine's cache events say of its cache. It is bounded; what
-// it forgets is merely unknown. Evictions are kept as such, because "evicted"
-// contradicts a hint while "unknown" does not.
+// View is the state of one engine's cache according to its cache events. It is bounded;
+// a prefix dropped from it is merely unknown. Evictions are stored, since an evicted
+// prefix contradicts a hint while an unknown one doesn't.
 type View struct {
 	engine      uint64
 	incarnation uint64
 	previous    uint64
-	next        uint64
+	nextSeq     uint64
 	gaps        uint16
-	// staleRun counts the stale pages in a row.
+	// staleRun is the number of consecutive stale pages.
 	staleRun int
 	table    *table[viewEntry]
 	epoch    time.Time
@@ -27,26 +27,27 @@
 	stats    ViewStats
 }
 
-// viewEntry is a prefix; without tokens it is known to be evicted.
+// viewEntry is the state of a prefix; tokens is 0 if it is known to be evicted.
 type viewEntry struct {
 	tokens uint32
-	// gaps is the view's count when the entry was last told of.
+	// gaps is the view's number of gaps when the entry was last updated.
 	gaps uint16
 }
 
-// ViewStats counts what went wrong with an engine's events.
+// ViewStats counts irregularities in an engine's events.
 type ViewStats struct {
-	// Gaps counts the places where events were missing.
+	// Gaps counts the gaps in the sequence of events.
 	Gaps uint64
 	// Repeats counts events that were older than the last one applied.
 	Repeats uint64
-	// StalePages counts pages of an incarnation that is over.
+	// StalePages counts pages of the previous incarnation.
 	StalePages uint64
-	// Unknown counts events of a kind that this version does not know.
+	// Unknown counts events that are malformed or of an unknown kind.
 	Unknown uint64
 }
 
-// NewView makes a view of engine for capacity prefixes.
+// NewView returns a view of engine with capacity for the given number of prefixes. It
+// returns ErrCapacity if capacity isn't positive.
 func NewView(engine uint64, capacity int, seed uint64, epoch time.Time) (*View, error) {
 	t, err := newTable[viewEntry](capacity, seed)
 	if err != nil {
@@ -55,31 +56,31 @@
 	return &View{engine: engine, table: t, epoch: epoch}, nil
 }
 
-// Next returns the sequence number to ask the engine for.
-func (v *View) Next() uint64 { return v.next }
+// Next returns the sequence number of the next event to request from the engine.
+func (v *View) Next() uint64 { return v.nextSeq }
 
-// Incarnation returns the engine's incarnation that the view describes.
+// Incarnation returns the incarnation of the engine that the view describes.
 func (v *View) Incarnation() uint64 { return v.incarnation }
 
-// Len returns the number of prefixes that the view knows of.
+// Len returns the number of prefixes in the view, including evicted ones.
 func (v *View) Len() int { return v.table.len }
 
-// Stats returns the counters since the view was made.
+// Stats returns the counters since the view was created.
 func (v *View) Stats() ViewStats { return v.stats }
 
-// Apply takes in a page of events.
+// Apply applies a page of events.
 //
-// Pages come late, twice and out of order. A repeated event is left out:
-// applied after a later eviction, it would bring back a prefix that is gone,
-// seen as misses on chats with high confidence. A page of the incarnation
-// before this one is left out too, or it would empty the view of its successor.
+// Pages may be late, repeated or out of order. A repeated event is ignored: applied
+// after a later eviction, it would restore a prefix that is gone, and chats would miss
+// despite a high confidence. A page of the previous incarnation is ignored too, since
+// it would empty the view of the current one.
 func (v *View) Apply(page wire.CacheEvents, now time.Time) {
-	if page.Incarnation != v.incarnation && !v.restart(page.Incarnation) {
+	if page.Incarnation != v.incarnation && !v.switchIncarnation(page.Incarnation) {
 		v.stats.StalePages++
 		return
 	}
 	v.staleRun = 0
-	if page.Next >= v.next {
+	if page.Next >= v.nextSeq {
 		v.lastPage = now
 	}
 	at := stampAt(v.epoch, now)
@@ -89,10 +90,11 @@
 	v.skipTo(page.Next)
 }
 
-// restart empties the view for a new incarnation. It refuses the previous one,
-// unless that keeps coming: then the page that replaced it was the late one, and
-// refusing on would leave the view describing an engine that is gone.
-func (v *View) restart(incarnation uint64) bool {
+// switchIncarnation empties the view for a new incarnation. It rejects the previous one
+// unless maxStaleRun pages of it arrive in a row: then the page that replaced it was
+// the late one, and the view would otherwise keep describing an incarnation that is
+// gone.
+func (v *View) switchIncarnation(incarnation uint64) bool {
 	if incarnation == v.previous && v.previous != 0 {
 		v.staleRun++
 		if v.staleRun < maxStaleRun {
@@ -100,18 +102,18 @@
 		}
 	}
 	v.previous, v.incarnation = v.incarnation, incarnation
-	v.next, v.gaps = 0, 0
+	v.nextSeq, v.gaps = 0, 0
 	v.table.sweep(func(uint64, *viewEntry, stamp) bool { return true })
 	return true
 }
 
 func (v *View) applyEvent(e wire.CacheEvent, at stamp) {
-	if e.Seq < v.next {
+	if e.Seq < v.nextSeq {
 		v.stats.Repeats++
 		return
 	}
 	v.skipTo(e.Seq)
-	v.next = e.Seq + 1
+	v.nextSeq = e.Seq + 1
 	switch {
 	case e.Kind == wire.CacheStored && e.Tokens > 0:
 		v.set(e.Prefix, clampTokens(e.Tokens), at)
@@ -122,15 +124,15 @@
 	}
 }
 
-// skipTo notes a gap if events before seq are missing. The missing ones may
-// have been evictions: trusting the older entries as before would send chats to
-// an engine that dropped them, seen as misses after each gap; deleting them
+// skipTo records a gap if events before seq are missing. The missing ones may have been
+// evictions: with unchanged confidence in older entries, chats would be sent to an
+// engine that has evicted their prefix, and miss after each gap. Deleting the entries
 // would lose what mostly still holds.
 func (v *View) skipTo(seq uint64) {
-	if seq <= v.next {
+	if seq <= v.nextSeq {
 		return
 	}
-	v.next = seq
+	v.nextSeq = seq
 	v.stats.Gaps++
 	if v.gaps < 1<<16-1 {
 		v.gaps++
@@ -142,24 +144,24 @@
 	*e = viewEntry{tokens: tokens, gaps: v.gaps}
 }
 
-// fact is what a view says of one prefix.
-type fact struct {
+// prefixState is what a view reports of one prefix.
+type prefixState struct {
 	// tokens is the cached length; 0 means that the prefix was evicted.
 	tokens int
-	// confidence is how far to trust that, 0 if nothing is known.
+	// confidence is the trust in that state, 0 if nothing is known.
 	confidence float64
-	// age is how long ago the view was told.
+	// age is the time since the entry was last updated.
 	age time.Duration
 }
 
-func (v *View) lookup(prefix uint64, now time.Time) fact {
-	e, told := v.table.get(prefix)
+func (v *View) lookup(prefix uint64, now time.Time) prefixState {
+	e, reportedAt := v.table.get(prefix)
 	if e == nil {
-		return fact{}
+		return prefixState{}
 	}
 	c := gapConfidence(int(v.gaps) - int(e.gaps))
 	if now.Sub(v.lastPage) > ViewStaleAfter {
 		c *= StaleFactor
 	}
-	return fact{tokens: int(e.tokens), confidence: c, age: told.age(stampAt(v.epoch, now))}
+	return prefixState{tokens: int(e.tokens), confidence: c, age: reportedAt.age(stampAt(v.epoch, now))}
 }
