--- a/internal/decide/rendezvous/assign.go
+++ b/internal/decide/rendezvous/assign.go
@@ -2,102 +2,104 @@
 
 import "container/heap"
 
-// Assign gives each key to a node that has room and writes the nodes' indexes
-// into dst, key for key; a key that finds no room gets NoOwner. room says how
-// many keys each node takes, and is reduced by those given.
+// Assign assigns each key to a node with capacity left and writes the indexes of the
+// nodes into dst, in the order of keys; a key for which no capacity is left gets
+// NoOwner. capacity holds the number of keys that each node takes, and is reduced by
+// those assigned.
 //
-// Of all pairs of a key without owner and a node with room, the one with the
-// highest score is settled first. Hence the result doesn't depend on the order
-// of keys or nodes, and a node that is lost or added changes only its own keys
-// and those that contend with them for room.
-func Assign(dst []int, keys, nodes []uint64, room []int) []int {
+// Of all pairs of an unassigned key and a node with capacity, the one with the highest
+// score is assigned first. Hence the result doesn't depend on the order of keys or
+// nodes, and a node that is removed or added affects only its own keys and those that
+// compete with them for capacity.
+func Assign(dst []int, keys, nodes []uint64, capacity []int) []int {
 	dst = dst[:0]
 	for range keys {
 		dst = append(dst, NoOwner)
 	}
-	a := newAssignment(keys, nodes, room)
-	for len(a.pairs) > 0 && len(a.open) > 0 {
-		a.settle(dst)
+	a := newAssignment(keys, nodes, capacity)
+	for len(a.pairs) > 0 && len(a.available) > 0 {
+		a.assignNext(dst)
 	}
 	return dst
 }
 
-// pair is a key and the node with room that scored best when last looked at.
+// pair is a key and the node that scored highest for it among those that had capacity
+// when the pair was formed.
 type pair struct {
 	score     uint64
 	key, node int
 }
 
-// assignment is the state of one run of Assign: a heap of the keys that have
-// no owner yet, the highest score first.
+// assignment is the state of one call of Assign: a heap of the unassigned keys, the
+// highest score first.
 type assignment struct {
 	keys, nodes []uint64
-	room        []int
-	// open are the indexes of the nodes that have room.
-	open  []int
-	pairs []pair
+	capacity    []int
+	// available are the indexes of the nodes with capacity left.
+	available []int
+	pairs     []pair
 }
 
-func newAssignment(keys, nodes []uint64, room []int) *assignment {
-	a := &assignment{keys: keys, nodes: nodes, room: room}
-	a.reopen()
-	if len(a.open) == 0 {
+func newAssignment(keys, nodes []uint64, capacity []int) *assignment {
+	a := &assignment{keys: keys, nodes: nodes, capacity: capacity}
+	a.listAvailable()
+	if len(a.available) == 0 {
 		return a
 	}
 	a.pairs = make([]pair, len(keys))
 	for i := range keys {
-		a.pairs[i] = a.best(i)
+		a.pairs[i] = a.bestPair(i)
 	}
 	heap.Init(a)
 	return a
 }
 
-// settle gives the first key in the heap its node. If the node has filled up
-// since it was looked at, the key goes back into the heap with the next best:
-// scores only fall, so no pair is overlooked.
-func (a *assignment) settle(dst []int) {
+// assignNext assigns the first key in the heap to its node. If the node has filled up
+// since the pair was formed, the key returns to the heap with its next best node:
+// scores only decrease, so no pair is missed.
+func (a *assignment) assignNext(dst []int) {
 	first := a.pairs[0]
-	if a.room[first.node] == 0 {
-		a.pairs[0] = a.best(first.key)
+	if a.capacity[first.node] == 0 {
+		a.pairs[0] = a.bestPair(first.key)
 		heap.Fix(a, 0)
 		return
 	}
 	heap.Pop(a)
 	dst[first.key] = first.node
-	a.room[first.node]--
-	if a.room[first.node] == 0 {
-		a.reopen()
+	a.capacity[first.node]--
+	if a.capacity[first.node] == 0 {
+		a.listAvailable()
 	}
 }
 
-// reopen lists the nodes that have room.
-func (a *assignment) reopen() {
-	a.open = a.open[:0]
-	for i, room := range a.room {
-		if room > 0 {
-			a.open = append(a.open, i)
+// listAvailable updates available from capacity.
+func (a *assignment) listAvailable() {
+	a.available = a.available[:0]
+	for i, left := range a.capacity {
+		if left > 0 {
+			a.available = append(a.available, i)
 		}
 	}
 }
 
-// best pairs a key with the node that scores highest among those with room.
-func (a *assignment) best(key int) pair {
+// bestPair returns the pair of a key and its highest scoring node among the available
+// ones.
+func (a *assignment) bestPair(key int) pair {
 	mixed := Mix(a.keys[key])
-	top := pair{key: key, node: NoOwner}
-	for _, i := range a.open {
+	best := pair{key: key, node: NoOwner}
+	for _, i := range a.available {
 		score := mixed.Score(a.nodes[i])
-		if top.node == NoOwner || precedes(score, a.nodes[i], top.score, a.nodes[top.node]) {
-			top.score, top.node = score, i
+		if best.node == NoOwner || precedes(score, a.nodes[i], best.score, a.nodes[best.node]) {
+			best.score, best.node = score, i
 		}
 	}
-	return top
+	return best
 }
 
 // Len implements heap.Interface.
 func (a *assignment) Len() int { return len(a.pairs) }
 
-// Less implements heap.Interface. Equal scores are broken by identifiers, never
-// by position.
+// Less implements heap.Interface. Ties are broken by identifiers, never by position.
 func (a *assignment) Less(i, j int) bool {
 	x, y := a.pairs[i], a.pairs[j]
 	if x.score != y.score {
@@ -112,7 +114,7 @@
 // Swap implements heap.Interface.
 func (a *assignment) Swap(i, j int) { a.pairs[i], a.pairs[j] = a.pairs[j], a.pairs[i] }
 
-// Push implements heap.Interface; nothing is added after the start.
+// Push implements heap.Interface. It isn't used: no pair is added after heap.Init.
 func (a *assignment) Push(x any) { a.pairs = append(a.pairs, x.(pair)) }
 
 // Pop implements heap.Interface.
--- a/internal/decide/rendezvous/assign_test.go
+++ b/internal/decide/rendezvous/assign_test.go
@@ -17,15 +17,16 @@
 	return rapid.SliceOfN(rapid.IntRange(0, 4), len(nodes), len(nodes)).Draw(t, name)
 }
 
-// assignSlowly looks at every pair of a key and a node before each step.
-func assignSlowly(keys, nodes []uint64, room []int) []int {
+// assignNaively is a reference for Assign that compares all pairs of a key and a node
+// in each step.
+func assignNaively(keys, nodes []uint64, capacity []int) []int {
 	owners := slices.Repeat([]int{NoOwner}, len(keys))
 	for {
 		key, node := NoOwner, NoOwner
 		for k := range keys {
 			for n := range nodes {
-				free := owners[k] == NoOwner && room[n] > 0
-				if free && (key == NoOwner || Score(keys[k], nodes[n]) > Score(keys[key], nodes[node])) {
+				eligible := owners[k] == NoOwner && capacity[n] > 0
+				if eligible && (key == NoOwner || Score(keys[k], nodes[n]) > Score(keys[key], nodes[node])) {
 					key, node = k, n
 				}
 			}
@@ -34,21 +35,21 @@
 			return owners
 		}
 		owners[key] = node
-		room[node]--
+		capacity[node]--
 	}
 }
 
-func TestAssignSettlesTheBestPairFirst(t *testing.T) {
+func TestAssignTakesBestPairFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keys, nodes := drawKeys(t), drawNodes(t)
-		room := drawCounts(t, nodes, "room")
-		left := slices.Clone(room)
-		require.Equal(t, assignSlowly(keys, nodes, room), append([]int{}, Assign(nil, keys, nodes, left)...))
-		require.Equal(t, room, left)
+		capacity := drawCounts(t, nodes, "room")
+		left := slices.Clone(capacity)
+		require.Equal(t, assignNaively(keys, nodes, capacity), append([]int{}, Assign(nil, keys, nodes, left)...))
+		require.Equal(t, capacity, left)
 	})
 }
 
-func TestSpreadIsEvenAndIndependentOfOrder(t *testing.T) {
+func TestSpreadIsEvenAndOrderIndependent(t *testing.T) {
 	require.Equal(t, []int{NoOwner}, Spread(nil, []uint64{1}, nil, nil, 0))
 	rapid.Check(t, func(t *rapid.T) {
 		keys, nodes := drawKeys(t), drawNodes(t)
@@ -69,14 +70,14 @@
 	})
 }
 
-// requireEven checks that each node got its share, and that left-over keys went
-// first to nodes that would have none, last to those past the limit.
+// requireEven checks that each node got its share, and that the remaining keys went
+// first to nodes that would have none, and last to those whose load reached the limit.
 func requireEven(t *rapid.T, before, after []int, keys, limit int) {
 	share := keys / len(before)
-	given := 0
-	worstGiven, bestSpared := 0, 2
+	assigned := 0
+	maxTierWithExtra, minTierWithout := 0, 2
 	for n := range before {
-		given += after[n] - before[n]
+		assigned += after[n] - before[n]
 		tier := 0
 		switch load := before[n] + share; {
 		case load >= limit && load > 0:
@@ -86,15 +87,15 @@
 		}
 		switch after[n] - before[n] {
 		case share:
-			bestSpared = min(bestSpared, tier)
+			minTierWithout = min(minTierWithout, tier)
 		case share + 1:
-			worstGiven = max(worstGiven, tier)
+			maxTierWithExtra = max(maxTierWithExtra, tier)
 		default:
 			require.Fail(t, "uneven")
 		}
 	}
-	require.Equal(t, keys, given)
-	require.LessOrEqual(t, worstGiven, bestSpared)
+	require.Equal(t, keys, assigned)
+	require.LessOrEqual(t, maxTierWithExtra, minTierWithout)
 }
 
 func BenchmarkSpread850x380(b *testing.B) {
--- a/internal/decide/rendezvous/rendezvous_test.go
+++ b/internal/decide/rendezvous/rendezvous_test.go
@@ -13,7 +13,7 @@
 	return rapid.SliceOfNDistinct(rapid.Uint64(), 1, 40, rapid.ID[uint64]).Draw(t, "nodes")
 }
 
-func TestRankingsAgree(t *testing.T) {
+func TestRankingsAgreeInAnyNodeOrder(t *testing.T) {
 	require.Equal(t, NoOwner, Owner(1, nil))
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := drawNodes(t)
@@ -26,30 +26,30 @@
 
 		reversed := slices.Clone(nodes)
 		slices.Reverse(reversed)
-		require.Equal(t, nodes[order[0]], reversed[Owner(key, reversed)], "position must not matter")
+		require.Equal(t, nodes[order[0]], reversed[Owner(key, reversed)], "the result must not depend on positions")
 	})
 }
 
-func TestRemovalKeepsTheOrderOfTheOthers(t *testing.T) {
+func TestRemovalKeepsOrderOfRemainingNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := drawNodes(t)
 		key := rapid.Uint64().Draw(t, "key")
-		gone := rapid.IntRange(0, len(nodes)-1).Draw(t, "gone")
-		rest := slices.Delete(slices.Clone(nodes), gone, gone+1)
+		removed := rapid.IntRange(0, len(nodes)-1).Draw(t, "gone")
+		remaining := slices.Delete(slices.Clone(nodes), removed, removed+1)
 		var want, got []uint64
 		for _, i := range Order(nil, key, nodes) {
-			if i != gone {
+			if i != removed {
 				want = append(want, nodes[i])
 			}
 		}
-		for _, i := range Order(nil, key, rest) {
-			got = append(got, rest[i])
+		for _, i := range Order(nil, key, remaining) {
+			got = append(got, remaining[i])
 		}
 		require.Equal(t, want, got)
 	})
 }
 
-func TestSharesAreEven(t *testing.T) {
+func TestKeysAreEvenlyDistributed(t *testing.T) {
 	const keys, n = 90_000, 9
 	var named, counted []uint64
 	for i := range uint64(n) {
@@ -73,7 +73,7 @@
 	return rapid.SliceOfN(rapid.Uint64(), 850, 850).Example(1)
 }
 
-func TestNoAllocation(t *testing.T) {
+func TestRankingDoesNotAllocate(t *testing.T) {
 	nodes := manyNodes()
 	dst := make([]int, 0, len(nodes))
 	require.Zero(t, testing.AllocsPerRun(10, func() {
--- a/internal/decide/rendezvous/spread.go
+++ b/internal/decide/rendezvous/spread.go
@@ -1,15 +1,15 @@
 package rendezvous
 
-// Spread gives the keys of one group to the nodes as evenly as whole keys
-// allow: each node gets the same number, and what is left over goes to as many
-// nodes, one key each. It writes the nodes' indexes into dst, key for key.
+// Spread assigns the keys of one group to the nodes as evenly as possible: each node
+// gets the same number, and the remainder goes to as many nodes, one key each. It
+// writes the indexes of the nodes into dst, in the order of keys.
 //
-// load is how many keys of other groups each node has, and is raised by those
-// given. Left-over keys go first to nodes that would have none, then to those
+// load holds the number of keys of other groups by node, and is increased by those
+// assigned. The remaining keys go first to nodes that would have none, then to those
 // whose load stays within limit, and only then to the others.
 //
-// Plain rendezvous hashing, see Owner, moves fewer keys but leaves some nodes
-// with none and gives others several times the mean when keys are few.
+// Plain rendezvous hashing, see Owner, moves fewer keys but, when keys are few, leaves
+// some nodes with none and gives others several times the mean.
 func Spread(dst []int, keys, nodes []uint64, load []int, limit int) []int {
 	dst = dst[:0]
 	for range keys {
@@ -19,12 +19,12 @@
 		return dst
 	}
 	share := len(keys) / len(nodes)
-	assignRest(dst, keys, nodes, roomWhere(load, share, anyLoad))
+	assignRemaining(dst, keys, nodes, capacityWhere(load, share, anyLoad))
 	idle := func(load int) bool { return load+share == 0 }
-	within := func(load int) bool { return load+share < limit && !idle(load) }
-	past := func(load int) bool { return load+share >= limit && !idle(load) }
-	for _, preferred := range []func(load int) bool{idle, within, past} {
-		assignRest(dst, keys, nodes, roomWhere(load, 1, preferred))
+	underLimit := func(load int) bool { return load+share < limit && !idle(load) }
+	atLimit := func(load int) bool { return load+share >= limit && !idle(load) }
+	for _, preferred := range []func(load int) bool{idle, underLimit, atLimit} {
+		assignRemaining(dst, keys, nodes, capacityWhere(load, 1, preferred))
 	}
 	for _, node := range dst {
 		load[node]++
@@ -34,28 +34,29 @@
 
 func anyLoad(int) bool { return true }
 
-// roomWhere gives the same room to each node whose load is eligible.
-func roomWhere(load []int, room int, eligible func(load int) bool) []int {
+// capacityWhere returns the capacity of each node: the given one where the load is
+// eligible, else 0.
+func capacityWhere(load []int, capacity int, eligible func(load int) bool) []int {
 	out := make([]int, len(load))
 	for node := range out {
 		if eligible(load[node]) {
-			out[node] = room
+			out[node] = capacity
 		}
 	}
 	return out
 }
 
-// assignRest assigns the keys that have no owner yet.
-func assignRest(dst []int, keys, nodes []uint64, room []int) {
-	var rest []uint64
-	var at []int
+// assignRemaining assigns the keys that have no owner yet.
+func assignRemaining(dst []int, keys, nodes []uint64, capacity []int) {
+	var remaining []uint64
+	var positions []int
 	for i, owner := range dst {
 		if owner == NoOwner {
-			rest = append(rest, keys[i])
-			at = append(at, i)
+			remaining = append(remaining, keys[i])
+			positions = append(positions, i)
 		}
 	}
-	for i, owner := range Assign(nil, rest, nodes, room) {
-		dst[at[i]] = owner
+	for i, owner := range Assign(nil, remaining, nodes, capacity) {
+		dst[positions[i]] = owner
 	}
 }
