--- a/internal/store/platform/backoff.go
+++ b/internal/store/platform/backoff.go
@@ -14,13 +14,13 @@
 	DefaultBackoffMax  = 1 * time.Second
 )
 
-// Backoff spaces retries: the n-th pause is random between nothing and
-// Base·2ⁿ, at most Max. Without the randomness all routers that lost the store
-// at one moment would come back to it at one moment. Zero fields take the
-// defaults.
+// Backoff is an exponential backoff with full jitter: the n-th delay is random
+// between 0 and Base·2ⁿ, at most Max. Without jitter, all routers that lost the
+// store at the same moment would retry at the same moment. Zero fields take
+// the defaults.
 type Backoff struct {
 	Base, Max time.Duration
-	// Rand returns a number in [0,1); rand.Float64 where nil.
+	// Rand returns a number in [0,1). Nil means rand.Float64.
 	Rand func() float64
 }
 
@@ -37,8 +37,8 @@
 	return b
 }
 
-// pause returns the pause after the n-th try, counted from 0.
-func (b Backoff) pause(n int) time.Duration {
+// delay returns the delay after the n-th attempt, counted from 0.
+func (b Backoff) delay(n int) time.Duration {
 	limit := b.Base
 	for ; n > 0 && limit < b.Max; n-- {
 		limit *= 2
@@ -46,7 +46,7 @@
 	return time.Duration(b.Rand() * float64(min(limit, b.Max)))
 }
 
-// wait pauses after the n-th try and reports whether ctx allows another.
+// wait sleeps after the n-th attempt and reports whether ctx allows another.
 func (b Backoff) wait(ctx context.Context, n int) bool {
-	return pause.For(ctx, b.pause(n)) && ctx.Err() == nil
+	return pause.For(ctx, b.delay(n)) && ctx.Err() == nil
 }
--- a/internal/store/platform/breaker.go
+++ b/internal/store/platform/breaker.go
@@ -11,8 +11,8 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrBreakerOpen marks, within an ErrUnavailable, a call that the breaker kept
-// from the store.
+// ErrBreakerOpen is wrapped by the ErrUnavailable of a call that the circuit
+// breaker rejected without sending it to the store.
 var ErrBreakerOpen = errs.Class("platform: breaker open")
 
 // Defaults of BreakerOptions.
@@ -22,7 +22,7 @@
 	DefaultMaxOpenFor      = 8 * time.Second
 )
 
-// The row that is read to probe the store. It need not exist.
+// The row that a probe of the store reads. It need not exist.
 const (
 	probeTable = "probe"
 	probeKey   = "probe"
@@ -30,14 +30,14 @@
 
 // BreakerOptions configures a Breaker. Zero fields take the defaults.
 type BreakerOptions struct {
-	// Failures is how many calls in a row must fail to open the breaker.
+	// Failures is the number of consecutive failed calls that opens the breaker.
 	Failures uint32
-	// OpenFor is the shortest time from opening to the first probe.
+	// OpenFor is the minimum time from opening to the first probe.
 	OpenFor time.Duration
-	// MaxOpenFor bounds the random time that is added to OpenFor. The bound
-	// starts at OpenFor and doubles with every probe that fails.
+	// MaxOpenFor limits the random time that is added to OpenFor. The upper
+	// bound of that time starts at OpenFor and doubles with each failed probe.
 	MaxOpenFor time.Duration
-	// Rand returns a number in [0,1); rand.Float64 where nil.
+	// Rand returns a number in [0,1). Nil means rand.Float64.
 	Rand func() float64
 }
 
@@ -57,9 +57,9 @@
 	return o
 }
 
-// Breaker keeps calls away from a Table that fails, so that callers hear at
-// once that nothing was done, and a store that recovers isn't met by all of
-// them together.
+// Breaker is a circuit breaker in front of a Table. While it is open, calls
+// fail immediately without any effect, and a recovering store doesn't receive
+// all callers at once. It is safe for concurrent use.
 type Breaker struct {
 	next    Table
 	breaker *gobreaker.TwoStepCircuitBreaker[struct{}]
@@ -67,16 +67,16 @@
 	openFor time.Duration
 
 	mu sync.Mutex
-	// probeAt is when the first probe may go out, later than gobreaker's own
-	// fixed timeout by a random time.
+	// probeAt is the earliest time of the next probe: gobreaker's fixed
+	// timeout plus a random time.
 	probeAt time.Time
-	// failedProbes counts the probes that failed since the breaker opened.
+	// failedProbes is the number of failed probes since the breaker opened.
 	failedProbes int
 }
 
 var _ Table = (*Breaker)(nil)
 
-// NewBreaker returns a Breaker before next.
+// NewBreaker returns a Breaker that passes calls on to next.
 func NewBreaker(next Table, opts BreakerOptions) *Breaker {
 	opts = opts.withDefaults()
 	b := &Breaker{
@@ -90,14 +90,15 @@
 			return c.ConsecutiveFailures >= opts.Failures
 		},
 		IsSuccessful:  func(err error) bool { return err == nil },
-		IsExcluded:    func(err error) bool { return errors.Is(err, errNeutral) },
-		OnStateChange: b.changed,
+		IsExcluded:    func(err error) bool { return errors.Is(err, errExcluded) },
+		OnStateChange: b.onStateChange,
 	})
 	return b
 }
 
-// changed sets the time of the next probe. gobreaker calls it under its lock.
-func (b *Breaker) changed(_ string, from, to gobreaker.State) {
+// onStateChange sets the time of the next probe. gobreaker calls it with its
+// lock held.
+func (b *Breaker) onStateChange(_ string, from, to gobreaker.State) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
@@ -107,24 +108,25 @@
 		if from == gobreaker.StateHalfOpen {
 			b.failedProbes++
 		}
-		b.probeAt = time.Now().Add(b.openFor + b.backoff.pause(b.failedProbes))
+		b.probeAt = time.Now().Add(b.openFor + b.backoff.delay(b.failedProbes))
 	}
 }
 
 // Commit implements Table.
 func (b *Breaker) Commit(ctx context.Context, use Use, writes ...Write) ([]Row, error) {
-	if err := b.probeFirst(ctx, use); err != nil {
+	if err := b.probeBeforeWrite(ctx, use); err != nil {
 		return nil, err
 	}
-	return guarded(ctx, b, func() ([]Row, error) {
+	return execute(ctx, b, func() ([]Row, error) {
 		return b.next.Commit(ctx, use, writes...)
 	})
 }
 
-// probeFirst reads before the first write after an outage. Were the write
-// itself the probe, a store that still hangs would leave its outcome unknown;
-// a read that fails lets the write be refused as not executed.
-func (b *Breaker) probeFirst(ctx context.Context, use Use) error {
+// probeBeforeWrite reads from the store before the first write after an
+// outage. If the write itself were the probe, a store that still hangs would
+// leave its outcome unknown; after a failed read the write is rejected as not
+// executed.
+func (b *Breaker) probeBeforeWrite(ctx context.Context, use Use) error {
 	if b.breaker.State() != gobreaker.StateHalfOpen {
 		return nil
 	}
@@ -137,35 +139,37 @@
 
 // Get implements Table.
 func (b *Breaker) Get(ctx context.Context, use Use, table, key string) (Row, error) {
-	return guarded(ctx, b, func() (Row, error) {
+	return execute(ctx, b, func() (Row, error) {
 		return b.next.Get(ctx, use, table, key)
 	})
 }
 
 // Scan implements Table.
 func (b *Breaker) Scan(ctx context.Context, use Use, table, from, to string, limit int) ([]Row, error) {
-	return guarded(ctx, b, func() ([]Row, error) {
+	return execute(ctx, b, func() ([]Row, error) {
 		return b.next.Scan(ctx, use, table, from, to, limit)
 	})
 }
 
-// guarded makes a call if the breaker lets it, and tells the breaker how it went.
-func guarded[T any](ctx context.Context, b *Breaker, call func() (T, error)) (T, error) {
+// execute makes a call if the breaker allows it, and reports its result to the
+// breaker.
+func execute[T any](ctx context.Context, b *Breaker, call func() (T, error)) (T, error) {
 	var v T
 	done, err := b.allow()
 	if err != nil {
 		return v, err
 	}
-	// A panic in the call must reach the breaker too: a probe that never
-	// reports would keep it half-open, refusing everything, for good.
-	var judged error = errFailed
-	defer func() { done(judged) }()
+	// A panic in the call must be reported too: a probe without a result would
+	// leave the breaker half-open, rejecting all calls, forever.
+	var result error = errFailed
+	defer func() { done(result) }()
 	v, err = call()
-	judged = judge(ctx, err)
+	result = classify(ctx, err)
 	return v, err
 }
 
-// allow asks the breaker for one call.
+// allow admits one call and returns the function that takes its result, or
+// returns ErrUnavailable.
 func (b *Breaker) allow() (func(error), error) {
 	b.mu.Lock()
 	early := time.Now().Before(b.probeAt)
@@ -180,30 +184,32 @@
 	return done, nil
 }
 
-// verdict is what the breaker is told of a call that did not succeed.
-type verdict string
+// callResult is the result that the breaker receives for a call that did not
+// succeed.
+type callResult string
 
 // Error implements error.
-func (v verdict) Error() string { return "platform: " + string(v) }
+func (r callResult) Error() string { return "platform: " + string(r) }
 
 const (
-	errFailed  verdict = "failed call"
-	errNeutral verdict = "call says nothing of the store"
+	errFailed   callResult = "call failed"
+	errExcluded callResult = "call excluded from the failure count"
 )
 
-// judge sorts the result of a call into success, failure, or neither.
-func judge(ctx context.Context, err error) error {
+// classify returns nil for a call that shows a healthy store, errFailed for one
+// that shows a failing store, and errExcluded for one that shows neither.
+func classify(ctx context.Context, err error) error {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
-		// The caller gave up; a wave of impatient callers must not cut off
-		// the others.
-		return errNeutral
+		// The caller canceled; many cancellations at once must not block the
+		// other callers.
+		return errExcluded
 	case ErrBudget.Has(err), ErrInvalid.Has(err):
-		return errNeutral
+		return errExcluded
 	case ErrUnavailable.Has(err), ErrOutcomeUnknown.Has(err):
 		return errFailed
 	default:
-		// A conflict or a missing row is a healthy store's answer.
+		// A healthy store replies with a conflict or a missing row too.
 		return nil
 	}
 }
--- a/internal/store/platform/budget.go
+++ b/internal/store/platform/budget.go
@@ -10,21 +10,23 @@
 
 // Defaults of BudgetOptions.
 const (
-	// DefaultBurst is how many seconds' worth of calls may come at once.
+	// DefaultBurst is the time whose calls may be made at once.
 	DefaultBurst = 2 * time.Second
-	// minBurst keeps the reserves below apart when the rate is small.
+	// minBurst is the minimum bucket size, in calls. It keeps the reserves of
+	// the uses distinct at low rates.
 	minBurst = 10
 )
 
-// Rates bounds a process's calls to the store, in calls a second. A
-// transaction is one write, whatever the number of its rows.
+// Rates limits a process's calls to the store, in calls per second. A
+// transaction counts as one write, regardless of its number of rows.
 type Rates struct {
 	Reads, Writes float64
 }
 
-// reserves is the part of a full bucket that a use leaves to those before it.
-// When the total runs short, the bucket drains and the uses are cut off from
-// the bottom of this list upwards: the audit trail first, claims last.
+// reserves is the share of a full bucket that each use leaves to the uses of
+// higher priority, which are listed before it. When the total runs short, the
+// bucket drains and uses are rejected from the bottom of the list upwards:
+// retention first, claims last.
 var reserves = map[Use]float64{
 	UseClaim:     0,
 	UseConfig:    0.2,
@@ -33,41 +35,42 @@
 	UseRetention: 0.75,
 }
 
-// paidBy names the uses that spend the bound of another use, and not one of
-// their own. They leave their reserve of that bound too.
+// chargedTo maps uses that are charged to the limit of another use and have no
+// limit of their own. They leave their reserve of that limit unused too.
 //
-// What goes wrong without it: the pages of retention take the last of what a
-// router may spend on claims, and calls that must not be repeated are refused
-// while the store is idle. One sees refusals for the budget whenever it runs.
-var paidBy = map[Use]Use{UseRetention: UseClaim}
+// Without the reserve, the pages that retention reads exhaust the router's
+// budget for claims, and non-idempotent requests are refused while the store is
+// idle. It shows as refusals for lack of budget whenever retention runs.
+var chargedTo = map[Use]Use{UseRetention: UseClaim}
 
-// otherReserve is the reserve of a use that is not listed.
-const otherReserve = 0.75
+// defaultReserve is the reserve of a use that is not in reserves.
+const defaultReserve = 0.75
 
 func reserve(use Use) float64 {
 	if r, ok := reserves[use]; ok {
 		return r
 	}
-	return otherReserve
+	return defaultReserve
 }
 
 // BudgetOptions configures a Budget.
 type BudgetOptions struct {
-	// Total bounds all uses together: this process's share of what the
-	// platform gives the fleet.
+	// Total limits all uses together. It is this process's share of the rates
+	// that the platform grants the fleet.
 	Total Rates
-	// PerUse bounds single uses besides; a use that is not listed is bounded
-	// by the total alone. Without a bound on claims a flood of them would
+	// PerUse limits single uses in addition; a use that is not listed has only
+	// the limit of the total. Without a limit on claims a flood of them would
 	// starve the configuration.
 	PerUse map[Use]Rates
-	// Burst is the length of the burst; DefaultBurst where zero.
+	// Burst is the time whose calls may be made at once. Zero means
+	// DefaultBurst.
 	Burst time.Duration
-	// Now is the clock; time.Now where nil.
+	// Now is the clock. Nil means time.Now.
 	Now func() time.Time
 }
 
-// Budget is a process's share of the store's reads and writes. It is safe for
-// concurrent use.
+// Budget limits the rates of a process's reads and writes of the store. It is
+// safe for concurrent use.
 type Budget struct {
 	now    func() time.Time
 	burst  time.Duration
@@ -93,30 +96,31 @@
 	return b
 }
 
-// SetTotal changes the total, as the share does when the fleet grows or shrinks.
+// SetTotal changes the limit of all uses together. A process's share changes
+// when the fleet grows or shrinks.
 func (b *Budget) SetTotal(r Rates) {
 	now := b.now()
 	b.reads.resize(now, r.Reads, b.burst)
 	b.writes.resize(now, r.Writes, b.burst)
 }
 
-// takeRead takes a read for use, or returns ErrBudget.
+// takeRead takes a token for a read, or returns ErrBudget.
 func (b *Budget) takeRead(use Use) error {
 	if !b.reads.take(b.now(), use) {
-		return ErrBudget.New("reads of use %s", use)
+		return ErrBudget.New("no reads left for use %s", use)
 	}
 	return nil
 }
 
-// takeWrite takes a write for use, or returns ErrBudget.
+// takeWrite takes a token for a write, or returns ErrBudget.
 func (b *Budget) takeWrite(use Use) error {
 	if !b.writes.take(b.now(), use) {
-		return ErrBudget.New("writes of use %s", use)
+		return ErrBudget.New("no writes left for use %s", use)
 	}
 	return nil
 }
 
-// bucket is a token bucket that keeps reserves for the uses that go first.
+// bucket is a token bucket that reserves tokens for uses of higher priority.
 type bucket struct {
 	mu     sync.Mutex
 	total  *rate.Limiter
@@ -134,7 +138,7 @@
 	return rate.NewLimiter(rate.Limit(perSecond), burstSize(perSecond, burst))
 }
 
-// burstSize returns the size of a bucket, in calls. A rate of 0 allows nothing.
+// burstSize returns the size of a bucket, in calls. A rate of 0 allows no calls.
 func burstSize(perSecond float64, burst time.Duration) int {
 	if perSecond <= 0 {
 		return 0
@@ -142,34 +146,35 @@
 	return max(minBurst, int(perSecond*burst.Seconds()))
 }
 
-// take takes one token for use, unless that would touch the reserve of the
-// uses before it.
+// take takes one token for use and reports whether it did. It leaves the
+// reserve of the uses of higher priority untouched.
 func (b *bucket) take(now time.Time, use Use) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	left := b.total.TokensAt(now) - 1
-	if left < reserve(use)*float64(b.total.Burst()) {
+	remaining := b.total.TokensAt(now) - 1
+	if remaining < reserve(use)*float64(b.total.Burst()) {
 		return false
 	}
-	if !b.takeOwn(now, use) {
+	if !b.takePerUse(now, use) {
 		return false
 	}
 	return b.total.AllowN(now, 1)
 }
 
-// takeOwn takes a token from the bound of use, or of the use that pays for it.
-func (b *bucket) takeOwn(now time.Time, use Use) bool {
-	payer, shared := paidBy[use]
+// takePerUse takes a token from the limit of use, or of the use that it is
+// charged to.
+func (b *bucket) takePerUse(now time.Time, use Use) bool {
+	charged, shared := chargedTo[use]
 	if !shared {
-		own := b.perUse[use]
-		return own == nil || own.AllowN(now, 1)
+		limiter := b.perUse[use]
+		return limiter == nil || limiter.AllowN(now, 1)
 	}
-	own := b.perUse[payer]
-	if own == nil {
+	limiter := b.perUse[charged]
+	if limiter == nil {
 		return true
 	}
-	left := own.TokensAt(now) - 1
-	return left >= reserve(use)*float64(own.Burst()) && own.AllowN(now, 1)
+	remaining := limiter.TokensAt(now) - 1
+	return remaining >= reserve(use)*float64(limiter.Burst()) && limiter.AllowN(now, 1)
 }
 
 func (b *bucket) resize(now time.Time, perSecond float64, burst time.Duration) {
@@ -179,20 +184,20 @@
 	b.total.SetBurstAt(now, burstSize(perSecond, burst))
 }
 
-// budgeted is the Table of Budgeted.
-type budgeted struct {
+// budgetTable is the Table that Budgeted returns.
+type budgetTable struct {
 	next   Table
 	budget *Budget
 }
 
-// Budgeted returns a Table that makes a call of next only where budget allows,
-// and otherwise returns ErrBudget at once.
+// Budgeted returns a Table that calls next only if budget allows the call, and
+// returns ErrBudget immediately otherwise.
 func Budgeted(next Table, budget *Budget) Table {
-	return &budgeted{next: next, budget: budget}
+	return &budgetTable{next: next, budget: budget}
 }
 
 // Commit implements Table.
-func (b *budgeted) Commit(ctx context.Context, use Use, writes ...Write) ([]Row, error) {
+func (b *budgetTable) Commit(ctx context.Context, use Use, writes ...Write) ([]Row, error) {
 	if err := b.budget.takeWrite(use); err != nil {
 		return nil, err
 	}
@@ -200,7 +205,7 @@
 }
 
 // Get implements Table.
-func (b *budgeted) Get(ctx context.Context, use Use, table, key string) (Row, error) {
+func (b *budgetTable) Get(ctx context.Context, use Use, table, key string) (Row, error) {
 	if err := b.budget.takeRead(use); err != nil {
 		return Row{}, err
 	}
@@ -208,7 +213,7 @@
 }
 
 // Scan implements Table.
-func (b *budgeted) Scan(ctx context.Context, use Use, table, from, to string, limit int) ([]Row, error) {
+func (b *budgetTable) Scan(ctx context.Context, use Use, table, from, to string, limit int) ([]Row, error) {
 	if err := b.budget.takeRead(use); err != nil {
 		return nil, err
 	}
--- a/internal/store/platform/check.go
+++ b/internal/store/platform/check.go
@@ -5,10 +5,11 @@
 	"unicode/utf8"
 )
 
-// rowID names a row within a transaction.
+// rowID identifies a row within a transaction.
 type rowID struct{ table, key string }
 
-// CheckWrites reports, as ErrInvalid, what makes a transaction impossible.
+// CheckWrites validates a transaction: the number of its writes, their names
+// and conditions, and that each row occurs once. Errors: ErrInvalid.
 func CheckWrites(writes []Write) error {
 	if len(writes) == 0 || len(writes) > MaxWrites {
 		return ErrInvalid.New("%d writes, want 1 to %d", len(writes), MaxWrites)
@@ -30,11 +31,13 @@
 	return nil
 }
 
-// CheckName reports, as ErrInvalid, a table or key that the protocol cannot carry.
+// CheckName validates the names of a table and a row: they must be non-empty
+// UTF-8 of at most MaxName bytes. Errors: ErrInvalid.
 //
-// JSON replaces bytes that are not UTF-8 by U+FFFD. Two different keys would
-// then name one row, and the second caller of a non-idempotent service would be
-// told that its work had already run. Such keys are refused before they are sent.
+// JSON encoding replaces invalid UTF-8 by U+FFFD. Two different keys would then
+// name one row, and the second caller of a non-idempotent service would be told
+// that its request had already been executed. Such keys are rejected before
+// they are sent.
 func CheckName(table, key string) error {
 	if table == "" || key == "" {
 		return ErrInvalid.New("row %q/%q lacks a table or a key", table, key)
@@ -48,7 +51,7 @@
 	return nil
 }
 
-// CheckScan reports, as ErrInvalid, a range that the protocol cannot carry.
+// CheckScan validates the range and the limit of a scan. Errors: ErrInvalid.
 func CheckScan(table, from, to string, limit int) error {
 	if limit < 1 || limit > MaxScanRows {
 		return ErrInvalid.New("limit %d, want 1 to %d", limit, MaxScanRows)
@@ -59,8 +62,9 @@
 	return nil
 }
 
-// CheckObjectName reports, as ErrInvalid, a name that a path cannot carry: on
-// the way, "a//b" and "a/./b" may be rewritten to "a/b", another object.
+// CheckObjectName validates the name of an object. Empty, "." and ".." path
+// elements are not allowed, since an intermediary may rewrite "a//b" and
+// "a/./b" to "a/b", which names another object. Errors: ErrInvalid.
 func CheckObjectName(name string) error {
 	if !utf8.ValidString(name) {
 		return ErrInvalid.New("object name %q is not UTF-8", name)
@@ -73,7 +77,8 @@
 	return nil
 }
 
-// ObjectConflict returns the error for other data under a name in use.
+// ObjectConflict returns the *ConflictError for storing different data under
+// the name of an existing object.
 func ObjectConflict(name string) error {
 	return &ConflictError{Current: Row{Table: ObjectsTable, Key: name, Version: 1}}
 }
--- a/internal/store/platform/commit_once.go
+++ b/internal/store/platform/commit_once.go
@@ -5,20 +5,21 @@
 	"errors"
 )
 
-// Marker is the row by which a writer recognises its own transaction.
+// Marker describes the row by which a writer recognises its own transaction.
 //
 // The transaction writes the row under a condition on its version, with a token
-// in it that no other writer uses. Mine tells whether a row carries the token.
-// Where later writers may replace the row, "not mine" means "not in force now"
-// rather than "never took effect"; a writer that must know the latter gives its
-// marker a key of its own and nobody writes it again.
+// in it that no other writer uses. Mine reports whether a row holds the token.
+// If other writers may replace the row later, false only means that the
+// transaction's row is not the current one, not that the transaction never took
+// effect. A writer that has to tell these apart uses a marker key of its own
+// that is never written again.
 type Marker struct {
 	Table, Key string
 	Mine       func(Row) bool
 }
 
-// index returns the place of the marker's write among writes. Errors:
-// ErrInvalid where it is missing, deletes, or is unconditional.
+// index returns the index of the marker's write in writes. Errors: ErrInvalid
+// if the write is missing, is a deletion or has no condition.
 func (m Marker) index(writes []Write) (int, error) {
 	for i, w := range writes {
 		if w.Table != m.Table || w.Key != m.Key {
@@ -32,25 +33,27 @@
 	return 0, ErrInvalid.New("marker %s/%s is not among the writes", m.Table, m.Key)
 }
 
-// CommitOnce commits a transaction and finds out whether it took effect, also
-// when replies are lost. It returns the marker row.
+// CommitOnce commits a transaction and determines whether it took effect, even
+// if replies are lost. It returns the marker row.
 //
-// When the outcome is unknown it reads the marker back. A marker that isn't
-// there proves nothing yet, because the lost request may still be on its way.
-// So CommitOnce sends the same writes again: the marker's condition lets only
-// one of the copies take effect, whichever comes first. A conflict is looked
-// into as well, since it may be the marker's own first copy that stands there.
+// If the outcome of a commit is unknown, CommitOnce reads the marker back. A
+// missing marker proves nothing yet, because the lost request may still be in
+// transit. CommitOnce therefore sends the same writes again: the condition on
+// the marker lets only the first copy that arrives take effect. On a conflict it
+// checks the marker as well, since the conflicting row may stem from its own
+// earlier copy.
 //
-// Versions start anew when a row is deleted. The rows that the transaction puts
-// conditions on must therefore stay for longer than a request can be under way;
-// otherwise a late copy meets its condition again.
+// Versions may start again when a row is deleted. The rows in the transaction's
+// conditions must therefore not be deleted while a request can be in transit;
+// otherwise the condition of a delayed copy may hold again.
 //
-// ctx should have a deadline: during an outage CommitOnce tries until it ends.
+// ctx should have a deadline: during an outage CommitOnce retries until ctx ends.
 //
-// Errors: *ConflictError, and with no effect at all ErrUnavailable, ErrBudget
-// and ErrInvalid; ErrOutcomeUnknown when ctx ended before the store could tell.
-// Once a copy has been sent, trouble never comes back as ErrUnavailable or
-// ErrBudget: a caller that took either to mean "did not run" would be wrong.
+// Errors: *ConflictError, ErrUnavailable, ErrBudget and ErrInvalid, if the
+// transaction had no effect; ErrOutcomeUnknown if ctx ended before the outcome
+// was known. Once a copy has been sent, failures are never returned as
+// ErrUnavailable or ErrBudget: a caller would wrongly conclude from these that
+// the transaction was not executed.
 func CommitOnce(ctx context.Context, t Table, use Use, m Marker, writes ...Write) (Row, error) {
 	i, err := m.index(writes)
 	if err != nil {
@@ -59,37 +62,38 @@
 	c := commitOnce{table: t, use: use, marker: m, index: i, writes: writes}
 	backoff := Backoff{}.withDefaults()
 	for n := 0; ; n++ {
-		row, err := c.try(ctx)
+		row, err := c.attempt(ctx)
 		if !ErrOutcomeUnknown.Has(err) {
 			return row, err
 		}
-		c.unknown = true
+		c.maybeCommitted = true
 		if !backoff.wait(ctx, n) {
 			return Row{}, err
 		}
 	}
 }
 
-// commitOnce is one run of CommitOnce.
+// commitOnce is the state of one call of CommitOnce.
 type commitOnce struct {
 	table  Table
 	use    Use
 	marker Marker
 	index  int
 	writes []Write
-	// unknown is set once a copy may have taken effect.
-	unknown bool
+	// maybeCommitted is set once a copy may have taken effect.
+	maybeCommitted bool
 }
 
-// try reads back where needed and commits. ErrOutcomeUnknown asks for another try.
-func (c *commitOnce) try(ctx context.Context) (Row, error) {
-	if c.unknown {
+// attempt commits, after reading the marker back if an earlier copy may have
+// taken effect. After ErrOutcomeUnknown the caller makes another attempt.
+func (c *commitOnce) attempt(ctx context.Context) (Row, error) {
+	if c.maybeCommitted {
 		row, err := c.readBack(ctx)
 		if err == nil {
 			return row, nil
 		}
 		if !ErrNotFound.Has(err) {
-			return Row{}, unknown(err)
+			return Row{}, asOutcomeUnknown(err)
 		}
 	}
 	rows, err := c.table.Commit(ctx, c.use, c.writes...)
@@ -98,20 +102,21 @@
 	case err == nil:
 		return rows[c.index], nil
 	case errors.As(err, &conflict):
-		return c.resolve(ctx, conflict)
-	case c.unknown:
-		return Row{}, unknown(err)
+		return c.resolveConflict(ctx, conflict)
+	case c.maybeCommitted:
+		return Row{}, asOutcomeUnknown(err)
 	default:
 		return Row{}, err
 	}
 }
 
-// resolve decides whether a conflict is with the marker's own first copy.
-func (c *commitOnce) resolve(ctx context.Context, conflict *ConflictError) (Row, error) {
-	cur := conflict.Current
-	if cur.Table == c.marker.Table && cur.Key == c.marker.Key {
-		if cur.Version > 0 && c.marker.Mine(cur) {
-			return cur, nil
+// resolveConflict returns the marker row if the conflict is with an earlier copy
+// of the same transaction, and the conflict otherwise.
+func (c *commitOnce) resolveConflict(ctx context.Context, conflict *ConflictError) (Row, error) {
+	current := conflict.Current
+	if current.Table == c.marker.Table && current.Key == c.marker.Key {
+		if current.Version > 0 && c.marker.Mine(current) {
+			return current, nil
 		}
 		return Row{}, conflict
 	}
@@ -122,27 +127,27 @@
 	case ErrNotFound.Has(err):
 		return Row{}, conflict
 	default:
-		return Row{}, unknown(err)
+		return Row{}, asOutcomeUnknown(err)
 	}
 }
 
-// readBack returns the marker row if it is the writer's own, and ErrNotFound
-// if it is absent or another's.
+// readBack returns the marker row if this writer wrote it. Errors: ErrNotFound
+// if the row is absent or another writer's, and those of Table.Get.
 func (c *commitOnce) readBack(ctx context.Context) (Row, error) {
 	row, err := c.table.Get(ctx, c.use, c.marker.Table, c.marker.Key)
 	if err != nil {
 		return Row{}, err
 	}
 	if !c.marker.Mine(row) {
-		return Row{}, ErrNotFound.New("marker %s/%s of another writer", row.Table, row.Key)
+		return Row{}, ErrNotFound.New("marker %s/%s belongs to another writer", row.Table, row.Key)
 	}
 	return row, nil
 }
 
-// unknown turns the failure of a later step into ErrOutcomeUnknown. It keeps
-// only the text of err: with its class in the chain, ErrUnavailable.Has would
-// still report that nothing was done.
-func unknown(err error) error {
+// asOutcomeUnknown converts the error of a later step to ErrOutcomeUnknown. It
+// keeps only the text of err: with the class of err in the chain,
+// ErrUnavailable.Has would still report that the call had no effect.
+func asOutcomeUnknown(err error) error {
 	if ErrOutcomeUnknown.Has(err) {
 		return err
 	}
--- a/internal/store/platform/commit_once_test.go
+++ b/internal/store/platform/commit_once_test.go
@@ -19,7 +19,8 @@
 	"damaskrouter.example/damaskrouter/internal/store/platform/platformtest"
 )
 
-// TestMain fixes the seed of the property tests; the flag overrides it.
+// TestMain sets a fixed seed for the property tests. The flag rapid.seed overrides
+// it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
@@ -27,9 +28,9 @@
 	os.Exit(m.Run())
 }
 
-// claimant commits, as owner, two rows that only one owner may write. The
-// marker is the first or the second of them, so that a conflict names either
-// the marker or the other row.
+// claimant commits two rows that only one owner may write. The marker is the
+// first or the second write, so that a conflict names either the marker or the
+// other row.
 type claimant struct {
 	owner       string
 	markerFirst bool
@@ -47,11 +48,11 @@
 	return platform.CommitOnce(ctx, table, platform.UseClaim, m, writes...)
 }
 
-// Symptom: a key is claimed twice, or a claim that holds is reported as lost.
-// Sequence: each case's faults hit the commits and the reads of one owner.
-// Cause: an unknown outcome was taken for a failure, a marker not yet there for
-// one that will never be, or a conflict with oneself for one with a rival.
-func TestCommitOnceFindsOut(t *testing.T) {
+// A key must not be claimed twice, nor a claim that took effect be reported as
+// failed. That happens if an unknown outcome counts as a failure, a marker that
+// is still in transit as one that will never exist, or a conflict with the
+// owner's own earlier copy as a conflict with another owner.
+func TestCommitOnceResolvesLostReplies(t *testing.T) {
 	type script map[platformtest.Op][]platformtest.Fault
 	cases := []struct {
 		name    string
@@ -63,13 +64,13 @@
 		{"reply lost after the effect", script{"commit": {platformtest.LoseReplyAfterEffect}}, ok, 1},
 		{"request lost", script{"commit": {platformtest.LoseBeforeEffect}}, ok, 2},
 		{"every reply lost", script{"commit": {platformtest.LoseReplyAfterEffect}, "get": {platformtest.Down, platformtest.Down}}, ok, 1},
-		{"request under way while reading back", script{"commit": {platformtest.LateEffect}}, ok, 2},
+		{"request in transit during read-back", script{"commit": {platformtest.LateEffect}}, ok, 2},
 		{"delivered twice", script{"commit": {platformtest.Duplicate}}, ok, 1},
 		{"delivered twice, read-back fails once", script{"commit": {platformtest.Duplicate}, "get": {platformtest.Down}}, ok, 1},
-		{"down from the start", script{"commit": {platformtest.Down}}, unavailable, 1},
-		{"down after a lost request", script{"commit": {platformtest.LoseBeforeEffect, platformtest.Down}}, ok, 3},
+		{"store down from the start", script{"commit": {platformtest.Down}}, unavailable, 1},
+		{"store down after a lost request", script{"commit": {platformtest.LoseBeforeEffect, platformtest.Down}}, ok, 3},
 	}
-	run := func(t *testing.T, s script, me claimant) (row, stored platform.Row, commits int, err error) {
+	run := func(t *testing.T, s script, owner claimant) (row, stored platform.Row, commits int, err error) {
 		synctest.Test(t, func(t *testing.T) {
 			fake := platformtest.New()
 			for op, faults := range s {
@@ -80,7 +81,7 @@
 					fake.DeliverLate()
 				}
 			})
-			row, err = me.claim(t.Context(), fake)
+			row, err = owner.claim(t.Context(), fake)
 			stored, _ = fake.Store().Get("claim", "k")
 			commits = fake.Count(platformtest.OpCommit)
 		})
@@ -99,18 +100,19 @@
 	}
 }
 
-// Symptom: two owners hold one claim. Sequence: the first owner's request is
-// held up; before the read-back a rival claims the key; then the request
-// arrives. Cause: the second copy was sent without the condition of the first.
-func TestCommitOnceLosesToRival(t *testing.T) {
+// Two owners must not hold one claim. The request of the first owner is delayed,
+// a second owner claims the key before the first reads back, and then the
+// delayed request arrives. A repeated copy without the condition of the first
+// would overwrite the second owner's claim.
+func TestCommitOnceKeepsClaimOfSecondOwner(t *testing.T) {
 	for _, markerFirst := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			fake := platformtest.New()
 			fake.Script(platformtest.OpCommit, platformtest.LateEffect)
-			rival := claimant{"rival", markerFirst}
+			second := claimant{"rival", markerFirst}
 			fake.Before(func(ctx context.Context, c platformtest.Call) {
 				if c.Op == platformtest.OpGet && c.N == 2 {
-					_, err := rival.claim(ctx, fake)
+					_, err := second.claim(ctx, fake)
 					assert.NoError(t, err)
 				}
 			})
@@ -124,10 +126,10 @@
 	}
 }
 
-// Symptom: "did not run" for a claim that holds. Sequence: the reply to the
-// commit is lost, then the store goes down until the deadline. Cause: the last
-// error, "unavailable", was returned instead of what the first one left open.
-func TestCommitOnceStaysUnknownThroughOutage(t *testing.T) {
+// A commit that may have taken effect must not be reported as having no effect:
+// its reply is lost, and the store is then down until the deadline. The outcome
+// of the first attempt is unknown, even though the last error is ErrUnavailable.
+func TestCommitOnceReportsUnknownOutcomeAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := platformtest.New()
 		fake.Script(platformtest.OpCommit, platformtest.LoseReplyAfterEffect)
@@ -140,7 +142,7 @@
 	})
 }
 
-func TestCommitOnceWantsConditionalMarker(t *testing.T) {
+func TestCommitOnceRejectsUnconditionalMarker(t *testing.T) {
 	m := platform.Marker{Table: "t", Key: "k", Mine: func(platform.Row) bool { return true }}
 	for name, w := range map[string]platform.Write{
 		"missing":       {Table: "t", Key: "other"},
@@ -152,63 +154,64 @@
 	}
 }
 
-// rivalry is a run of several owners who claim one key under faults.
-type rivalry struct {
+// contention describes several owners that claim one key while faults occur.
+type contention struct {
 	commits, reads []platformtest.Fault
-	// lateAfter is the number of the call after which late writes arrive.
-	lateAfter int
-	// timeouts has one entry for each owner, in milliseconds.
+	// deliverAfter is the number of the call after which delayed writes are
+	// delivered.
+	deliverAfter int
+	// timeouts holds the timeout of each owner, in milliseconds.
 	timeouts    []int
 	markerFirst bool
 }
 
-// run returns what each owner was told and who holds the claim once everything
-// that was under way has arrived.
-func (r rivalry) run(t *testing.T) (answers []error, holder string) {
+// run returns the result of each owner, and the holder of the claim after all
+// delayed writes have been delivered.
+func (c contention) run(t *testing.T) (results []error, holder string) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := platformtest.New()
-		fake.Script(platformtest.OpCommit, r.commits...)
-		fake.Script(platformtest.OpGet, r.reads...)
-		fake.After(func(c platformtest.Call) {
-			if c.N == r.lateAfter {
+		fake.Script(platformtest.OpCommit, c.commits...)
+		fake.Script(platformtest.OpGet, c.reads...)
+		fake.After(func(call platformtest.Call) {
+			if call.N == c.deliverAfter {
 				fake.DeliverLate()
 			}
 		})
-		for i, ms := range r.timeouts {
+		for i, ms := range c.timeouts {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Duration(ms)*time.Millisecond)
-			_, err := claimant{string(rune('a' + i)), r.markerFirst}.claim(ctx, fake)
+			_, err := claimant{string(rune('a' + i)), c.markerFirst}.claim(ctx, fake)
 			cancel()
-			answers = append(answers, err)
+			results = append(results, err)
 		}
 		fake.DeliverLate()
 		stored, _ := fake.Store().Get("claim", "k")
 		holder = string(stored.Value)
 	})
-	return answers, holder
+	return results, holder
 }
 
-// TestCommitOnceProperty lets rivals claim one key under arbitrary faults: at
-// most one is told that it holds the claim, it does hold it, and nobody who was
-// told "no" ever does.
-func TestCommitOnceProperty(t *testing.T) {
+// Several owners claim one key under arbitrary faults. The owner whose call
+// succeeded must hold the claim, so that at most one call succeeds, and an owner
+// whose call definitely failed must never hold it.
+func TestCommitOnceHasAtMostOneHolder(t *testing.T) {
 	fault := rapid.SampledFrom([]platformtest.Fault{
 		platformtest.None, platformtest.Down, platformtest.LoseBeforeEffect,
 		platformtest.LoseReplyAfterEffect, platformtest.LateEffect, platformtest.Duplicate,
 	})
 	seen := map[kind]int{}
 	rapid.Check(t, func(rt *rapid.T) {
-		answers, holder := rivalry{
-			commits:     rapid.SliceOfN(fault, 0, 8).Draw(rt, "commits"),
-			reads:       rapid.SliceOfN(fault, 0, 8).Draw(rt, "reads"),
-			lateAfter:   rapid.IntRange(1, 12).Draw(rt, "late after"),
-			timeouts:    rapid.SliceOfN(rapid.IntRange(1, 200), 3, 3).Draw(rt, "timeouts"),
-			markerFirst: rapid.Bool().Draw(rt, "marker first"),
+		results, holder := contention{
+			commits:      rapid.SliceOfN(fault, 0, 8).Draw(rt, "commits"),
+			reads:        rapid.SliceOfN(fault, 0, 8).Draw(rt, "reads"),
+			deliverAfter: rapid.IntRange(1, 12).Draw(rt, "deliver after"),
+			timeouts:     rapid.SliceOfN(rapid.IntRange(1, 200), 3, 3).Draw(rt, "timeouts"),
+			markerFirst:  rapid.Bool().Draw(rt, "marker first"),
 		}.run(t)
-		for i, err := range answers {
-			answer := kindOf(rt, err)
-			seen[answer]++
+		for i, err := range results {
+			result := kindOf(rt, err)
+			seen[result]++
 			holds := holder == string(rune('a'+i))
-			require.True(rt, answer == unknown || (answer == ok) == holds, "%d: %v, holds %v", i, err, holds)
+			require.True(rt, result == unknown || (result == ok) == holds, "owner %d: %v, holds %v", i, err, holds)
 		}
 	})
 	t.Log("answers:", seen)
--- a/internal/store/platform/decorators_test.go
+++ b/internal/store/platform/decorators_test.go
@@ -13,7 +13,7 @@
 	"damaskrouter.example/damaskrouter/internal/store/platform/platformtest"
 )
 
-// half is a source of "randomness" that always returns the middle.
+// half replaces the random source; it always returns 0.5.
 func half() float64 { return 0.5 }
 
 func get(t *testing.T, table platform.Table) kind {
@@ -26,10 +26,9 @@
 	return kindOf(t, err)
 }
 
-// Symptom: the first claim after an outage ends as "outcome unknown", or the
-// store is hammered while it recovers. Sequence: outage, breaker opens, the
-// pause ends, the store still hangs, later it answers. Cause: a write went out
-// as the probe, or all routers probed at fixed times.
+// The first claim after an outage must not end with an unknown outcome, and a
+// recovering store must not be overloaded: the probe has to be a read, and its
+// time random. The store still fails at the first probe and recovers later.
 func TestBreakerOpensProbesAndCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := platformtest.New()
@@ -40,38 +39,38 @@
 		}
 		_, err := b.Get(t.Context(), platform.UseClaim, "t", "k")
 		require.True(t, platform.ErrBreakerOpen.Has(err), "%v", err)
-		require.Equal(t, 3, fake.Count(platformtest.OpGet), "the open breaker lets nothing through")
+		require.Equal(t, 3, fake.Count(platformtest.OpGet), "the open breaker rejects all calls")
 
 		time.Sleep(1400 * time.Millisecond)
 		require.Equal(t, unavailable, commit(t, b))
-		require.Equal(t, 3, fake.Count(platformtest.OpGet), "the jitter delays the probe beyond OpenFor")
+		require.Equal(t, 3, fake.Count(platformtest.OpGet), "jitter delays the probe beyond OpenFor")
 
 		time.Sleep(200 * time.Millisecond)
 		require.Equal(t, unavailable, commit(t, b))
-		require.Equal(t, 4, fake.Count(platformtest.OpGet), "a read is the probe")
-		require.Zero(t, fake.Count(platformtest.OpCommit), "no write meets a doubtful store")
+		require.Equal(t, 4, fake.Count(platformtest.OpGet), "the probe is a read")
+		require.Zero(t, fake.Count(platformtest.OpCommit), "no write is sent before a successful probe")
 
 		fake.SetDown(false)
 		time.Sleep(1900 * time.Millisecond)
-		require.Equal(t, unavailable, commit(t, b), "the pause has doubled")
+		require.Equal(t, unavailable, commit(t, b), "the maximum delay has doubled")
 		time.Sleep(200 * time.Millisecond)
 		require.Equal(t, ok, commit(t, b))
 		require.Equal(t, 1, fake.Count(platformtest.OpCommit))
 	})
 }
 
-func TestBreakerIgnoresWhatIsNotTheStoresFault(t *testing.T) {
-	ended, cancel := context.WithCancel(t.Context())
+func TestBreakerCountsOnlyFailuresOfStore(t *testing.T) {
+	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
 	cases := []struct {
 		name string
 		call func(t *testing.T, b platform.Table, f *platformtest.Fake)
-		// open tells whether two such calls open the breaker, and streak
-		// whether one between two failures leaves the streak unbroken.
+		// open reports whether two such calls open the breaker, and streak
+		// whether failures before and after such a call count as consecutive.
 		open, streak bool
 	}{
-		{"caller gave up", func(t *testing.T, b platform.Table, _ *platformtest.Fake) {
-			_, err := b.Get(ended, platform.UseClaim, "t", "k")
+		{"caller canceled", func(t *testing.T, b platform.Table, _ *platformtest.Fake) {
+			_, err := b.Get(canceled, platform.UseClaim, "t", "k")
 			require.Error(t, err)
 		}, false, true},
 		{"row absent", func(t *testing.T, b platform.Table, _ *platformtest.Fake) { get(t, b) }, false, false},
@@ -79,7 +78,7 @@
 			_, err := b.Commit(t.Context(), platform.UseClaim)
 			require.Equal(t, invalid, kindOf(t, err))
 		}, false, true},
-		{"budget spent", func(t *testing.T, b platform.Table, f *platformtest.Fake) {
+		{"budget exhausted", func(t *testing.T, b platform.Table, f *platformtest.Fake) {
 			_, err := b.Commit(t.Context(), platform.UseClaim, someWrite)
 			require.Equal(t, budget, kindOf(t, err))
 		}, false, true},
@@ -97,7 +96,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			fake := platformtest.New()
 			var next platform.Table = fake
-			if c.name == "budget spent" {
+			if c.name == "budget exhausted" {
 				reads := platform.Rates{Reads: 100}
 				next = platform.Budgeted(fake, platform.NewBudget(platform.BudgetOptions{Total: reads}))
 			}
@@ -115,7 +114,7 @@
 			c.call(t, b, fake)
 			assert.Equal(t, c.open, isOpen(b))
 
-			// A call that fails is the third failure; any other leaves two.
+			// A call that counts as a failure makes three failures, any other two.
 			opts.Failures = 3
 			if !c.open {
 				opts.Failures = 2
@@ -129,10 +128,10 @@
 	}
 }
 
-// Symptom: receipts are refused for want of writes while the audit trail still
-// gets its own. Sequence: all uses ask for more than the total. Cause: the
-// budget served whoever came first.
-func TestBudgetCutsLowerUsesFirst(t *testing.T) {
+// When all uses together request more than the total, uses of lower priority must
+// be rejected first. A budget in order of arrival would reject claims while the
+// audit trail still uses the store.
+func TestBudgetRejectsLowerPriorityUsesFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := platformtest.New()
 		table := platform.Budgeted(fake, platform.NewBudget(platform.BudgetOptions{
@@ -150,19 +149,19 @@
 				}
 			}
 		}
-		// Each use in turn drains the bucket of 100 down to its reserve.
+		// Each use in turn drains the bucket of 100 tokens down to its reserve.
 		want := map[platform.Use]int{"stray": 25, platform.UseAdmin: 15, platform.UseAudit: 20, platform.UseConfig: 20, platform.UseClaim: 20}
 		require.Equal(t, want, got)
 
 		time.Sleep(100 * time.Millisecond)
 		_, err := table.Get(t.Context(), platform.UseConfig, "t", "k")
-		require.Equal(t, budget, kindOf(t, err), "ten new tokens are the claims'")
+		require.Equal(t, budget, kindOf(t, err), "the ten new tokens are reserved for claims")
 		require.Equal(t, notFound, get(t, table))
-		require.Equal(t, ok, commit(t, table), "writes have a bucket of their own")
+		require.Equal(t, ok, commit(t, table), "writes have a separate bucket")
 	})
 }
 
-func TestBudgetOfOneUseAndChangedTotal(t *testing.T) {
+func TestBudgetLimitsSingleUseAndChangedTotal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := platform.NewBudget(platform.BudgetOptions{
 			Total:  platform.Rates{Reads: 1000, Writes: 1000},
@@ -173,20 +172,20 @@
 		for range 10 {
 			require.Equal(t, ok, commit(t, table))
 		}
-		require.Equal(t, budget, commit(t, table), "claims have spent their own share")
+		require.Equal(t, budget, commit(t, table), "claims have exhausted their own share")
 		_, err := table.Commit(t.Context(), platform.UseConfig, someWrite)
-		require.NotEqual(t, budget, kindOf(t, err), "the configuration has not")
+		require.NotEqual(t, budget, kindOf(t, err), "the configuration has not exhausted its share")
 
 		b.SetTotal(platform.Rates{})
 		time.Sleep(time.Second)
-		require.Equal(t, budget, commit(t, table), "a share of nothing allows nothing")
+		require.Equal(t, budget, commit(t, table), "a total of zero allows no calls")
 	})
 }
 
-// Symptom: calls that must not be repeated are refused for the budget while
-// the store is idle. Sequence: retention reads page after page. Cause: it pays
-// from the claims' share without leaving them any.
-func TestBudgetOfRetention(t *testing.T) {
+// Retention, which is charged to the claims' share, must leave part of it to
+// claims. Otherwise its page reads exhaust the share, and non-idempotent requests
+// are refused while the store is idle.
+func TestRetentionLeavesBudgetForClaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := platform.Budgeted(platformtest.New(), platform.NewBudget(platform.BudgetOptions{
 			Total:  platform.Rates{Reads: 1000, Writes: 1000},
@@ -201,13 +200,13 @@
 			}
 		}
 		require.Equal(t, 25, read(platform.UseRetention))
-		require.Equal(t, 75, read(platform.UseClaim), "the rest is left, and the cost is counted")
+		require.Equal(t, 75, read(platform.UseClaim), "claims get the rest, and retention was charged")
 		time.Sleep(100 * time.Millisecond)
-		require.Zero(t, read(platform.UseRetention), "claims are short")
+		require.Zero(t, read(platform.UseRetention), "the tokens left are reserved for claims")
 	})
 }
 
-func TestRetryRepeatsReadsOnly(t *testing.T) {
+func TestRetryRepeatsOnlyReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := platformtest.New()
 		table := platform.WithRetry(fake, platform.RetryOptions{Attempts: 3})
@@ -219,16 +218,17 @@
 		require.Equal(t, 3, fake.Count(platformtest.OpScan))
 		fake.Script(platformtest.OpCommit, platformtest.LoseBeforeEffect)
 		require.Equal(t, unknown, commit(t, table))
-		require.Equal(t, 1, fake.Count(platformtest.OpCommit), "a write is never repeated here")
+		require.Equal(t, 1, fake.Count(platformtest.OpCommit), "a write is never retried")
 
 		ctx, cancel := context.WithTimeout(t.Context(), time.Nanosecond)
 		defer cancel()
 		fake.SetDown(true)
 		_, err = table.Get(ctx, platform.UseClaim, "t", "k")
 		require.Equal(t, unavailable, kindOf(t, err))
-		require.Equal(t, 4, fake.Count(platformtest.OpGet), "the context allows no second try")
+		require.Equal(t, 4, fake.Count(platformtest.OpGet), "the context allows no second attempt")
 
-		// The second try meets the open breaker and there is no third.
+		// The breaker opens after the first attempt and rejects the second, so
+		// there is no third.
 		table = platform.WithRetry(
 			platform.NewBreaker(fake, platform.BreakerOptions{Failures: 1}),
 			platform.RetryOptions{Backoff: platform.Backoff{Base: time.Second, Max: time.Second, Rand: half}})
@@ -238,17 +238,17 @@
 	})
 }
 
-func TestCountsByUseAndResult(t *testing.T) {
+func TestStatsCountByUseAndResult(t *testing.T) {
 	fake := platformtest.New()
 	stats := &platform.Stats{}
 	none := platform.NewBudget(platform.BudgetOptions{})
-	table := platform.Counted(fake, stats)
+	table := platform.WithStats(fake, stats)
 	commit(t, table)
 	fake.Script(platformtest.OpCommit, platformtest.LoseBeforeEffect, platformtest.Down)
 	commit(t, table)
 	commit(t, table)
 	_, _ = table.Commit(t.Context(), platform.UseClaim, someWrite)
-	get(t, platform.Counted(platform.Budgeted(fake, none), stats))
+	get(t, platform.WithStats(platform.Budgeted(fake, none), stats))
 	_, _ = table.Get(t.Context(), "stray", "t", "absent")
 	require.Equal(t, map[platform.Use]platform.UseCounts{
 		platform.UseClaim: {
@@ -259,10 +259,10 @@
 	}, stats.Snapshot())
 }
 
-// Symptom: the store refuses claims although the tables' budget is kept.
-// Sequence: many objects are put. Cause: objects share the store's rates and
-// were not paid for.
-func TestObjectsPayFromTheBudget(t *testing.T) {
+// Objects share the store's rates with the tables. If their calls were not
+// charged to the budget, the store would reject claims after many Puts although
+// the tables stay within the budget.
+func TestObjectCallsAreChargedToBudget(t *testing.T) {
 	fake := platformtest.New()
 	fake.SetDown(true)
 	_, objects, vms, stats := platform.Open(platform.OpenOptions{
@@ -272,7 +272,7 @@
 	_, err := objects.Get(t.Context(), "o")
 	require.Equal(t, budget, kindOf(t, err))
 	_, err = vms.List(t.Context())
-	require.Equal(t, unavailable, kindOf(t, err), "the VM list is outside the budget")
+	require.Equal(t, unavailable, kindOf(t, err), "the budget doesn't limit the list of VMs")
 	require.Equal(t, map[platform.Use]platform.UseCounts{
 		"objects": {Reads: platform.Counts{Budget: 1}, Writes: platform.Counts{Budget: 1}},
 		"vms":     {Reads: platform.Counts{Unavailable: 1}},
--- a/internal/store/platform/kinds_test.go
+++ b/internal/store/platform/kinds_test.go
@@ -5,7 +5,7 @@
 	"damaskrouter.example/damaskrouter/internal/store/platform/platformtest"
 )
 
-// kind is what an error proves.
+// kind is the class of an error.
 type kind = platformtest.Kind
 
 const (
--- a/internal/store/platform/memory/memory.go
+++ b/internal/store/platform/memory/memory.go
@@ -1,7 +1,8 @@
-// Package memory keeps tables and objects in memory. The stand-in server and the
-// in-process fake share it, so that both decide conditions and versions alike.
+// Package memory implements the tables and objects of the platform's store in
+// memory. The stand-in server and the in-process fake share it, so that both
+// evaluate conditions and versions in the same way.
 //
-// It injects no faults and limits no rates; its users do.
+// It injects no faults and limits no rates; the packages that use it do.
 package memory
 
 import (
@@ -10,56 +11,56 @@
 	"sort"
 	"sync"
 
-	api "damaskrouter.example/damaskrouter/internal/store/platform"
+	"damaskrouter.example/damaskrouter/internal/store/platform"
 )
 
-// Change is a row as a transaction left it.
+// Change is the state of a row after a transaction.
 type Change struct {
-	api.Row
-	// Deleted is set if the transaction removed the row.
+	platform.Row
+	// Deleted reports that the transaction removed the row.
 	Deleted bool
 }
 
 // Store holds rows, the history of their changes, and objects. The zero value is
-// not usable; call New. All methods are safe for concurrent use.
+// not usable; use New. All methods are safe for concurrent use.
 type Store struct {
 	mu      sync.Mutex
-	tables  map[string]map[string]api.Row
+	tables  map[string]map[string]platform.Row
 	objects map[string][]byte
-	// version counts the transactions that changed something.
+	// version is the number of committed transactions.
 	version int64
-	// history are the changes after floor, in order.
-	history []Change
-	floor   int64
-	// changed is closed and replaced by each change.
+	// history holds the changes after compactedVersion, in order.
+	history          []Change
+	compactedVersion int64
+	// changed is closed and replaced on each commit.
 	changed chan struct{}
 }
 
 // New returns an empty Store.
 func New() *Store {
 	return &Store{
-		tables:  map[string]map[string]api.Row{},
+		tables:  map[string]map[string]platform.Row{},
 		objects: map[string][]byte{},
 		changed: make(chan struct{}),
 	}
 }
 
-// Commit applies all writes or none. It returns the rows as written, a deleted
-// row with version 0. Errors: platform.ErrInvalid, *platform.ConflictError.
-func (s *Store) Commit(writes []api.Write) ([]api.Row, error) {
-	if err := api.CheckWrites(writes); err != nil {
+// Commit applies all writes or none and returns the rows as written. A deleted
+// row has version 0. Errors: platform.ErrInvalid, *platform.ConflictError.
+func (s *Store) Commit(writes []platform.Write) ([]platform.Row, error) {
+	if err := platform.CheckWrites(writes); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, w := range writes {
-		cur := s.row(w.Table, w.Key)
-		if w.IfVersion != api.AnyVersion && w.IfVersion != cur.Version {
-			return nil, &api.ConflictError{Current: clone(cur)}
+		current := s.row(w.Table, w.Key)
+		if w.IfVersion != platform.AnyVersion && w.IfVersion != current.Version {
+			return nil, &platform.ConflictError{Current: clone(current)}
 		}
 	}
 	s.version++
-	out := make([]api.Row, 0, len(writes))
+	out := make([]platform.Row, 0, len(writes))
 	for _, w := range writes {
 		out = append(out, s.apply(w))
 	}
@@ -68,54 +69,56 @@
 	return out, nil
 }
 
-// apply makes one write; its condition holds.
-func (s *Store) apply(w api.Write) api.Row {
-	row := api.Row{Table: w.Table, Key: w.Key, Value: bytes.Clone(w.Value), Version: s.version}
+// apply executes one write whose condition holds. The caller must hold s.mu.
+func (s *Store) apply(w platform.Write) platform.Row {
+	row := platform.Row{Table: w.Table, Key: w.Key, Value: bytes.Clone(w.Value), Version: s.version}
 	if w.Delete {
 		delete(s.tables[w.Table], w.Key)
 		row.Value = nil
 		s.history = append(s.history, Change{Row: row, Deleted: true})
-		return api.Row{Table: w.Table, Key: w.Key}
+		return platform.Row{Table: w.Table, Key: w.Key}
 	}
 	if s.tables[w.Table] == nil {
-		s.tables[w.Table] = map[string]api.Row{}
+		s.tables[w.Table] = map[string]platform.Row{}
 	}
 	s.tables[w.Table][w.Key] = row
 	s.history = append(s.history, Change{Row: row})
 	return clone(row)
 }
 
-// row returns the row as it stands; an absent one has version 0.
-func (s *Store) row(table, key string) api.Row {
+// row returns the stored row. An absent row has version 0. The caller must hold
+// s.mu.
+func (s *Store) row(table, key string) platform.Row {
 	row, ok := s.tables[table][key]
 	if !ok {
-		return api.Row{Table: table, Key: key}
+		return platform.Row{Table: table, Key: key}
 	}
 	return row
 }
 
 // Get reads one row. Errors: platform.ErrInvalid, platform.ErrNotFound.
-func (s *Store) Get(table, key string) (api.Row, error) {
-	if err := api.CheckName(table, key); err != nil {
-		return api.Row{}, err
+func (s *Store) Get(table, key string) (platform.Row, error) {
+	if err := platform.CheckName(table, key); err != nil {
+		return platform.Row{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	row := s.row(table, key)
 	if row.Version == 0 {
-		return api.Row{}, api.ErrNotFound.New("row %s/%s", table, key)
+		return platform.Row{}, platform.ErrNotFound.New("row %s/%s", table, key)
 	}
 	return clone(row), nil
 }
 
-// Scan reads up to limit rows with from <= key < to, in key order.
-func (s *Store) Scan(table, from, to string, limit int) ([]api.Row, error) {
-	if err := api.CheckScan(table, from, to, limit); err != nil {
+// Scan reads up to limit rows with from <= key < to, in key order. An empty to
+// means no upper bound. Errors: platform.ErrInvalid.
+func (s *Store) Scan(table, from, to string, limit int) ([]platform.Row, error) {
+	if err := platform.CheckScan(table, from, to, limit); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := []api.Row{}
+	out := []platform.Row{}
 	for key, row := range s.tables[table] {
 		if key >= from && (to == "" || key < to) {
 			out = append(out, clone(row))
@@ -125,17 +128,17 @@
 	return out[:min(limit, len(out))], nil
 }
 
-// Version is the newest version, 0 before the first change.
+// Version returns the latest version, 0 before the first commit.
 func (s *Store) Version() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version
 }
 
-// Changes returns the changes of a table after a version, in order, the newest
-// version, and a channel that the next change closes. known is false if the
-// history does not reach back so far.
-func (s *Store) Changes(table string, after int64) (changes []Change, version int64, next <-chan struct{}, known bool) {
+// Changes returns the changes of a table after a version, in order, the latest
+// version of the store, and a channel that the next commit to any table closes.
+// known is false if the history doesn't reach back to the version after.
+func (s *Store) Changes(table string, after int64) (changes []Change, version int64, changed <-chan struct{}, known bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.history {
@@ -143,33 +146,33 @@
 			changes = append(changes, Change{Row: clone(c.Row), Deleted: c.Deleted})
 		}
 	}
-	return changes, s.version, s.changed, after >= s.floor
+	return changes, s.version, s.changed, after >= s.compactedVersion
 }
 
-// Compact drops the history.
+// Compact discards the history of changes.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
-	s.floor = s.version
+	s.compactedVersion = s.version
 }
 
 // PutObject stores an immutable object. Errors: platform.ErrInvalid,
-// *platform.ConflictError for other data under a name in use.
+// *platform.ConflictError if the name exists with different data.
 func (s *Store) PutObject(name string, data []byte) error {
-	if err := api.CheckObjectName(name); err != nil {
+	if err := platform.CheckObjectName(name); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if old, ok := s.objects[name]; ok && !bytes.Equal(old, data) {
-		return api.ObjectConflict(name)
+	if stored, ok := s.objects[name]; ok && !bytes.Equal(stored, data) {
+		return platform.ObjectConflict(name)
 	}
 	s.objects[name] = slices.Clone(data)
 	return nil
 }
 
-// HasObject reports whether there is an object of the name.
+// HasObject reports whether an object with this name exists.
 func (s *Store) HasObject(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,13 +186,13 @@
 	defer s.mu.Unlock()
 	data, ok := s.objects[name]
 	if !ok {
-		return nil, api.ErrNotFound.New("object %s", name)
+		return nil, platform.ErrNotFound.New("object %s", name)
 	}
 	return bytes.Clone(data), nil
 }
 
-// clone returns a row that shares no memory with the store's.
-func clone(r api.Row) api.Row {
+// clone returns a copy of the row that shares no memory with it.
+func clone(r platform.Row) platform.Row {
 	r.Value = bytes.Clone(r.Value)
 	return r
 }
--- a/internal/store/platform/platform.go
+++ b/internal/store/platform/platform.go
@@ -1,10 +1,11 @@
-// Package platform is the narrow door to what the platform's store provides: a
-// transactional table service, an object store and, in a table, the list of VMs.
+// Package platform defines the interfaces of the platform's store: a
+// transactional table service, an object store and the list of VMs, which is
+// kept in a table.
 //
-// The interfaces are what the rest of the program depends on; tests put small
-// fakes behind them. The client of the real store is in the folder platform/ at
-// the repository's root; this package holds what stands between it and the
-// program: budget, breaker, retries, counts.
+// The rest of the program depends on these interfaces only, and tests implement
+// them by small fakes. The client of the real store is in the folder platform/
+// at the repository's root. This package implements the layers between that
+// client and the program: budget, circuit breaker, retries and statistics.
 package platform
 
 import (
@@ -18,34 +19,36 @@
 	// ErrNotFound is returned for a row or an object that does not exist.
 	ErrNotFound = errs.Class("platform: not found")
 	// ErrUnavailable means that the call provably had no effect: it was
-	// refused locally, or no connection could be made.
+	// rejected locally, or no connection could be made.
 	ErrUnavailable = errs.Class("platform: unavailable")
 	// ErrOutcomeUnknown means that a write may have taken effect: it was sent,
-	// and no reply came. The caller must read back by its own token.
+	// and no reply was received. The caller must read the row back and
+	// recognise it by its own token.
 	ErrOutcomeUnknown = errs.Class("platform: outcome unknown")
-	// ErrBudget means that this use has spent its share of the store's
+	// ErrBudget means that the use has exhausted its share of the store's
 	// reads or writes; nothing was sent.
-	ErrBudget = errs.Class("platform: budget spent")
-	// ErrInvalid means that the call can never succeed as it is written;
-	// nothing was done.
+	ErrBudget = errs.Class("platform: budget exhausted")
+	// ErrInvalid means that the arguments of the call are invalid, so that it
+	// can never succeed; nothing was done.
 	ErrInvalid = errs.Class("platform: invalid call")
 )
 
-// MaxScanRows bounds the rows of one Scan. A larger limit is refused with
-// ErrInvalid, because a silently shortened page reads like the end of a table.
+// MaxScanRows is the maximum limit of one Scan. A larger limit is rejected with
+// ErrInvalid, because a silently truncated page looks like the end of the table.
 const MaxScanRows = 10_000
 
-// ObjectsTable is the table that a ConflictError names for an object.
+// ObjectsTable is the table name in the ConflictError of an object.
 const ObjectsTable = "objects"
 
-// MaxWrites bounds the writes of one transaction. The store takes 100 entries,
-// and a write with a condition is two.
+// MaxWrites is the maximum number of writes in one transaction. The store
+// accepts 100 entries, and a write with a condition takes two.
 const MaxWrites = 50
 
-// MaxName bounds a table's name and a row's key, in bytes; the store's own bound.
+// MaxName is the maximum length of a table's name and of a row's key, in bytes.
+// The store has the same limit.
 const MaxName = 200
 
-// AnyVersion lets a write through whatever the row's version.
+// AnyVersion is the IfVersion of a write without a condition.
 const AnyVersion int64 = -1
 
 // Row is one row of a table.
@@ -53,8 +56,8 @@
 	Table string `json:"table"`
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
-	// Version is the store's version at the row's last write: it grows with each
-	// write, also when the row was deleted in between. 0 means absent.
+	// Version is the store's version at the row's last write. It increases with
+	// each write, even if the row was deleted in between. 0 means absent.
 	Version int64 `json:"version"`
 }
 
@@ -65,14 +68,15 @@
 	Value []byte `json:"value,omitempty"`
 	// Delete removes the row instead of writing Value.
 	Delete bool `json:"delete,omitempty"`
-	// IfVersion is the version the row must have: 0 for absent, AnyVersion
-	// for no condition.
+	// IfVersion is the version that the row must have: 0 for an absent row,
+	// AnyVersion for no condition.
 	IfVersion int64 `json:"if_version"`
 }
 
-// ConflictError reports that a condition of a transaction did not hold, and
-// the row as it stands. Nothing of the transaction was written.
+// ConflictError reports that a condition of a transaction did not hold. Nothing
+// of the transaction was written.
 type ConflictError struct {
+	// Current is the row that violates the condition, as stored.
 	Current Row
 }
 
@@ -81,55 +85,57 @@
 	return "platform: conflict on " + e.Current.Table + "/" + e.Current.Key
 }
 
-// Use names a purpose, for budgets and for counting store traffic.
+// Use names the purpose of a call, for budgets and statistics.
 type Use string
 
-// The uses of the store. When the store is short, claims go before the
-// configuration, and the configuration before the audit trail.
+// The uses of the store. When the budget runs short, claims have priority over
+// the configuration, and the configuration over the audit trail.
 const (
 	UseClaim  Use = "claim"
 	UseConfig Use = "config"
 	UseAudit  Use = "audit"
 	UseAdmin  Use = "admin"
-	// UseRetention deletes old claims. It spends the budget of UseClaim, and
-	// only what claims leave of it.
+	// UseRetention deletes old claims. It is charged to the budget of UseClaim
+	// and limited to the part that claims leave unused.
 	UseRetention Use = "retention"
-	// UseFleet keeps a list of routers by which others find the fleet.
+	// UseFleet maintains the list of routers through which other routers find
+	// the fleet.
 	UseFleet Use = "fleet"
-	// UseVMs reads the list of VMs. It is not bounded by the budget: without the
-	// list a router has no upstreams.
+	// UseVMs reads the list of VMs. The budget does not limit it, because a
+	// router without the list has no upstreams.
 	UseVMs Use = "vms"
 )
 
 // Table is the transactional table service. All methods are safe for
 // concurrent use.
 type Table interface {
-	// Commit applies all writes or none and returns the rows as written.
-	// A transaction names each row at most once.
+	// Commit applies all writes or none and returns the rows as written, in
+	// the order of writes. A transaction may name each row at most once.
 	// Errors: *ConflictError, ErrUnavailable, ErrBudget, ErrOutcomeUnknown,
 	// ErrInvalid.
 	Commit(ctx context.Context, use Use, writes ...Write) ([]Row, error)
 	// Get reads one row. Errors: ErrNotFound, ErrUnavailable, ErrBudget.
 	Get(ctx context.Context, use Use, table, key string) (Row, error)
 	// Scan reads up to limit rows with from <= key < to, in key order.
-	// An empty to means no upper end. limit is from 1 to MaxScanRows.
+	// An empty to means no upper bound. limit must be from 1 to MaxScanRows.
+	// Errors: ErrUnavailable, ErrBudget, ErrInvalid.
 	Scan(ctx context.Context, use Use, table, from, to string, limit int) ([]Row, error)
 }
 
-// Objects is the object store: immutable blobs by name.
+// Objects is the object store. It holds immutable blobs by name.
 type Objects interface {
 	// Put stores data under name. Putting the same data again succeeds, so a
-	// Put whose outcome is unknown may be repeated; other data under a name in
-	// use is a *ConflictError.
+	// Put whose outcome is unknown may be repeated. Putting different data
+	// under an existing name returns a *ConflictError.
 	Put(ctx context.Context, name string, data []byte) error
-	// Get reads an object whole. Errors: ErrNotFound, ErrUnavailable.
+	// Get reads a complete object. Errors: ErrNotFound, ErrUnavailable.
 	Get(ctx context.Context, name string) ([]byte, error)
 }
 
-// VMState is what the list says of a VM.
+// VMState is the state of a VM in the list of VMs.
 type VMState string
 
-// The states in the list.
+// The states of a VM.
 const (
 	VMLive    VMState = "live"
 	VMLeaving VMState = "leaving"
@@ -141,11 +147,11 @@
 	Address string  `json:"address"`
 	Site    string  `json:"site"`
 	State   VMState `json:"state"`
-	// Generation changes whenever the name or the address is used again.
+	// Generation changes whenever the name or the address is reused.
 	Generation uint64 `json:"generation"`
-	// Kind is "router", "engine" or "service".
+	// Kind is KindRouter, KindEngine or KindService.
 	Kind string `json:"kind"`
-	// Pool names the pool of an engine or a plain service's VM.
+	// Pool is the pool of the VM of an engine or a plain service.
 	Pool string `json:"pool,omitempty"`
 	// ControlAddress is a router's UDP and RPC address.
 	ControlAddress string `json:"control_address,omitempty"`
@@ -158,8 +164,8 @@
 	KindService = "service"
 )
 
-// VMList is the list of live and leaving VMs. It lags.
+// VMList is the list of live and draining VMs. It lags behind the actual VMs.
 type VMList interface {
-	// List returns all entries, by name. Errors: ErrUnavailable.
+	// List returns all entries, ordered by name. Errors: ErrUnavailable.
 	List(ctx context.Context) ([]VM, error)
 }
--- a/internal/store/platform/platformtest/fake.go
+++ b/internal/store/platform/platformtest/fake.go
@@ -1,6 +1,6 @@
 // Package platformtest provides a fake of the platform's services for the
-// tests of other packages. It keeps everything in memory, fails as scripted,
-// records every call, and does nothing by chance or by time.
+// tests of other packages. It keeps all data in memory, injects scripted faults
+// and records every call. Its behaviour doesn't depend on randomness or time.
 package platformtest
 
 import (
@@ -13,7 +13,7 @@
 	"damaskrouter.example/damaskrouter/internal/store/platform/memory"
 )
 
-// Op names a method of the platform's interfaces.
+// Op names an operation of the platform's interfaces.
 type Op string
 
 // The operations of Table and Objects.
@@ -25,47 +25,48 @@
 	OpGetObject Op = "get_object"
 )
 
-// Fault is what happens to one call.
+// Fault is a fault that is injected into one call.
 type Fault string
 
-// The faults. A read that meets any of them but Duplicate and LateEffect,
-// which leave reads alone, returns platform.ErrUnavailable.
+// The faults. Reads ignore Duplicate and LateEffect, and return
+// platform.ErrUnavailable on every other fault.
 const (
-	// None lets the call through.
+	// None means no fault.
 	None Fault = ""
-	// Down refuses the call: platform.ErrUnavailable, no effect.
+	// Down rejects the call without effect: platform.ErrUnavailable.
 	Down Fault = "down"
-	// LoseBeforeEffect loses the request: platform.ErrOutcomeUnknown, no effect.
+	// LoseBeforeEffect loses the request, which has no effect:
+	// platform.ErrOutcomeUnknown.
 	LoseBeforeEffect Fault = "lose before effect"
-	// LoseReplyAfterEffect loses the reply: platform.ErrOutcomeUnknown, and
-	// the write has taken effect.
+	// LoseReplyAfterEffect loses the reply after the write took effect:
+	// platform.ErrOutcomeUnknown.
 	LoseReplyAfterEffect Fault = "lose reply after effect"
-	// LateEffect holds the write up on its way: platform.ErrOutcomeUnknown,
-	// and the write is tried when the test calls DeliverLate.
+	// LateEffect delays the write in transit until the test calls DeliverLate:
+	// platform.ErrOutcomeUnknown.
 	LateEffect Fault = "late effect"
-	// Duplicate delivers the write twice and returns the second answer.
+	// Duplicate delivers the write twice and returns the second reply.
 	Duplicate Fault = "duplicate"
 )
 
 // Call is one recorded call.
 type Call struct {
-	// N counts the calls of the Fake from 1, in the order they began.
+	// N is the number of the call, from 1, in the order in which calls began.
 	N   int
 	Op  Op
 	Use platform.Use
-	// Table and Key are what was read, Key the object's name or the lower end
-	// of a scan.
+	// Table and Key identify the row of a read. Key is the lower bound of a
+	// scan, and the name of an object.
 	Table, Key string
-	// Writes is what a commit wrote.
+	// Writes holds the writes of a commit.
 	Writes []platform.Write
-	// Fault is the fault that hit the call.
+	// Fault is the fault injected into the call.
 	Fault Fault
-	// Err is what the call returned.
+	// Err is the error that the call returned.
 	Err error
 }
 
-// Fake implements platform.Table; Objects and VMList return the other two
-// interfaces over the same faults and history. All methods are safe for
+// Fake implements platform.Table. Objects and VMList return the other two
+// interfaces, which share its faults and history. All methods are safe for
 // concurrent use.
 type Fake struct {
 	store *memory.Store
@@ -74,7 +75,7 @@
 	calls   int
 	down    bool
 	script  map[Op][]Fault
-	late    []func()
+	delayed []func()
 	history []Call
 	before  func(context.Context, Call)
 	after   func(Call)
@@ -87,15 +88,15 @@
 	return &Fake{store: memory.New(), script: map[Op][]Fault{}}
 }
 
-// Script adds faults for the coming calls of op, one for each call.
+// Script queues faults for the next calls of op, one for each call.
 func (f *Fake) Script(op Op, faults ...Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.script[op] = append(f.script[op], faults...)
 }
 
-// SetDown starts or ends an outage of everything. During an outage no scripted
-// fault is used up.
+// SetDown starts or ends an outage of all operations. Calls during an outage
+// don't consume scripted faults.
 func (f *Fake) SetDown(down bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -103,14 +104,15 @@
 }
 
 // Before sets a hook that runs before each call takes effect. It may block
-// until ctx ends, to play a slow store, and may call the Fake, to play a rival.
+// until ctx ends, to simulate a slow store, and may call the Fake, to simulate a
+// concurrent client.
 func (f *Fake) Before(hook func(ctx context.Context, c Call)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.before = hook
 }
 
-// After sets a hook that runs after each call has taken effect and before it
+// After sets a hook that runs after each call takes effect and before the call
 // returns. It may call the Fake.
 func (f *Fake) After(hook func(c Call)) {
 	f.mu.Lock()
@@ -118,26 +120,26 @@
 	f.after = hook
 }
 
-// DeliverLate tries the writes that LateEffect held up, in order. A write
+// DeliverLate executes the writes that LateEffect delayed, in order. A write
 // whose condition no longer holds has no effect.
 func (f *Fake) DeliverLate() {
 	f.mu.Lock()
-	late := f.late
-	f.late = nil
+	delayed := f.delayed
+	f.delayed = nil
 	f.mu.Unlock()
-	for _, write := range late {
+	for _, write := range delayed {
 		write()
 	}
 }
 
-// History returns the calls that have returned, in the order they did.
+// History returns the completed calls, in the order in which they returned.
 func (f *Fake) History() []Call {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.history)
 }
 
-// Count returns how many calls of op have returned.
+// Count returns the number of completed calls of op.
 func (f *Fake) Count(op Op) int {
 	n := 0
 	for _, c := range f.History() {
@@ -148,7 +150,7 @@
 	return n
 }
 
-// Store returns the rows and objects behind the faults.
+// Store returns the underlying store, which injects no faults.
 func (f *Fake) Store() *memory.Store { return f.store }
 
 // Commit implements platform.Table.
@@ -156,7 +158,7 @@
 	if err := platform.CheckWrites(writes); err != nil {
 		return nil, err
 	}
-	// The effect may come late; by then the caller may have reused its slices.
+	// A delayed write may be executed after the caller has reused its slices.
 	writes = slices.Clone(writes)
 	for i := range writes {
 		writes[i].Value = bytes.Clone(writes[i].Value)
@@ -207,29 +209,30 @@
 // VMList returns the list of VMs in the fake's table.
 func (f *Fake) VMList() platform.VMList { return platform.NewVMList(f) }
 
-// PutVM adds or replaces an entry of the list, past the faults. It panics on an
-// entry that can't be written.
+// PutVM adds or replaces an entry of the list of VMs, without faults. It panics
+// if the entry can't be written.
 func (f *Fake) PutVM(vm platform.VM) {
-	f.must(platform.PutVM(context.Background(), direct{f}, vm))
+	f.mustSucceed(platform.PutVM(context.Background(), directTable{f}, vm))
 }
 
-// DeleteVM removes an entry of the list, past the faults.
+// DeleteVM removes an entry of the list of VMs, without faults. It panics if the
+// entry can't be removed.
 func (f *Fake) DeleteVM(name string) {
-	f.must(platform.DeleteVM(context.Background(), direct{f}, name))
+	f.mustSucceed(platform.DeleteVM(context.Background(), directTable{f}, name))
 }
 
-func (f *Fake) must(err error) {
+func (f *Fake) mustSucceed(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
-// direct is the fake's table without faults and history.
-type direct struct{ *Fake }
+// directTable is the fake's table without faults and history.
+type directTable struct{ *Fake }
 
 // Commit implements platform.Table.
-func (d direct) Commit(_ context.Context, _ platform.Use, writes ...platform.Write) ([]platform.Row, error) {
-	return d.store.Commit(writes)
+func (t directTable) Commit(_ context.Context, _ platform.Use, writes ...platform.Write) ([]platform.Row, error) {
+	return t.store.Commit(writes)
 }
 
 type objects struct{ f *Fake }
--- a/internal/store/platform/platformtest/faults.go
+++ b/internal/store/platform/platformtest/faults.go
@@ -6,14 +6,14 @@
 	"damaskrouter.example/damaskrouter/internal/store/platform"
 )
 
-// write makes a call that has an effect, under its fault.
+// write makes a call that has an effect, with its fault injected.
 func (f *Fake) write(ctx context.Context, c Call, effect func() error) error {
 	if err := ctx.Err(); err != nil {
 		return platform.ErrUnavailable.Wrap(err)
 	}
 	c = f.begin(ctx, c)
-	// The hook played a slow store and the caller gave up. The request had
-	// been sent by then.
+	// ctx ended while the hook simulated a slow store, after the request had
+	// been sent.
 	if err := ctx.Err(); err != nil {
 		return f.end(c, platform.ErrOutcomeUnknown.Wrap(err))
 	}
@@ -30,7 +30,7 @@
 		_ = effect()
 		return platform.ErrOutcomeUnknown.New("%s", fault)
 	case LateEffect:
-		f.hold(func() { _ = effect() })
+		f.delay(func() { _ = effect() })
 		return platform.ErrOutcomeUnknown.New("%s", fault)
 	case Duplicate:
 		_ = effect()
@@ -40,7 +40,7 @@
 	}
 }
 
-// read makes a call without effect, under its fault.
+// read makes a call without effect, with its fault injected.
 func (f *Fake) read(ctx context.Context, c Call, get func() error) error {
 	if err := ctx.Err(); err != nil {
 		return platform.ErrUnavailable.Wrap(err)
@@ -57,7 +57,7 @@
 	}
 }
 
-// begin numbers a call, picks its fault and runs the Before hook.
+// begin numbers a call, selects its fault and runs the Before hook.
 func (f *Fake) begin(ctx context.Context, c Call) Call {
 	f.mu.Lock()
 	f.calls++
@@ -72,7 +72,8 @@
 	return c
 }
 
-// nextFault uses up the next scripted fault. f.mu is held.
+// nextFault removes and returns the next scripted fault. The caller must hold
+// f.mu.
 func (f *Fake) nextFault(op Op) Fault {
 	if f.down {
 		return Down
@@ -98,9 +99,9 @@
 	return err
 }
 
-// hold keeps a write for DeliverLate.
-func (f *Fake) hold(write func()) {
+// delay queues a write for DeliverLate.
+func (f *Fake) delay(write func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.late = append(f.late, write)
+	f.delayed = append(f.delayed, write)
 }
--- a/internal/store/platform/platformtest/kind.go
+++ b/internal/store/platform/platformtest/kind.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Kind is what an error of the platform's interfaces proves.
+// Kind is the class of an error of the platform's interfaces, or of no error.
 type Kind string
 
-// The kinds; each error is of one.
+// The kinds of error. Each error has exactly one.
 const (
 	KindOK          Kind = "ok"
 	KindConflict    Kind = "conflict"
@@ -21,21 +21,22 @@
 	KindInvalid     Kind = "invalid"
 )
 
-// KindOf sorts an error, and fails where it belongs to two classes at once.
+// KindOf returns the kind of err. It fails the test if err belongs to no class
+// or to more than one.
 func KindOf(t require.TestingT, err error) Kind {
-	var c *platform.ConflictError
+	var conflict *platform.ConflictError
 	found := []Kind{}
-	for k, is := range map[Kind]bool{
+	for kind, matches := range map[Kind]bool{
 		KindOK:          err == nil,
-		KindConflict:    errors.As(err, &c),
+		KindConflict:    errors.As(err, &conflict),
 		KindNotFound:    platform.ErrNotFound.Has(err),
 		KindUnavailable: platform.ErrUnavailable.Has(err),
 		KindUnknown:     platform.ErrOutcomeUnknown.Has(err),
 		KindBudget:      platform.ErrBudget.Has(err),
 		KindInvalid:     platform.ErrInvalid.Has(err),
 	} {
-		if is {
-			found = append(found, k)
+		if matches {
+			found = append(found, kind)
 		}
 	}
 	require.Len(t, found, 1, "%v", err)
--- a/internal/store/platform/counted.go
+++ b/internal/store/platform/stats.go
@@ -6,20 +6,20 @@
 	"sync"
 )
 
-// Uses that only Stats knows: calls that the interfaces give no use, and uses
-// that this package doesn't list.
+// The uses that occur only in Stats: calls of the object store, which have no
+// use, and calls whose use has no entry in reserves.
 const (
 	useObjects Use = "objects"
 	useOther   Use = "other"
 )
 
-// Counts counts calls by result.
+// Counts holds the numbers of calls by result.
 type Counts struct {
 	OK       uint64 `json:"ok"`
 	Conflict uint64 `json:"conflict"`
 	NotFound uint64 `json:"not_found"`
-	// Unavailable counts calls that were tried and had no effect, Open those
-	// that the breaker kept back, Budget those beyond the budget.
+	// Unavailable counts calls that failed without effect, Open calls that the
+	// open circuit breaker rejected, and Budget calls beyond the budget.
 	Unavailable uint64 `json:"unavailable"`
 	Open        uint64 `json:"open"`
 	Budget      uint64 `json:"budget"`
@@ -29,12 +29,11 @@
 	Other   uint64 `json:"other"`
 }
 
-// add counts one result.
 func (c *Counts) add(err error) {
-	*c.slot(err)++
+	*c.counter(err)++
 }
 
-func (c *Counts) slot(err error) *uint64 {
+func (c *Counts) counter(err error) *uint64 {
 	var conflict *ConflictError
 	switch {
 	case err == nil:
@@ -58,87 +57,88 @@
 	}
 }
 
-// UseCounts counts the calls of one use.
+// UseCounts holds the numbers of calls of one use.
 type UseCounts struct {
 	Reads  Counts `json:"reads"`
 	Writes Counts `json:"writes"`
 }
 
 // Stats counts a process's calls to the platform by use and result. The zero
-// value is ready. It is safe for concurrent use.
+// value is ready to use. It is safe for concurrent use.
 type Stats struct {
-	mu sync.Mutex
-	by map[Use]*UseCounts
+	mu    sync.Mutex
+	byUse map[Use]*UseCounts
 }
 
-// Snapshot returns a copy of the counts, fit for expvar.Func. Its size is
-// bounded: uses that this package doesn't list count as "other".
+// Snapshot returns a copy of the counts, suitable for expvar.Func. Its size is
+// bounded: uses without an entry in reserves, other than UseVMs, count as
+// "other".
 func (s *Stats) Snapshot() map[Use]UseCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make(map[Use]UseCounts, len(s.by))
-	for use, c := range s.by {
+	out := make(map[Use]UseCounts, len(s.byUse))
+	for use, c := range s.byUse {
 		out[use] = *c
 	}
 	return out
 }
 
-func (s *Stats) read(use Use, err error) {
+func (s *Stats) countRead(use Use, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.counts(use).Reads.add(err)
+	s.forUse(use).Reads.add(err)
 }
 
-func (s *Stats) wrote(use Use, err error) {
+func (s *Stats) countWrite(use Use, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.counts(use).Writes.add(err)
+	s.forUse(use).Writes.add(err)
 }
 
-// counts returns the counts of a use. s.mu is held.
-func (s *Stats) counts(use Use) *UseCounts {
+// forUse returns the counts of a use. The caller must hold s.mu.
+func (s *Stats) forUse(use Use) *UseCounts {
 	if _, listed := reserves[use]; !listed && use != useObjects && use != UseVMs {
 		use = useOther
 	}
-	if s.by == nil {
-		s.by = map[Use]*UseCounts{}
+	if s.byUse == nil {
+		s.byUse = map[Use]*UseCounts{}
 	}
-	c := s.by[use]
+	c := s.byUse[use]
 	if c == nil {
 		c = &UseCounts{}
-		s.by[use] = c
+		s.byUse[use] = c
 	}
 	return c
 }
 
-// counted is the Table of Counted.
-type counted struct {
+// statsTable is the Table that WithStats returns.
+type statsTable struct {
 	next  Table
 	stats *Stats
 }
 
-// Counted returns a Table that counts the calls of next in stats.
-func Counted(next Table, stats *Stats) Table {
-	return &counted{next: next, stats: stats}
+// WithStats returns a Table that counts the calls of next in stats.
+func WithStats(next Table, stats *Stats) Table {
+	return &statsTable{next: next, stats: stats}
 }
 
 // Commit implements Table.
-func (c *counted) Commit(ctx context.Context, use Use, writes ...Write) ([]Row, error) {
+func (c *statsTable) Commit(ctx context.Context, use Use, writes ...Write) ([]Row, error) {
 	rows, err := c.next.Commit(ctx, use, writes...)
-	c.stats.wrote(use, err)
+	c.stats.countWrite(use, err)
 	return rows, err
 }
 
 // Get implements Table.
-func (c *counted) Get(ctx context.Context, use Use, table, key string) (Row, error) {
+func (c *statsTable) Get(ctx context.Context, use Use, table, key string) (Row, error) {
 	row, err := c.next.Get(ctx, use, table, key)
-	c.stats.read(use, err)
+	c.stats.countRead(use, err)
 	return row, err
 }
 
 // Scan implements Table.
-func (c *counted) Scan(ctx context.Context, use Use, table, from, to string, limit int) ([]Row, error) {
+func (c *statsTable) Scan(ctx context.Context, use Use, table, from, to string, limit int) ([]Row, error) {
 	rows, err := c.next.Scan(ctx, use, table, from, to, limit)
-	c.stats.read(use, err)
+	c.stats.countRead(use, err)
 	return rows, err
 }
