--- a/internal/store/claim/batch.go
+++ b/internal/store/claim/batch.go
@@ -9,24 +9,24 @@
 	"damaskrouter.example/damaskrouter/internal/store/platform"
 )
 
-// groupTimeout bounds one transaction of grouped writes. It is apart from the
-// callers' own deadlines, as one caller that leaves must not fail the others.
-const groupTimeout = 2 * time.Second
+// batchTimeout is the timeout of one transaction. It is independent of the
+// callers' deadlines, because one caller that cancels must not fail the others.
+const batchTimeout = 2 * time.Second
 
-// Batcher is a platform.Table that puts single claim writes which wait at the
-// same time into one transaction. It adds no delay: a write goes out at once
-// unless another transaction is under way.
+// Batcher is a platform.Table that combines claim writes which are queued at the
+// same time into one transaction. It adds no delay: a write is sent immediately
+// unless another transaction is in progress. It is safe for concurrent use.
 type Batcher struct {
 	platform.Table
 	limit int
 
 	mu      sync.Mutex
-	waiting []*pending
-	running bool
+	queue   []*pendingWrite
+	sending bool
 }
 
-// pending is one write that waits for its transaction.
-type pending struct {
+// pendingWrite is a write that is queued or in a transaction.
+type pendingWrite struct {
 	write platform.Write
 	sent  bool
 	reply chan reply
@@ -37,104 +37,107 @@
 	err  error
 }
 
-// NewBatcher returns a Batcher over table that puts at most limit writes into
-// a transaction.
+// NewBatcher returns a Batcher that sends at most limit writes per transaction to
+// table.
 func NewBatcher(table platform.Table, limit int) *Batcher {
 	return &Batcher{Table: table, limit: max(limit, 1)}
 }
 
-// Commit implements platform.Table. A single write for claims may be grouped;
-// everything else is passed on.
+// Commit implements platform.Table. It batches transactions of UseClaim with a
+// single write and passes all others on to the table unchanged.
 func (b *Batcher) Commit(ctx context.Context, use platform.Use, writes ...platform.Write) ([]platform.Row, error) {
 	if use != platform.UseClaim || len(writes) != 1 {
 		return b.Table.Commit(ctx, use, writes...)
 	}
-	p := &pending{write: writes[0], reply: make(chan reply, 1)}
+	p := &pendingWrite{write: writes[0], reply: make(chan reply, 1)}
 	b.enqueue(p)
 	select {
 	case r := <-p.reply:
 		return r.rows, r.err
 	case <-ctx.Done():
-		return nil, b.leave(p, ctx.Err())
+		return nil, b.withdraw(p, ctx.Err())
 	}
 }
 
-func (b *Batcher) enqueue(p *pending) {
+func (b *Batcher) enqueue(p *pendingWrite) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.waiting = append(b.waiting, p)
-	if b.running {
+	b.queue = append(b.queue, p)
+	if b.sending {
 		return
 	}
-	b.running = true
-	go b.drain()
+	b.sending = true
+	go b.sendAll()
 }
 
-// leave takes back a write whose caller has gone. Once it has been sent its
-// effect is uncertain, and must be reported so.
-func (b *Batcher) leave(p *pending, cause error) error {
+// withdraw removes a write from the queue after its caller's context ended, and
+// returns ErrUnavailable. If the write has already been sent, it may take effect,
+// and withdraw returns ErrOutcomeUnknown.
+func (b *Batcher) withdraw(p *pendingWrite, cause error) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if p.sent {
 		return platform.ErrOutcomeUnknown.Wrap(cause)
 	}
-	for i, q := range b.waiting {
+	for i, q := range b.queue {
 		if q == p {
-			b.waiting = append(b.waiting[:i], b.waiting[i+1:]...)
+			b.queue = append(b.queue[:i], b.queue[i+1:]...)
 			break
 		}
 	}
 	return platform.ErrUnavailable.Wrap(cause)
 }
 
-// drain sends groups until nothing waits.
-func (b *Batcher) drain() {
+// sendAll sends batches until the queue is empty.
+func (b *Batcher) sendAll() {
 	for {
-		group := b.take()
-		if len(group) == 0 {
+		batch := b.nextBatch()
+		if len(batch) == 0 {
 			return
 		}
-		b.send(group)
+		b.send(batch)
 	}
 }
 
-// take removes the next group, with no row twice in it.
-func (b *Batcher) take() []*pending {
+// nextBatch removes the next batch from the queue. A batch contains each row at
+// most once.
+func (b *Batcher) nextBatch() []*pendingWrite {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var group, rest []*pending
+	var batch, rest []*pendingWrite
 	rows := make(map[string]bool)
-	for _, p := range b.waiting {
+	for _, p := range b.queue {
 		row := p.write.Table + "/" + p.write.Key
-		if len(group) == b.limit || rows[row] {
+		if len(batch) == b.limit || rows[row] {
 			rest = append(rest, p)
 			continue
 		}
 		rows[row] = true
 		p.sent = true
-		group = append(group, p)
+		batch = append(batch, p)
 	}
-	b.waiting = rest
-	b.running = len(group) > 0
-	return group
+	b.queue = rest
+	b.sending = len(batch) > 0
+	return batch
 }
 
-// send commits a group. A transaction is all or nothing, so one duplicate
-// request would fail all the others with its conflict. On a conflict nothing
-// was written; the group is halved until the conflict stands alone.
-func (b *Batcher) send(group []*pending) {
-	rows, err := b.commit(group)
+// send commits a batch. A transaction applies all writes or none, so the conflict
+// of one duplicate request would fail all other claims of the batch. After a
+// conflict, which means that nothing was written, send splits the batch in half
+// until the conflicting write is alone.
+func (b *Batcher) send(batch []*pendingWrite) {
+	rows, err := b.commit(batch)
 	var conflict *platform.ConflictError
-	if errors.As(err, &conflict) && len(group) > 1 {
-		half := len(group) / 2
-		b.send(group[:half])
-		b.send(group[half:])
+	if errors.As(err, &conflict) && len(batch) > 1 {
+		half := len(batch) / 2
+		b.send(batch[:half])
+		b.send(batch[half:])
 		return
 	}
-	if err == nil && len(rows) != len(group) {
-		err = platform.ErrOutcomeUnknown.New("%d rows for %d writes", len(rows), len(group))
+	if err == nil && len(rows) != len(batch) {
+		err = platform.ErrOutcomeUnknown.New("%d rows for %d writes", len(rows), len(batch))
 	}
-	for i, p := range group {
+	for i, p := range batch {
 		if err != nil {
 			p.reply <- reply{err: err}
 			continue
@@ -143,11 +146,11 @@
 	}
 }
 
-func (b *Batcher) commit(group []*pending) ([]platform.Row, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), groupTimeout)
+func (b *Batcher) commit(batch []*pendingWrite) ([]platform.Row, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
 	defer cancel()
-	writes := make([]platform.Write, len(group))
-	for i, p := range group {
+	writes := make([]platform.Write, len(batch))
+	for i, p := range batch {
 		writes[i] = p.write
 	}
 	return b.Table.Commit(ctx, platform.UseClaim, writes...)
--- a/internal/store/claim/claim_test.go
+++ b/internal/store/claim/claim_test.go
@@ -21,32 +21,34 @@
 )
 
 var (
-	ctx     = context.Background()
-	receipt = Key{Account: "mill", IdempotencyKey: "receipt-7", Service: "portal"}
-	body    = HashBody([]byte("body"))
-	answer  = Answer{Status: 201, ContentType: "text/plain", Body: []byte("receipt 7")}
+	ctx      = context.Background()
+	receipt  = Key{Account: "mill", IdempotencyKey: "receipt-7", Service: "portal"}
+	body     = HashBody([]byte("body"))
+	response = Answer{Status: 201, ContentType: "text/plain", Body: []byte("receipt 7")}
 )
 
-func isNotRun(err error) bool {
-	var notRun *NotRunError
-	return errors.As(err, &notRun)
+func isNotExecuted(err error) bool {
+	var notExecuted *NotRunError
+	return errors.As(err, &notExecuted)
 }
 
-// sentEnding replaces an ending that is wrong for a request that was sent.
-func sentEnding(ending string) string {
+// endingAfterSend returns an ending that is possible for a request that was sent:
+// it replaces "refused".
+func endingAfterSend(ending string) string {
 	if ending == "refused" {
 		return "finish"
 	}
 	return ending
 }
 
-// Symptom: one receipt is issued twice, or never again although it was
-// refused as unrun. Sequence: any single call to the store fails in any way,
-// while the caller repeats the request at three routers and what was delayed
-// arrives between the tries. Cause: a claim taken for absent, or for another's.
-func TestEveryFaultAtEveryStep(t *testing.T) {
+// A request must be executed exactly once while any single call to the store fails
+// in any way, the caller retries at three routers, and delayed writes arrive
+// between the attempts. A claim mistaken for absent would let the request execute
+// twice; one mistaken for another's would block the key although nothing was
+// executed.
+func TestRequestExecutesOnceUnderAnySingleFault(t *testing.T) {
 	endings := map[string]func(*Store, *Claim) error{
-		"finish":  func(s *Store, c *Claim) error { return s.Finish(ctx, c, answer) },
+		"finish":  func(s *Store, c *Claim) error { return s.Finish(ctx, c, response) },
 		"unknown": func(s *Store, c *Claim) error { return s.MarkUnknown(ctx, c) },
 		"refused": func(s *Store, c *Claim) error { return s.Refused(ctx, c) },
 		"vanish":  func(*Store, *Claim) error { return nil },
@@ -58,36 +60,36 @@
 					table := newFakeTable()
 					table.fault = faultAt(call, f)
 					routers := []*Store{newStore(table, "a"), newStore(table, "b"), newStore(table, "c")}
-					runs := 0
-					for try := range 9 {
-						s := routers[try%3]
+					executions := 0
+					for attempt := range 9 {
+						s := routers[attempt%3]
 						out, err := s.Begin(ctx, receipt, body)
-						require.True(t, err == nil || isNotRun(err), "%v", err)
+						require.True(t, err == nil || isNotExecuted(err), "%v", err)
 						if out.Kind == Answered {
-							require.Equal(t, answer, out.Answer)
-							require.Equal(t, 1, runs)
+							require.Equal(t, response, out.Answer)
+							require.Equal(t, 1, executions)
 						}
 						switch {
-						case out.Kind == Run && ending == "refused" && try < 3:
+						case out.Kind == Run && ending == "refused" && attempt < 3:
 							_ = end(s, out.Claim)
 						case out.Kind == Run:
-							runs++
-							_ = endings[sentEnding(ending)](s, out.Claim)
+							executions++
+							_ = endings[endingAfterSend(ending)](s, out.Claim)
 						}
-						table.deliverLate()
+						table.deliverDelayed()
 					}
-					require.Equal(t, 1, runs, "once, and not blocked unrun")
+					require.Equal(t, 1, executions, "executed exactly once: neither repeated nor blocked")
 				})
 			}
 		}
 	}
 }
 
-// Symptom: a key handover is logged twice. Sequence: router a claims and is
-// frozen before it sends; for hours other routers are asked the same; a thaws
-// and sends. Cause: a claim with a lease would have been taken over meanwhile.
-// A service that recognises repeated keys may be asked again.
-func TestFrozenHolder(t *testing.T) {
+// A claim must not expire: router a claims and is frozen before it sends, other
+// routers receive the same request for hours, and then a resumes and sends. If the
+// claim had a lease, another router would have executed the request meanwhile.
+// Only for a service that recognises repeated keys may the claim be replaced.
+func TestClaimOfFrozenRouterIsNotReplaced(t *testing.T) {
 	table := newFakeTable()
 	a, b := newStore(table, "a"), newStore(table, "b")
 	held, err := a.Begin(ctx, receipt, body)
@@ -104,14 +106,15 @@
 	out, err := b.Begin(ctx, dedup, body)
 	require.NoError(t, err)
 	require.Equal(t, Run, out.Kind)
-	require.True(t, ErrSuperseded.Has(a.Finish(ctx, held.Claim, answer)))
-	require.NoError(t, b.Finish(ctx, out.Claim, answer))
-	require.NoError(t, b.Finish(ctx, out.Claim, answer))
+	require.True(t, ErrSuperseded.Has(a.Finish(ctx, held.Claim, response)))
+	require.NoError(t, b.Finish(ctx, out.Claim, response))
+	require.NoError(t, b.Finish(ctx, out.Claim, response))
 }
 
-// Symptom: a claim disappears and its request runs again. Sequence: a refuses
-// its claim; b claims; the network delivers a's release once more; c asks.
-// Cause: a row deleted and inserted again has the same version as before.
+// A release that the network delivers twice must not remove the next claim, or its
+// request would be executed again: a releases its claim, b claims, a's release
+// arrives again, and c claims. It fails if a release deletes the row and versions
+// start again, so that b's row has the version of a's.
 func TestReleaseDeliveredTwice(t *testing.T) {
 	table := newFakeTable()
 	a, b, c := newStore(table, "a"), newStore(table, "b"), newStore(table, "c")
@@ -122,7 +125,7 @@
 	second, err := b.Begin(ctx, receipt, body)
 	require.NoError(t, err)
 	require.Equal(t, Run, second.Kind)
-	table.deliverLate()
+	table.deliverDelayed()
 	third, err := c.Begin(ctx, receipt, body)
 	require.NoError(t, err)
 	require.Equal(t, InProgress, third.Kind)
@@ -132,12 +135,12 @@
 	require.Equal(t, "b", view.Router)
 }
 
-func TestKeys(t *testing.T) {
+func TestKeysAreSeparateByAccountAndBody(t *testing.T) {
 	table := newFakeTable()
 	s := newStore(table, "a")
 	out, err := s.Begin(ctx, receipt, body)
 	require.NoError(t, err)
-	require.NoError(t, s.Finish(ctx, out.Claim, answer))
+	require.NoError(t, s.Finish(ctx, out.Claim, response))
 	out, err = s.Begin(ctx, receipt, HashBody([]byte("other")))
 	require.NoError(t, err)
 	require.True(t, ErrKeyReused.Has(out.Err()))
@@ -145,15 +148,15 @@
 	other.Account = "farm"
 	out, err = s.Begin(ctx, other, body)
 	require.NoError(t, err)
-	require.Equal(t, Run, out.Kind, "accounts must not see each other's claims")
+	require.Equal(t, Run, out.Kind, "claims of different accounts are separate")
 	_, err = s.Begin(ctx, Key{Account: "mill"}, body)
 	require.True(t, ErrBadKey.Has(err))
-	require.NotEqual(t, Key{Account: "a/b", IdempotencyKey: "c"}.row(), Key{Account: "a", IdempotencyKey: "b/c"}.row())
+	require.NotEqual(t, Key{Account: "a/b", IdempotencyKey: "c"}.rowKey(), Key{Account: "a", IdempotencyKey: "b/c"}.rowKey())
 }
 
-func TestLargeAnswer(t *testing.T) {
+func TestLargeResponseIsStoredAsObject(t *testing.T) {
 	s := newStore(newFakeTable(), "a")
-	large := Answer{Status: 200, Body: bytes.Repeat([]byte("x"), maxInline+1)}
+	large := Answer{Status: 200, Body: bytes.Repeat([]byte("x"), maxInlineBody+1)}
 	out, err := s.Begin(ctx, receipt, body)
 	require.NoError(t, err)
 	require.NoError(t, s.Finish(ctx, out.Claim, large))
@@ -165,7 +168,7 @@
 	require.True(t, ErrAnswerLost.Has(err))
 }
 
-func TestOperator(t *testing.T) {
+func TestOperatorResolvesUnknownOutcome(t *testing.T) {
 	s := newStore(newFakeTable(), "a")
 	_, err := s.Show(ctx, receipt)
 	require.True(t, platform.ErrNotFound.Has(err))
@@ -180,23 +183,24 @@
 	out, err = s.Begin(ctx, receipt, body)
 	require.NoError(t, err)
 	require.Equal(t, Run, out.Kind)
-	require.NoError(t, s.Finish(ctx, out.Claim, answer))
+	require.NoError(t, s.Finish(ctx, out.Claim, response))
 	var bad *BadVerdictError
 	require.ErrorAs(t, s.Resolve(ctx, receipt, 5, VerdictNotRun), &bad)
 }
 
-// Symptom: a request repeated within the retention period runs again, or the
-// table grows for ever. Sequence: sweepers run for three periods, and change
-// every few hours. Cause: an age that is counted by the clock of one VM.
-func TestSweep(t *testing.T) {
+// Claims must not be deleted within the retention period, or a repeated request
+// would be executed again, and must be deleted eventually, or the table grows
+// without bound. Sweepers are replaced every six hours, so the age of a claim must
+// not depend on the clock of one VM.
+func TestSweepDeletesAfterRetentionPeriod(t *testing.T) {
 	table := newFakeTable()
 	s := newStore(table, "a")
 	out, _ := s.Begin(ctx, receipt, body)
-	require.NoError(t, s.Finish(ctx, out.Claim, answer))
+	require.NoError(t, s.Finish(ctx, out.Claim, response))
 	open := receipt
 	open.IdempotencyKey = "open"
 	_, _ = s.Begin(ctx, open, body)
-	var gone time.Duration
+	var deletedAt time.Duration
 	sweeper := NewSweeper(table, day)
 	for now := time.Duration(0); now < 3*day; now += 10 * time.Minute {
 		if now%(6*time.Hour) == 0 {
@@ -204,20 +208,19 @@
 		}
 		_, err := sweeper.Step(ctx, now)
 		require.NoError(t, err)
-		if _, err := s.Show(ctx, receipt); err != nil && gone == 0 {
-			gone = now
+		if _, err := s.Show(ctx, receipt); err != nil && deletedAt == 0 {
+			deletedAt = now
 		}
 	}
-	require.Greater(t, gone, day)
-	require.Less(t, gone, 3*day)
+	require.Greater(t, deletedAt, day)
+	require.Less(t, deletedAt, 3*day)
 	_, err := s.Show(ctx, open)
-	require.NoError(t, err, "an unfinished claim is never swept")
+	require.NoError(t, err, "a claim that is not done or refused is never deleted")
 }
 
-// Symptom: a duplicate fails the claims of strangers. Sequence: many claims
-// wait for one transaction, and one of them is a duplicate. Cause: a
-// transaction is all or nothing.
-func TestBatcher(t *testing.T) {
+// A duplicate must not fail the other claims in its transaction, although a
+// transaction applies all writes or none.
+func TestBatcherIsolatesDuplicateClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := newFakeTable()
 		table.delay = func() { time.Sleep(time.Millisecond) }
@@ -241,17 +244,17 @@
 		require.Less(t, table.commits, 20)
 		t.Logf("transactions for 100 claims: %d", table.commits)
 
-		gone, cancel := context.WithTimeout(ctx, time.Microsecond)
+		expired, cancel := context.WithTimeout(ctx, time.Microsecond)
 		defer cancel()
 		b := NewBatcher(table, 64)
-		_, err := b.Commit(gone, platform.UseClaim, platform.Write{Table: Table, Key: "k"})
+		_, err := b.Commit(expired, platform.UseClaim, platform.Write{Table: Table, Key: "k"})
 		require.True(t, platform.ErrOutcomeUnknown.Has(err), "it has been sent")
 		time.Sleep(time.Second)
 	})
 }
 
-// history is what the model checker sees of one call.
-type history struct {
+// operation is the result of one call, as the model checker sees it.
+type operation struct {
 	begin bool
 	out   OutcomeKind
 	token string
@@ -262,7 +265,7 @@
 type keyState struct{ state, token string }
 
 func stepKey(state, input, output any) []any {
-	st, op := state.(keyState), output.(history)
+	st, op := state.(keyState), output.(operation)
 	open := st.state == "free" || st.state == "blocked"
 	switch {
 	case !op.begin && st == keyState{"claimed", op.token}:
@@ -285,10 +288,9 @@
 	return nil
 }
 
-// Symptom: two callers of one key are both told to run, or one is given an
-// answer that was never recorded. Sequence: six routers are asked at once, and
-// a quarter of the store's calls fail. Cause: any order of events that no
-// sequence of single calls explains.
+// Concurrent calls of six routers for one key must be linearizable while a quarter
+// of the store's calls fail. Otherwise two callers may both execute the request,
+// or one may get a response that was never recorded.
 func TestConcurrentBeginIsLinearizable(t *testing.T) {
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{keyState{state: "free"}} },
@@ -306,9 +308,9 @@
 			}
 			table := newFakeTable()
 			table.delay = func() { time.Sleep(time.Duration(1 + draw(5000))) }
-			table.fault = func(int) fault { return []fault{down, lostAfter, lostBefore, none}[min(3, draw(12))] }
+			table.fault = func(int) fault { return []fault{down, replyLost, requestLost, none}[min(3, draw(12))] }
 			var ops []porcupine.Operation
-			record := func(id int, call time.Time, h history) {
+			record := func(id int, call time.Time, h operation) {
 				mu.Lock()
 				defer mu.Unlock()
 				total[h.out]++
@@ -321,7 +323,7 @@
 					for range 3 {
 						call := time.Now()
 						out, _ := s.Begin(ctx, receipt, body)
-						h := history{begin: true, out: out.Kind, token: string(out.Answer.Body)}
+						h := operation{begin: true, out: out.Kind, token: string(out.Answer.Body)}
 						if out.Kind == Run {
 							h.token = out.Claim.rec.Token
 						}
@@ -332,7 +334,7 @@
 						}
 						call = time.Now()
 						err := s.Finish(ctx, out.Claim, Answer{Body: []byte(h.token)})
-						record(id, call, history{token: h.token, ok: err == nil})
+						record(id, call, operation{token: h.token, ok: err == nil})
 					}
 				})
 			}
@@ -340,13 +342,13 @@
 			require.True(t, porcupine.CheckOperations(model.ToModel(), ops), "seed %d: %+v", seed, ops)
 		})
 	}
-	t.Logf("outcomes by kind (0: refused or a recorded answer): %v", total)
+	t.Logf("outcomes by kind (0: error, or a call of Finish): %v", total)
 }
 
-// Symptom: a request runs twice. Sequence: any mixture of claims, pauses,
-// sends, endings, faults and late deliveries at three routers. Cause: whatever
-// the table of single faults above does not reach.
-func TestAtMostOnceProperty(t *testing.T) {
+// A request must be executed at most once under any sequence of claims, sends,
+// endings, faults and delayed deliveries at three routers. This covers
+// combinations that the test of single faults doesn't reach.
+func TestRequestExecutesAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := newFakeTable()
 		faults := rapid.SliceOfN(rapid.IntRange(0, 2*int(faultCount)), 40, 40).Draw(t, "faults")
@@ -369,7 +371,7 @@
 			"begin": func(t *rapid.T) {
 				s := rapid.SampledFrom(routers).Draw(t, "router")
 				out, err := s.Begin(ctx, receipt, body)
-				require.True(t, err == nil || isNotRun(err), "%v", err)
+				require.True(t, err == nil || isNotExecuted(err), "%v", err)
 				if out.Kind == Run {
 					claims = append(claims, &held{store: s, claim: out.Claim})
 				}
@@ -382,7 +384,7 @@
 			},
 			"finish": func(t *rapid.T) {
 				if h := pick(t); h.sent {
-					_ = h.store.Finish(ctx, h.claim, answer)
+					_ = h.store.Finish(ctx, h.claim, response)
 				}
 			},
 			"unknown": func(t *rapid.T) {
@@ -392,11 +394,11 @@
 			},
 			"refuse": func(t *rapid.T) {
 				if h := pick(t); !h.sent {
-					h.sent = true // Given up: it will not be sent later.
+					h.sent = true // The request is aborted and must not be sent later.
 					_ = h.store.Refused(ctx, h.claim)
 				}
 			},
-			"deliver": func(*rapid.T) { table.deliverLate() },
+			"deliver": func(*rapid.T) { table.deliverDelayed() },
 			"": func(t *rapid.T) {
 				require.LessOrEqual(t, sends, 1)
 			},
--- a/internal/store/claim/decide.go
+++ b/internal/store/claim/decide.go
@@ -1,47 +1,48 @@
 package claim
 
-// verdict is what a row that already exists means for a new request.
-type verdict int
+// decision is what an existing row means for a new request.
+type decision int
 
 const (
-	// verdictOurs: the row is our own; an earlier attempt took effect.
-	verdictOurs verdict = iota
-	// verdictReclaim: the row may be replaced by our claim.
-	verdictReclaim
-	verdictAnswered
-	verdictInProgress
-	verdictUnknown
-	verdictKeyReused
+	// decisionOwn: an earlier attempt of this call wrote the row.
+	decisionOwn decision = iota
+	// decisionReclaim: the new claim may replace the row.
+	decisionReclaim
+	decisionExecuted
+	decisionInProgress
+	decisionUnknown
+	decisionKeyReused
 )
 
-// judge decides on the row in the way of claim mine. abandoned says that this
-// router wrote the row and gave it up before it sent anything.
-func judge(cur, mine record, deduplicates, abandoned bool) verdict {
-	if cur.Token == mine.Token {
-		return verdictOurs
+// decide returns the decision for the claim own, given the existing row. released
+// reports that this router wrote the row and has since released it, because the
+// request was not executed and never will be.
+func decide(existing, own record, deduplicates, released bool) decision {
+	if existing.Token == own.Token {
+		return decisionOwn
 	}
-	if cur.State == StateRefused || abandoned && cur.State == StateClaimed {
-		return verdictReclaim
+	if existing.State == StateRefused || released && existing.State == StateClaimed {
+		return decisionReclaim
 	}
-	if cur.BodyHash != mine.BodyHash {
-		return verdictKeyReused
+	if existing.BodyHash != own.BodyHash {
+		return decisionKeyReused
 	}
-	if cur.State == StateDone {
-		return verdictAnswered
+	if existing.State == StateDone {
+		return decisionExecuted
 	}
 	if deduplicates {
-		return verdictReclaim
+		return decisionReclaim
 	}
-	if cur.State == StateUnknown {
-		return verdictUnknown
+	if existing.State == StateUnknown {
+		return decisionUnknown
 	}
-	return verdictInProgress
+	return decisionInProgress
 }
 
-// mayMove says whether the holder of a claim may change its state. An answer
-// may still come after the outcome was given up as unknown; done and refused
-// are final for the holder.
-func mayMove(from, to State) bool {
+// canTransition reports whether the holder of a claim may change its state. A
+// response may still arrive after the outcome was recorded as unknown; done and
+// refused are final for the holder.
+func canTransition(from, to State) bool {
 	switch from {
 	case StateClaimed:
 		return to != StateClaimed
--- a/internal/store/claim/errors.go
+++ b/internal/store/claim/errors.go
@@ -7,34 +7,35 @@
 )
 
 var (
-	// ErrBadKey is returned for an empty account or idempotency key.
+	// ErrBadKey means that the account or the idempotency key is empty.
 	ErrBadKey = errs.Class("claim: bad key")
 	// ErrOutcomeUnknown means that another request with the same key was
-	// claimed and may have run, or may still run.
+	// claimed and may have been executed, or may still be.
 	ErrOutcomeUnknown = errs.Class("claim: outcome unknown")
 	// ErrKeyReused means that the key belongs to a request with another body.
 	ErrKeyReused = errs.Class("claim: idempotency key reused")
-	// ErrAnswerLost means that the request ran, and its answer can't be shown
-	// again: it was not kept, or the object store does not return it.
+	// ErrAnswerLost means that the request was executed, but its response is
+	// not available: it was not stored, or the object store doesn't return it.
 	ErrAnswerLost = errs.Class("claim: answer not available")
 	// ErrSuperseded means that the row no longer belongs to this claim, or
-	// that its state permits no such change.
+	// that its state doesn't allow the change.
 	ErrSuperseded = errs.Class("claim: superseded")
 	// ErrNotRecorded means that a change of state may not have been stored.
-	// Calling again is safe.
+	// The call may be repeated.
 	ErrNotRecorded = errs.Class("claim: not recorded")
-	// ErrCorrupt is returned for a row that can't be decoded.
+	// ErrCorrupt means that a row can't be decoded.
 	ErrCorrupt = errs.Class("claim: corrupt row")
 )
 
-// NotRunError refuses a request of which nothing was sent. It speaks of this
-// request only: an earlier one with the same key is not known to be unrun, so
-// the caller should come back with the same key, never with a fresh one.
+// NotRunError is the refusal of a request that was not executed: nothing of it was
+// sent. This does not hold for earlier requests with the same key, which may have
+// been executed, so the caller should retry with the same key, never with a new
+// one.
 type NotRunError struct {
-	// RowMayExist says that a claim may have been left behind. It blocks the
-	// key until this router or an operator releases it.
+	// RowMayExist reports that a claim row may remain. It blocks the key until
+	// this router or an operator releases it.
 	RowMayExist bool
-	// Cause is the store's last error.
+	// Cause is the last error of the store.
 	Cause error
 }
 
@@ -43,5 +44,5 @@
 	return fmt.Sprintf("claim: not run (row may exist: %t): %v", e.RowMayExist, e.Cause)
 }
 
-// Unwrap returns the store's error.
+// Unwrap returns the cause.
 func (e *NotRunError) Unwrap() error { return e.Cause }
--- a/internal/store/claim/fake_test.go
+++ b/internal/store/claim/fake_test.go
@@ -12,31 +12,31 @@
 	"damaskrouter.example/damaskrouter/internal/store/platform"
 )
 
-// fault is what happens to one call of the fake table.
+// fault is a fault that is injected into one call of the fake table.
 type fault int
 
 const (
-	none       fault = iota
-	down             // refused at once, without effect
-	lostAfter        // takes effect, the reply is lost
-	lostBefore       // never arrives
-	late             // the reply is lost, and it takes effect at deliverLate
-	duplicated       // takes effect, and arrives again at deliverLate
-	slow             // takes effect when the caller's patience has ended
+	none        fault = iota
+	down              // rejected immediately, without effect
+	replyLost         // takes effect; the reply is lost
+	requestLost       // the request is lost, without effect
+	delayed           // the reply is lost; takes effect in deliverDelayed
+	duplicated        // takes effect; is delivered again in deliverDelayed
+	slow              // takes effect after the caller's timeout
 	faultCount
 )
 
-// fakeTable is a linearizable table with faults chosen by number of call.
+// fakeTable is a linearizable table that injects faults by the number of the call.
 type fakeTable struct {
 	mu      sync.Mutex
 	rows    map[string]platform.Row
 	calls   int
 	commits int
-	// fault chooses what happens to a call; nil means none.
+	// fault selects the fault of a call. Nil means no faults.
 	fault func(call int) fault
-	// delay is called before each call without the lock held.
-	delay func()
-	late  []func()
+	// delay, if set, runs before each call, without the lock held.
+	delay   func()
+	delayed []func()
 }
 
 func newFakeTable() *fakeTable { return &fakeTable{rows: make(map[string]platform.Row)} }
@@ -50,7 +50,7 @@
 	}
 }
 
-func (t *fakeTable) next() fault {
+func (t *fakeTable) nextFault() fault {
 	if t.delay != nil {
 		t.delay()
 	}
@@ -64,24 +64,24 @@
 }
 
 func (t *fakeTable) Commit(ctx context.Context, _ platform.Use, writes ...platform.Write) ([]platform.Row, error) {
-	f := t.next()
+	f := t.nextFault()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch f {
 	case down:
 		return nil, platform.ErrUnavailable.New("down")
-	case lostBefore:
-		return nil, platform.ErrOutcomeUnknown.New("lost before")
-	case late:
-		t.late = append(t.late, func() { t.apply(writes) })
+	case requestLost:
+		return nil, platform.ErrOutcomeUnknown.New("request lost")
+	case delayed:
+		t.delayed = append(t.delayed, func() { t.apply(writes) })
 		return nil, platform.ErrOutcomeUnknown.New("late")
 	}
 	rows, err := t.apply(writes)
 	if f == duplicated {
-		t.late = append(t.late, func() { t.apply(writes) })
+		t.delayed = append(t.delayed, func() { t.apply(writes) })
 	}
-	if f == lostAfter || f == slow {
-		return nil, platform.ErrOutcomeUnknown.New("lost after")
+	if f == replyLost || f == slow {
+		return nil, platform.ErrOutcomeUnknown.New("reply lost")
 	}
 	return rows, err
 }
@@ -89,10 +89,10 @@
 func (t *fakeTable) apply(writes []platform.Write) ([]platform.Row, error) {
 	t.commits++
 	for _, w := range writes {
-		cur := t.rows[w.Table+"|"+w.Key]
-		cur.Table, cur.Key = w.Table, w.Key
-		if w.IfVersion != platform.AnyVersion && w.IfVersion != cur.Version {
-			return nil, &platform.ConflictError{Current: cur}
+		existing := t.rows[w.Table+"|"+w.Key]
+		existing.Table, existing.Key = w.Table, w.Key
+		if w.IfVersion != platform.AnyVersion && w.IfVersion != existing.Version {
+			return nil, &platform.ConflictError{Current: existing}
 		}
 	}
 	var out []platform.Row
@@ -109,7 +109,7 @@
 }
 
 func (t *fakeTable) Get(_ context.Context, _ platform.Use, table, key string) (platform.Row, error) {
-	f := t.next()
+	f := t.nextFault()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if f != none && f != duplicated {
@@ -135,14 +135,14 @@
 	return out, nil
 }
 
-// deliverLate lets every write arrive that is still under way.
-func (t *fakeTable) deliverLate() {
+// deliverDelayed executes all delayed writes.
+func (t *fakeTable) deliverDelayed() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, deliver := range t.late {
+	for _, deliver := range t.delayed {
 		deliver()
 	}
-	t.late = nil
+	t.delayed = nil
 }
 
 type fakeObjects struct {
--- a/internal/store/claim/operator.go
+++ b/internal/store/claim/operator.go
@@ -6,32 +6,35 @@
 	"damaskrouter.example/damaskrouter/internal/store/platform"
 )
 
-// View is what operators see of a claim. It has no body and no answer.
+// View is the data of a claim that operators can see. It contains neither the
+// body of the request nor that of the response.
 type View struct {
 	Account string `json:"account"`
 	Service string `json:"service"`
 	Router  string `json:"router"`
 	State   State  `json:"state"`
-	// Status is the HTTP status of the stored answer, or 0.
+	// Status is the HTTP status of the stored response, or 0.
 	Status  int   `json:"status,omitempty"`
 	Version int64 `json:"version"`
 }
 
-// Verdict is an operator's finding about a blocked claim.
+// Verdict is an operator's decision on a claim whose outcome is unknown.
 type Verdict string
 
 // The verdicts.
 const (
-	// VerdictRan closes the key for good; its answer is not available.
+	// VerdictRan means that the request was executed. It closes the key
+	// permanently; the response is not available.
 	VerdictRan Verdict = "ran"
-	// VerdictNotRun opens the key again. It is right only if the holder's VM
-	// is gone or the upstream is known to refuse the request: a holder that
-	// is merely paused may still send it.
+	// VerdictNotRun means that the request was not executed and will not be.
+	// It allows the key to be claimed again. It is correct only if the holder's
+	// VM no longer exists or the upstream is known to reject the request: a
+	// holder that is merely paused may still send it.
 	VerdictNotRun Verdict = "not-run"
 )
 
-// BadVerdictError is returned for an unknown verdict, or one that contradicts a
-// recorded answer.
+// BadVerdictError reports an unknown verdict, or a verdict that doesn't apply to
+// the state of the claim.
 type BadVerdictError struct {
 	Verdict Verdict
 	State   State
@@ -42,8 +45,8 @@
 	return "claim: verdict " + string(e.Verdict) + " does not apply to a claim that is " + string(e.State)
 }
 
-// Show returns the claim of key. Errors: platform.ErrNotFound and those of the
-// table service.
+// Show returns the claim of key. Errors: platform.ErrNotFound, ErrBadKey,
+// ErrCorrupt and those of platform.Table.Get.
 func (s *Store) Show(ctx context.Context, key Key) (View, error) {
 	row, rec, err := s.read(ctx, key)
 	if err != nil {
@@ -56,10 +59,12 @@
 	return v, nil
 }
 
-// Resolve applies an operator's verdict to a claim whose outcome is not known.
-// seen is the version that the operator looked at; where the row has changed
-// since, a *platform.ConflictError is returned and nothing is written.
-func (s *Store) Resolve(ctx context.Context, key Key, seen int64, v Verdict) error {
+// Resolve applies an operator's verdict to a claim whose outcome is unknown. It
+// does nothing if the claim is already in the state that the verdict leads to.
+// seenVersion is the version of the row on which the verdict is based. Errors:
+// *platform.ConflictError if the row has changed since, in which case nothing is
+// written; *BadVerdictError and those of Show and platform.Table.Commit.
+func (s *Store) Resolve(ctx context.Context, key Key, seenVersion int64, v Verdict) error {
 	row, rec, err := s.read(ctx, key)
 	if err != nil {
 		return err
@@ -71,25 +76,25 @@
 	if !ok || rec.State != StateClaimed && rec.State != StateUnknown {
 		return &BadVerdictError{Verdict: v, State: rec.State}
 	}
-	if row.Version != seen {
+	if row.Version != seenVersion {
 		return &platform.ConflictError{Current: row}
 	}
 	rec.State = to
-	got, err := s.put(ctx, platform.UseAdmin, key.row(), rec, seen)
+	stored, err := s.put(ctx, platform.UseAdmin, key.rowKey(), rec, seenVersion)
 	if err != nil {
 		return err
 	}
-	if !isExactly(got, rec) {
-		return &platform.ConflictError{Current: got}
+	if !matches(stored, rec) {
+		return &platform.ConflictError{Current: stored}
 	}
 	return nil
 }
 
 func (s *Store) read(ctx context.Context, key Key) (platform.Row, record, error) {
-	if err := key.check(); err != nil {
+	if err := key.validate(); err != nil {
 		return platform.Row{}, record{}, err
 	}
-	row, err := s.table.Get(ctx, platform.UseAdmin, Table, key.row())
+	row, err := s.table.Get(ctx, platform.UseAdmin, Table, key.rowKey())
 	if err != nil {
 		return platform.Row{}, record{}, err
 	}
--- a/internal/store/claim/record.go
+++ b/internal/store/claim/record.go
@@ -1,9 +1,9 @@
-// Package claim executes non-idempotent requests at most once.
+// Package claim ensures that non-idempotent requests are executed at most once.
 //
 // A claim row is written to the table service before the first byte of a
-// request goes upstream. Whoever wrote the row may send; everybody else gets
-// the stored answer or learns that the outcome is unknown. README.md gives
-// the reasons for the protocol.
+// request is sent upstream. Only the holder of the claim may send the request;
+// all others get the stored response, or an error that the outcome is unknown.
+// README.md gives the reasons for the protocol.
 package claim
 
 import (
@@ -14,22 +14,22 @@
 	"damaskrouter.example/damaskrouter/internal/store/platform"
 )
 
-// Table is the name of the claims' table.
+// Table is the name of the table that holds claims.
 const Table = "claims"
 
-// State is the progress of a claimed request.
+// State is the state of a claim.
 type State string
 
 // The states of a claim.
 const (
 	// StateClaimed means that the holder may have sent the request.
 	StateClaimed State = "claimed"
-	// StateDone means that the request ran and its answer came back.
+	// StateDone means that the request was executed.
 	StateDone State = "done"
-	// StateUnknown means that the request was sent and no answer came.
+	// StateUnknown means that the request was sent and no response was received.
 	StateUnknown State = "unknown"
-	// StateRefused means that the request provably did not run; the key may
-	// be claimed again.
+	// StateRefused means that the request was provably not executed; the key
+	// may be claimed again.
 	StateRefused State = "refused"
 )
 
@@ -37,21 +37,21 @@
 type Key struct {
 	Account        string
 	IdempotencyKey string
-	// Service is recorded for operators.
+	// Service is stored in the claim for operators.
 	Service string
-	// Deduplicates says that the service recognises a repeated key itself,
-	// so that a claim may be taken over and the request sent again.
+	// Deduplicates means that the service recognises repeated keys itself, so
+	// that a claim may be replaced and the request sent again.
 	Deduplicates bool
 }
 
-// row returns the row's key. The hash has a fixed length and contains no
-// slash, so two accounts never share a row, whatever characters their names
-// contain. The hash is cryptographic because callers choose the keys.
-func (k Key) row() string {
+// rowKey returns the key of the claim's row. The hash has a fixed length and
+// contains no slash, so two accounts never share a row, regardless of the
+// characters in their names. It is cryptographic because callers choose the keys.
+func (k Key) rowKey() string {
 	return k.Account + "/" + hash([]byte(k.IdempotencyKey))
 }
 
-func (k Key) check() error {
+func (k Key) validate() error {
 	if k.Account == "" {
 		return ErrBadKey.New("no account")
 	}
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// BodyHash identifies the body of a request.
+// BodyHash is the SHA-256 hash of a request body, in hexadecimal.
 type BodyHash string
 
 // HashBody returns the hash of a request body.
@@ -72,36 +72,37 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Answer is an upstream's whole answer.
+// Answer is the complete response of an upstream.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// storedAnswer is an answer as the row keeps it.
-type storedAnswer struct {
+// storedResponse is a response as stored in the row.
+type storedResponse struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type"`
 	Body        []byte `json:"body,omitempty"`
-	// Object names the blob that holds a body too large for the row.
+	// Object is the name of the object that holds a body too large for the row.
 	Object string `json:"object,omitempty"`
-	// Lost says that the body could not be kept.
+	// Lost reports that the body could not be stored.
 	Lost bool `json:"lost,omitempty"`
 }
 
 // record is the value of a claim row.
 type record struct {
-	// Token is the random name of the claim; a writer whose reply was lost
-	// recognises its own row by it.
-	Token    string        `json:"token"`
-	BodyHash BodyHash      `json:"body_hash"`
-	Account  string        `json:"account"`
-	Service  string        `json:"service"`
-	Router   string        `json:"router"`
-	State    State         `json:"state"`
-	Answer   *storedAnswer `json:"answer,omitempty"`
-	// SweepRound is the round of retention that first saw the claim finished.
+	// Token is the unique token of the claim, by which a writer recognises its
+	// own row after a lost reply.
+	Token    string          `json:"token"`
+	BodyHash BodyHash        `json:"body_hash"`
+	Account  string          `json:"account"`
+	Service  string          `json:"service"`
+	Router   string          `json:"router"`
+	State    State           `json:"state"`
+	Answer   *storedResponse `json:"answer,omitempty"`
+	// SweepRound is the first retention round that found the claim done or
+	// refused.
 	SweepRound uint64 `json:"sweep_round,omitempty"`
 }
 
--- a/internal/store/claim/store.go
+++ b/internal/store/claim/store.go
@@ -10,63 +10,70 @@
 )
 
 const (
-	// maxInline is the largest answer body kept in the row, in bytes.
-	maxInline = 16 << 10
-	// maxAttempts bounds the writes of one call whose replies are lost or
-	// which meet a change by somebody else.
+	// maxInlineBody is the maximum size of a response body that is stored in
+	// the row, in bytes.
+	maxInlineBody = 16 << 10
+	// maxAttempts is the maximum number of writes in one call, which retries
+	// after lost replies and concurrent changes of the row.
 	maxAttempts = 4
-	// cleanupTimeout bounds the attempt to release a claim of which nothing
-	// was sent, after the caller's own context may have ended.
+	// cleanupTimeout is the timeout for releasing the claim of a request that
+	// was not sent. The caller's own context may have ended by then.
 	cleanupTimeout = 250 * time.Millisecond
-	// maxAbandoned bounds the memory of claims given up unsent.
-	maxAbandoned = 4096
-	// objectPrefix begins the names of answers in the object store.
+	// maxReleased is the maximum number of tokens in Store.released.
+	maxReleased = 4096
+	// objectPrefix is the prefix of the names of responses in the object store.
 	objectPrefix = "claims/"
 )
 
-// Store keeps claims in the table service. It is safe for concurrent use.
+// Store manages claims in the table service. It is safe for concurrent use.
 type Store struct {
 	table    platform.Table
 	objects  platform.Objects
 	router   string
 	newToken func() string
 
-	mu        sync.Mutex
-	abandoned map[string]struct{}
+	mu sync.Mutex
+	// released holds the tokens of claims whose requests were not executed and
+	// never will be.
+	released map[string]struct{}
 }
 
-// New returns a Store that claims in the name of router. newToken must return
-// a string that no other call on any router ever returns.
+// New returns a Store that makes claims on behalf of router. Each call of newToken
+// must return a string that is unique among all routers.
 func New(table platform.Table, objects platform.Objects, router string, newToken func() string) *Store {
 	return &Store{
-		table:     table,
-		objects:   objects,
-		router:    router,
-		newToken:  newToken,
-		abandoned: make(map[string]struct{}),
+		table:    table,
+		objects:  objects,
+		router:   router,
+		newToken: newToken,
+		released: make(map[string]struct{}),
 	}
 }
 
-// Claim is the right to send one request once.
+// Claim is the right to send a request once.
 type Claim struct {
 	row string
 	rec record
-	// version is the row's version when it was claimed, or 0 if not known.
+	// version is the row's version when it was claimed, or 0 if unknown.
 	version int64
 }
 
-// OutcomeKind says what a caller of Begin must do.
+// OutcomeKind is the kind of an Outcome. It determines what the caller of Begin
+// must do.
 type OutcomeKind int
 
 // The kinds of outcome.
 const (
-	// Run: send the request, then call Finish, Refused or MarkUnknown.
+	// Run: the caller must send the request and then call Finish, Refused or
+	// MarkUnknown.
 	Run OutcomeKind = iota + 1
-	// Answered: the request ran before; return Answer.
+	// Answered: the request was executed earlier; the caller must return
+	// Outcome.Answer.
 	Answered
-	// InProgress: another holder may be sending it; its outcome is not known.
+	// InProgress: another holder may have sent the request or may still send
+	// it; its outcome is unknown.
 	InProgress
-	// Unknown: it was sent and no answer came.
+	// Unknown: the request was sent and no response was received.
 	Unknown
 	// KeyReused: the key belongs to a request with another body.
 	KeyReused
@@ -81,8 +88,8 @@
 	Answer Answer
 }
 
-// Err returns the typed refusal of an outcome that neither runs nor answers:
-// ErrOutcomeUnknown or ErrKeyReused.
+// Err returns the error of an outcome for which the request must be refused:
+// ErrOutcomeUnknown or ErrKeyReused. It returns nil for Run and Answered.
 func (o Outcome) Err() error {
 	switch o.Kind {
 	case InProgress:
@@ -96,15 +103,16 @@
 	}
 }
 
-// Begin claims key for a request with the given body. Its error is
-// *NotRunError where nothing was sent, ErrAnswerLost where the request ran and
-// its answer can't be repeated, ErrBadKey or ErrCorrupt.
+// Begin claims key for a request with the given body. Errors: *NotRunError if the
+// claim could not be made, so that the request must not be sent; ErrAnswerLost if
+// the request was executed and its response is not available; ErrBadKey and
+// ErrCorrupt.
 func (s *Store) Begin(ctx context.Context, key Key, body BodyHash) (Outcome, error) {
-	if err := key.check(); err != nil {
+	if err := key.validate(); err != nil {
 		return Outcome{}, err
 	}
-	b := &begin{store: s, key: key, row: key.row()}
-	b.mine = record{
+	b := &begin{store: s, key: key, row: key.rowKey()}
+	b.own = record{
 		Token:    s.newToken(),
 		BodyHash: body,
 		Account:  key.Account,
@@ -115,24 +123,25 @@
 	return b.run(ctx)
 }
 
-// begin is one call of Begin.
+// begin is the state of one call of Begin.
 type begin struct {
 	store *Store
 	key   Key
 	row   string
-	mine  record
-	// replaces is the version of the row that the claim is to replace.
-	replaces int64
-	// uncertain says that a write of ours may have taken effect unseen.
-	uncertain bool
+	own   record
+	// replacedVersion is the version of the row that the claim replaces, 0 for
+	// an absent row.
+	replacedVersion int64
+	// maybeWritten is set once a write may have taken effect without a reply.
+	maybeWritten bool
 }
 
 func (b *begin) run(ctx context.Context) (Outcome, error) {
 	var last error
 	for range maxAttempts {
-		cur, err := b.attempt(ctx)
+		existing, err := b.attempt(ctx)
 		if err == nil {
-			done, out, err := b.settle(ctx, cur)
+			done, out, err := b.resolve(ctx, existing)
 			if done {
 				return out, err
 			}
@@ -143,25 +152,25 @@
 			break
 		}
 	}
-	return Outcome{}, b.giveUp(ctx, last)
+	return Outcome{}, b.abort(ctx, last)
 }
 
-// attempt writes the claim and returns the row as it stands afterwards, ours
-// or another's. A version of 0 means that the row is absent.
+// attempt writes the claim and returns the row as stored afterwards, which may
+// belong to this claim or another. A version of 0 means that the row is absent.
 //
-// When the reply is lost, the row may be ours without our knowing. Taken for
-// another's, the request would be refused although its claim holds; taken for
-// absent, it would be claimed under a second token. So the row is read back
-// and compared by token, and a repeated write carries the same token.
+// After a lost reply the row may belong to this claim. Treated as another's row,
+// it would cause the request to be refused although its claim took effect;
+// treated as absent, it would be claimed under a second token. So the row is read
+// back and compared by token, and a repeated write has the same token.
 func (b *begin) attempt(ctx context.Context) (platform.Row, error) {
-	row, err := b.store.put(ctx, platform.UseClaim, b.row, b.mine, b.replaces)
+	row, err := b.store.put(ctx, platform.UseClaim, b.row, b.own, b.replacedVersion)
 	if err == nil {
 		return row, nil
 	}
-	if isDefinite(err) {
+	if provesNoEffect(err) {
 		return platform.Row{}, err
 	}
-	b.uncertain = true
+	b.maybeWritten = true
 	row, readErr := b.store.table.Get(ctx, platform.UseClaim, Table, b.row)
 	if readErr == nil {
 		return row, nil
@@ -172,122 +181,125 @@
 	return platform.Row{}, platform.ErrOutcomeUnknown.Wrap(err)
 }
 
-// settle decides on the row in place. It reports false where another attempt
-// is to be made.
-func (b *begin) settle(ctx context.Context, cur platform.Row) (bool, Outcome, error) {
-	if cur.Version == 0 {
-		b.replaces = 0
+// resolve returns the outcome for the row as stored. It returns false if another
+// attempt has to be made.
+func (b *begin) resolve(ctx context.Context, existing platform.Row) (bool, Outcome, error) {
+	if existing.Version == 0 {
+		b.replacedVersion = 0
 		return false, Outcome{}, nil
 	}
-	rec, err := decode(cur)
+	rec, err := decode(existing)
 	if err != nil {
 		return true, Outcome{}, err
 	}
-	switch judge(rec, b.mine, b.key.Deduplicates, b.store.isAbandoned(rec.Token)) {
-	case verdictOurs:
-		return true, Outcome{Kind: Run, Claim: &Claim{row: b.row, rec: b.mine, version: cur.Version}}, nil
-	case verdictReclaim:
-		b.replaces = cur.Version
+	switch decide(rec, b.own, b.key.Deduplicates, b.store.isReleased(rec.Token)) {
+	case decisionOwn:
+		return true, Outcome{Kind: Run, Claim: &Claim{row: b.row, rec: b.own, version: existing.Version}}, nil
+	case decisionReclaim:
+		b.replacedVersion = existing.Version
 		return false, Outcome{}, nil
-	case verdictAnswered:
-		answer, err := b.store.load(ctx, rec.Answer)
-		return true, Outcome{Kind: Answered, Answer: answer}, err
-	case verdictUnknown:
+	case decisionExecuted:
+		response, err := b.store.loadResponse(ctx, rec.Answer)
+		return true, Outcome{Kind: Answered, Answer: response}, err
+	case decisionUnknown:
 		return true, Outcome{Kind: Unknown}, nil
-	case verdictKeyReused:
+	case decisionKeyReused:
 		return true, Outcome{Kind: KeyReused}, nil
 	default:
 		return true, Outcome{Kind: InProgress}, nil
 	}
 }
 
-// giveUp refuses the request. Nothing was sent and, as the claim is dropped
-// here, nothing ever will be.
+// abort returns the *NotRunError of the request. Nothing was sent and, as the claim
+// is discarded here, nothing ever will be.
 //
-// A write without a reply may still leave a row: later requests would be told
-// "outcome unknown" of work that never ran. So the row is released.
-func (b *begin) giveUp(ctx context.Context, cause error) error {
+// A write without a reply may still leave a row, for which later requests would get
+// ErrOutcomeUnknown although the request was never executed. So the row is
+// released.
+func (b *begin) abort(ctx context.Context, cause error) error {
 	if cause == nil {
 		cause = ErrNotRecorded.New("row changed in every attempt")
 	}
-	if !b.uncertain {
+	if !b.maybeWritten {
 		return &NotRunError{Cause: cause}
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cleanupTimeout)
 	defer cancel()
-	err := b.store.Refused(ctx, &Claim{row: b.row, rec: b.mine})
+	err := b.store.Refused(ctx, &Claim{row: b.row, rec: b.own})
 	return &NotRunError{Cause: cause, RowMayExist: err != nil}
 }
 
-// Finish records the answer of a claim. Calling it again is safe. Errors:
-// ErrNotRecorded, ErrSuperseded, ErrCorrupt; after ErrNotRecorded the key
-// stays blocked, so the answer is late to repeat but never runs twice.
-func (s *Store) Finish(ctx context.Context, c *Claim, answer Answer) error {
+// Finish records the response to the request of a claim. It may be repeated.
+// Errors: ErrNotRecorded, ErrSuperseded, ErrCorrupt. After ErrNotRecorded the key
+// may stay blocked: the response can't be repeated to later callers, but the
+// request is never executed twice.
+func (s *Store) Finish(ctx context.Context, c *Claim, response Answer) error {
 	rec := c.rec
 	rec.State = StateDone
-	rec.Answer = s.keep(ctx, c.rec.Token, answer)
-	return s.move(ctx, platform.UseClaim, c, rec)
+	rec.Answer = s.storeResponse(ctx, c.rec.Token, response)
+	return s.transition(ctx, platform.UseClaim, c, rec)
 }
 
-// Refused releases a claim whose request provably did not run: no connection
-// to the upstream was made, or the upstream refused it before executing.
-// Errors as of Finish.
+// Refused releases a claim whose request was provably not executed: no connection
+// to the upstream was made, or the upstream rejected the request before executing
+// it. Errors: as of Finish.
 //
-// The row is not deleted. Versions of a deleted row start again at 1, so a
-// delete that the network delivers a second time would match the version of
-// the next holder's claim and remove it, and the key would run twice. A
-// refused row keeps the versions growing.
+// The row is not deleted. The versions of a deleted row may start again at 1, so
+// a delete that the network delivers a second time would match the version of
+// the next holder's claim and remove it, and the request would be executed twice.
+// With a refused row the versions keep increasing.
 //
-// A release that the store does not take leaves the key blocked. The claim is
-// therefore remembered, so that this router may replace it later.
+// If the store doesn't record the release, the key stays blocked. The Store
+// therefore remembers the claim, so that this router may replace it later.
 func (s *Store) Refused(ctx context.Context, c *Claim) error {
-	s.abandon(c.rec.Token)
+	s.markReleased(c.rec.Token)
 	rec := c.rec
 	rec.State = StateRefused
-	return s.move(ctx, platform.UseClaim, c, rec)
+	return s.transition(ctx, platform.UseClaim, c, rec)
 }
 
-// MarkUnknown records that the request was sent and that its outcome can't be
-// told. Errors as of Finish.
+// MarkUnknown records that the request was sent and that its outcome is unknown.
+// Errors: as of Finish.
 func (s *Store) MarkUnknown(ctx context.Context, c *Claim) error {
 	rec := c.rec
 	rec.State = StateUnknown
-	return s.move(ctx, platform.UseClaim, c, rec)
+	return s.transition(ctx, platform.UseClaim, c, rec)
 }
 
-// move brings the row of claim c to rec. After a lost reply or a conflict the
-// row is read, so that a repeated call finds its own work done.
-func (s *Store) move(ctx context.Context, use platform.Use, c *Claim, rec record) error {
+// transition replaces the row of claim c by rec. After a lost reply or a conflict
+// it reads the row, so that a repeated call recognises a change already made.
+func (s *Store) transition(ctx context.Context, use platform.Use, c *Claim, rec record) error {
 	var last error
 	version := c.version
 	for range maxAttempts {
 		if version == 0 {
-			readVersion, done, err := s.movable(ctx, use, c, rec.State)
+			readVersion, done, err := s.prepareTransition(ctx, use, c, rec.State)
 			if err != nil || done {
 				return err
 			}
 			version = readVersion
 		}
 		row, err := s.put(ctx, use, c.row, rec, version)
-		if err == nil && isExactly(row, rec) {
+		if err == nil && matches(row, rec) {
 			return nil
 		}
-		if err != nil && isDefinite(err) {
+		if err != nil && provesNoEffect(err) {
 			return ErrNotRecorded.Wrap(err)
 		}
 		last = err
 		version = 0
 	}
-	return ErrNotRecorded.Wrap(orChanged(last))
+	return ErrNotRecorded.Wrap(orRowChanged(last))
 }
 
-// movable returns the version that a change of claim c must replace, and
-// whether the change has been made already.
-func (s *Store) movable(ctx context.Context, use platform.Use, c *Claim, to State) (int64, bool, error) {
+// prepareTransition returns the version of the row that a change of claim c must
+// replace, and whether no change is needed any more. Errors: ErrSuperseded if the
+// change is not allowed, ErrNotRecorded and ErrCorrupt.
+func (s *Store) prepareTransition(ctx context.Context, use platform.Use, c *Claim, to State) (int64, bool, error) {
 	row, err := s.table.Get(ctx, use, Table, c.row)
 	if platform.ErrNotFound.Has(err) && to == StateRefused {
-		// Our own write may still be under way. The refused row takes its
-		// place, and it fails on arrival.
+		// The write of the claim may still be in transit. Once the refused row
+		// exists, that write fails on arrival.
 		return 0, false, nil
 	}
 	if platform.ErrNotFound.Has(err) {
@@ -296,28 +308,28 @@
 	if err != nil {
 		return 0, false, ErrNotRecorded.Wrap(err)
 	}
-	cur, err := decode(row)
+	existing, err := decode(row)
 	if err != nil {
 		return 0, false, err
 	}
-	if cur.Token != c.rec.Token && to == StateRefused {
+	if existing.Token != c.rec.Token && to == StateRefused {
 		// Another request holds the key, so this claim no longer blocks it.
 		return 0, true, nil
 	}
-	if cur.Token != c.rec.Token {
+	if existing.Token != c.rec.Token {
 		return 0, false, ErrSuperseded.New("row belongs to another claim")
 	}
-	if cur.State == to {
+	if existing.State == to {
 		return 0, true, nil
 	}
-	if !mayMove(cur.State, to) {
-		return 0, false, ErrSuperseded.New("%s can't become %s", cur.State, to)
+	if !canTransition(existing.State, to) {
+		return 0, false, ErrSuperseded.New("%s can't become %s", existing.State, to)
 	}
 	return row.Version, false, nil
 }
 
-// put writes rec if the row has the given version. After a conflict it
-// returns the row that stood in the way.
+// put writes rec if the row has the given version. After a conflict it returns the
+// conflicting row and no error.
 func (s *Store) put(ctx context.Context, use platform.Use, key string, rec record, version int64) (platform.Row, error) {
 	value, err := rec.encode()
 	if err != nil {
@@ -338,73 +350,75 @@
 	return rows[0], nil
 }
 
-// keep stores the body of an answer, in the row or in the object store.
-func (s *Store) keep(ctx context.Context, token string, answer Answer) *storedAnswer {
-	kept := &storedAnswer{Status: answer.Status, ContentType: answer.ContentType}
-	if len(answer.Body) <= maxInline {
-		kept.Body = answer.Body
-		return kept
+// storeResponse returns a response in the form stored in the row. It puts a body
+// larger than maxInlineBody into the object store.
+func (s *Store) storeResponse(ctx context.Context, token string, response Answer) *storedResponse {
+	stored := &storedResponse{Status: response.Status, ContentType: response.ContentType}
+	if len(response.Body) <= maxInlineBody {
+		stored.Body = response.Body
+		return stored
 	}
 	name := objectPrefix + token
-	if s.objects.Put(ctx, name, answer.Body) != nil {
-		// The fact that the request ran matters more than its answer: without
-		// it in the row, an operator may release the key.
-		kept.Lost = true
-		return kept
-	}
-	kept.Object = name
-	return kept
+	if s.objects.Put(ctx, name, response.Body) != nil {
+		// The row must record that the request was executed even if its
+		// response is lost: otherwise an operator may release the key.
+		stored.Lost = true
+		return stored
+	}
+	stored.Object = name
+	return stored
 }
 
-// load is the reverse of keep.
-func (s *Store) load(ctx context.Context, kept *storedAnswer) (Answer, error) {
-	if kept == nil || kept.Lost {
+// loadResponse is the reverse of storeResponse. Errors: ErrAnswerLost.
+func (s *Store) loadResponse(ctx context.Context, stored *storedResponse) (Answer, error) {
+	if stored == nil || stored.Lost {
 		return Answer{}, ErrAnswerLost.New("it was not kept")
 	}
-	answer := Answer{Status: kept.Status, ContentType: kept.ContentType, Body: kept.Body}
-	if kept.Object == "" {
-		return answer, nil
+	response := Answer{Status: stored.Status, ContentType: stored.ContentType, Body: stored.Body}
+	if stored.Object == "" {
+		return response, nil
 	}
-	body, err := s.objects.Get(ctx, kept.Object)
+	body, err := s.objects.Get(ctx, stored.Object)
 	if err != nil {
 		return Answer{}, ErrAnswerLost.Wrap(err)
 	}
-	answer.Body = body
-	return answer, nil
+	response.Body = body
+	return response, nil
 }
 
-func (s *Store) abandon(token string) {
+func (s *Store) markReleased(token string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.abandoned) >= maxAbandoned {
-		// Forgetting is safe: a forgotten row blocks its key.
-		clear(s.abandoned)
+	if len(s.released) >= maxReleased {
+		// Forgetting tokens is safe: the rows then just block their keys.
+		clear(s.released)
 	}
-	s.abandoned[token] = struct{}{}
+	s.released[token] = struct{}{}
 }
 
-func (s *Store) isAbandoned(token string) bool {
+func (s *Store) isReleased(token string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, ok := s.abandoned[token]
+	_, ok := s.released[token]
 	return ok
 }
 
-// isDefinite says that a failed write certainly had no effect. An error of a
-// kind that is not known counts as uncertain.
-func isDefinite(err error) bool {
+// provesNoEffect reports whether err proves that a write had no effect. An unknown
+// error proves nothing.
+func provesNoEffect(err error) bool {
 	if platform.ErrOutcomeUnknown.Has(err) {
 		return false
 	}
 	return platform.ErrUnavailable.Has(err) || platform.ErrBudget.Has(err) || ErrCorrupt.Has(err)
 }
 
-func isExactly(row platform.Row, rec record) bool {
-	cur, err := decode(row)
-	return err == nil && cur.Token == rec.Token && cur.State == rec.State
+// matches reports whether the row holds the token and the state of rec.
+func matches(row platform.Row, rec record) bool {
+	existing, err := decode(row)
+	return err == nil && existing.Token == rec.Token && existing.State == rec.State
 }
 
-func orChanged(err error) error {
+func orRowChanged(err error) error {
 	if err != nil {
 		return err
 	}
--- a/internal/store/claim/sweep.go
+++ b/internal/store/claim/sweep.go
@@ -10,72 +10,78 @@
 )
 
 const (
-	// sweepTable and sweepKey name the row with the progress of retention.
+	// sweepTable and sweepKey identify the row that holds the progress.
 	sweepTable = "claim_sweep"
 	sweepKey   = "progress"
-	// roundsKept is the number of rounds that a finished claim outlives. With
-	// more rounds a sweeper needs to live less long to complete one.
-	roundsKept = 8
-	// sweepPage is the number of claims read, and at most written, in a step: a
-	// transaction also writes the progress.
-	sweepPage = platform.MaxWrites - 1
+	// retainedRounds is the number of rounds for which a done or refused claim is
+	// retained. The more rounds, the shorter the time for which a sweeper has
+	// to run to complete one.
+	retainedRounds = 8
+	// pageSize is the maximum number of claims that one step reads and writes. It
+	// leaves one write of the transaction for the progress.
+	pageSize = platform.MaxWrites - 1
 )
 
-// progress is the state of retention, shared by all sweepers.
+// progress is the progress of retention, shared by all sweepers.
 type progress struct {
 	Round uint64 `json:"round"`
-	// Cursor is the key to go on from in the current round.
+	// Cursor is the key from which the current round continues.
 	Cursor string `json:"cursor,omitempty"`
-	// Idle says that the round is complete.
+	// Idle reports that the round is complete.
 	Idle bool `json:"idle,omitempty"`
 }
 
-// Sweeper deletes finished claims after a retention period. Claims that are
-// claimed or unknown are never deleted: their request may still run.
+// Sweeper deletes done and refused claims after a retention period. Claims in the
+// states claimed and unknown are never deleted: their requests may still be
+// executed.
 //
 // Age is counted in rounds, not by timestamps: a VM whose clock steps forward
-// would delete fresh claims, and a repeated request would run again. A round
-// begins only after its sweeper has watched the completed one for a share of
-// the retention period on its own monotonic clock.
+// would delete recent claims, and a repeated request would be executed again. A
+// sweeper starts a round only after it has observed the end of the previous one
+// for a share of the retention period on its own monotonic clock.
+//
+// A Sweeper must not be used concurrently.
 type Sweeper struct {
 	table     platform.Table
 	retention time.Duration
 
-	watched int64
-	since   time.Duration
+	watchedVersion int64
+	watchedSince   time.Duration
 }
 
-// NewSweeper returns a Sweeper. A finished claim lives for at least retention.
+// NewSweeper returns a Sweeper that retains done and refused claims for at least
+// retention.
 func NewSweeper(table platform.Table, retention time.Duration) *Sweeper {
 	return &Sweeper{table: table, retention: retention}
 }
 
-// Step handles one page of claims, or finds that a round is not due, and
-// returns how many rows it knows to be deleted. now is the monotonic time since
-// some fixed moment in this process. It costs at most two reads and one
-// transaction; the caller sets the pace. Several sweepers may run at once.
-// Errors are those of the table service and ErrCorrupt, and nothing needs to be
-// undone after one. A conflict means that another writer was faster.
+// Step processes one page of claims, or does nothing if no round is due, and
+// returns the number of rows that it is known to have deleted. now is the monotonic
+// time since a fixed moment in this process. A step makes at most two reads and
+// one transaction; the caller determines how often it is called. Sweepers of
+// several processes may run at the same time: a conflict means that another one
+// was faster and is not an error. Errors: ErrCorrupt and those of the table
+// service. No cleanup is needed after an error.
 func (s *Sweeper) Step(ctx context.Context, now time.Duration) (deleted int, err error) {
-	row, p, err := s.load(ctx)
+	row, p, err := s.loadProgress(ctx)
 	if err != nil {
 		return 0, err
 	}
 	if !p.Idle {
-		return s.page(ctx, row.Version, p)
+		return s.sweepPage(ctx, row.Version, p)
 	}
-	if row.Version != s.watched {
-		s.watched = row.Version
-		s.since = now
+	if row.Version != s.watchedVersion {
+		s.watchedVersion = row.Version
+		s.watchedSince = now
 		return 0, nil
 	}
-	if now-s.since < s.retention/roundsKept {
+	if now-s.watchedSince < s.retention/retainedRounds {
 		return 0, nil
 	}
 	return s.commit(ctx, row.Version, progress{Round: p.Round + 1}, nil)
 }
 
-func (s *Sweeper) load(ctx context.Context) (platform.Row, progress, error) {
+func (s *Sweeper) loadProgress(ctx context.Context) (platform.Row, progress, error) {
 	row, err := s.table.Get(ctx, platform.UseRetention, sweepTable, sweepKey)
 	if platform.ErrNotFound.Has(err) {
 		return platform.Row{}, progress{Round: 1}, nil
@@ -88,8 +94,8 @@
 	return row, p, ErrCorrupt.Wrap(err)
 }
 
-func (s *Sweeper) page(ctx context.Context, version int64, p progress) (deleted int, err error) {
-	rows, err := s.table.Scan(ctx, platform.UseRetention, Table, p.Cursor, "", sweepPage)
+func (s *Sweeper) sweepPage(ctx context.Context, version int64, p progress) (deleted int, err error) {
+	rows, err := s.table.Scan(ctx, platform.UseRetention, Table, p.Cursor, "", pageSize)
 	if err != nil {
 		return 0, err
 	}
@@ -100,15 +106,15 @@
 			writes = append(writes, write)
 		}
 	}
-	next := progress{Round: p.Round, Idle: len(rows) < sweepPage}
+	next := progress{Round: p.Round, Idle: len(rows) < pageSize}
 	if !next.Idle {
 		next.Cursor = rows[len(rows)-1].Key + "\x00"
 	}
 	return s.commit(ctx, version, next, writes)
 }
 
-// sweepRow returns the write that retention asks for, if any. Rows that can't
-// be decoded are left to operators.
+// sweepRow returns the write that retention requires for a row, if any. Rows that
+// can't be decoded are left to operators.
 func sweepRow(row platform.Row, round uint64) (platform.Write, bool) {
 	rec, err := decode(row)
 	if err != nil || rec.State != StateDone && rec.State != StateRefused {
@@ -117,15 +123,15 @@
 	write := platform.Write{Table: Table, Key: row.Key, IfVersion: row.Version}
 	if rec.SweepRound != 0 {
 		write.Delete = true
-		return write, rec.SweepRound+roundsKept < round
+		return write, rec.SweepRound+retainedRounds < round
 	}
 	rec.SweepRound = round
 	write.Value, err = rec.encode()
 	return write, err == nil
 }
 
-// commit writes a page together with the progress row, whose version lets one
-// sweeper's page through: a page that is delivered late fails as a whole.
+// commit writes a page together with the progress. The condition on the version of
+// the progress row admits only one sweeper's page: a delayed page fails completely.
 func (s *Sweeper) commit(ctx context.Context, version int64, p progress, writes []platform.Write) (deleted int, err error) {
 	value, err := json.Marshal(p)
 	if err != nil {
