--- a/internal/cli/accounts.go
+++ b/internal/cli/accounts.go
@@ -11,10 +11,10 @@
 	"damaskrouter.example/damaskrouter/internal/store/config"
 )
 
-// listCommand makes a command that lists items of the configuration in force.
-func listCommand[T any](name, description string, l listing[T]) *command {
+// listCommand returns a command that lists items of the active configuration.
+func listCommand[T any](name, description string, list listing[T]) *command {
 	var f listFlags
-	c := newCommand(name, description, func(ctx context.Context, con *console) error { return l.run(ctx, con, &f) })
+	c := newCommand(name, description, func(ctx context.Context, con *console) error { return list.run(ctx, con, &f) })
 	f.add(c.sub)
 	c.sub.String(&f.team, "", "team", "Only what this team owns.")
 	c.sub.String(&f.site, "d", "site", "As it applies at this data centre. Default: as the base file has it.")
--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -22,29 +22,30 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrUnsettled means that a change may or may not have been accepted.
-var ErrUnsettled = errs.Class("outcome unknown")
+// ErrOutcomeUnknown means that a change may or may not have been accepted.
+var ErrOutcomeUnknown = errs.Class("outcome unknown")
 
-// ErrNotEverywhere means that a version was accepted and that routers still
-// lack it when the wait is over. It is in force there as soon as they hear of it.
-var ErrNotEverywhere = errs.Class("accepted, but not yet in force everywhere")
+// ErrPartialRollout means that a version was accepted, but that some routers had
+// not activated it when the timeout expired. They activate it once they receive it.
+var ErrPartialRollout = errs.Class("accepted, but not yet in force everywhere")
 
 const (
-	// changeAttempts is how often an unsettled change is sent.
+	// changeAttempts is how many times a change with an unknown outcome is sent.
 	changeAttempts = 3
-	// changePause is the wait between the attempts.
-	changePause = 400 * time.Millisecond
-	// statusPeriod is how often --wait asks.
-	statusPeriod = 250 * time.Millisecond
-	// defaultWait is how long --wait lasts, in seconds.
-	defaultWait = 30
+	// changeRetryDelay is the delay between these attempts.
+	changeRetryDelay = 400 * time.Millisecond
+	// statusPollInterval is the interval at which --wait requests the status.
+	statusPollInterval = 250 * time.Millisecond
+	// defaultWaitSeconds is the default timeout of --wait.
+	defaultWaitSeconds = 30
 )
 
-// changeFlags are the flags of a command that changes the configuration.
+// changeFlags are the flags of a command that changes the configuration. The
+// timeout is in seconds.
 type changeFlags struct {
 	operatorFlags
 	from     uint64
-	fromGot  string
+	fromText string
 	comment  string
 	changeID string
 	withdraw bool
@@ -54,8 +55,8 @@
 
 func (f *changeFlags) add(sub *flaggy.Subcommand) {
 	f.operatorFlags.add(sub)
-	f.timeout = defaultWait
-	sub.String(&f.fromGot, "f", "from", "The version that the change was made from. Default: the one that \"config show --out\" noted beside the base file, or else the one in force now.")
+	f.timeout = defaultWaitSeconds
+	sub.String(&f.fromText, "f", "from", "The version that the change was made from. Default: the one that \"config show --out\" noted beside the base file, or else the one in force now.")
 	sub.String(&f.comment, "c", "comment", "Why; it goes into the audit trail.")
 	sub.String(&f.changeID, "i", "change-id", "The id of the change. The same id is accepted once, so give it again to repeat a change whose outcome you don't know. Default: a fresh one, which is printed.")
 	sub.Bool(&f.withdraw, "", "withdraw", "Let sites stop serving what they serve now, without a retire mark. Needs the role breakglass.")
@@ -67,25 +68,25 @@
 	var f changeFlags
 	var files bundleFlags
 	c := newCommand("apply", "Make the files the next version of the fleet's configuration.", func(ctx context.Context, con *console) error {
-		texts, err := files.files()
+		contents, err := files.files()
 		if err != nil {
 			return err
 		}
-		noted := filepath.Join(filepath.Dir(files.base), versionFile)
-		if err := f.prepare(ctx, con, noted); err != nil {
+		versionPath := filepath.Join(filepath.Dir(files.base), versionFile)
+		if err := f.prepare(ctx, con, versionPath); err != nil {
 			return err
 		}
-		body := api.ApplyRequest{Files: texts, Comment: f.comment, Withdraw: f.withdraw}
-		v, err := f.change(ctx, con, api.PathConfig, body)
+		body := api.ApplyRequest{Files: contents, Comment: f.comment, Withdraw: f.withdraw}
+		v, err := f.submit(ctx, con, api.PathConfig, body)
 		if err != nil {
-			return localise(&files, err)
+			return useLocalPaths(&files, err)
 		}
-		if _, err := os.Stat(noted); err == nil {
-			if err := writeVersion(noted, v.Number); err != nil {
+		if _, err := os.Stat(versionPath); err == nil {
+			if err := writeVersion(versionPath, v.Number); err != nil {
 				return err
 			}
 		}
-		return f.finish(ctx, con, v)
+		return f.awaitRollout(ctx, con, v)
 	})
 	f.add(c.sub)
 	files.add(c.sub)
@@ -103,21 +104,22 @@
 			return err
 		}
 		body := api.RollbackRequest{To: to, Comment: f.comment, Withdraw: f.withdraw}
-		v, err := f.change(ctx, con, api.PathRollback, body)
+		v, err := f.submit(ctx, con, api.PathRollback, body)
 		if err != nil {
 			return err
 		}
-		return f.finish(ctx, con, v)
+		return f.awaitRollout(ctx, con, v)
 	})
 	f.add(c.sub)
 	c.sub.UInt64(&to, "", "to", "The version whose content to take.")
 	return c
 }
 
-// prepare settles which version the change is made from, and its id. The id is
-// printed before anything is sent: who loses the connection needs it.
-func (f *changeFlags) prepare(ctx context.Context, con *console, noted string) error {
-	if err := f.settleFrom(ctx, con, noted); err != nil {
+// prepare determines the version that the change is made from, and its id. It
+// prints the id before anything is sent, since an operator whose connection fails
+// needs it to repeat the change.
+func (f *changeFlags) prepare(ctx context.Context, con *console, versionPath string) error {
+	if err := f.resolveFrom(ctx, con, versionPath); err != nil {
 		return err
 	}
 	if f.changeID == "" {
@@ -127,15 +129,15 @@
 	return nil
 }
 
-func (f *changeFlags) settleFrom(ctx context.Context, con *console, noted string) error {
-	if f.fromGot != "" {
-		return f.parseFrom(f.fromGot)
+func (f *changeFlags) resolveFrom(ctx context.Context, con *console, versionPath string) error {
+	if f.fromText != "" {
+		return f.parseFrom(f.fromText)
 	}
-	data, err := os.ReadFile(noted)
+	data, err := os.ReadFile(versionPath)
 	if err == nil {
 		return f.parseFrom(strings.TrimSpace(string(data)))
 	}
-	if noted != "" && !errors.Is(err, fs.ErrNotExist) {
+	if versionPath != "" && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
 	head, err := f.head(ctx, con)
@@ -156,9 +158,10 @@
 	return nil
 }
 
-// change sends a change until its outcome is known. Repeating it is safe: the
-// change id is accepted once.
-func (f *changeFlags) change(ctx context.Context, con *console, path string, body any) (config.Version, error) {
+// submit sends a change, and sends it again while its outcome is unknown. That is
+// safe, since a change id is accepted only once. After changeAttempts it returns
+// ErrOutcomeUnknown.
+func (f *changeFlags) submit(ctx context.Context, con *console, path string, body any) (config.Version, error) {
 	c, err := f.client()
 	if err != nil {
 		return config.Version{}, err
@@ -167,29 +170,29 @@
 		"If-Match":         {strconv.Quote(strconv.FormatUint(f.from, 10))},
 		api.HeaderChangeID: {f.changeID},
 	}}
-	unsettled := false
+	outcomeUnknown := false
 	for attempt := 1; ; attempt++ {
 		var v config.Version
-		raw, err := patiently(ctx, con, c, req, &v)
+		raw, err := doWithRetry(ctx, con, c, req, &v)
 		if err == nil {
 			return v, f.printVersion(con, raw, v)
 		}
-		unsettled = unsettled || client.Unsettled(err)
-		if !unsettled || isFinal(err) {
+		outcomeUnknown = outcomeUnknown || client.Unsettled(err)
+		if !outcomeUnknown || isConclusive(err) {
 			return config.Version{}, err
 		}
 		con.note("outcome not known yet: %v", err)
-		if attempt == changeAttempts || !pause.For(ctx, changePause) {
-			return config.Version{}, ErrUnsettled.New("change %s; the same command with --change-id %s --from %d settles it: %w",
+		if attempt == changeAttempts || !pause.For(ctx, changeRetryDelay) {
+			return config.Version{}, ErrOutcomeUnknown.New("change %s; the same command with --change-id %s --from %d settles it: %w",
 				f.changeID, f.changeID, f.from, err)
 		}
 	}
 }
 
-// isFinal reports a refusal that speaks of the change, and not only of the
-// attempt. "Did not run" of a second attempt, which the store or the token
-// refused, says nothing about a first one that may be in force.
-func isFinal(err error) bool {
+// isConclusive reports whether a refusal is about the change and not only about
+// one attempt. If the store or the token caused a second attempt to be refused as
+// not executed, the first attempt may still have taken effect.
+func isConclusive(err error) bool {
 	var f *api.Failure
 	if !errors.As(err, &f) {
 		return false
@@ -210,59 +213,61 @@
 	return err
 }
 
-// finish waits, if asked to, until all routers have the version in force, and
-// names each router as it gets there.
-func (f *changeFlags) finish(ctx context.Context, con *console, v config.Version) error {
+// awaitRollout waits, with --wait, until the version is active on all routers. It
+// prints each router once the version is active there, and returns
+// ErrPartialRollout after the timeout.
+func (f *changeFlags) awaitRollout(ctx context.Context, con *console, v config.Version) error {
 	if !f.wait {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(f.timeout)*time.Second)
 	defer cancel()
-	quiet := f.operatorFlags
-	quiet.json = false
-	shown := make(map[string]bool)
+	flags := f.operatorFlags
+	flags.json = false
+	printed := make(map[string]bool)
 	var st api.Status
 	var lastErr error
 	for {
-		_, lastErr = quiet.get(ctx, con, api.PathStatus, versionParam(v.Number), &st)
+		_, lastErr = flags.get(ctx, con, api.PathStatus, versionParam(v.Number), &st)
 		if lastErr == nil {
-			f.showProgress(con, st, shown)
+			f.showProgress(con, st, printed)
 			if st.Complete {
 				return nil
 			}
 		}
-		if !pause.For(ctx, statusPeriod) {
-			return notEverywhere(v, st, lastErr)
+		if !pause.For(ctx, statusPollInterval) {
+			return rolloutError(v, st, lastErr)
 		}
 		st = api.Status{Lagging: st.Lagging}
 	}
 }
 
-func (f *changeFlags) showProgress(con *console, st api.Status, shown map[string]bool) {
+func (f *changeFlags) showProgress(con *console, st api.Status, printed map[string]bool) {
 	for _, r := range st.Routers {
-		if r.ConfigVersion < st.Version || shown[r.Name] {
+		if r.ConfigVersion < st.Version || printed[r.Name] {
 			continue
 		}
-		shown[r.Name] = true
+		printed[r.Name] = true
 		if !f.json {
 			fmt.Fprintf(con.out, "in force at %s (%s)\n", r.Name, r.Site)
 		}
 	}
 }
 
-func notEverywhere(v config.Version, st api.Status, err error) error {
+func rolloutError(v config.Version, st api.Status, err error) error {
 	if len(st.Lagging) > 0 {
-		return ErrNotEverywhere.New("version %d is missing at %s", v.Number, strings.Join(st.Lagging, ", "))
+		return ErrPartialRollout.New("version %d is missing at %s", v.Number, strings.Join(st.Lagging, ", "))
 	}
-	return ErrNotEverywhere.New("version %d: the router could not be asked: %w", v.Number, err)
+	return ErrPartialRollout.New("version %d: the router could not be asked: %w", v.Number, err)
 }
 
-// localise names the operator's own files in the problems of a refusal.
-func localise(files *bundleFlags, err error) error {
+// useLocalPaths replaces the file names in the problems of a refusal by the paths
+// of the operator's files.
+func useLocalPaths(files *bundleFlags, err error) error {
 	var f *api.Failure
 	if errors.As(err, &f) {
 		for i := range f.Problems {
-			f.Problems[i] = files.local(f.Problems[i])
+			f.Problems[i] = files.withLocalPath(f.Problems[i])
 		}
 	}
 	return err
--- a/internal/cli/audit.go
+++ b/internal/cli/audit.go
@@ -10,7 +10,7 @@
 
 func auditCommand() *command {
 	f := listFlags{limit: api.DefaultLimit}
-	l := listing[audit.Entry]{
+	list := listing[audit.Entry]{
 		path:    api.PathAudit,
 		columns: "TIME\tWHO\tWHAT\tOUTCOME\tTEAM\tTARGET\tFROM VERSION\tDETAIL",
 		row: func(e audit.Entry) string {
@@ -19,7 +19,7 @@
 		},
 	}
 	c := newCommand("audit", "List what operators changed, newest first.", func(ctx context.Context, con *console) error {
-		return l.run(ctx, con, &f)
+		return list.run(ctx, con, &f)
 	})
 	f.add(c.sub)
 	c.sub.String(&f.team, "", "team", "Only what this team owns.")
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -13,13 +13,13 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrPromise means that a run broke one of the promises of the system.
-var ErrPromise = errs.Class("promise broken")
+// ErrGuarantee means that a run violated one of the system's guarantees.
+var ErrGuarantee = errs.Class("promise broken")
 
-// allStrategies runs every strategy in turn.
+// allStrategies is the strategy name that runs every strategy, one after another.
 const allStrategies = "all"
 
-// benchFlags are the flags of bench.
+// benchFlags are the flags of the command bench.
 type benchFlags struct {
 	workload string
 	strategy string
@@ -61,7 +61,7 @@
 	if err := f.write(con, results); err != nil {
 		return err
 	}
-	return promises(results)
+	return checkGuarantees(results)
 }
 
 func (f *benchFlags) runAll(ctx context.Context, con *console, w *workload.Workload) ([]*run.Result, error) {
@@ -104,11 +104,12 @@
 	return nil
 }
 
-// promises returns an error if a run broke one: they hold whatever the placement.
-func promises(results []*run.Result) error {
+// checkGuarantees returns ErrGuarantee if a run violated a guarantee. Guarantees
+// hold for every placement strategy.
+func checkGuarantees(results []*run.Result) error {
 	for _, r := range results {
 		if !r.Kept() {
-			return ErrPromise.New("%s: %d lost, %d mixed, %d doubled, %d falsely refused",
+			return ErrGuarantee.New("%s: %d lost, %d mixed, %d doubled, %d falsely refused",
 				r.Strategy, r.Lost, r.Mixed, r.Doubled, r.FalselyRefused)
 		}
 	}
--- a/internal/cli/callers.go
+++ b/internal/cli/callers.go
@@ -12,7 +12,7 @@
 	"github.com/integrii/flaggy"
 )
 
-// callerFlags are the flags that every caller's command has.
+// callerFlags are the flags that all commands for callers have.
 type callerFlags struct {
 	seeds []string
 	key   string
@@ -64,10 +64,10 @@
 func chatCommand() *command {
 	var f callerFlags
 	var chat, model, priority string
-	var say []string
+	var messages []string
 	maxTokens := 0
 	c := newCommand("chat", "Hold a chat: one turn for each --say, streamed.", func(ctx context.Context, con *console) error {
-		if len(say) == 0 || model == "" {
+		if len(messages) == 0 || model == "" {
 			return ErrUsage.New("chat needs --model NAME and at least one --say TEXT")
 		}
 		cl, err := f.client()
@@ -75,25 +75,25 @@
 			return err
 		}
 		defer cl.Close()
-		v := cl.Conversation(chat, model)
-		v.Priority = priority
-		v.MaxTokens = maxTokens
-		return talk(ctx, con, v, say)
+		conv := cl.Conversation(chat, model)
+		conv.Priority = priority
+		conv.MaxTokens = maxTokens
+		return runTurns(ctx, con, conv, messages)
 	})
 	f.add(c.sub)
 	c.sub.String(&chat, "c", "chat", "The id of the chat. Default: a fresh one.")
 	c.sub.String(&model, "m", "model", "The model.")
 	c.sub.String(&priority, "p", "priority", "The class: urgent, high, normal or batch.")
-	c.sub.StringSlice(&say, "s", "say", "What to say; once for each turn.")
+	c.sub.StringSlice(&messages, "s", "say", "What to say; once for each turn.")
 	c.sub.Int(&maxTokens, "n", "max-tokens", "The longest answer, in tokens.")
 	chat = uuid.NewString()
 	return c
 }
 
-func talk(ctx context.Context, con *console, v *client.Conversation, say []string) error {
-	for _, text := range say {
+func runTurns(ctx context.Context, con *console, conv *client.Conversation, messages []string) error {
+	for _, text := range messages {
 		fmt.Fprintf(con.out, "> %s\n", text)
-		turn, err := v.Say(ctx, text, func(piece string) { fmt.Fprint(con.out, piece) })
+		turn, err := conv.Say(ctx, text, func(token string) { fmt.Fprint(con.out, token) })
 		fmt.Fprintln(con.out)
 		if err != nil {
 			return err
--- a/internal/cli/claims.go
+++ b/internal/cli/claims.go
@@ -11,7 +11,7 @@
 	"github.com/integrii/flaggy"
 )
 
-// claimFlags name a non-idempotent request.
+// claimFlags identify a non-idempotent request.
 type claimFlags struct {
 	operatorFlags
 	account string
@@ -32,7 +32,7 @@
 }
 
 func claimsCommand() *command {
-	return group("claims", "Look up and settle requests that run at most once.", claimsShowCommand(), claimsResolveCommand())
+	return commandGroup("claims", "Look up and settle requests that run at most once.", claimsShowCommand(), claimsResolveCommand())
 }
 
 func claimsShowCommand() *command {
@@ -56,15 +56,15 @@
 func claimsResolveCommand() *command {
 	var f claimFlags
 	var verdict string
-	var seen int64
+	var seenVersion int64
 	c := newCommand("resolve", "Settle a request whose outcome is not known.", func(ctx context.Context, con *console) error {
 		if err := f.check(); err != nil {
 			return err
 		}
-		if verdict == "" || seen == 0 {
+		if verdict == "" || seenVersion == 0 {
 			return ErrUsage.New("say --verdict ran or --verdict not-run, and --seen VERSION as claims show printed it")
 		}
-		req := api.ResolveRequest{Account: f.account, Key: f.key, Verdict: claim.Verdict(verdict), Seen: seen}
+		req := api.ResolveRequest{Account: f.account, Key: f.key, Verdict: claim.Verdict(verdict), Seen: seenVersion}
 		var v claim.View
 		printed, err := f.post(ctx, con, api.PathResolve, req, &v)
 		if printed || err != nil {
@@ -74,7 +74,7 @@
 	})
 	f.add(c.sub)
 	c.sub.String(&verdict, "v", "verdict", "ran: the key is closed for good. not-run: the key may be used again; right only if the VM of the router that holds it is gone, since a paused one may still send the request.")
-	c.sub.Int64(&seen, "s", "seen", "The version of the claim that the verdict is about.")
+	c.sub.Int64(&seenVersion, "s", "seen", "The version of the claim that the verdict is about.")
 	return c
 }
 
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of damaskrouter.
+// Package cli implements the command line of damaskrouter.
 package cli
 
 import (
@@ -14,35 +14,36 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrUsage is a command line that can't be understood.
+// ErrUsage means that the command line is invalid.
 var ErrUsage = errs.Class("usage")
 
-// The exit codes.
+// Exit codes.
 const (
 	exitOK     = 0
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// command is one subcommand with its flags.
+// command is a subcommand with its flags.
 type command struct {
 	sub *flaggy.Subcommand
 	run func(context.Context, *console) error
 }
 
-// console is what a command writes to.
+// console holds the outputs of a command.
 type console struct {
 	out io.Writer
 	err io.Writer
 	log *log.Logger
 }
 
-// note tells the person at the terminal something that is not the result.
+// note prints a line for the user that is not part of the command's output.
 func (c *console) note(format string, args ...any) {
 	fmt.Fprintf(c.err, format+"\n", args...)
 }
 
-// Main runs the command line and returns the exit code.
+// Main runs the command that args name and returns the exit code. SIGINT and
+// SIGTERM end the command's context.
 func Main(args []string, stdout, stderr io.Writer) int {
 	p := flaggy.NewParser("damaskrouter")
 	p.Description = "A router fleet for returning chats with language models."
@@ -67,14 +68,14 @@
 	con := &console{out: stdout, err: stderr, log: newLogger(stderr, log.InfoLevel)}
 	for _, c := range commands {
 		if c.sub.Used {
-			return finish(con, stderr, c.run(ctx, con))
+			return exitCode(con, stderr, c.run(ctx, con))
 		}
 	}
 	p.ShowHelp()
 	return exitUsage
 }
 
-func finish(con *console, stderr io.Writer, err error) int {
+func exitCode(con *console, stderr io.Writer, err error) int {
 	switch {
 	case err == nil:
 		return exitOK
@@ -86,7 +87,7 @@
 	return exitFailed
 }
 
-// newLogger writes JSON lines.
+// newLogger returns a logger that writes JSON lines to w.
 func newLogger(w io.Writer, level log.Level) *log.Logger {
 	l := log.NewWithOptions(w, log.Options{ReportTimestamp: true, TimeFormat: timeFormat, Level: level})
 	l.SetFormatter(log.JSONFormatter)
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -16,11 +16,12 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrRefused means that a configuration has faults, which have been printed.
-var ErrRefused = errs.Class("configuration refused")
+// ErrConfigRejected means that a configuration has problems, which have been
+// printed.
+var ErrConfigRejected = errs.Class("configuration refused")
 
-// versionFile stands beside a base file that "config show --out" wrote, and
-// names the version that it is a copy of.
+// versionFile is written next to the base file by "config show --out" and contains
+// the number of the version that the files are a copy of.
 const versionFile = ".damaskrouter-version"
 
 const (
@@ -28,7 +29,7 @@
 	fileMode = 0o644
 )
 
-// bundleFlags name the files of a configuration.
+// bundleFlags hold the paths of a configuration's files.
 type bundleFlags struct {
 	base     string
 	overlays string
@@ -46,7 +47,7 @@
 	return config.ReadBundle(f.base, f.overlays)
 }
 
-// files reads the files as they are sent.
+// files reads the files and returns them in the form of the admin API.
 func (f *bundleFlags) files() (api.Files, error) {
 	b, err := f.read()
 	if err != nil {
@@ -55,8 +56,9 @@
 	return api.NewFiles(b)
 }
 
-// local replaces the names of a bundle's files by those of the operator's.
-func (f *bundleFlags) local(p config.Problem) config.Problem {
+// withLocalPath replaces the name of a bundle's file by the path of the operator's
+// file.
+func (f *bundleFlags) withLocalPath(p config.Problem) config.Problem {
 	if p.File == config.BaseFile {
 		p.File = f.base
 		return p
@@ -68,7 +70,7 @@
 }
 
 func configCommand() *command {
-	return group("config", "Check, compare, apply and look up configurations of the fleet.",
+	return commandGroup("config", "Check, compare, apply and look up configurations of the fleet.",
 		configCheckCommand(), configDiffCommand(), configApplyCommand(), configShowCommand(),
 		configHistoryCommand(), configStatusCommand(), configRollbackCommand())
 }
@@ -89,45 +91,46 @@
 		return err
 	}
 	if f.admin == "" && os.Getenv(envAdmin) == "" {
-		return printFaults(con, files, config.Validate(b), nil, "the files are in order; no router was asked")
+		return printProblems(con, files, config.Validate(b), nil, "the files are in order; no router was asked")
 	}
-	texts, err := api.NewFiles(b)
+	contents, err := api.NewFiles(b)
 	if err != nil {
 		return err
 	}
 	var reply api.CheckReply
-	printed, err := f.post(ctx, con, api.PathCheck, api.CheckRequest{Files: texts}, &reply)
+	printed, err := f.post(ctx, con, api.PathCheck, api.CheckRequest{Files: contents}, &reply)
 	if err != nil {
 		return err
 	}
 	problems := append(reply.Problems, reply.ChangeProblems...)
 	if printed {
-		return refused(len(problems) + len(reply.Forbidden))
+		return checkProblemCount(len(problems) + len(reply.Forbidden))
 	}
-	return printFaults(con, files, problems, reply.Forbidden,
+	return printProblems(con, files, problems, reply.Forbidden,
 		fmt.Sprintf("the files are in order as a change of version %d", reply.Version))
 }
 
-// printFaults prints faults as file:line, which editors understand.
-func printFaults(con *console, files *bundleFlags, problems []config.Problem, forbidden []string, fine string) error {
+// printProblems prints each problem with its file:line, a format that editors
+// recognize. If there are none, it prints okMessage.
+func printProblems(con *console, files *bundleFlags, problems []config.Problem, forbidden []string, okMessage string) error {
 	for _, p := range problems {
-		fmt.Fprintln(con.out, files.local(p))
+		fmt.Fprintln(con.out, files.withLocalPath(p))
 	}
 	for _, path := range forbidden {
 		fmt.Fprintln(con.out, "not yours to change:", path)
 	}
-	if err := refused(len(problems) + len(forbidden)); err != nil {
+	if err := checkProblemCount(len(problems) + len(forbidden)); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintln(con.out, fine)
+	_, err := fmt.Fprintln(con.out, okMessage)
 	return err
 }
 
-func refused(faults int) error {
-	if faults == 0 {
+func checkProblemCount(problems int) error {
+	if problems == 0 {
 		return nil
 	}
-	return ErrRefused.New("%d faults", faults)
+	return ErrConfigRejected.New("%d faults", problems)
 }
 
 func configDiffCommand() *command {
@@ -137,11 +140,11 @@
 	c := newCommand("diff", "Show what the files change in a version, or what changed between two versions.", func(ctx context.Context, con *console) error {
 		req := api.DiffRequest{From: from, To: to}
 		if files.base != "" {
-			texts, err := files.files()
+			contents, err := files.files()
 			if err != nil {
 				return err
 			}
-			req.Files = &texts
+			req.Files = &contents
 		}
 		return configDiff(ctx, con, &f, req)
 	})
@@ -206,12 +209,12 @@
 	return nil
 }
 
-// head asks which version is in force.
+// head returns the active version.
 func (f *operatorFlags) head(ctx context.Context, con *console) (config.Head, error) {
-	quiet := *f
-	quiet.json = false
+	flags := *f
+	flags.json = false
 	var head config.Head
-	_, err := quiet.get(ctx, con, api.PathConfig, nil, &head)
+	_, err := flags.get(ctx, con, api.PathConfig, nil, &head)
 	return head, err
 }
 
@@ -219,10 +222,10 @@
 	if err := os.MkdirAll(filepath.Join(dir, config.SitesDir), dirMode); err != nil {
 		return err
 	}
-	texts := v.Files.Bundle().Files()
+	contents := v.Files.Bundle().Files()
 	for _, name := range sortedNames(v.Files) {
 		file := filepath.Join(dir, filepath.FromSlash(name))
-		if err := os.WriteFile(file, texts[name], fileMode); err != nil {
+		if err := os.WriteFile(file, contents[name], fileMode); err != nil {
 			return err
 		}
 	}
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -13,8 +13,8 @@
 
 const (
 	demoSeed = 1
-	// demoProgress is how many seconds lie between two lines of progress.
-	demoProgress = 3
+	// progressInterval is the interval between lines of progress, in seconds.
+	progressInterval = 3
 )
 
 func demoCommand() *command {
@@ -44,34 +44,34 @@
 		Strategy: run.Picker,
 		Seed:     demoSeed,
 		Log:      con.log,
-		Progress: func(p run.Progress) { progress(con, p) },
-		Event:    func(ev workload.ChurnEvent) { event(con, ev) },
+		Progress: func(p run.Progress) { printProgress(con, p) },
+		Event:    func(ev workload.ChurnEvent) { printEvent(con, ev) },
 	})
 	if err != nil {
 		return err
 	}
-	return demoResult(con, file, r)
+	return printDemoResult(con, file, r)
 }
 
-func progress(con *console, p run.Progress) {
+func printProgress(con *console, p run.Progress) {
 	elapsed := int(p.Elapsed.Seconds())
-	if elapsed%demoProgress != 0 {
+	if elapsed%progressInterval != 0 {
 		return
 	}
 	fmt.Fprintf(con.out, "%3d s of %.0f s: %d requests, %d answered, %d refused, %d interrupted\n",
 		elapsed, p.Length.Seconds(), p.Counts.Requests, p.Counts.Answered, p.Counts.Refused, p.Counts.Interrupted)
 }
 
-func event(con *console, ev workload.ChurnEvent) {
-	what := map[workload.ChurnKind]string{
+func printEvent(con *console, ev workload.ChurnEvent) {
+	actions := map[workload.ChurnKind]string{
 		workload.ChurnLeave:   "leaves as planned",
 		workload.ChurnCrash:   "crashes",
 		workload.ChurnRestart: "restarts with an empty cache",
 	}
-	fmt.Fprintf(con.out, "      engine %d %s\n", ev.Engine+1, what[ev.Kind])
+	fmt.Fprintf(con.out, "      engine %d %s\n", ev.Engine+1, actions[ev.Kind])
 }
 
-func demoResult(con *console, file string, r *run.Result) error {
+func printDemoResult(con *console, file string, r *run.Result) error {
 	s := report.Summarize(r)
 	fmt.Fprintf(con.out, "\nCache reuse of returning turns: %.1f%% (%.1f%% of what an all-knowing cache would reach)\n",
 		100*s.CacheReuse, 100*r.ReuseShare)
@@ -88,5 +88,5 @@
 			return err
 		}
 	}
-	return promises([]*run.Result{r})
+	return checkGuarantees([]*run.Result{r})
 }
--- a/internal/cli/edge.go
+++ b/internal/cli/edge.go
@@ -12,26 +12,26 @@
 	"github.com/charmbracelet/log"
 )
 
-// settingsVariable names the settings file where the command line doesn't.
-const settingsVariable = "DAMASKROUTER_SETTINGS"
+// envSettings is the environment variable that replaces the flag --settings.
+const envSettings = "DAMASKROUTER_SETTINGS"
 
 func edgeCommand() *command {
 	var file string
 	c := newCommand("edge", "Run one router on the platform until it is told to stop.", func(ctx context.Context, con *console) error {
 		return runEdge(ctx, con, file)
 	})
-	c.sub.String(&file, "s", "settings", "The settings file, in YAML. The default is the value of "+settingsVariable+".")
+	c.sub.String(&file, "s", "settings", "The settings file, in YAML. The default is the value of "+envSettings+".")
 	return c
 }
 
-// runEdge runs a router on the platform. The first signal makes it leave, a
-// second one ends it.
+// runEdge runs a router on the platform. The first SIGINT or SIGTERM drains it, a
+// second one ends the drain.
 func runEdge(ctx context.Context, con *console, file string) error {
 	if file == "" {
-		file = os.Getenv(settingsVariable)
+		file = os.Getenv(envSettings)
 	}
 	if file == "" {
-		return ErrUsage.New("edge needs --settings FILE or %s", settingsVariable)
+		return ErrUsage.New("edge needs --settings FILE or %s", envSettings)
 	}
 	sink := logsink.New(con.out)
 	defer sink.Close()
--- a/internal/cli/evacuated_test.go
+++ b/internal/cli/evacuated_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Operators see which sites are evacuated, and whether all routers know it.
+// Guards against an evacuation that operators can't see, or that seems to be known
+// to all routers when it is not.
 func TestFleetShowsEvacuatedSites(t *testing.T) {
 	var out bytes.Buffer
 	printEvacuated(&out, []feed.Status{
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -12,7 +12,7 @@
 func fleetCommand() *command {
 	var f operatorFlags
 	var routers routersFlags
-	diff := diffCommand()
+	diff := fleetDiffCommand()
 	c := newCommand("fleet", "Show the routers: which run which settings and configuration, and the odd ones.", func(ctx context.Context, con *console) error {
 		if diff.sub.Used {
 			return diff.run(ctx, con)
@@ -51,22 +51,23 @@
 	return table(out, true, "\nENGINE\tKIND\tPOOL\tSITE\tSTATE\tOWNER\tMODEL\tADMITTED", func(w io.Writer) error {
 		for _, e := range f.Engines {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s %s\t%s\n", e.Name, e.Kind, e.Pool, e.Site, engineState(f.SeenBy, e),
-				e.Owner, e.Model, e.Version, admitted(e))
+				e.Owner, e.Model, e.Version, admittedText(e))
 		}
 		return nil
 	})
 }
 
-// admitted is the number of unfinished requests, where it is known.
-func admitted(e api.Engine) string {
+// admittedText returns the number of unfinished requests, or "?" if it is unknown.
+func admittedText(e api.Engine) string {
 	if !e.Heard {
 		return "?"
 	}
 	return strconv.Itoa(e.Admitted)
 }
 
-// engineState is the state as the asked router sees it. Only the owner gets the
-// engine's reports, so that their absence says nothing elsewhere.
+// engineState returns the engine's state as seen by the router that replied. Only
+// the owner receives the engine's reports, so on other routers a missing report
+// has no meaning.
 func engineState(seenBy string, e api.Engine) string {
 	switch {
 	case e.Leaving:
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -13,19 +13,19 @@
 	"damaskrouter.example/damaskrouter/internal/serve/settings"
 )
 
-// secretDirMode keeps generated keys from other users.
+// secretDirMode denies other users access to generated keys.
 const secretDirMode = 0o700
 
-// keyKind is something that "keys generate" can make.
+// keyKind is a kind of secret that "keys generate" generates.
 type keyKind struct {
 	name string
-	// make prints the secret, and what to write where.
-	make func(con *console) error
+	// generate prints a new secret and the setting that it belongs in.
+	generate func(con *console) error
 }
 
 var keyKinds = []keyKind{
-	{"fleet", func(con *console) error { return printFleetKey(con, "fleet_keys") }},
-	{"hint", func(con *console) error { return printFleetKey(con, "hint_keys") }},
+	{"fleet", func(con *console) error { return printSharedKey(con, "fleet_keys") }},
+	{"hint", func(con *console) error { return printSharedKey(con, "hint_keys") }},
 	{"api", func(con *console) error { return printSecret(con, access.PrefixAPIKey, "key_hashes of the account") }},
 	{"operator", func(con *console) error {
 		return printSecret(con, access.PrefixOperator, "admin_token_hash in the settings")
@@ -33,7 +33,7 @@
 }
 
 func keysCommand() *command {
-	return group("keys", "Make keys and certificates.", keysGenerateCommand())
+	return commandGroup("keys", "Make keys and certificates.", keysGenerateCommand())
 }
 
 func keysGenerateCommand() *command {
@@ -57,13 +57,13 @@
 func generateSecret(con *console, kind string) error {
 	for _, k := range keyKinds {
 		if k.name == kind {
-			return k.make(con)
+			return k.generate(con)
 		}
 	}
 	return ErrUsage.New("keys generate needs --kind fleet, hint, api or operator, or --dir DIR with --router NAME")
 }
 
-func printFleetKey(con *console, field string) error {
+func printSharedKey(con *console, field string) error {
 	secret := make([]byte, settings.MinKeyBytes)
 	if _, err := rand.Read(secret); err != nil {
 		return access.ErrRandom.Wrap(err)
@@ -73,12 +73,12 @@
 	return err
 }
 
-func printSecret(con *console, prefix, place string) error {
+func printSecret(con *console, prefix, field string) error {
 	secret, err := access.NewSecret(rand.Reader, prefix)
 	if err != nil {
 		return err
 	}
-	con.note("the secret, which is kept nowhere, and then its hash for %s:", place)
+	con.note("the secret, which is kept nowhere, and then its hash for %s:", field)
 	_, err = fmt.Fprintf(con.out, "%s\n%s\n", secret, access.HashSecret(secret))
 	return err
 }
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -18,20 +18,20 @@
 	"github.com/integrii/flaggy"
 )
 
-// Environment variables that stand in for operators' flags.
+// Environment variables that replace flags of the operators' commands.
 const (
 	envAdmin = "DAMASKROUTER_ADMIN"
 	envToken = "DAMASKROUTER_TOKEN"
 	envCA    = "DAMASKROUTER_CA"
 )
 
-// storeAttempts is how often a call is made that the store refuses.
+// storeAttempts is how many times a call is made while the store is unavailable.
 const storeAttempts = 3
 
-// columnGap is the space between the columns of a table.
-const columnGap = 2
+// columnPadding is the number of spaces between the columns of a table.
+const columnPadding = 2
 
-// operatorFlags are the flags that every operator's command has.
+// operatorFlags are the flags that all commands for operators have.
 type operatorFlags struct {
 	admin string
 	token string
@@ -62,13 +62,14 @@
 	return client.New(client.Options{Address: f.admin, Token: f.token, CA: f.ca})
 }
 
-// do makes one call. With --json it prints the answer and returns printed.
+// do makes one call and decodes the response into out. With --json it prints the
+// response and returns printed as true.
 func (f *operatorFlags) do(ctx context.Context, con *console, r client.Request, out any) (printed bool, err error) {
 	c, err := f.client()
 	if err != nil {
 		return false, err
 	}
-	raw, err := patiently(ctx, con, c, r, out)
+	raw, err := doWithRetry(ctx, con, c, r, out)
 	if err != nil {
 		return false, err
 	}
@@ -79,9 +80,10 @@
 	return true, err
 }
 
-// patiently makes a call, and makes it again while the router says that the
-// store refused it, that nothing was done, and when to come back.
-func patiently(ctx context.Context, con *console, c *client.Client, r client.Request, out any) ([]byte, error) {
+// doWithRetry makes a call, up to storeAttempts times. It retries only if the router
+// reports that the store is unavailable, that the call was not executed, and when
+// to retry.
+func doWithRetry(ctx context.Context, con *console, c *client.Client, r client.Request, out any) ([]byte, error) {
 	for attempt := 1; ; attempt++ {
 		raw, err := c.Do(ctx, r, out)
 		var f *api.Failure
@@ -98,17 +100,18 @@
 	}
 }
 
-// get is do for a reading call.
+// get calls do with the method GET.
 func (f *operatorFlags) get(ctx context.Context, con *console, path string, query url.Values, out any) (printed bool, err error) {
 	return f.do(ctx, con, client.Request{Method: http.MethodGet, Path: path, Query: query}, out)
 }
 
-// post is do for a call with a body.
+// post calls do with the method POST and a body.
 func (f *operatorFlags) post(ctx context.Context, con *console, path string, body, out any) (printed bool, err error) {
 	return f.do(ctx, con, client.Request{Method: http.MethodPost, Path: path, Body: body}, out)
 }
 
-// listFlags are the flags of a command that lists things.
+// listFlags are the flags of a command that prints a list. A limit of 0 prints all
+// items.
 type listFlags struct {
 	operatorFlags
 	team  string
@@ -123,14 +126,15 @@
 	row     func(T) string
 }
 
-// run prints up to f.limit items, page by page; all of them where that is 0.
+// run requests and prints up to f.limit items page by page, or all items if the
+// limit is 0.
 func (l listing[T]) run(ctx context.Context, con *console, f *listFlags) error {
 	query := make(url.Values)
 	setParam(query, api.ParamTeam, f.team)
 	setParam(query, api.ParamSite, f.site)
 	return table(con.out, !f.json, l.columns, func(w io.Writer) error {
-		for left := f.limit; ; {
-			query.Set(api.ParamLimit, strconv.Itoa(pageSize(left)))
+		for remaining := f.limit; ; {
+			query.Set(api.ParamLimit, strconv.Itoa(pageSize(remaining)))
 			var page api.Page[T]
 			printed, err := f.get(ctx, con, l.path, query, &page)
 			if err != nil {
@@ -141,8 +145,8 @@
 					fmt.Fprintln(w, l.row(item))
 				}
 			}
-			left -= len(page.Items)
-			if page.Next == "" || f.limit > 0 && left <= 0 {
+			remaining -= len(page.Items)
+			if page.Next == "" || f.limit > 0 && remaining <= 0 {
 				return nil
 			}
 			query.Set(api.ParamCursor, page.Next)
@@ -150,17 +154,19 @@
 	})
 }
 
-// pageSize is how many items to ask for when left are wanted; 0 wants all.
-func pageSize(left int) int {
-	if left <= 0 || left > api.MaxLimit {
+// pageSize returns how many items to request when the number that remains is
+// given; 0 means all.
+func pageSize(remaining int) int {
+	if remaining <= 0 || remaining > api.MaxLimit {
 		return api.MaxLimit
 	}
-	return left
+	return remaining
 }
 
-// table lets fill print lines with tabs as columns, under a heading.
+// table prints the tab-separated lines that fill writes as aligned columns, under
+// the heading if that is set.
 func table(out io.Writer, heading bool, columns string, fill func(io.Writer) error) error {
-	w := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
+	w := tabwriter.NewWriter(out, 0, 0, columnPadding, ' ', 0)
 	if heading {
 		fmt.Fprintln(w, columns)
 	}
@@ -176,8 +182,8 @@
 	}
 }
 
-// group is a command that only has subcommands.
-func group(name, description string, children ...*command) *command {
+// commandGroup returns a command that only has subcommands.
+func commandGroup(name, description string, children ...*command) *command {
 	c := &command{sub: flaggy.NewSubcommand(name)}
 	c.sub.Description = description
 	for _, child := range children {
--- a/internal/cli/operator_test.go
+++ b/internal/cli/operator_test.go
@@ -31,19 +31,19 @@
 const (
 	exampleDir = "../../examples/sebeke"
 	rootToken  = access.PrefixOperator + "root"
-	// patience is how long a test waits for an event before it fails. Nothing
-	// is judged by how long it took.
-	patience = time.Minute
+	// eventTimeout bounds the wait for an event. No test checks how long an event
+	// takes.
+	eventTimeout = time.Minute
 )
 
-// execute runs the command line.
+// execute runs the command line and returns the exit code and both outputs.
 func execute(args ...string) (code int, stdout, stderr string) {
 	var out, err bytes.Buffer
 	code = Main(args, &out, &err)
 	return code, out.String(), err.String()
 }
 
-func TestCheckOffline(t *testing.T) {
+func TestConfigCheckWithoutRouterReportsProblems(t *testing.T) {
 	dir := t.TempDir()
 	base, err := os.ReadFile(exampleDir + "/base.yaml")
 	require.NoError(t, err)
@@ -61,21 +61,21 @@
 	assert.Equal(t, exitOK, code)
 }
 
-func TestUsage(t *testing.T) {
+func TestInvalidCommandLineHasUsageExitCode(t *testing.T) {
 	t.Setenv(envAdmin, "")
 	t.Setenv(envToken, "")
 	for name, args := range map[string][]string{
-		"no subcommand":     {"config"},
-		"no files":          {"config", "apply"},
-		"no router":         {"config", "history"},
-		"no token":          {"fleet", "--admin", "127.0.0.1:1"},
-		"no claim":          {"claims", "show", "--admin", "127.0.0.1:1", "--token", "t"},
-		"no verdict":        {"claims", "resolve", "--account", "a", "--key", "k"},
-		"no name":           {"operators", "revoke"},
-		"no target":         {"config", "rollback"},
-		"no kind of key":    {"keys", "generate"},
-		"certs for nobody":  {"keys", "generate", "--dir", t.TempDir()},
-		"version as a text": {"config", "rollback", "--to", "1", "--from", "x"},
+		"no subcommand":                 {"config"},
+		"no files":                      {"config", "apply"},
+		"no router":                     {"config", "history"},
+		"no token":                      {"fleet", "--admin", "127.0.0.1:1"},
+		"no claim":                      {"claims", "show", "--admin", "127.0.0.1:1", "--token", "t"},
+		"no verdict":                    {"claims", "resolve", "--account", "a", "--key", "k"},
+		"no name":                       {"operators", "revoke"},
+		"no rollback version":           {"config", "rollback"},
+		"no kind of key":                {"keys", "generate"},
+		"certificates without a router": {"keys", "generate", "--dir", t.TempDir()},
+		"version is not a number":       {"config", "rollback", "--to", "1", "--from", "x"},
 	} {
 		code, _, stderr := execute(args...)
 		assert.Equal(t, exitUsage, code, "%s: %s", name, stderr)
@@ -85,7 +85,7 @@
 	assert.Contains(t, stderr, "router not reached")
 }
 
-func TestKeysGenerate(t *testing.T) {
+func TestKeysGenerateWritesSecretsAndCertificates(t *testing.T) {
 	code, out, _ := execute("keys", "generate", "--kind", "operator")
 	require.Equal(t, exitOK, code)
 	lines := strings.Fields(out)
@@ -99,47 +99,46 @@
 	assert.Contains(t, out, filepath.Join(dir, "r1.pem"))
 }
 
-// Symptom: the command says that a change did not take effect, and it is in
-// force. Sequence: the connection breaks after the change was accepted; the
-// next attempt meets a store that is down, and a router that truly says "did
-// not run" about that attempt. Cause: the last answer is taken for the whole
-// truth.
-func TestUnsettledChange(t *testing.T) {
-	const cut = "cut"
+// Guards against a command that reports an active change as not accepted. The
+// connection is closed after the change was accepted, and the retry is refused as
+// not executed because the store is unavailable, which is true of the retry only.
+func TestChangeWithUnknownOutcomeIsNotReportedAsRefused(t *testing.T) {
+	const closed = "cut"
 	refusal := func(code apierr.Code, status int) string {
 		return fmt.Sprintf("%d %s", status, code)
 	}
 	down := refusal(apierr.CodeStoreDown, http.StatusServiceUnavailable)
 	for name, tc := range map[string]struct {
-		answers []string
-		code    int
-		says    string
+		responses []string
+		code      int
+		want      string
 	}{
-		"accepted":                  {[]string{"200"}, exitOK, "version 2\n"},
-		"refused at once":           {[]string{down}, exitFailed, "store_unavailable"},
-		"cut, then accepted":        {[]string{cut, "200"}, exitOK, "version 2\n"},
-		"cut, then in conflict":     {[]string{cut, refusal(apierr.CodeConflict, http.StatusConflict)}, exitFailed, "conflict: "},
-		"cut, then down":            {[]string{cut, down, down}, exitFailed, "--change-id one --from 1"},
-		"cut, then token revoked":   {[]string{cut, "401 unauthorized", cut}, exitFailed, "outcome unknown"},
-		"something between answers": {[]string{"502", "502", "502"}, exitFailed, "outcome unknown"},
+		"accepted":                     {[]string{"200"}, exitOK, "version 2\n"},
+		"refused on the first attempt": {[]string{down}, exitFailed, "store_unavailable"},
+		"closed, then accepted":        {[]string{closed, "200"}, exitOK, "version 2\n"},
+		"closed, then conflict":        {[]string{closed, refusal(apierr.CodeConflict, http.StatusConflict)}, exitFailed, "conflict: "},
+		"closed, then store down":      {[]string{closed, down, down}, exitFailed, "--change-id one --from 1"},
+		"closed, then token revoked":   {[]string{closed, "401 unauthorized", closed}, exitFailed, "outcome unknown"},
+		"proxy responds":               {[]string{"502", "502", "502"}, exitFailed, "outcome unknown"},
 	} {
 		calls := 0
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			assert.Equal(t, []string{"one", `"1"`, "Bearer t"}, []string{r.Header.Get(api.HeaderChangeID), r.Header.Get("If-Match"), r.Header.Get("Authorization")})
 			calls++
-			answer(w, tc.answers[calls-1])
+			respond(w, tc.responses[calls-1])
 		}))
 		code, out, stderr := execute("config", "apply", "--admin", server.URL, "--token", "t", "--change-id", "one", "--from", "1",
 			"--base", exampleDir+"/base.yaml", "--overlays", exampleDir+"/sites")
 		server.Close()
 		assert.Equal(t, tc.code, code, name)
-		assert.Contains(t, out+stderr, tc.says, name)
-		assert.Equal(t, len(tc.answers), calls, name)
+		assert.Contains(t, out+stderr, tc.want, name)
+		assert.Equal(t, len(tc.responses), calls, name)
 	}
 }
 
-// answer plays a router: it accepts, refuses, or breaks the connection.
-func answer(w http.ResponseWriter, how string) {
+// respond acts as a router: it accepts the change, refuses it, or closes the
+// connection.
+func respond(w http.ResponseWriter, how string) {
 	var status int
 	var code apierr.Code
 	switch n, _ := fmt.Sscan(how, &status, &code); {
@@ -156,8 +155,8 @@
 	}
 }
 
-// startRouters runs two routers over a stand-in platform, and returns where
-// operators reach the first, and the authority of its certificate.
+// startRouters runs two routers on a stand-in store. It returns the admin URL of
+// the first one and the file with the authority of its certificate.
 func startRouters(t *testing.T) (address, ca string) {
 	store := standin.NewStore()
 	t.Cleanup(store.Close)
@@ -196,11 +195,11 @@
 	}
 	require.Eventually(t, func() bool {
 		return len(first.Snapshot().Live) == 2 && first.Snapshot().ConfigVersion == 1
-	}, patience, 50*time.Millisecond)
+	}, eventTimeout, 50*time.Millisecond)
 	return "https://" + first.Admin(), files.CA
 }
 
-// freeAddress returns an address that nothing listens on.
+// freeAddress returns a local address whose port was free a moment ago.
 func freeAddress(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -208,12 +207,12 @@
 	return ln.Addr().String()
 }
 
-func TestThroughRunningRouters(t *testing.T) {
+func TestOperatorCommandsWithRunningRouters(t *testing.T) {
 	address, ca := startRouters(t)
 	t.Setenv(envAdmin, address)
 	t.Setenv(envCA, ca)
 	t.Setenv(envToken, rootToken)
-	must := func(args ...string) string {
+	mustExecute := func(args ...string) string {
 		t.Helper()
 		code, out, stderr := execute(args...)
 		require.Equal(t, exitOK, code, "%v: %s", args, stderr)
@@ -221,42 +220,42 @@
 	}
 	dir := t.TempDir()
 	files := []string{"--base", dir + "/base.yaml", "--overlays", dir + "/sites"}
-	assert.Contains(t, must("config", "show", "--out", dir), "version 1 is in")
-	assert.Contains(t, must(append([]string{"config", "diff"}, files...)...), "no difference")
+	assert.Contains(t, mustExecute("config", "show", "--out", dir), "version 1 is in")
+	assert.Contains(t, mustExecute(append([]string{"config", "diff"}, files...)...), "no difference")
 	base, err := os.ReadFile(dir + "/base.yaml")
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(dir+"/base.yaml", bytes.Replace(base, []byte("weight: 8"), []byte("weight: 9"), 1), fileMode))
-	assert.Contains(t, must(append([]string{"config", "diff"}, files...)...), "~ base.yaml: accounts[review-office].weight 8 -> 9\n")
-	must(append([]string{"config", "check"}, files...)...)
+	assert.Contains(t, mustExecute(append([]string{"config", "diff"}, files...)...), "~ base.yaml: accounts[review-office].weight 8 -> 9\n")
+	mustExecute(append([]string{"config", "check"}, files...)...)
 
 	apply := append([]string{"config", "apply", "--wait", "--timeout", "60", "--comment", "more weight"}, files...)
-	out := must(apply...)
-	for _, says := range []string{"version 2\n", "in force at router-cankaya", "in force at router-mamak"} {
-		assert.Contains(t, out, says)
+	out := mustExecute(apply...)
+	for _, want := range []string{"version 2\n", "in force at router-cankaya", "in force at router-mamak"} {
+		assert.Contains(t, out, want)
 	}
-	assert.Contains(t, must("config", "status"), "version 2: all routers in service have it")
-	assert.Contains(t, must("accounts", "--team", "desk", "--limit", "1"), "farm-pumps")
-	assert.Contains(t, must("fleet"), "router-mamak")
-	assert.Contains(t, must("services")+must("sites")+must("pools"), "POST /receipts")
+	assert.Contains(t, mustExecute("config", "status"), "version 2: all routers in service have it")
+	assert.Contains(t, mustExecute("accounts", "--team", "desk", "--limit", "1"), "farm-pumps")
+	assert.Contains(t, mustExecute("fleet"), "router-mamak")
+	assert.Contains(t, mustExecute("services")+mustExecute("sites")+mustExecute("pools"), "POST /receipts")
 
-	must("config", "rollback", "--to", "1", "--comment", "back")
-	assert.Contains(t, must("config", "history"), "(content of version 1) back")
+	mustExecute("config", "rollback", "--to", "1", "--comment", "back")
+	assert.Contains(t, mustExecute("config", "history"), "(content of version 1) back")
 	code, _, stderr := execute(apply...)
-	assert.Equal(t, exitFailed, code, "the files are of version 2")
+	assert.Equal(t, exitFailed, code, "the files were made from version 2")
 	assert.Contains(t, stderr, "made from version 2, but version 3 by bootstrap")
 
-	token := strings.TrimSpace(must("operators", "add", "--name", "kim", "--role", "editor", "--team", "desk"))
+	token := strings.TrimSpace(mustExecute("operators", "add", "--name", "kim", "--role", "editor", "--team", "desk"))
 	assert.True(t, strings.HasPrefix(token, access.PrefixOperator))
-	assert.Contains(t, must("operators", "list"), "kim")
-	must("operators", "revoke", "--name", "kim")
+	assert.Contains(t, mustExecute("operators", "list"), "kim")
+	mustExecute("operators", "revoke", "--name", "kim")
 	code, _, stderr = execute("config", "history", "--token", token)
 	assert.Equal(t, exitFailed, code)
 	assert.Contains(t, stderr, "unauthorized")
-	trail := must("audit")
-	for _, says := range []string{"config.accept", "config.rollback", "operator.add", "operator.revoke", "more weight"} {
-		assert.Contains(t, trail, says)
+	trail := mustExecute("audit")
+	for _, want := range []string{"config.accept", "config.rollback", "operator.add", "operator.revoke", "more weight"} {
+		assert.Contains(t, trail, want)
 	}
 	var page api.Page[config.Version]
-	require.NoError(t, json.Unmarshal([]byte(must("config", "history", "--json")), &page))
+	require.NoError(t, json.Unmarshal([]byte(mustExecute("config", "history", "--json")), &page))
 	assert.Len(t, page.Items, 3)
 }
--- a/internal/cli/operators.go
+++ b/internal/cli/operators.go
@@ -14,13 +14,13 @@
 )
 
 func operatorsCommand() *command {
-	return group("operators", "Issue, list and revoke operators' tokens.",
+	return commandGroup("operators", "Issue, list and revoke operators' tokens.",
 		operatorsListCommand(), operatorsAddCommand(), operatorsRevokeCommand())
 }
 
 func operatorsListCommand() *command {
 	var f listFlags
-	l := listing[api.Operator]{
+	list := listing[api.Operator]{
 		path:    api.PathOperators,
 		columns: "OPERATOR\tROLE\tTEAMS\tCREATED\tBY\tSTATE",
 		row: func(o api.Operator) string {
@@ -29,7 +29,7 @@
 		},
 	}
 	c := newCommand("list", "List the operators whose tokens you may issue.", func(ctx context.Context, con *console) error {
-		return l.run(ctx, con, &f)
+		return list.run(ctx, con, &f)
 	})
 	f.add(c.sub)
 	return c
--- a/internal/cli/routers.go
+++ b/internal/cli/routers.go
@@ -21,23 +21,25 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrRouter means that a router can't be asked, or answers something else.
+// ErrRouter means that a router can't be reached, or that its response is an error
+// or can't be decoded.
 var ErrRouter = errs.Class("router")
 
 const (
-	// envRouter stands in for the flag --router.
+	// envRouter is the environment variable that replaces the flag --router.
 	envRouter = "DAMASKROUTER_ROUTER"
-	// routerTimeout bounds a question to a router: it may ask three others first.
+	// routerTimeout bounds a request to a router, which may call three other routers
+	// before it responds.
 	routerTimeout = 5 * time.Second
-	// maxRouterReply bounds its answer, in bytes: 380 routers take 100 KB.
+	// maxRouterReply bounds the response, in bytes. That of 380 routers takes 100 KB.
 	maxRouterReply = 8 << 20
-	// watchInterval is the time between two questions of --watch.
+	// watchInterval is the delay between two requests of --watch.
 	watchInterval = 2 * time.Second
-	// clearScreen moves a terminal's cursor to the top and clears what is below.
+	// clearScreen moves the terminal's cursor to the top left and clears the screen.
 	clearScreen = "\x1b[H\x1b[J"
 )
 
-// routersFlags are the flags for routers on a platform.
+// routersFlags are the flags of commands about routers on the platform.
 type routersFlags struct {
 	router string
 	site   string
@@ -53,8 +55,9 @@
 	return f.router
 }
 
-// ask asks a router at its address of metrics. Errors: ErrRouter.
-func (f *routersFlags) ask(ctx context.Context, path string, query url.Values) ([]byte, error) {
+// fetch sends a request to a router's metrics address and returns the response
+// body. The error is ErrRouter.
+func (f *routersFlags) fetch(ctx context.Context, path string, query url.Values) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, routerTimeout)
 	defer cancel()
 	target := url.URL{Scheme: "http", Host: f.address(), Path: path, RawQuery: query.Encode()}
@@ -77,9 +80,9 @@
 	return body, nil
 }
 
-// askInto asks and decodes the answer.
-func (f *routersFlags) askInto(ctx context.Context, path string, query url.Values, out any) ([]byte, error) {
-	body, err := f.ask(ctx, path, query)
+// fetchJSON calls fetch and decodes the response into out. The error is ErrRouter.
+func (f *routersFlags) fetchJSON(ctx context.Context, path string, query url.Values, out any) ([]byte, error) {
+	body, err := f.fetch(ctx, path, query)
 	if err != nil {
 		return nil, err
 	}
@@ -89,7 +92,8 @@
 	return body, nil
 }
 
-// showRouters prints what the routers run, again and again with --watch.
+// showRouters prints the routers with their settings and configuration. With
+// --watch it repeats that until ctx ends.
 func showRouters(ctx context.Context, con *console, f *routersFlags) error {
 	for {
 		if err := showRoutersOnce(ctx, con, f); err != nil || !f.watch {
@@ -104,7 +108,7 @@
 
 func showRoutersOnce(ctx context.Context, con *console, f *routersFlags) error {
 	var fleet feed.Fleet
-	body, err := f.askInto(ctx, node.PathFleet, nil, &fleet)
+	body, err := f.fetchJSON(ctx, node.PathFleet, nil, &fleet)
 	if err != nil {
 		return err
 	}
@@ -118,15 +122,15 @@
 	return printRouters(con.out, fleet, f.all)
 }
 
-// group of routers that run the same settings.
+// settingsGroup is a group of routers that run the same settings.
 type settingsGroup struct {
 	digest  string
 	routers []feed.Status
 }
 
-// groups returns the routers by their settings, the largest group first; those that have not
-// been heard are none's.
-func groups(list []feed.Status) []settingsGroup {
+// groupBySettings groups the routers by their settings, the largest group first. Routers whose
+// status has not been received are in no group.
+func groupBySettings(list []feed.Status) []settingsGroup {
 	byDigest := make(map[string][]feed.Status)
 	for _, s := range list {
 		if s.State != feed.StateUnheard {
@@ -146,10 +150,10 @@
 func printRouters(out io.Writer, fleet feed.Fleet, all bool) error {
 	fmt.Fprintf(out, "seen by %s, told by %s, %d routers\n", fleet.SeenBy, fleet.ToldBy, len(fleet.Statuses))
 	printEvacuated(out, fleet.Statuses)
-	grouped := groups(fleet.Statuses)
+	groups := groupBySettings(fleet.Statuses)
 	err := table(out, true, "\nSETTINGS\tROUTERS\tSITES\tSINCE\tCONFIG", func(w io.Writer) error {
-		for _, g := range grouped {
-			fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\n", g.digest, len(g.routers), sitesOf(g.routers), sinceOf(g.routers), configsOf(g.routers))
+		for _, g := range groups {
+			fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\n", g.digest, len(g.routers), siteNames(g.routers), settingsAgeRange(g.routers), configVersionRange(g.routers))
 		}
 		return nil
 	})
@@ -158,7 +162,7 @@
 	}
 	listed, heading := fleet.Statuses, "every router"
 	if !all {
-		listed, heading = oddOnes(fleet.Statuses, grouped), "routers that differ from most, or need a look"
+		listed, heading = outliers(fleet.Statuses, groups), "routers that differ from most, or need a look"
 	}
 	fmt.Fprintf(out, "\n%s: %d\n", heading, len(listed))
 	if len(listed) == 0 {
@@ -167,47 +171,47 @@
 	return table(out, true, "ROUTER\tSITE\tSTATE\tSETTINGS\tSINCE\tCONFIG\tCONFIRMED\tUP\tVERSION\tHEARD\tNOTE", func(w io.Writer) error {
 		for _, s := range listed {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\n", s.Router, s.Site, s.State, s.Settings, ago(s.SettingsAge),
-				s.Config, ago(s.ConfigAge), short(s.UpFor), s.Version, ago(s.Age), noteOf(s))
+				s.Config, ago(s.ConfigAge), roundDuration(s.UpFor), s.Version, ago(s.Age), statusNote(s))
 		}
 		return nil
 	})
 }
 
-// printEvacuated prints which sites are evacuated, and how many routers know it.
+// printEvacuated prints the evacuated sites, and for each how many routers know of it.
 func printEvacuated(out io.Writer, list []feed.Status) {
-	routers := make(map[string]int)
-	heard := 0
+	knownBy := make(map[string]int)
+	received := 0
 	for _, s := range list {
 		if s.State != feed.StateUnheard {
-			heard++
+			received++
 		}
 		for _, site := range s.Evacuated {
-			routers[site]++
+			knownBy[site]++
 		}
 	}
-	for _, site := range slices.Sorted(maps.Keys(routers)) {
-		fmt.Fprintf(out, "evacuated: %s, known to %d of %d routers\n", site, routers[site], heard)
+	for _, site := range slices.Sorted(maps.Keys(knownBy)) {
+		fmt.Fprintf(out, "evacuated: %s, known to %d of %d routers\n", site, knownBy[site], received)
 	}
 }
 
-// oddOnes returns the routers that are not in the largest group, have another configuration than
-// the newest, or don't simply serve.
-func oddOnes(list []feed.Status, grouped []settingsGroup) []feed.Status {
+// outliers returns the routers that are not in the largest group, don't have the newest
+// configuration, are not serving, or have a note.
+func outliers(list []feed.Status, groups []settingsGroup) []feed.Status {
 	newest := uint64(0)
 	for _, s := range list {
 		newest = max(newest, s.Config)
 	}
 	var out []feed.Status
 	for _, s := range list {
-		odd := len(grouped) > 0 && s.Settings != grouped[0].digest
-		if odd || s.Config != newest || s.State != feed.StateServing || noteOf(s) != "" {
+		differs := len(groups) > 0 && s.Settings != groups[0].digest
+		if differs || s.Config != newest || s.State != feed.StateServing || statusNote(s) != "" {
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-func noteOf(s feed.Status) string {
+func statusNote(s feed.Status) string {
 	switch {
 	case s.Problem != "":
 		return "settings file: " + s.Problem
@@ -217,7 +221,7 @@
 	return ""
 }
 
-func sitesOf(list []feed.Status) string {
+func siteNames(list []feed.Status) string {
 	var sites []string
 	for _, s := range list {
 		sites = append(sites, s.Site)
@@ -226,19 +230,20 @@
 	return strings.Join(slices.Compact(sites), " ")
 }
 
-// sinceOf is how long ago the settings took effect at the first and at the last of some routers.
-func sinceOf(list []feed.Status) string {
+// settingsAgeRange returns how long ago the settings took effect on the last and on the first of
+// the routers.
+func settingsAgeRange(list []feed.Status) string {
 	first, last := list[0].SettingsAge, list[0].SettingsAge
 	for _, s := range list {
 		first, last = max(first, s.SettingsAge), min(last, s.SettingsAge)
 	}
-	if short(first) == short(last) {
+	if roundDuration(first) == roundDuration(last) {
 		return ago(first)
 	}
-	return short(last) + " to " + ago(first)
+	return roundDuration(last) + " to " + ago(first)
 }
 
-func configsOf(list []feed.Status) string {
+func configVersionRange(list []feed.Status) string {
 	var versions []uint64
 	for _, s := range list {
 		versions = append(versions, s.Config)
@@ -251,17 +256,17 @@
 	return fmt.Sprintf("%d to %d", versions[0], versions[len(versions)-1])
 }
 
-func short(d time.Duration) string {
+func roundDuration(d time.Duration) string {
 	if d < time.Second {
 		return d.Round(time.Millisecond).String()
 	}
 	return d.Round(time.Second).String()
 }
 
-func ago(d time.Duration) string { return short(d) + " ago" }
+func ago(d time.Duration) string { return roundDuration(d) + " ago" }
 
-// diffCommand shows which settings of two routers differ.
-func diffCommand() *command {
+// fleetDiffCommand returns the command that shows which settings of two routers differ.
+func fleetDiffCommand() *command {
 	var f routersFlags
 	var a, b string
 	c := newCommand("diff", "Show which settings of two routers on the platform differ.", func(ctx context.Context, con *console) error {
@@ -274,7 +279,7 @@
 	return c
 }
 
-// difference is a setting of two routers.
+// difference holds the values of one setting on two routers.
 type difference struct{ path, a, b string }
 
 func diffRouters(ctx context.Context, con *console, f *routersFlags, a, b string) error {
@@ -284,7 +289,7 @@
 	var replies [2]node.SettingsReply
 	var failures []error
 	for i, name := range []string{a, b} {
-		_, err := f.askInto(ctx, node.PathSettings, url.Values{node.QueryRouter: {name}}, &replies[i])
+		_, err := f.fetchJSON(ctx, node.PathSettings, url.Values{node.QueryRouter: {name}}, &replies[i])
 		failures = append(failures, err)
 	}
 	if err := errors.Join(failures...); err != nil {
@@ -303,12 +308,13 @@
 	})
 }
 
-// differences returns the settings that differ. One that a router of another version does not
-// have has no value there.
+// differences returns the settings whose values differ. Settings that are specific to one router,
+// such as its name, are included only if own is set. A setting that a router of another version
+// lacks has an empty value there.
 func differences(a, b node.SettingsReply, own bool) []difference {
 	values := make(map[string]*difference)
 	var order []string
-	at := func(path string) *difference {
+	entry := func(path string) *difference {
 		if values[path] == nil {
 			values[path] = &difference{path: path}
 			order = append(order, path)
@@ -317,12 +323,12 @@
 	}
 	for _, field := range a.Fields {
 		if own || !field.Own {
-			at(field.Path).a = field.Value
+			entry(field.Path).a = field.Value
 		}
 	}
 	for _, field := range b.Fields {
 		if own || !field.Own {
-			at(field.Path).b = field.Value
+			entry(field.Path).b = field.Value
 		}
 	}
 	var out []difference
--- a/internal/cli/routers_test.go
+++ b/internal/cli/routers_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeRouter answers what operators ask a router.
+// fakeRouter serves the fleet status and the settings, and returns its address.
 func fakeRouter(t *testing.T, fleet feed.Fleet, replies map[string]node.SettingsReply) string {
 	mux := http.NewServeMux()
 	mux.HandleFunc(node.PathFleet, func(w http.ResponseWriter, _ *http.Request) {
@@ -34,8 +34,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// manyRouters are 295 routers, of which five of one site run older settings, one has a mistake in
-// its file, and one is not heard.
+// manyRouters returns 295 routers. Five routers of one site run older settings, one has an error
+// in its settings file, and the status of one has not been received.
 func manyRouters() feed.Fleet {
 	out := feed.Fleet{SeenBy: "front-ank-a-1", ToldBy: "front-ank-b-2"}
 	for i := range 295 {
@@ -58,12 +58,12 @@
 	return out
 }
 
-// Symptom: operators can't tell which router runs which settings. Cause handled: any router is
-// asked, equal ones are counted, and those that differ are named.
-func TestFleetNamesTheOddOnes(t *testing.T) {
+// Guards against operators who can't tell which router runs which settings in a large fleet: the
+// routers with equal settings are counted, and those that differ are listed.
+func TestFleetListsOutlierRouters(t *testing.T) {
 	address := fakeRouter(t, manyRouters(), nil)
-	code, out, errs := execute("fleet", "--router", address)
-	require.Equal(t, exitOK, code, errs)
+	code, out, stderr := execute("fleet", "--router", address)
+	require.Equal(t, exitOK, code, stderr)
 	require.Contains(t, out, "seen by front-ank-a-1, told by front-ank-b-2, 295 routers")
 	require.Regexp(t, `9f2c41aa73de0b65 +289 +ank-a ank-b ank-c ank-d ank-e +20s ago +48`, out)
 	require.Regexp(t, `41aa0b659f2c73de +5 +ank-c +1h0m0s ago +48`, out)
@@ -82,7 +82,7 @@
 	require.Less(t, len(out), 1<<20)
 }
 
-func TestFleetDiffNamesTheFields(t *testing.T) {
+func TestFleetDiffListsDifferingSettings(t *testing.T) {
 	reply := func(name, revoke string) node.SettingsReply {
 		return node.SettingsReply{Router: name, Digest: revoke, Fields: []settings.Field{
 			{Path: "name", Value: name, Own: true},
@@ -91,28 +91,28 @@
 		}}
 	}
 	address := fakeRouter(t, feed.Fleet{}, map[string]node.SettingsReply{"a": reply("a", "5s"), "b": reply("b", "6s"), "c": reply("c", "5s")})
-	code, out, errs := execute("fleet", "diff", "a", "b", "--router", address)
-	require.Equal(t, exitOK, code, errs)
+	code, out, stderr := execute("fleet", "diff", "a", "b", "--router", address)
+	require.Equal(t, exitOK, code, stderr)
 	require.Regexp(t, `bounds.revoke_ms +5s +6s`, out)
 	require.NotContains(t, out, "name ")
 	_, out, _ = execute("fleet", "diff", "a", "c", "--router", address)
 	require.Contains(t, out, "a and c run the same settings")
 	_, out, _ = execute("fleet", "diff", "a", "c", "--own", "--router", address)
 	require.Regexp(t, `name +a +c`, out)
-	code, _, errs = execute("fleet", "diff", "a", "nobody", "--router", address)
+	code, _, stderr = execute("fleet", "diff", "a", "nobody", "--router", address)
 	require.Equal(t, exitFailed, code)
-	require.Contains(t, errs, "no such router")
+	require.Contains(t, stderr, "no such router")
 }
 
-func TestFleetSaysWhatIsWrong(t *testing.T) {
-	code, _, errs := execute("fleet", "--router", "127.0.0.1:1")
+func TestFleetReportsRequestErrors(t *testing.T) {
+	code, _, stderr := execute("fleet", "--router", "127.0.0.1:1")
 	require.Equal(t, exitFailed, code)
-	require.Contains(t, errs, "router:")
+	require.Contains(t, stderr, "router:")
 	server := httptest.NewServer(http.NotFoundHandler())
 	defer server.Close()
-	code, _, errs = execute("fleet", "--router", strings.TrimPrefix(server.URL, "http://"))
+	code, _, stderr = execute("fleet", "--router", strings.TrimPrefix(server.URL, "http://"))
 	require.Equal(t, exitFailed, code)
-	require.Contains(t, errs, "404")
+	require.Contains(t, stderr, "404")
 	code, _, _ = execute("fleet", "diff", "a", "b")
 	require.Equal(t, exitUsage, code)
 }
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -19,7 +19,8 @@
 	return c
 }
 
-// serve runs a router. The first signal drains it, a second one ends it.
+// serve runs a router. The first SIGINT or SIGTERM drains it, a second one ends the
+// drain.
 func serve(ctx context.Context, con *console, file string) error {
 	if file == "" {
 		return ErrUsage.New("serve needs --settings FILE")
@@ -41,12 +42,12 @@
 		return err
 	}
 	defer r.Close()
-	defer onHangup(func() { reload(con, r) })()
+	defer onSIGHUP(func() { reloadSecrets(con, r) })()
 	drainOnSignal(ctx, r.Drain)
 	return nil
 }
 
-func reload(con *console, r *router.Router) {
+func reloadSecrets(con *console, r *router.Router) {
 	if err := r.ReloadSecrets(); err != nil {
 		con.log.Warn("keys or certificates not reloaded; the old ones stay in use", "cause", err)
 		return
@@ -73,7 +74,8 @@
 	return c
 }
 
-// checkSettings returns the name of the router that the settings are for.
+// checkSettings loads a settings file and returns the name of the router that it is
+// for.
 func checkSettings(file string, edge bool) (string, error) {
 	if edge {
 		set, _, err := edgesettings.Load(file)
--- a/internal/cli/signal.go
+++ b/internal/cli/signal.go
@@ -8,9 +8,10 @@
 	"damaskrouter.example/damaskrouter/internal/base/hangup"
 )
 
-// onHangup calls f for each SIGHUP until the returned function is called. An
-// operator who has replaced a key need not wait for the next check.
-func onHangup(f func()) (stop func()) {
+// onSIGHUP calls f on each SIGHUP until the returned function is called, which must
+// happen only once. The signal lets an operator who has replaced a key reload it
+// before the next periodic check.
+func onSIGHUP(f func()) (stop func()) {
 	done := make(chan struct{})
 	go func() {
 		for {
@@ -25,17 +26,17 @@
 	return func() { close(done) }
 }
 
-// secondSignal returns a context that ends with the next signal: an operator
-// who asks again does not want to wait for the drain.
-func secondSignal() (context.Context, context.CancelFunc) {
+// secondSignalContext returns a context that ends with the next SIGINT or SIGTERM.
+// An operator who sends a second signal does not want to wait for the drain.
+func secondSignalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 }
 
-// drainOnSignal waits for the signal that ends ctx and drains; a second signal
-// ends the drain.
+// drainOnSignal waits for the signal that ends ctx, and then drains until drain
+// returns. A second signal ends the context of drain.
 func drainOnSignal(ctx context.Context, drain func(context.Context)) {
 	<-ctx.Done()
-	again, stop := secondSignal()
+	second, stop := secondSignalContext()
 	defer stop()
-	drain(again)
+	drain(second)
 }
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -13,7 +13,7 @@
 	"github.com/integrii/flaggy"
 )
 
-// standinFlags are the flags of the stand-ins.
+// standinFlags are the flags of the commands that run stand-ins.
 type standinFlags struct {
 	listen   string
 	store    string
@@ -32,7 +32,7 @@
 	f := &standinFlags{listen: "127.0.0.1:0", stepMS: 8}
 	c := &command{sub: flaggy.NewSubcommand("standin")}
 	c.sub.Description = "Run a stand-in for the platform's store, an engine or a plain service, for trials on one machine."
-	kinds := map[string]func(context.Context, *console, *standinFlags) error{
+	runners := map[string]func(context.Context, *console, *standinFlags) error{
 		"store": standinStore, "engine": standinEngine, "service": standinService,
 	}
 	subs := make(map[string]*flaggy.Subcommand)
@@ -46,7 +46,7 @@
 	c.run = func(ctx context.Context, con *console) error {
 		for kind, sub := range subs {
 			if sub.Used {
-				return kinds[kind](ctx, con, f)
+				return runners[kind](ctx, con, f)
 			}
 		}
 		return ErrUsage.New("say which stand-in to run: store, engine or service")
@@ -79,7 +79,7 @@
 	return listenAndServe(ctx, con, f.listen, "store", s.Handler(), f.seed)
 }
 
-// seed accepts the first version of the configuration, if one is given.
+// seed stores the base configuration as the first version, if one is given.
 func (f *standinFlags) seed(ctx context.Context, address string) error {
 	if f.base == "" {
 		return nil
@@ -105,7 +105,8 @@
 	return listenAndServe(ctx, con, f.listen, "service", s.Handler(), f.register(platform.KindService))
 }
 
-// register returns a function that lists the stand-in in the VM list.
+// register returns a function that adds the stand-in to the store's VM list, if a
+// store is given.
 func (f *standinFlags) register(kind string) func(ctx context.Context, address string) error {
 	return func(ctx context.Context, address string) error {
 		if f.store == "" {
@@ -118,7 +119,7 @@
 	}
 }
 
-func listenAndServe(ctx context.Context, con *console, listen, kind string, h http.Handler, started func(context.Context, string) error) error {
+func listenAndServe(ctx context.Context, con *console, listen, kind string, h http.Handler, onListen func(context.Context, string) error) error {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return err
@@ -127,14 +128,14 @@
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}
 	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
 	defer stop()
-	ended := make(chan error, 1)
-	go func() { ended <- srv.Serve(ln) }()
-	if started != nil {
-		if err := started(ctx, ln.Addr().String()); err != nil {
+	served := make(chan error, 1)
+	go func() { served <- srv.Serve(ln) }()
+	if onListen != nil {
+		if err := onListen(ctx, ln.Addr().String()); err != nil {
 			return errors.Join(err, srv.Close())
 		}
 	}
-	if err := <-ended; !errors.Is(err, http.ErrServerClosed) {
+	if err := <-served; !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
--- a/internal/cli/tls.go
+++ b/internal/cli/tls.go
@@ -10,7 +10,7 @@
 	"github.com/integrii/flaggy"
 )
 
-// tlsFlags say how a caller's command checks the routers' certificates.
+// tlsFlags configure how commands for callers verify the routers' certificates.
 type tlsFlags struct {
 	on         bool
 	ca         string
@@ -23,7 +23,8 @@
 	sub.String(&f.serverName, "", "server-name", "The name in the routers' certificates. Default: the address that is connected to.")
 }
 
-// apply puts the flags into o. Errors: ErrUsage.
+// apply sets the scheme and the transport in o according to the flags. The error is
+// ErrUsage.
 func (f *tlsFlags) apply(o *client.Options) error {
 	if !f.on && f.ca == "" {
 		if f.serverName != "" {
@@ -31,20 +32,20 @@
 		}
 		return nil
 	}
-	config := &tls.Config{MinVersion: tls.VersionTLS13, ServerName: f.serverName}
+	tlsConfig := &tls.Config{MinVersion: tls.VersionTLS13, ServerName: f.serverName}
 	if f.ca != "" {
-		roots, err := readAuthorities(f.ca)
+		roots, err := readCertPool(f.ca)
 		if err != nil {
 			return err
 		}
-		config.RootCAs = roots
+		tlsConfig.RootCAs = roots
 	}
 	o.Scheme = "https"
-	o.Transport = &http.Transport{TLSClientConfig: config}
+	o.Transport = &http.Transport{TLSClientConfig: tlsConfig}
 	return nil
 }
 
-func readAuthorities(path string) (*x509.CertPool, error) {
+func readCertPool(path string) (*x509.CertPool, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, ErrUsage.Wrap(err)
