--- a/internal/edge/feed/fleet_test.go
+++ b/internal/edge/feed/fleet_test.go
@@ -341,7 +341,7 @@
 			return node.relay.Exchange(args, reply.(*LoadReply))
 		case FleetArgs:
 			return node.relay.Fleet(args, reply.(*FleetReply))
-		case membership.RosterAsk:
+		case membership.RosterRequest:
 			return node.relay.Meet(args, reply.(*membership.RosterReply))
 		}
 		got := reply.(*PullReply)
--- a/internal/edge/feed/follower.go
+++ b/internal/edge/feed/follower.go
@@ -225,14 +225,14 @@
 // error of the pull.
 func (f *Follower) handleResult(ctx context.Context, result pullResult) error {
 	if result.err != nil {
-		f.Roster.RosterFailed(result.to.Address)
+		f.Roster.RosterRequestFailed(result.to.Address)
 		f.parentExchange.resetAcked()
 		f.Statuses.resetSent()
 		return result.err
 	}
 	f.lastAnswerAt.Store(int64(f.Clock()))
 	f.parentStoreLost = result.reply.StoreLost
-	f.Roster.RosterReplied(result.to.Address, result.reply.Roster)
+	f.Roster.HandleRosterReply(result.to.Address, result.reply.Roster)
 	if result.args.Loads != nil && result.reply.Loads != nil {
 		f.parentExchange.handleReply(result.to.Name, result.args.Loads, result.reply.Loads, f.Loads, f.Clock())
 	}
@@ -246,7 +246,7 @@
 	args := PullArgs{
 		From: f.Self.Name, EnginesUpto: s.Engines.Upto, Evacuations: s.Evacuations.Upto(), Wait: pullWait,
 		KnowsLost: f.parentStoreLost || !f.distrust.trusted(to.Name, now),
-		Roster:    f.Roster.RosterAsk(to.Address),
+		Roster:    f.Roster.RosterRequest(to.Address),
 	}
 	if s.Config != nil {
 		args.ConfigVersion = s.Config.Version
--- a/internal/edge/feed/join.go
+++ b/internal/edge/feed/join.go
@@ -265,8 +265,8 @@
 const MeetMethod = RelayName + ".Meet"
 
 // Meet handles an exchange of members. It is called by net/rpc; the error is always nil.
-func (r *Relay) Meet(ask membership.RosterAsk, reply *membership.RosterReply) error {
-	*reply = r.Roster.RosterAnswer(ask)
+func (r *Relay) Meet(ask membership.RosterRequest, reply *membership.RosterReply) error {
+	*reply = r.Roster.HandleRosterRequest(ask)
 	return nil
 }
 
@@ -301,10 +301,10 @@
 	ctx, cancel := context.WithTimeout(ctx, joinCallTimeout)
 	defer cancel()
 	var reply membership.RosterReply
-	if err := f.Call(ctx, Peer{Address: address}, MeetMethod, f.Roster.RosterAsk(address), &reply); err != nil {
-		f.Roster.RosterFailed(address)
+	if err := f.Call(ctx, Peer{Address: address}, MeetMethod, f.Roster.RosterRequest(address), &reply); err != nil {
+		f.Roster.RosterRequestFailed(address)
 		f.Log.Debug("seed not reached", "seed", address, "cause", err)
 		return
 	}
-	f.Roster.RosterReplied(address, reply)
+	f.Roster.HandleRosterReply(address, reply)
 }
--- a/internal/edge/feed/join_test.go
+++ b/internal/edge/feed/join_test.go
@@ -46,33 +46,33 @@
 	return r.peers
 }
 
-func (r *fakeRoster) RosterAsk(address string) membership.RosterAsk {
+func (r *fakeRoster) RosterRequest(address string) membership.RosterRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.links[address] == nil {
 		r.links[address] = &membership.RosterLink{}
 	}
-	return r.detector.RosterAsk(r.links[address])
+	return r.detector.RosterRequest(r.links[address])
 }
 
-func (r *fakeRoster) RosterReplied(address string, reply membership.RosterReply) {
+func (r *fakeRoster) HandleRosterReply(address string, reply membership.RosterReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.links[address] != nil {
-		r.detector.RosterReplied(r.links[address], reply)
+		r.detector.HandleRosterReply(r.links[address], reply)
 	}
 }
 
-func (r *fakeRoster) RosterFailed(address string) {
+func (r *fakeRoster) RosterRequestFailed(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.links, address)
 }
 
-func (r *fakeRoster) RosterAnswer(ask membership.RosterAsk) membership.RosterReply {
+func (r *fakeRoster) HandleRosterRequest(ask membership.RosterRequest) membership.RosterReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.detector.RosterAnswer(ask)
+	return r.detector.HandleRosterRequest(ask)
 }
 
 func (f *fakeFleet) newStart(self Peer) *Start {
--- a/internal/edge/feed/relay.go
+++ b/internal/edge/feed/relay.go
@@ -38,7 +38,7 @@
 	// Wait is how long the reply may be held until there is something new.
 	Wait time.Duration
 	// Roster is the request of a member exchange.
-	Roster membership.RosterAsk
+	Roster membership.RosterRequest
 	// Statuses holds the changed statuses of the requesting router and its descendants.
 	Statuses []Status
 	// Loads is the request of a load exchange, or nil if the requesting router exchanges loads with
@@ -115,7 +115,7 @@
 		acked = r.receiveReport(args.Loads, started)
 	}
 	r.Statuses.receive(args.Statuses)
-	roster := r.Roster.RosterAnswer(args.Roster)
+	roster := r.Roster.HandleRosterRequest(args.Roster)
 	timer := time.NewTimer(pullHold(args, roster))
 	defer timer.Stop()
 	storeLostTicker := time.NewTicker(storeLostCheckInterval)
--- a/internal/edge/feed/roster.go
+++ b/internal/edge/feed/roster.go
@@ -2,11 +2,11 @@
 
 import "damaskrouter.example/damaskrouter/internal/fleet/membership"
 
-// Roster exchanges membership information between routers; see membership.RosterAsk. Requests are
-// tracked by destination address. Each RosterAsk must be followed by RosterReplied or RosterFailed.
+// Roster exchanges membership information between routers; see membership.RosterRequest. Requests are
+// tracked by destination address. Each RosterRequest must be followed by HandleRosterReply or RosterRequestFailed.
 type Roster interface {
-	RosterAsk(address string) membership.RosterAsk
-	RosterReplied(address string, reply membership.RosterReply)
-	RosterFailed(address string)
-	RosterAnswer(ask membership.RosterAsk) membership.RosterReply
+	RosterRequest(address string) membership.RosterRequest
+	HandleRosterReply(address string, reply membership.RosterReply)
+	RosterRequestFailed(address string)
+	HandleRosterRequest(ask membership.RosterRequest) membership.RosterReply
 }
--- a/internal/edge/feed/start_bench_test.go
+++ b/internal/edge/feed/start_bench_test.go
@@ -48,7 +48,7 @@
 	relay.Board.PutEngines(ctx, manyEngines(engines), time.Minute, time.Hour)
 	roster := newFakeRoster(Peer{Name: "asked", Address: "asked", Site: "site-0"})
 	for _, p := range manyPeers(routers - 1) {
-		roster.RosterAnswer(membership.RosterAsk{From: 1, Rows: []membership.Member{aliveMember(p)}})
+		roster.HandleRosterRequest(membership.RosterRequest{From: 1, Rows: []membership.Member{aliveMember(p)}})
 	}
 	require.Len(b, roster.live(), routers)
 	relay.Roster = roster
@@ -57,14 +57,14 @@
 
 // aliveMember returns the membership entry of a live router.
 func aliveMember(p Peer) membership.Member {
-	return newFakeRoster(p).RosterAsk("anybody").Rows[0]
+	return newFakeRoster(p).RosterRequest("anybody").Rows[0]
 }
 
 // encodedAnswer returns the encoded reply to a starting router.
 func encodedAnswer(b *testing.B, asked *Relay, starting *fakeRoster) []byte {
 	var reply PullReply
 	var out bytes.Buffer
-	require.NoError(b, asked.Pull(PullArgs{From: "new", Wait: pullWait, Roster: starting.RosterAsk("asked")}, &reply))
+	require.NoError(b, asked.Pull(PullArgs{From: "new", Wait: pullWait, Roster: starting.RosterRequest("asked")}, &reply))
 	require.NoError(b, gob.NewEncoder(&out).Encode(reply))
 	return out.Bytes()
 }
@@ -74,8 +74,8 @@
 	var reply PullReply
 	require.NoError(b, gob.NewDecoder(bytes.NewReader(encoded)).Decode(&reply))
 	roster := newFakeRoster(Peer{Name: "new", Address: "new", Site: "site-0"})
-	roster.RosterAsk("asked")
-	roster.RosterReplied("asked", reply.Roster)
+	roster.RosterRequest("asked")
+	roster.HandleRosterReply("asked", reply.Roster)
 	update, err := reply.Config.unpack()
 	require.NoError(b, err)
 	config, ok := update.Apply(nil)
--- a/internal/fleet/gossip/roster.go
+++ b/internal/fleet/gossip/roster.go
@@ -6,11 +6,11 @@
 // seeds and recent parents.
 const maxLinks = 8
 
-// RosterAsk returns the next request of a roster exchange with the router at an address. Each
-// request must be followed by RosterReplied or RosterFailed. Like the other roster methods it
+// RosterRequest returns the next request of a roster exchange with the router at an address. Each
+// request must be followed by HandleRosterReply or RosterRequestFailed. Like the other roster methods it
 // waits for the owner goroutine and must not be called from a callback.
-func (d *Driver) RosterAsk(address string) membership.RosterAsk {
-	var request membership.RosterAsk
+func (d *Driver) RosterRequest(address string) membership.RosterRequest {
+	var request membership.RosterRequest
 	d.runAndWait(func() {
 		link := d.links[address]
 		if link == nil {
@@ -18,30 +18,30 @@
 			link = &membership.RosterLink{}
 			d.links[address] = link
 		}
-		request = d.endpoint.Detector().RosterAsk(link)
+		request = d.endpoint.Detector().RosterRequest(link)
 	})
 	return request
 }
 
-// RosterReplied processes the reply to the last RosterAsk for an address. When it returns, the
+// HandleRosterReply processes the reply to the last RosterRequest for an address. When it returns, the
 // snapshot contains the rows of the reply.
-func (d *Driver) RosterReplied(address string, reply membership.RosterReply) {
+func (d *Driver) HandleRosterReply(address string, reply membership.RosterReply) {
 	d.runAndWait(func() {
 		if link := d.links[address]; link != nil {
-			d.endpoint.Detector().RosterReplied(link, reply)
+			d.endpoint.Detector().HandleRosterReply(link, reply)
 		}
 	})
 }
 
-// RosterFailed records that the last RosterAsk for an address got no reply.
-func (d *Driver) RosterFailed(address string) {
+// RosterRequestFailed records that the last RosterRequest for an address got no reply.
+func (d *Driver) RosterRequestFailed(address string) {
 	d.runAndWait(func() { delete(d.links, address) })
 }
 
-// RosterAnswer processes the request of another router and returns the reply.
-func (d *Driver) RosterAnswer(request membership.RosterAsk) membership.RosterReply {
+// HandleRosterRequest processes the request of another router and returns the reply.
+func (d *Driver) HandleRosterRequest(request membership.RosterRequest) membership.RosterReply {
 	var reply membership.RosterReply
-	d.runAndWait(func() { reply = d.endpoint.Detector().RosterAnswer(request) })
+	d.runAndWait(func() { reply = d.endpoint.Detector().HandleRosterRequest(request) })
 	return reply
 }
 
--- a/internal/fleet/membership/roster.go
+++ b/internal/fleet/membership/roster.go
@@ -7,8 +7,8 @@
 // router the bytes of one row. Packets still detect failures, and cover for exchanges that did
 // not take place.
 
-// RosterAsk is the request of a roster exchange.
-type RosterAsk struct {
+// RosterRequest is the request of a roster exchange.
+type RosterRequest struct {
 	// From is the requesting instance.
 	From uint64
 	// Of is the instance of the last exchange over the link, zero if there was none. Since is
@@ -44,9 +44,9 @@
 	wantedBuckets uint32
 }
 
-// RosterAsk returns the next request for a link. A link has at most one request in flight.
-func (d *Detector) RosterAsk(l *RosterLink) RosterAsk {
-	request := RosterAsk{From: d.self.ID, Of: l.peer, Since: l.peerRevision}
+// RosterRequest returns the next request for a link. A link has at most one request in flight.
+func (d *Detector) RosterRequest(l *RosterLink) RosterRequest {
+	request := RosterRequest{From: d.self.ID, Of: l.peer, Since: l.peerRevision}
 	l.requestRevision = d.revision
 	if l.peer == 0 {
 		request.Members = d.digest().Members
@@ -62,8 +62,8 @@
 	return request
 }
 
-// RosterReplied processes the reply to the last request of a link.
-func (d *Detector) RosterReplied(l *RosterLink, reply RosterReply) {
+// HandleRosterReply processes the reply to the last request of a link.
+func (d *Detector) HandleRosterReply(l *RosterLink, reply RosterReply) {
 	if l.peer != 0 && l.peer != reply.From {
 		// Another instance now has this address and knows nothing of this link.
 		*l = RosterLink{}
@@ -73,15 +73,15 @@
 	d.mergeRows(reply.From, reply.Rows)
 }
 
-// RosterFailed resets a link after a request without a reply. It is unknown whether the request
+// RosterRequestFailed resets a link after a request without a reply. It is unknown whether the request
 // arrived, so its rows are sent again.
-func (d *Detector) RosterFailed(l *RosterLink) {
+func (d *Detector) RosterRequestFailed(l *RosterLink) {
 	// The router may have been replaced by another instance.
 	*l = RosterLink{}
 }
 
-// RosterAnswer processes a request and returns the reply.
-func (d *Detector) RosterAnswer(request RosterAsk) RosterReply {
+// HandleRosterRequest processes a request and returns the reply.
+func (d *Detector) HandleRosterRequest(request RosterRequest) RosterReply {
 	d.mergeRows(request.From, request.Rows)
 	reply := RosterReply{From: d.self.ID, Upto: d.revision}
 	known := request.Of == d.self.ID && request.Since <= d.revision
--- a/internal/fleet/membership/roster_test.go
+++ b/internal/fleet/membership/roster_test.go
@@ -26,9 +26,9 @@
 
 // exchange runs one exchange over a link and returns the number of rows sent in each direction.
 func exchange(from, to *Detector, l *RosterLink) (up, down int) {
-	request := from.RosterAsk(l)
-	reply := to.RosterAnswer(request)
-	from.RosterReplied(l, reply)
+	request := from.RosterRequest(l)
+	reply := to.HandleRosterRequest(request)
+	from.HandleRosterReply(l, reply)
 	return len(request.Rows), len(reply.Rows)
 }
 
@@ -78,7 +78,7 @@
 	fleet := rosterFleet(40)
 	var l RosterLink
 	for i := 1; i < 40; i++ {
-		fleet[0].RosterAnswer(fleet[i].RosterAsk(&RosterLink{}))
+		fleet[0].HandleRosterRequest(fleet[i].RosterRequest(&RosterLink{}))
 	}
 	exchange(fleet[1], fleet[0], &l)
 	requireAlive(t, fleet[1], 40)
@@ -180,11 +180,11 @@
 			}
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0: // The reply is lost.
-				fleet[b].RosterAnswer(fleet[a].RosterAsk(link(a, b)))
-				fleet[a].RosterFailed(link(a, b))
+				fleet[b].HandleRosterRequest(fleet[a].RosterRequest(link(a, b)))
+				fleet[a].RosterRequestFailed(link(a, b))
 			case 1: // The request is lost.
-				fleet[a].RosterAsk(link(a, b))
-				fleet[a].RosterFailed(link(a, b))
+				fleet[a].RosterRequest(link(a, b))
+				fleet[a].RosterRequestFailed(link(a, b))
 			case 2:
 				if r := fleet[a].rows[fleet[b].self.ID]; r != nil && r.State == StateAlive {
 					fleet[a].transition(r, r.Incarnation, StateDead)
