--- a/internal/operate/access/access_test.go
+++ b/internal/operate/access/access_test.go
@@ -15,16 +15,16 @@
 
 var now = time.Unix(1_700_000_000, 0)
 
-func secret(t *testing.T, prefix string, seed byte) (text, hash string) {
+func newTestSecret(t *testing.T, prefix string, seed byte) (text, hash string) {
 	text, err := NewSecret(bytes.NewReader(bytes.Repeat([]byte{seed}, secretBytes)), prefix)
 	require.NoError(t, err)
 	return text, HashSecret(text).String()
 }
 
-func TestAuthorize(t *testing.T) {
+func TestAuthorizeByRoleAndScope(t *testing.T) {
 	roles := []Role{RoleViewer, RoleEditor, RoleAdmin, RoleBreakGlass, "nonsense"}
-	// The roles that may take each action, written out apart from the rules.
-	may := map[Action]string{
+	// The roles that each action allows, listed independently of the rules table.
+	allowedRoles := map[Action]string{
 		ActionReadStatus:   "viewer editor admin breakglass",
 		ActionReadConfig:   "viewer editor admin breakglass",
 		ActionReadAudit:    "editor admin breakglass",
@@ -45,29 +45,28 @@
 		"team on another":    {[]string{"desk"}, "keys", true},
 		"team on fleet-wide": {[]string{"desk"}, FleetWide, true},
 	}
-	for action, allowed := range may {
+	for action, allowed := range allowedRoles {
 		for _, role := range roles {
 			for name, s := range scopes {
 				op := &Operator{Name: "kim", Role: role, Teams: s.teams}
 				err := Authorize(op, action, s.team)
-				byRole := slices.Contains(strings.Fields(allowed), string(role))
-				if byRole && (!s.outside || action == ActionReadStatus) {
+				roleAllowed := slices.Contains(strings.Fields(allowed), string(role))
+				if roleAllowed && (!s.outside || action == ActionReadStatus) {
 					assert.NoError(t, err, "%s %s %s", role, action, name)
 					continue
 				}
 				var denied *DeniedError
 				require.ErrorAs(t, err, &denied, "%s %s %s", role, action, name)
 				assert.Equal(t, DeniedError{"kim", action, s.team, denied.Reason}, *denied)
-				assert.Equal(t, byRole, denied.Reason == ReasonScope)
+				assert.Equal(t, roleAllowed, denied.Reason == ReasonScope)
 			}
 		}
 	}
 }
 
-// Symptom: an operator of one team changes another team's services. Sequence:
-// an admin of the team issues itself a second token. Cause: a grant that
-// exceeds the granter's own role or scope.
-func TestAuthorizeGrant(t *testing.T) {
+// Guards against privilege escalation: an admin of one team must not obtain
+// access to another team by issuing a token that exceeds its own role or scope.
+func TestGrantBeyondOwnRoleOrScopeIsDenied(t *testing.T) {
 	teamAdmin := &Operator{Name: "kim", Role: RoleAdmin, Teams: []string{"desk"}}
 	fleetAdmin := &Operator{Name: "ada", Role: RoleAdmin}
 	for name, tc := range map[string]struct {
@@ -92,10 +91,10 @@
 	}
 }
 
-// Symptom: an operator acts as another one. Sequence: two operators are stored with one
-// token. Cause: the first match wins.
-func TestInvalidHashes(t *testing.T) {
-	_, h := secret(t, PrefixOperator, 1)
+// If two operators were stored with the same token hash, a lookup would return
+// the first match and one operator would act as the other.
+func TestNewOperatorsRejectsDuplicateAndMalformedHashes(t *testing.T) {
+	_, h := newTestSecret(t, PrefixOperator, 1)
 	kim, lee := Operator{Name: "kim", Role: RoleViewer, TokenHash: h}, Operator{Name: "lee", Role: RoleViewer, TokenHash: strings.ToUpper(h)}
 	_, err := NewOperators([]Operator{kim, lee})
 	assert.True(t, ErrDuplicate.Has(err))
@@ -106,16 +105,16 @@
 	}
 }
 
-// A secret is found by its whole text and prefix only.
-func TestOnlyTheWholeSecretIsFound(t *testing.T) {
-	token, tokenHash := secret(t, PrefixOperator, 1)
-	key, keyHash := secret(t, PrefixAPIKey, 2)
+// A secret authenticates only with its full text and the right prefix.
+func TestAuthenticateRejectsPartialOrForeignSecret(t *testing.T) {
+	token, tokenHash := newTestSecret(t, PrefixOperator, 1)
+	key, keyHash := newTestSecret(t, PrefixAPIKey, 2)
 	ops, err := NewOperators([]Operator{
 		{Name: "kim", Role: RoleViewer, TokenHash: tokenHash}, {Name: "lee", Role: RoleViewer, TokenHash: keyHash},
 	})
 	require.NoError(t, err)
 	for _, other := range []string{
-		"", PrefixOperator, token + "x", token[:10], tokenHash, key, PrefixOperator + strings.Repeat("x", maxSecret),
+		"", PrefixOperator, token + "x", token[:10], tokenHash, key, PrefixOperator + strings.Repeat("x", maxSecretLen),
 	} {
 		_, err := ops.Authenticate(other, now)
 		assert.True(t, ErrUnauthenticated.Has(err), other)
@@ -125,8 +124,8 @@
 	assert.Equal(t, "kim", op.Name)
 }
 
-func TestOperators(t *testing.T) {
-	token, hash := secret(t, PrefixOperator, 1)
+func TestExpiredTokenAndInvalidOperators(t *testing.T) {
+	token, hash := newTestSecret(t, PrefixOperator, 1)
 	ops, err := NewOperators([]Operator{{Name: "kim", TokenHash: hash, Role: RoleBreakGlass, Expires: now}})
 	require.NoError(t, err)
 	op, err := ops.Authenticate(token, now.Add(-time.Second))
@@ -148,11 +147,11 @@
 	}
 }
 
-func TestNewSecret(t *testing.T) {
+func TestNewSecretFailsWithoutRandomBytes(t *testing.T) {
 	_, err := NewSecret(io.LimitReader(bytes.NewReader(make([]byte, 99)), secretBytes-1), PrefixAPIKey)
 	assert.True(t, ErrRandom.Has(err))
 	assert.True(t, errors.Is(err, io.ErrUnexpectedEOF))
-	text, _ := secret(t, PrefixAPIKey, 0xff)
+	text, _ := newTestSecret(t, PrefixAPIKey, 0xff)
 	assert.Len(t, text, len(PrefixAPIKey)+43)
 }
 
--- a/internal/operate/access/authorize.go
+++ b/internal/operate/access/authorize.go
@@ -2,50 +2,50 @@
 
 import "slices"
 
-// Action names what a principal wants to do.
+// Action is an operation that a principal requests.
 type Action string
 
 // The actions of operators.
 const (
 	// ActionReadStatus reads the health of routers and pools.
 	ActionReadStatus Action = "status.read"
-	// ActionReadConfig reads the configuration of a team, or of the fleet.
+	// ActionReadConfig reads the configuration of a team or of the fleet.
 	ActionReadConfig Action = "config.read"
-	// ActionReadAudit reads the audit trail of a team, or of the fleet.
+	// ActionReadAudit reads the audit trail of a team or of the fleet.
 	ActionReadAudit Action = "audit.read"
-	// ActionEditConfig changes what a team owns, or the fleet's own part.
+	// ActionEditConfig changes the configuration that a team or the fleet owns.
 	ActionEditConfig Action = "config.edit"
 	// ActionIssueToken issues or revokes operator tokens and API keys.
 	ActionIssueToken Action = "token.issue"
-	// ActionResolveClaim gives a verdict on a non-idempotent request whose
-	// outcome is not known.
+	// ActionResolveClaim sets the outcome of a non-idempotent request whose
+	// outcome is unknown.
 	ActionResolveClaim Action = "claim.resolve"
-	// ActionOverride passes a safeguard, such as a pool's capacity floor.
+	// ActionOverride bypasses a safeguard, such as a pool's minimum capacity.
 	ActionOverride Action = "safeguard.override"
 )
 
-// FleetWide is the team of what belongs to no single team. Only an operator
-// whose scope is the whole fleet may act on it.
+// FleetWide is the team of resources that belong to no single team. Only an
+// operator whose scope is the whole fleet may act on them.
 const FleetWide = ""
 
-// rule is what an action takes.
+// rule states what an action requires.
 type rule struct {
-	least Role
-	// anyScope is set for what shows nothing of any team.
-	anyScope bool
+	minRole Role
+	// anyTeam skips the scope check, for actions that reveal nothing about a team.
+	anyTeam bool
 }
 
 var rules = map[Action]rule{
-	ActionReadStatus:   {least: RoleViewer, anyScope: true},
-	ActionReadConfig:   {least: RoleViewer},
-	ActionReadAudit:    {least: RoleEditor},
-	ActionEditConfig:   {least: RoleEditor},
-	ActionIssueToken:   {least: RoleAdmin},
-	ActionResolveClaim: {least: RoleAdmin},
-	ActionOverride:     {least: RoleBreakGlass},
+	ActionReadStatus:   {minRole: RoleViewer, anyTeam: true},
+	ActionReadConfig:   {minRole: RoleViewer},
+	ActionReadAudit:    {minRole: RoleEditor},
+	ActionEditConfig:   {minRole: RoleEditor},
+	ActionIssueToken:   {minRole: RoleAdmin},
+	ActionResolveClaim: {minRole: RoleAdmin},
+	ActionOverride:     {minRole: RoleBreakGlass},
 }
 
-// Reason says why an action was denied.
+// Reason is why an action was denied.
 type Reason string
 
 // The reasons for denying an action.
@@ -59,32 +59,32 @@
 type DeniedError struct {
 	Principal string
 	Action    Action
-	// Team is the team whose resource was asked for; FleetWide for none.
+	// Team owns the requested resource; FleetWide if no single team does.
 	Team   string
 	Reason Reason
 }
 
 // Error implements error.
 func (e *DeniedError) Error() string {
-	s := "access: " + e.Principal + " may not " + string(e.Action)
+	text := "access: " + e.Principal + " may not " + string(e.Action)
 	if e.Team != FleetWide {
-		s += " for team " + e.Team
+		text += " for team " + e.Team
 	}
-	return s + ": " + string(e.Reason)
+	return text + ": " + string(e.Reason)
 }
 
 // Authorize returns a *DeniedError unless op may take action on a resource of
-// team. An action without a rule is denied, so that one added later is closed
-// until someone decides about it.
+// team. An action without a rule is denied, so that a new action is closed by
+// default.
 func Authorize(op *Operator, action Action, team string) error {
 	denied := &DeniedError{Principal: op.Name, Action: action, Team: team}
 	r, ok := rules[action]
 	switch {
 	case !ok:
 		denied.Reason = ReasonUnknownAction
-	case rank[op.Role] < rank[r.least]:
+	case roleRank[op.Role] < roleRank[r.minRole]:
 		denied.Reason = ReasonRole
-	case !r.anyScope && !op.covers(team):
+	case !r.anyTeam && !op.inScope(team):
 		denied.Reason = ReasonScope
 	default:
 		return nil
@@ -92,15 +92,15 @@
 	return denied
 }
 
-func (o *Operator) covers(team string) bool {
+func (o *Operator) inScope(team string) bool {
 	return len(o.Teams) == 0 || slices.Contains(o.Teams, team)
 }
 
-// AuthorizeGrant returns a *DeniedError unless op may issue a token like g.
-// Nobody grants a role above their own or a scope beyond it: otherwise an
-// admin of one team could make a token for all of them, and use that.
-func AuthorizeGrant(op *Operator, g *Operator) error {
-	teams := g.Teams
+// AuthorizeGrant returns a *DeniedError unless op may issue a token with the
+// role and scope of grant. Neither may exceed those of op: otherwise an admin
+// of one team could issue a fleet-wide token and use it.
+func AuthorizeGrant(op *Operator, grant *Operator) error {
+	teams := grant.Teams
 	if len(teams) == 0 {
 		teams = []string{FleetWide}
 	}
@@ -109,7 +109,7 @@
 			return err
 		}
 	}
-	if rank[g.Role] > rank[op.Role] {
+	if roleRank[grant.Role] > roleRank[op.Role] {
 		return &DeniedError{Principal: op.Name, Action: ActionIssueToken, Reason: ReasonRole}
 	}
 	return nil
--- a/internal/operate/access/operator.go
+++ b/internal/operate/access/operator.go
@@ -7,65 +7,66 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrOperator reports an operator record that cannot be used.
+// ErrOperator reports an invalid operator record.
 var ErrOperator = errs.Class("access: operator")
 
-// Role says what an operator may do.
+// Role is a set of permissions of an operator.
 type Role string
 
-// The roles, from least to most.
+// The roles, from the fewest permissions to the most.
 const (
-	// RoleViewer reads.
+	// RoleViewer may read.
 	RoleViewer Role = "viewer"
-	// RoleEditor also changes what its teams own.
+	// RoleEditor may also change what its teams own.
 	RoleEditor Role = "editor"
-	// RoleAdmin also runs the fleet and issues tokens.
+	// RoleAdmin may also resolve claims and issue tokens.
 	RoleAdmin Role = "admin"
-	// RoleBreakGlass also overrides safeguards, in an emergency. Its tokens
+	// RoleBreakGlass may also override safeguards in an emergency. Its tokens
 	// must expire.
 	RoleBreakGlass Role = "breakglass"
 )
 
-// rank orders the roles: each may do what those below it may. An unknown role
-// has rank 0 and may do nothing.
-var rank = map[Role]int{RoleViewer: 1, RoleEditor: 2, RoleAdmin: 3, RoleBreakGlass: 4}
+// roleRank orders the roles: each includes the permissions of the lower ones.
+// An unknown role has rank 0 and no permissions.
+var roleRank = map[Role]int{RoleViewer: 1, RoleEditor: 2, RoleAdmin: 3, RoleBreakGlass: 4}
 
 // Operator is a person or program that administers the fleet.
 type Operator struct {
-	// Name identifies the operator in the audit trail.
+	// Name identifies the operator, also in the audit trail.
 	Name string `yaml:"name" json:"name"`
-	// TokenHash is the SHA-256 sum of the token, in hexadecimal.
+	// TokenHash is the SHA-256 hash of the token, in hexadecimal.
 	TokenHash string `yaml:"token_hash" json:"token_hash"`
 	Role      Role   `yaml:"role" json:"role"`
-	// Teams is the scope; empty means the whole fleet.
+	// Teams is the scope of the operator; empty means the whole fleet.
 	Teams []string `yaml:"teams,omitempty" json:"teams,omitempty"`
-	// Expires ends the token; zero means never.
+	// Expires is when the token expires; zero means never.
 	Expires time.Time `yaml:"expires,omitempty" json:"expires,omitzero"`
 }
 
-// validate guards against records that would grant more than was meant.
+// validate rejects records that could grant more than intended.
 func (o *Operator) validate() error {
 	switch {
 	case o.Name == "":
 		return ErrOperator.New("no name")
-	case rank[o.Role] == 0:
+	case roleRank[o.Role] == 0:
 		return ErrOperator.New("%s: unknown role %q", o.Name, o.Role)
 	case o.Role == RoleBreakGlass && o.Expires.IsZero():
 		return ErrOperator.New("%s: a %s token must expire", o.Name, o.Role)
 	case slices.Contains(o.Teams, ""):
-		// The empty team stands for the fleet in Authorize. A scope that
-		// names it by a slip would reach everything.
+		// Authorize treats the empty team as the fleet, so an empty name in
+		// the list would grant access to fleet-wide resources by mistake.
 		return ErrOperator.New("%s: empty team in scope", o.Name)
 	}
 	return nil
 }
 
-// Operators finds the operator of a token. It is immutable.
+// Operators is an immutable index of operators by token.
 type Operators struct {
 	index hashIndex[*Operator]
 }
 
-// NewOperators indexes the token hashes of operators.
+// NewOperators indexes operators by token hash and keeps pointers into the
+// slice. Errors: ErrOperator, ErrHash, ErrDuplicate.
 func NewOperators(operators []Operator) (*Operators, error) {
 	o := &Operators{index: hashIndex[*Operator]{}}
 	for i := range operators {
@@ -83,8 +84,8 @@
 	return o, nil
 }
 
-// Authenticate returns the operator of a token that has not expired at now, or
-// an ErrUnauthenticated.
+// Authenticate returns the operator of a token that has not expired at now.
+// Errors: ErrUnauthenticated, with the same text for every reason.
 func (o *Operators) Authenticate(token string, now time.Time) (*Operator, error) {
 	op, err := o.index.find(token, PrefixOperator)
 	if err != nil {
--- a/internal/operate/access/secret.go
+++ b/internal/operate/access/secret.go
@@ -1,10 +1,11 @@
-// Package access says who asks and what they may do: API keys name client
-// accounts, operator tokens name operators with a role and a scope of teams.
-// It is pure; secrets are kept only as hashes.
+// Package access authenticates and authorizes operators, and generates secrets.
+// API keys identify client accounts; operator tokens identify operators, who
+// have a role and a scope of teams. The package does no I/O and keeps secrets
+// only as hashes.
 //
 // The hash is a plain SHA-256. A slow password hash protects secrets that can
-// be guessed; these are 256 random bits, which no guessing reaches, and a slow
-// hash on each request would hand attackers a cheap way to exhaust a router.
+// be guessed. These are 256 random bits, which cannot be guessed, and a slow
+// hash for each request would let attackers exhaust a router cheaply.
 package access
 
 import (
@@ -20,35 +21,35 @@
 )
 
 const (
-	// PrefixAPIKey begins every API key of a client account.
+	// PrefixAPIKey is the prefix of every API key of a client account.
 	PrefixAPIKey = "drk_"
-	// PrefixOperator begins every operator token.
+	// PrefixOperator is the prefix of every operator token.
 	PrefixOperator = "dro_"
 
 	secretBytes = 32
-	// maxSecret bounds what is hashed at all, in characters.
-	maxSecret = 128
+	// maxSecretLen is the longest text, in bytes, that is hashed and looked up.
+	maxSecretLen = 128
 )
 
 var (
-	// ErrRandom reports a source of randomness that failed.
+	// ErrRandom reports a failed source of randomness.
 	ErrRandom = errs.Class("access: random source")
-	// ErrHash reports a text that is no SHA-256 sum in hexadecimal.
+	// ErrHash reports a text that is not a SHA-256 hash in hexadecimal.
 	ErrHash = errs.Class("access: hash")
-	// ErrDuplicate reports a hash that is listed twice: with it, requests of
-	// one account would run as another.
+	// ErrDuplicate reports a hash that is listed twice: one holder would be
+	// authenticated as the other.
 	ErrDuplicate = errs.Class("access: secret listed twice")
-	// ErrUnauthenticated reports a secret that is not known. It does not say
-	// whether the secret was of the right form.
+	// ErrUnauthenticated reports an unknown or expired secret. It does not
+	// reveal whether the secret was well-formed.
 	ErrUnauthenticated = errs.Class("access: not authenticated")
 )
 
-// Hash is the SHA-256 sum of a secret.
+// Hash is the SHA-256 hash of a secret.
 type Hash [sha256.Size]byte
 
-// NewSecret returns a new secret of 256 bits from rand, beginning with prefix
-// (PrefixAPIKey or PrefixOperator), so that scanners and people recognise one
-// that has leaked.
+// NewSecret returns a secret with 256 bits from rand. It begins with prefix
+// (PrefixAPIKey or PrefixOperator), so that scanners and people can recognise a
+// leaked one. Errors: ErrRandom.
 func NewSecret(rand io.Reader, prefix string) (string, error) {
 	var b [secretBytes]byte
 	if _, err := io.ReadFull(rand, b[:]); err != nil {
@@ -57,13 +58,13 @@
 	return prefix + base64.RawURLEncoding.EncodeToString(b[:]), nil
 }
 
-// HashSecret returns the hash under which a secret is kept.
+// HashSecret returns the hash that is stored for a secret.
 func HashSecret(secret string) Hash { return sha256.Sum256([]byte(secret)) }
 
-// String returns the sum in hexadecimal, as configuration has it.
+// String returns the hash in hexadecimal, the form used in configurations.
 func (h Hash) String() string { return hex.EncodeToString(h[:]) }
 
-// ParseHash reads a sum in hexadecimal.
+// ParseHash parses a hash in hexadecimal. Errors: ErrHash.
 func ParseHash(text string) (Hash, error) {
 	b, err := hex.DecodeString(text)
 	if err != nil {
@@ -75,34 +76,34 @@
 	return Hash(b), nil
 }
 
-// hashIndex finds what belongs to a secret. Candidates are looked up by the
-// first bytes of the hash and compared in constant time. How long the look-up
-// takes depends on the hash, which a caller can't steer towards a stored one.
-type hashIndex[V any] map[uint64][]hashed[V]
+// hashIndex maps secrets to values. Candidates are looked up by the first bytes
+// of the hash and compared in constant time. The duration of the look-up depends
+// on the hash, which an attacker cannot choose to be close to a stored one.
+type hashIndex[V any] map[uint64][]hashEntry[V]
 
-type hashed[V any] struct {
+type hashEntry[V any] struct {
 	hash  Hash
 	value V
 }
 
-func (h Hash) slot() uint64 { return binary.LittleEndian.Uint64(h[:]) }
+func (h Hash) indexKey() uint64 { return binary.LittleEndian.Uint64(h[:]) }
 
 func (x hashIndex[V]) add(h Hash, v V) error {
-	for _, c := range x[h.slot()] {
+	for _, c := range x[h.indexKey()] {
 		if c.hash == h {
 			return ErrDuplicate.New("%s…", h.String()[:8])
 		}
 	}
-	x[h.slot()] = append(x[h.slot()], hashed[V]{h, v})
+	x[h.indexKey()] = append(x[h.indexKey()], hashEntry[V]{h, v})
 	return nil
 }
 
 func (x hashIndex[V]) find(secret, prefix string) (v V, err error) {
-	if len(secret) > maxSecret || !strings.HasPrefix(secret, prefix) {
+	if len(secret) > maxSecretLen || !strings.HasPrefix(secret, prefix) {
 		return v, ErrUnauthenticated.New("unknown secret")
 	}
 	h := HashSecret(secret)
-	for _, c := range x[h.slot()] {
+	for _, c := range x[h.indexKey()] {
 		if subtle.ConstantTimeCompare(c.hash[:], h[:]) == 1 {
 			return c.value, nil
 		}
--- a/internal/operate/admin/audit.go
+++ b/internal/operate/admin/audit.go
@@ -52,7 +52,7 @@
 	if text := c.QueryParam(api.ParamCursor); text != "" {
 		return audit.ParseCursor(text)
 	}
-	return s.trail.Top(c.ctx())
+	return s.trail.Newest(c.ctx())
 }
 
 func visibleEntries(c *call, entries []audit.Entry) []audit.Entry {
--- a/internal/operate/audit/audit.go
+++ b/internal/operate/audit/audit.go
@@ -1,7 +1,7 @@
-// Package audit is the trail of what operators did: who, what, when, and from
-// which version. Accepted configurations write their entry in the transaction that
-// accepts them (package config); this package writes the entries of all other
-// changes, and reads both as one list.
+// Package audit records what operators changed: who, what, when, and starting
+// from which version. An accepted configuration is recorded by package config in
+// the transaction that accepts it; this package records all other changes and
+// reads both kinds of entries as one list.
 package audit
 
 import (
@@ -13,27 +13,27 @@
 	"github.com/zeebo/errs"
 )
 
-// Tables of the trail. Neither ever loses a row.
+// Tables of the trail. Rows are never deleted.
 const (
-	// Table holds the entries of operations, by zero-padded number.
+	// Table holds the entries of operations, keyed by zero-padded number.
 	Table = "audit_operations"
-	// TableHead holds one row, headKey, with the number of the last entry.
+	// TableHead holds a single row, headKey, with the number of the last entry.
 	TableHead = "audit_head"
 
 	headKey = "head"
 )
 
 var (
-	// ErrCorrupt means that a row of the trail can't be decoded.
+	// ErrCorrupt means that a row of the trail cannot be decoded.
 	ErrCorrupt = errs.Class("audit: corrupt row")
-	// ErrCursor means that a cursor was not issued by Trail.Page.
+	// ErrCursor means that a text is not a cursor as encoded by Cursor.String.
 	ErrCursor = errs.Class("audit: bad cursor")
-	// ErrContended means that other operations kept taking the next number.
-	// Nothing was written.
+	// ErrContended means that concurrent operations took the next entry number
+	// at each attempt. Nothing was written.
 	ErrContended = errs.Class("audit: contended")
 )
 
-// Action names what was done.
+// Action is the kind of a recorded change.
 type Action string
 
 // The actions in the trail.
@@ -45,56 +45,56 @@
 	ActionClaimResolve   Action = "claim.resolve"
 )
 
-// Outcome says how far an operation got.
+// Outcome is the recorded result of an operation.
 type Outcome string
 
 // The outcomes.
 const (
-	// OutcomeDone is that of an entry written together with its change, or
-	// after it.
+	// OutcomeDone marks an entry written in the same transaction as its change
+	// or after it.
 	OutcomeDone Outcome = "done"
-	// OutcomeBegun is that of an entry written before a change that can't be
-	// part of the entry's transaction. Without a later entry of the same ID
-	// the change may or may not have taken effect.
+	// OutcomeBegun marks an entry written before a change that cannot be part
+	// of the entry's transaction. Without a later entry of the same ID, the
+	// change may or may not have taken effect.
 	OutcomeBegun Outcome = "begun"
-	// OutcomeFailed says that the change did not take effect.
+	// OutcomeFailed means that the change did not take effect.
 	OutcomeFailed Outcome = "failed"
-	// OutcomeUnknown says that the change may have taken effect.
+	// OutcomeUnknown means that the change may have taken effect.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Entry is one line of the trail.
+// Entry is one record of the trail.
 type Entry struct {
-	// Number counts the entries of operations, or is the configuration's
-	// version for an accepted change.
+	// Number is the sequence number of an operation's entry, or the version of
+	// an accepted configuration.
 	Number uint64 `json:"number"`
-	// ID is the same for all entries of one operation.
+	// ID identifies the operation; all its entries share it.
 	ID      string    `json:"id"`
 	Time    time.Time `json:"time"`
 	Actor   string    `json:"actor"`
 	Action  Action    `json:"action"`
 	Outcome Outcome   `json:"outcome"`
-	// Team owns what was changed; empty for what belongs to the whole fleet.
+	// Team owns what was changed; empty for fleet-wide resources.
 	Team string `json:"team,omitempty"`
-	// Target names what was changed.
+	// Target is the name of what was changed.
 	Target string `json:"target,omitempty"`
-	// FromVersion is the version that the change was made from: of the
-	// configuration, or of the changed row. 0 means that there was none.
+	// FromVersion is the version on which the change is based, of the
+	// configuration or of the changed row; 0 if there was none.
 	FromVersion int64  `json:"from_version"`
 	Detail      string `json:"detail,omitempty"`
 }
 
-// keyDigits holds the largest uint64, so that keys sort by number.
-const keyDigits = 20
+// keyWidth is the number of digits of the largest uint64, so that keys sort by number.
+const keyWidth = 20
 
-func key(number uint64) string { return fmt.Sprintf("%0*d", keyDigits, number) }
+func key(number uint64) string { return fmt.Sprintf("%0*d", keyWidth, number) }
 
 // headRow is the value of the head row.
 type headRow struct {
 	Number uint64 `json:"number"`
 }
 
-// encode encodes a row. The rows hold only plain fields, so the encoder
+// encode returns a row as JSON. Rows have only plain fields, so the encoder
 // cannot fail.
 func encode(row any) []byte {
 	data, _ := json.Marshal(row)
@@ -103,8 +103,8 @@
 
 func decode(data []byte, row any) error { return ErrCorrupt.Wrap(json.Unmarshal(data, row)) }
 
-// ofVersion is the entry of an accepted configuration.
-func ofVersion(v config.Version) Entry {
+// versionEntry returns the entry of an accepted configuration.
+func versionEntry(v config.Version) Entry {
 	e := Entry{
 		Number:      v.Number,
 		ID:          v.ChangeID,
--- a/internal/operate/audit/audit_test.go
+++ b/internal/operate/audit/audit_test.go
@@ -26,16 +26,16 @@
 	return Entry{ID: id, Actor: "kim", Action: ActionOperatorAdd, Outcome: OutcomeDone, Target: "operator " + id}
 }
 
-// effect is the write that an entry tells of.
-func effect(id string) platform.Write {
+// dataWrite is the change that is recorded by an entry.
+func dataWrite(id string) platform.Write {
 	return platform.Write{Table: "things", Key: id, Value: []byte(id)}
 }
 
-func ids(t *testing.T, trail *Trail) []string {
+func entryIDs(t *testing.T, trail *Trail) []string {
 	t.Helper()
-	top, err := trail.Top(context.Background())
+	newest, err := trail.Newest(context.Background())
 	require.NoError(t, err)
-	entries, next, err := trail.Page(context.Background(), top, MaxPage)
+	entries, next, err := trail.Page(context.Background(), newest, MaxPage)
 	require.NoError(t, err)
 	assert.True(t, next.End())
 	var out []string
@@ -45,10 +45,10 @@
 	return out
 }
 
-// Symptom: an operation has no entry, or two. Sequence: the store's reply to
-// the transaction is lost, the transaction is delivered twice or late. Cause:
-// a repetition that does not recognise its own first copy.
-func TestRecordOnce(t *testing.T) {
+// An operation must have exactly one entry when the store's reply is lost or the
+// transaction is delivered late or twice. This fails if a retry does not
+// recognise the transaction of an earlier attempt.
+func TestLostOrRepeatedCommitRecordsOneEntry(t *testing.T) {
 	for _, fault := range []platformtest.Fault{
 		platformtest.None, platformtest.LoseBeforeEffect, platformtest.LoseReplyAfterEffect,
 		platformtest.LateEffect, platformtest.Duplicate,
@@ -56,56 +56,56 @@
 		trail, store := newTrail()
 		store.Script(platformtest.OpCommit, fault)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
-		got, err := trail.Record(ctx, entry("a"), effect("a"))
+		got, err := trail.Record(ctx, entry("a"), dataWrite("a"))
 		cancel()
 		require.NoError(t, err, fault)
 		assert.Equal(t, []any{uint64(1), testTime}, []any{got.Number, got.Time}, fault)
-		_, err = trail.Record(context.Background(), entry("b"), effect("b"))
+		_, err = trail.Record(context.Background(), entry("b"), dataWrite("b"))
 		require.NoError(t, err, fault)
 		store.DeliverLate()
-		assert.Equal(t, []string{"b", "a"}, ids(t, trail), fault)
+		assert.Equal(t, []string{"b", "a"}, entryIDs(t, trail), fault)
 		row, err := store.Store().Get("things", "a")
 		require.NoError(t, err, fault)
 		assert.Equal(t, int64(1), row.Version, fault)
 	}
 }
 
-func TestRecordNothing(t *testing.T) {
+func TestFailedRecordWritesNothing(t *testing.T) {
 	trail, store := newTrail()
 	store.Script(platformtest.OpCommit, platformtest.Down)
-	_, err := trail.Record(context.Background(), entry("a"), effect("a"))
+	_, err := trail.Record(context.Background(), entry("a"), dataWrite("a"))
 	assert.True(t, platform.ErrUnavailable.Has(err))
-	assert.Empty(t, ids(t, trail))
+	assert.Empty(t, entryIDs(t, trail))
 
-	_, err = trail.Record(context.Background(), entry("a"), effect("a"))
+	_, err = trail.Record(context.Background(), entry("a"), dataWrite("a"))
 	require.NoError(t, err)
-	_, err = trail.Record(context.Background(), entry("b"), effect("a"))
+	_, err = trail.Record(context.Background(), entry("b"), dataWrite("a"))
 	var conflict *platform.ConflictError
 	require.ErrorAs(t, err, &conflict)
 	assert.Equal(t, "things", conflict.Current.Table)
-	assert.Equal(t, []string{"a"}, ids(t, trail), "no entry for a change that lost")
+	assert.Equal(t, []string{"a"}, entryIDs(t, trail), "no entry for a change that was rejected")
 }
 
-// Symptom: entries overwrite each other, or numbers are left out. Sequence:
-// operations at several routers take the next number at once. Cause: the
-// number is read, and used without a condition.
-func TestRecordRace(t *testing.T) {
-	const rivals = 4
+// Guards against overwritten entries and gaps in the numbers when several
+// routers record at once. Both occur if the next number is read and then
+// written without a condition.
+func TestConcurrentRecordsKeepAllEntries(t *testing.T) {
+	const writers = 4
 	trail, _ := newTrail()
 	var wg sync.WaitGroup
-	for i := range rivals {
+	for i := range writers {
 		wg.Go(func() {
-			_, err := trail.Record(context.Background(), entry(fmt.Sprint(i)), effect(fmt.Sprint(i)))
+			_, err := trail.Record(context.Background(), entry(fmt.Sprint(i)), dataWrite(fmt.Sprint(i)))
 			assert.NoError(t, err)
 		})
 	}
 	wg.Wait()
-	assert.ElementsMatch(t, []string{"0", "1", "2", "3"}, ids(t, trail))
+	assert.ElementsMatch(t, []string{"0", "1", "2", "3"}, entryIDs(t, trail))
 }
 
-// Symptom: a call hangs. Sequence: another operation takes each number first.
-// Cause: a race without an end.
-func TestRecordGivesUp(t *testing.T) {
+// Record must return an error instead of retrying forever when a concurrent
+// operation takes the next number before each attempt.
+func TestRecordStopsAfterMaxAttempts(t *testing.T) {
 	trail, store := newTrail()
 	n := uint64(0)
 	store.Before(func(_ context.Context, c platformtest.Call) {
@@ -113,23 +113,23 @@
 			return
 		}
 		n++
-		rival := entry(fmt.Sprint("rival-", n))
-		rival.Number = n
+		competing := entry(fmt.Sprint("rival-", n))
+		competing.Number = n
 		_, err := store.Store().Commit([]platform.Write{
 			{Table: TableHead, Key: headKey, Value: encode(headRow{n}), IfVersion: int64(n) - 1},
-			{Table: Table, Key: key(n), Value: encode(rival)},
+			{Table: Table, Key: key(n), Value: encode(competing)},
 		})
 		require.NoError(t, err)
 	})
-	_, err := trail.Record(context.Background(), entry("a"), effect("a"))
+	_, err := trail.Record(context.Background(), entry("a"), dataWrite("a"))
 	assert.True(t, ErrContended.Has(err))
 	store.Before(nil)
-	assert.Len(t, ids(t, trail), maxAttempts)
+	assert.Len(t, entryIDs(t, trail), maxAttempts)
 	_, err = store.Store().Get("things", "a")
 	assert.True(t, platform.ErrNotFound.Has(err))
 }
 
-func TestCursor(t *testing.T) {
+func TestParseCursorRejectsMalformedText(t *testing.T) {
 	for _, text := range []string{"", "1", "1.", "1.2.3", "01.2", "1.2 ", "-1.2", "99999999999999999999.1"} {
 		_, err := ParseCursor(text)
 		assert.True(t, ErrCursor.Has(err), text)
@@ -139,7 +139,7 @@
 	assert.Equal(t, Cursor{Version: 3, Operation: 4}, c)
 }
 
-func TestCorruptRow(t *testing.T) {
+func TestCorruptHeadRowIsReported(t *testing.T) {
 	trail, store := newTrail()
 	_, err := store.Store().Commit([]platform.Write{{Table: TableHead, Key: headKey, Value: []byte("{")}})
 	require.NoError(t, err)
--- a/internal/operate/audit/read.go
+++ b/internal/operate/audit/read.go
@@ -9,19 +9,19 @@
 	"damaskrouter.example/damaskrouter/internal/store/platform"
 )
 
-// MaxPage bounds the entries of one page.
+// MaxPage is the largest number of entries in a page.
 const MaxPage = 200
 
-// Cursor is a place in the trail: the newest configuration version and the
-// newest operation that are still to be shown.
+// Cursor is a position in the trail: the newest configuration version and the
+// newest operation that have not been returned yet.
 type Cursor struct {
 	Version, Operation uint64
 }
 
-// String encodes the cursor for an address.
+// String encodes the cursor for use in a URL.
 func (c Cursor) String() string { return fmt.Sprintf("%d.%d", c.Version, c.Operation) }
 
-// ParseCursor reads what Cursor.String wrote. Errors: ErrCursor.
+// ParseCursor parses the output of Cursor.String. Errors: ErrCursor.
 func ParseCursor(text string) (Cursor, error) {
 	var c Cursor
 	_, err := fmt.Sscanf(text, "%d.%d", &c.Version, &c.Operation)
@@ -31,11 +31,12 @@
 	return c, nil
 }
 
-// End reports that nothing is left to show.
+// End reports whether no entries are left.
 func (c Cursor) End() bool { return c.Version == 0 && c.Operation == 0 }
 
-// Top returns the cursor of the newest entries.
-func (t *Trail) Top(ctx context.Context) (Cursor, error) {
+// Newest returns the cursor of the newest entries. Errors: ErrCorrupt, those of
+// config.Chain.Head and of platform.Table.
+func (t *Trail) Newest(ctx context.Context) (Cursor, error) {
 	head, err := t.chain.Head(ctx)
 	if err != nil {
 		return Cursor{}, err
@@ -45,10 +46,12 @@
 }
 
 // Page returns up to limit entries from the cursor on, newest first, and the
-// cursor of those after them. Both lists that it merges have numbers without
-// gaps and only grow at their top, so pages never overlap or leave entries
-// out, whatever is written meanwhile. Where routers' clocks differ, so does the
-// order of entries of different kinds.
+// cursor of the next page. Both merged lists are numbered without gaps and grow
+// only at the newest end, so pages neither overlap nor skip entries while others
+// are written. Entries of different kinds are ordered by time, so their order
+// can be wrong by the clock difference between routers.
+//
+// The limit is capped at MaxPage. Errors: ErrCorrupt, those of platform.Table.
 func (t *Trail) Page(ctx context.Context, from Cursor, limit int) ([]Entry, Cursor, error) {
 	limit = min(limit, MaxPage)
 	versions, err := t.versions(ctx, from.Version, limit)
@@ -63,7 +66,8 @@
 	return entries, next, nil
 }
 
-// merge takes the newer of the two first entries, up to limit times.
+// merge combines two lists, newest first, into one of at most limit entries, and
+// returns the cursor after the last of them.
 func merge(from Cursor, versions, operations []Entry, limit int) ([]Entry, Cursor) {
 	var out []Entry
 	next := from
@@ -81,50 +85,50 @@
 	return out, next
 }
 
-// Versions returns up to limit accepted configurations from top downwards,
-// without their bundles. Errors: ErrCorrupt, those of platform.Table.
-func (t *Trail) Versions(ctx context.Context, top uint64, limit int) ([]config.Version, error) {
-	return scan(ctx, t, config.TableAudit, top, limit, func(row platform.Row) (config.Version, error) {
+// Versions returns up to limit accepted configurations from version newest
+// downwards, without their bundles. Errors: ErrCorrupt, those of platform.Table.
+func (t *Trail) Versions(ctx context.Context, newest uint64, limit int) ([]config.Version, error) {
+	return scan(ctx, t, config.TableAudit, newest, limit, func(row platform.Row) (config.Version, error) {
 		var e config.AuditEntry
 		err := decode(row.Value, &e)
 		return e.Version, err
 	})
 }
 
-func (t *Trail) versions(ctx context.Context, top uint64, limit int) ([]Entry, error) {
-	versions, err := t.Versions(ctx, top, limit)
+func (t *Trail) versions(ctx context.Context, newest uint64, limit int) ([]Entry, error) {
+	versions, err := t.Versions(ctx, newest, limit)
 	entries := make([]Entry, 0, len(versions))
 	for _, v := range versions {
-		entries = append(entries, ofVersion(v))
+		entries = append(entries, versionEntry(v))
 	}
 	return entries, err
 }
 
-func (t *Trail) operations(ctx context.Context, top uint64, limit int) ([]Entry, error) {
-	return scan(ctx, t, Table, top, limit, func(row platform.Row) (Entry, error) {
+func (t *Trail) operations(ctx context.Context, newest uint64, limit int) ([]Entry, error) {
+	return scan(ctx, t, Table, newest, limit, func(row platform.Row) (Entry, error) {
 		var e Entry
 		err := decode(row.Value, &e)
 		return e, err
 	})
 }
 
-// scan reads the rows numbered from top down to top-limit+1. The keys of both
+// scan reads the rows numbered from newest down to newest-limit+1. Keys of both
 // tables begin with the zero-padded number.
-func scan[T any](ctx context.Context, t *Trail, table string, top uint64, limit int, read func(platform.Row) (T, error)) ([]T, error) {
-	if top == 0 || limit < 1 {
+func scan[T any](ctx context.Context, t *Trail, table string, newest uint64, limit int, decodeRow func(platform.Row) (T, error)) ([]T, error) {
+	if newest == 0 || limit < 1 {
 		return nil, nil
 	}
-	first := uint64(1)
-	if top > uint64(limit) {
-		first = top - uint64(limit) + 1
+	lowest := uint64(1)
+	if newest > uint64(limit) {
+		lowest = newest - uint64(limit) + 1
 	}
-	rows, err := t.table.Scan(ctx, platform.UseAudit, table, key(first), key(top+1), limit)
+	rows, err := t.table.Scan(ctx, platform.UseAudit, table, key(lowest), key(newest+1), limit)
 	if err != nil {
 		return nil, err
 	}
 	out := make([]T, 0, len(rows))
 	for _, row := range slices.Backward(rows) {
-		item, err := read(row)
+		item, err := decodeRow(row)
 		if err != nil {
 			return nil, err
 		}
