--- a/internal/operate/access/secret.go
+++ b/internal/operate/access/secret.go
@@ -71,7 +71,7 @@
 		return Hash{}, ErrHash.Wrap(err)
 	}
 	if len(b) != sha256.Size {
-		return Hash{}, ErrHash.New("%d bytes, %d needed", len(b), sha256.Size)
+		return Hash{}, ErrHash.New("%d bytes, want %d", len(b), sha256.Size)
 	}
 	return Hash(b), nil
 }
--- a/internal/secure/keys/cert.go
+++ b/internal/secure/keys/cert.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// CertPaths are the files of one identity, all in PEM.
+// CertPaths are the PEM files of one TLS identity.
 type CertPaths struct {
-	// Cert is the certificate, followed by its intermediates.
+	// Cert holds the certificate, followed by any intermediate certificates.
 	Cert string
-	// Key is the private key.
+	// Key holds the private key.
 	Key string
-	// CA holds the authorities that are trusted. It may hold two, so that
-	// authorities can be rotated. It may be empty for an identity that is
-	// shown to callers only; then the chain is not checked either.
+	// CA holds the certificates of trusted authorities. It may hold several, so
+	// that authorities can be rotated. The path may be empty for an identity
+	// that is presented to callers only; the chain is then not verified.
 	CA string
-	// Router is the name that the certificate must prove. It is empty for an
-	// identity that is shown to callers only; then any name will do.
+	// Router is the router name that the certificate must contain. It may be
+	// empty for an identity that is presented to callers only; the name is then
+	// not checked.
 	Router string
 }
 
@@ -29,8 +30,8 @@
 }
 
 // CertReloader holds a certificate, its key and the trusted authorities, and
-// makes TLS configurations that follow them. A reload affects new connections;
-// open ones go on with what they were set up with.
+// provides TLS configurations that follow reloads. A reload affects only new
+// connections. It is safe for concurrent use.
 type CertReloader struct {
 	*reloader[identity]
 }
@@ -40,8 +41,8 @@
 	roots *x509.CertPool
 }
 
-// OpenCerts reads the files. now is asked for the time at each load, to refuse
-// certificates that are not valid.
+// OpenCerts loads the files. Each load rejects a certificate that is expired or
+// not yet valid at now. Errors: ErrFile, ErrInvalid.
 func OpenCerts(paths CertPaths, now func() time.Time) (*CertReloader, error) {
 	load := func() (*identity, error) { return loadIdentity(paths, now()) }
 	r, err := newReloader(load, paths.list()...)
@@ -51,21 +52,22 @@
 	return &CertReloader{r}, nil
 }
 
-// Check reloads the files if any has changed. After an error the old
-// certificate and authorities stay in use.
+// Check reloads the files if any of them has changed. After an error the
+// previous certificate and authorities stay in use. Errors: ErrFile, ErrInvalid.
 func (r *CertReloader) Check() (changed bool, err error) { return r.check() }
 
-// Stats returns the counters of reloads.
+// Stats returns the reload counters.
 func (r *CertReloader) Stats() Stats { return r.stats() }
 
-// Expires returns when the present certificate ends, for an alert in advance:
-// an expired one stays in use, as there is none better, and peers refuse it.
+// Expires returns when the current certificate expires, so that operators can be
+// alerted in advance. An expired certificate stays in use if there is no other,
+// and peers reject it.
 func (r *CertReloader) Expires() time.Time {
 	return r.current.Load().cert.Leaf.NotAfter
 }
 
 func loadIdentity(p CertPaths, now time.Time) (*identity, error) {
-	cert, err := loadPair(p)
+	cert, err := loadKeyPair(p)
 	if err != nil {
 		return nil, err
 	}
@@ -81,8 +83,8 @@
 	return id, id.validate(now)
 }
 
-// loadPair reads a certificate and its key.
-func loadPair(p CertPaths) (tls.Certificate, error) {
+// loadKeyPair reads a certificate and its key.
+func loadKeyPair(p CertPaths) (tls.Certificate, error) {
 	certPEM, err := readFile(p.Cert)
 	if err != nil {
 		return tls.Certificate{}, err
@@ -107,12 +109,12 @@
 	return roots, nil
 }
 
-// validate refuses what peers would refuse: better one failed reload that is
-// counted here than every handshake failing from then on.
+// validate rejects a certificate that peers would reject, so that a bad file
+// causes one counted reload failure instead of failing every later handshake.
 func (id *identity) validate(now time.Time) error {
 	leaf := id.cert.Leaf
 	if now.Before(leaf.NotBefore) || now.After(leaf.NotAfter) {
-		return ErrInvalid.New("certificate valid from %s to %s", leaf.NotBefore, leaf.NotAfter)
+		return ErrInvalid.New("certificate is valid only from %s to %s", leaf.NotBefore, leaf.NotAfter)
 	}
 	if id.roots == nil {
 		return nil
@@ -126,18 +128,18 @@
 	return ErrInvalid.Wrap(err)
 }
 
-// validateName refuses another router's certificate, for instance after files
-// were copied to the wrong VM: every peer would refuse it.
+// validateName rejects the certificate of another router, for instance after
+// files were copied to the wrong VM. Every peer would reject it.
 func (id *identity) validateName(router string) error {
 	if router == "" {
 		return nil
 	}
-	name, err := routerOf(id.cert.Leaf)
+	name, err := routerName(id.cert.Leaf)
 	if err != nil {
 		return ErrInvalid.Wrap(err)
 	}
 	if name != router {
-		return ErrInvalid.New("certificate of router %q, not %q", name, router)
+		return ErrInvalid.New("certificate is for router %q, want %q", name, router)
 	}
 	return nil
 }
--- a/internal/secure/keys/generate.go
+++ b/internal/secure/keys/generate.go
@@ -17,76 +17,79 @@
 )
 
 const (
-	// DefaultValidity is how long generated certificates last.
+	// DefaultValidity is the default validity period of generated certificates.
 	DefaultValidity = 90 * 24 * time.Hour
-	// backdate lets a certificate be used at once by VMs whose clocks are slow.
+	// backdate makes new certificates valid at once on VMs whose clocks are slow.
 	backdate = time.Hour
-	// caName is the base name of the authority's files. No router has it.
-	caName = "ca"
+	// authorityName is the base name of the authority's files. No router may use it.
+	authorityName = "ca"
 
-	secretMode fs.FileMode = 0o600
-	publicMode fs.FileMode = 0o644
+	keyFileMode  fs.FileMode = 0o600
+	certFileMode fs.FileMode = 0o644
 )
 
-// GenerateOptions say which certificates to make.
+// GenerateOptions configures Generate.
 type GenerateOptions struct {
-	// Routers are the names of the routers that get a certificate.
+	// Routers are the names of the routers to generate certificates for.
 	Routers []string
-	// Hosts are DNS names and IP addresses that callers use for any of them.
+	// Hosts are the DNS names and IP addresses that callers use; they are added
+	// to each certificate.
 	Hosts []string
-	// Now is the start of validity.
+	// Now is the start of the validity period.
 	Now time.Time
-	// Validity is how long the certificates last. Default DefaultValidity; the
-	// authority lasts ten times as long.
+	// Validity is the validity period of the certificates; zero means
+	// DefaultValidity. The authority is valid ten times as long.
 	Validity time.Duration
 }
 
-// Generate writes the certificate and key of each router to dir, signed by the
-// authority there, which is made if missing. Existing router files are
-// replaced. It is meant for tests and small fleets; an organisation with an
-// authority of its own gives its certificates RouterSAN names instead.
+// Generate writes a certificate and key for each router to dir, signed by the
+// authority in dir, which is created if its certificate is missing. Existing
+// router files are replaced. It is intended for tests and small fleets; an
+// organisation with its own authority issues certificates with RouterSAN names
+// instead. Errors: ErrFile, ErrInvalid, ErrName.
 func Generate(dir string, o GenerateOptions) error {
 	if o.Validity == 0 {
 		o.Validity = DefaultValidity
 	}
-	ca, err := authority(dir, o)
+	ca, err := loadOrCreateAuthority(dir, o)
 	if err != nil {
 		return err
 	}
 	for _, router := range o.Routers {
-		if err := newLeaf(dir, router, ca, o); err != nil {
+		if err := createLeaf(dir, router, ca, o); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// PathsIn returns the files that Generate makes in dir for router.
+// PathsIn returns the paths of the files that Generate writes to dir for router.
 func PathsIn(dir, router string) CertPaths {
 	return CertPaths{
 		Cert: filepath.Join(dir, router+".pem"),
 		Key:  filepath.Join(dir, router+"-key.pem"),
-		CA:   filepath.Join(dir, caName+".pem"),
+		CA:   filepath.Join(dir, authorityName+".pem"),
 	}
 }
 
-// authority makes a new one only where there is no certificate at all. With the
-// certificate there and its key kept elsewhere, a new authority would take its
-// place, and every router would refuse those that it signs.
-func authority(dir string, o GenerateOptions) (*tls.Certificate, error) {
-	_, err := os.Stat(PathsIn(dir, caName).Cert)
+// loadOrCreateAuthority creates an authority only if there is no certificate of
+// one. If the certificate exists and its key is stored elsewhere, loading fails:
+// a new authority would replace it, and routers would reject the certificates
+// that it signs.
+func loadOrCreateAuthority(dir string, o GenerateOptions) (*tls.Certificate, error) {
+	_, err := os.Stat(PathsIn(dir, authorityName).Cert)
 	if errors.Is(err, fs.ErrNotExist) {
-		return newAuthority(dir, o)
+		return createAuthority(dir, o)
 	}
 	return loadAuthority(dir)
 }
 
 func loadAuthority(dir string) (*tls.Certificate, error) {
-	ca, err := loadPair(PathsIn(dir, caName))
+	ca, err := loadKeyPair(PathsIn(dir, authorityName))
 	return &ca, err
 }
 
-func newAuthority(dir string, o GenerateOptions) (*tls.Certificate, error) {
+func createAuthority(dir string, o GenerateOptions) (*tls.Certificate, error) {
 	template := &x509.Certificate{
 		Subject:               pkix.Name{CommonName: "damaskrouter fleet"},
 		NotBefore:             o.Now.Add(-backdate),
@@ -96,17 +99,17 @@
 		MaxPathLenZero:        true,
 		KeyUsage:              x509.KeyUsageCertSign,
 	}
-	if err := sign(PathsIn(dir, caName), template, nil); err != nil {
+	if err := sign(PathsIn(dir, authorityName), template, nil); err != nil {
 		return nil, err
 	}
 	return loadAuthority(dir)
 }
 
-func newLeaf(dir, router string, ca *tls.Certificate, o GenerateOptions) error {
-	if err := checkName(router); err != nil {
+func createLeaf(dir, router string, ca *tls.Certificate, o GenerateOptions) error {
+	if err := validateRouterName(router); err != nil {
 		return err
 	}
-	if router == caName {
+	if router == authorityName {
 		return ErrName.New("%q is the authority's", router)
 	}
 	template := leafTemplate(o)
@@ -115,7 +118,8 @@
 	return sign(PathsIn(dir, router), template, ca)
 }
 
-// leafTemplate is a certificate for o.Hosts, without a name of its own.
+// leafTemplate returns a certificate template for o.Hosts without a subject or
+// router name.
 func leafTemplate(o GenerateOptions) *x509.Certificate {
 	template := &x509.Certificate{
 		NotBefore:   o.Now.Add(-backdate),
@@ -133,8 +137,8 @@
 	return template
 }
 
-// sign makes a key, signs template with ca, or with the key itself if ca is
-// nil, and writes both.
+// sign generates a key, signs template with ca or, if ca is nil, with the new
+// key, and writes key and certificate.
 func sign(p CertPaths, template *x509.Certificate, ca *tls.Certificate) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -152,17 +156,18 @@
 	if err != nil {
 		return ErrInvalid.Wrap(err)
 	}
-	if err := writePEM(p.Key, "PRIVATE KEY", keyDER, secretMode); err != nil {
+	if err := writePEM(p.Key, "PRIVATE KEY", keyDER, keyFileMode); err != nil {
 		return err
 	}
-	return writePEM(p.Cert, "CERTIFICATE", der, publicMode)
+	return writePEM(p.Cert, "CERTIFICATE", der, certFileMode)
 }
 
 func writePEM(path, kind string, der []byte, mode fs.FileMode) error {
 	return writeFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), mode)
 }
 
-// writeFile replaces path in one step, so that a reload never reads half a file.
+// writeFile replaces path atomically, so that a reload never reads an incomplete
+// file.
 func writeFile(path string, data []byte, mode fs.FileMode) error {
 	tmp, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
--- a/internal/secure/keys/keys.go
+++ b/internal/secure/keys/keys.go
@@ -1,9 +1,9 @@
-// Package keys holds the certificates of TLS towards callers and between routers.
-// They are read from files and replaced in place when the files change, without a
-// restart and without cutting a connection. The keys that sign hints and resume
-// tokens are in package secret.
+// Package keys manages the TLS certificates that are used with callers and
+// between routers. They are loaded from files and reloaded when the files change,
+// without a restart and without closing connections. The keys that sign hints
+// and resume tokens are in package secret.
 //
-// The package starts nothing: its owner calls Check at an interval of its own.
+// The package starts no goroutines: its user calls Check periodically.
 package keys
 
 import (
@@ -15,21 +15,21 @@
 var (
 	// ErrFile reports a file that could not be read or written.
 	ErrFile = errs.Class("keys: file")
-	// ErrInvalid reports a file that was read but must not be used: it does
-	// not parse, has expired, or does not fit the others.
+	// ErrInvalid reports a file that was read but cannot be used: it does not
+	// parse, is not valid at the current time, or does not match the others.
 	ErrInvalid = errs.Class("keys: invalid")
-	// ErrName reports a name that no router can have.
+	// ErrName reports an invalid router name.
 	ErrName = errs.Class("keys: router name")
-	// ErrPeer reports a connection whose peer is not a router of the fleet.
+	// ErrPeer reports a peer whose certificate does not identify one router.
 	ErrPeer = errs.Class("keys: not a router")
 )
 
-// Stats counts the reloads of one set of files.
+// Stats holds the reload counters of one set of files.
 type Stats struct {
-	// Reloads counts replacements, without the first load.
+	// Reloads counts successful reloads, without the first load.
 	Reloads uint64
-	// Failures counts the checks that kept the old content because the new
-	// could not be used.
+	// Failures counts the checks that kept the previous content because the
+	// files could not be loaded.
 	Failures uint64
 }
 
--- a/internal/secure/keys/reload.go
+++ b/internal/secure/keys/reload.go
@@ -6,13 +6,13 @@
 	"sync/atomic"
 )
 
-// reloader keeps a value made from files, and replaces it when they change.
+// reloader holds a value that is loaded from files and replaced when they change.
 type reloader[T any] struct {
-	load    func() (*T, error)
-	paths   []string
-	mu      sync.Mutex
-	seen    []os.FileInfo
-	current atomic.Pointer[T]
+	load        func() (*T, error)
+	paths       []string
+	mu          sync.Mutex
+	loadedInfos []os.FileInfo
+	current     atomic.Pointer[T]
 	counters
 }
 
@@ -24,11 +24,11 @@
 	return r, nil
 }
 
-// check reloads if a file has changed since the last success. A value that
-// can't be used never replaces a good one: a torn or wrong file would otherwise
-// refuse all new connections at once on every router that it was copied to.
-// It is tried again at each check, since certificate and key are two files
-// and are seldom both there at the first.
+// check reloads if a file has changed since the last successful load. A failed
+// load never replaces the current value: otherwise an incomplete or wrong file
+// would make every router that it was copied to reject all new connections. The
+// load is tried again at each check, since certificate and key are two files and
+// are rarely both updated at the first check.
 func (r *reloader[T]) check() (bool, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -43,14 +43,14 @@
 	return changed, nil
 }
 
-// reload stats before it reads: a file that changes in between is then older
-// in seen than its content, and is read again at the next check.
+// reload calls stat before it reads: if a file changes in between, loadedInfos
+// is older than the content, and the next check reads the file again.
 func (r *reloader[T]) reload() (bool, error) {
 	infos, err := statAll(r.paths)
 	if err != nil {
 		return false, err
 	}
-	if same(r.seen, infos) {
+	if sameFiles(r.loadedInfos, infos) {
 		return false, nil
 	}
 	v, err := r.load()
@@ -58,7 +58,7 @@
 		return false, err
 	}
 	r.current.Store(v)
-	r.seen = infos
+	r.loadedInfos = infos
 	return true, nil
 }
 
@@ -74,9 +74,9 @@
 	return infos, nil
 }
 
-// same compares identity, time and size: a file renamed into place may carry
-// an old time.
-func same(a, b []os.FileInfo) bool {
+// sameFiles compares identity, size and modification time, since a file that is
+// renamed into place may have an old modification time.
+func sameFiles(a, b []os.FileInfo) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/internal/secure/keys/tls.go
+++ b/internal/secure/keys/tls.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// minTLS is the oldest protocol version that is spoken.
-	minTLS = tls.VersionTLS13
-	// routerDomain ends the DNS name that marks a certificate as a router's.
-	// A certificate of the same authority without it, such as one for an
-	// operator's tool, does not pass as a router.
+	// minTLSVersion is the oldest accepted protocol version.
+	minTLSVersion = tls.VersionTLS13
+	// routerDomain is the suffix of the DNS name that identifies a router's
+	// certificate. A certificate of the same authority without such a name, for
+	// example of an operator's tool, is not accepted as a router's.
 	routerDomain = ".router.damaskrouter.internal"
-	// maxName is the longest label in a DNS name.
-	maxName = 63
+	// maxLabelLen is the maximum length of a DNS label, in bytes.
+	maxLabelLen = 63
 )
 
-// RouterSAN returns the DNS name that the certificate of a router must bear.
+// RouterSAN returns the DNS name that the certificate of a router must contain.
 func RouterSAN(router string) string { return router + routerDomain }
 
-// CallerServer returns the configuration for listeners towards callers. It
+// CallerServer returns the TLS configuration of listeners for callers. It
 // follows reloads.
 func (r *CertReloader) CallerServer() *tls.Config {
 	return &tls.Config{
-		MinVersion: minTLS,
+		MinVersion: minTLSVersion,
 		NextProtos: []string{"h2", "http/1.1"},
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 			return &r.current.Load().cert, nil
@@ -32,12 +32,12 @@
 	}
 }
 
-// PeerServer returns the configuration for listeners towards other routers. It
-// follows reloads, and accepts only clients with a router's certificate from a
-// trusted authority.
+// PeerServer returns the TLS configuration of listeners for other routers. It
+// follows reloads and accepts only clients with a router's certificate that a
+// trusted authority has signed.
 func (r *CertReloader) PeerServer() *tls.Config {
 	return &tls.Config{
-		MinVersion: minTLS,
+		MinVersion: minTLSVersion,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 			return r.peerServer(), nil
 		},
@@ -47,7 +47,7 @@
 func (r *CertReloader) peerServer() *tls.Config {
 	id := r.current.Load()
 	return &tls.Config{
-		MinVersion:   minTLS,
+		MinVersion:   minTLSVersion,
 		Certificates: []tls.Certificate{id.cert},
 		ClientAuth:   tls.RequireAndVerifyClientCert,
 		ClientCAs:    id.roots,
@@ -55,37 +55,37 @@
 			_, err := PeerName(s)
 			return err
 		},
-		// A resumed session would vouch for its client with the authorities of
-		// the time when it began, and so outlive the removal of one.
+		// A resumed session relies on the authorities that were trusted when the
+		// session began, so it would stay valid after one of them is removed.
 		SessionTicketsDisabled: true,
 	}
 }
 
-// PeerClient returns the configuration for one connection to the named router.
-// The peer must prove that name: an address alone may meanwhile be another
-// VM's. Ask for a new configuration for each connection, since the trusted
-// authorities in one do not change.
+// PeerClient returns the TLS configuration of one connection to the named
+// router. The peer's certificate must contain that name, because the address may
+// have been reassigned to another VM. Each connection needs a new configuration,
+// since the trusted authorities in a configuration do not follow reloads.
 func (r *CertReloader) PeerClient(router string) *tls.Config {
 	id := r.current.Load()
 	return &tls.Config{
-		MinVersion:   minTLS,
+		MinVersion:   minTLSVersion,
 		ServerName:   RouterSAN(router),
 		RootCAs:      id.roots,
 		Certificates: []tls.Certificate{id.cert},
 	}
 }
 
-// PeerName returns the name of the router at the other end of a connection
-// whose certificate has been verified.
+// PeerName returns the router name in the peer's certificate. The certificate
+// must have been verified. Errors: ErrPeer, ErrName.
 func PeerName(s tls.ConnectionState) (string, error) {
 	if len(s.PeerCertificates) == 0 {
 		return "", ErrPeer.New("no certificate")
 	}
-	return routerOf(s.PeerCertificates[0])
+	return routerName(s.PeerCertificates[0])
 }
 
-// routerOf returns the one router that a certificate names.
-func routerOf(cert *x509.Certificate) (string, error) {
+// routerName returns the only router name in a certificate.
+func routerName(cert *x509.Certificate) (string, error) {
 	found := ""
 	for _, san := range cert.DNSNames {
 		name, ok := strings.CutSuffix(san, routerDomain)
@@ -93,9 +93,9 @@
 			continue
 		}
 		if found != "" {
-			return "", ErrPeer.New("certificate of several routers")
+			return "", ErrPeer.New("certificate names several routers")
 		}
-		if err := checkName(name); err != nil {
+		if err := validateRouterName(name); err != nil {
 			return "", err
 		}
 		found = name
@@ -106,9 +106,10 @@
 	return found, nil
 }
 
-// checkName allows what is one label of a DNS name and safe in a file name.
-func checkName(name string) error {
-	if name == "" || len(name) > maxName {
+// validateRouterName accepts names that are a single DNS label and safe in file
+// names.
+func validateRouterName(name string) error {
+	if name == "" || len(name) > maxLabelLen {
 		return ErrName.New("%q has %d characters", name, len(name))
 	}
 	if strings.HasPrefix(name, "-") {
--- a/internal/secure/secret/helper_test.go
+++ b/internal/secure/secret/helper_test.go
@@ -8,7 +8,7 @@
 	"damaskrouter.example/damaskrouter/internal/fleet/gossip"
 )
 
-func echoAll(ln net.Listener) {
+func serveEcho(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
@@ -21,9 +21,9 @@
 	}
 }
 
-// exchange lets the routers' packets flow for a second of virtual time. Every
+// runGossip exchanges the routers' packets for one second of virtual time. Every
 // packet arrives before the next tick.
-func exchange(fleet []*router, now *time.Duration) {
+func runGossip(fleet []*router, now *time.Duration) {
 	const tick = 50 * time.Millisecond
 	byAddress := make(map[string]*router)
 	for _, r := range fleet {
@@ -31,15 +31,15 @@
 	}
 	for end := *now + time.Second; *now < end; *now += tick {
 		for _, r := range fleet {
-			deliver(byAddress, *now, r.address, r.packets.Tick(*now))
+			deliverPackets(byAddress, *now, r.address, r.packets.Tick(*now))
 		}
 	}
 }
 
-func deliver(to map[string]*router, now time.Duration, from string, packets []gossip.Packet) {
+func deliverPackets(to map[string]*router, now time.Duration, from string, packets []gossip.Packet) {
 	for _, p := range packets {
 		if r := to[p.To]; r != nil {
-			deliver(to, now, r.address, r.packets.Receive(now, from, p.Data))
+			deliverPackets(to, now, r.address, r.packets.Receive(now, from, p.Data))
 		}
 	}
 }
--- a/internal/secure/secret/keyset.go
+++ b/internal/secure/secret/keyset.go
@@ -12,28 +12,28 @@
 	"github.com/zeebo/xxh3"
 )
 
-// keySet is the keys of one reload, in the forms that their users take. It is
+// keySet holds the keys of one load in the forms that other packages use. It is
 // immutable.
 type keySet struct {
-	fleet, hint []numbered
-	calls       []peer.FleetKey
+	fleet, hint []wireKey
+	peerKeys    []peer.FleetKey
 	gossip      gossip.Keys
 	tokens      *token.Codec
 }
 
-// numbered is a key with the one-byte id that packets and tokens carry.
-type numbered struct {
+// wireKey is a key with the one-byte id that is sent in packets and tokens.
+type wireKey struct {
 	name   string
 	id     byte
 	secret []byte
 }
 
 func newKeySet(read settings.KeySet) (*keySet, error) {
-	fleet, err := number(read.Fleet, "fleet")
+	fleet, err := newWireKeys(read.Fleet, "fleet")
 	if err != nil {
 		return nil, err
 	}
-	hint, err := number(read.Hint, "hint")
+	hint, err := newWireKeys(read.Hint, "hint")
 	if err != nil {
 		return nil, err
 	}
@@ -43,7 +43,7 @@
 		set.gossip.Other = &gossip.Key{ID: fleet[1].id, Secret: fleet[1].secret}
 	}
 	for _, k := range fleet {
-		set.calls = append(set.calls, peer.FleetKey{ID: k.id, Secret: k.secret})
+		set.peerKeys = append(set.peerKeys, peer.FleetKey{ID: k.id, Secret: k.secret})
 	}
 	var tokens []token.Key
 	for _, k := range hint {
@@ -53,57 +53,58 @@
 	return set, err
 }
 
-// number gives each key the one-byte id that the wire has room for.
-func number(keys []settings.Key, use string) ([]numbered, error) {
+// newWireKeys derives the one-byte id of each key. Without keys it returns a
+// publicly known key. Errors: ErrKeys.
+func newWireKeys(keys []settings.Key, use string) ([]wireKey, error) {
 	if len(keys) == 0 {
-		// Settings allow this only with allow_insecure, on one machine.
+		// The settings allow this only with allow_insecure, on a single VM.
 		sum := sha256.Sum256([]byte("insecure " + use))
-		return []numbered{{secret: sum[:]}}, nil
+		return []wireKey{{secret: sum[:]}}, nil
 	}
-	out := make([]numbered, 0, len(keys))
+	out := make([]wireKey, 0, len(keys))
 	for _, k := range keys {
-		out = append(out, numbered{name: k.ID, id: byte(xxh3.HashString(k.ID)), secret: k.Bytes()})
+		out = append(out, wireKey{name: k.ID, id: byte(xxh3.HashString(k.ID)), secret: k.Bytes()})
 	}
 	if len(out) > 1 && out[0].id == out[1].id {
-		return nil, ErrKeys.New("the ids of the two %s keys share a number; rename one", use)
+		return nil, ErrKeys.New("the ids of the two %s keys map to the same one-byte id; rename one", use)
 	}
 	return out, nil
 }
 
-func (k numbered) equal(other numbered) bool {
+func (k wireKey) equal(other wireKey) bool {
 	return k.name == other.name && bytes.Equal(k.secret, other.secret)
 }
 
 func (s *keySet) equal(other *keySet) bool {
-	return slices.EqualFunc(s.fleet, other.fleet, numbered.equal) &&
-		slices.EqualFunc(s.hint, other.hint, numbered.equal)
+	return slices.EqualFunc(s.fleet, other.fleet, wireKey.equal) &&
+		slices.EqualFunc(s.hint, other.hint, wireKey.equal)
 }
 
-// mayFollow refuses what no rotation does, and what would cut this router off
-// from the others.
-func (s *keySet) mayFollow(old *keySet) error {
-	if err := mayFollow(s.fleet, old.fleet, "fleet"); err != nil {
+// validateReplacement rejects changes that are not part of a key rotation and
+// would make other routers reject this one. Errors: ErrKeys.
+func (s *keySet) validateReplacement(old *keySet) error {
+	if err := validateReplacement(s.fleet, old.fleet, "fleet"); err != nil {
 		return err
 	}
-	return mayFollow(s.hint, old.hint, "hint")
+	return validateReplacement(s.hint, old.hint, "hint")
 }
 
-func mayFollow(next, old []numbered, use string) error {
+func validateReplacement(next, old []wireKey, use string) error {
 	if old[0].name == "" {
 		return nil
 	}
 	if next[0].name == "" {
-		// The key that stands in for none is known to everybody. A settings
-		// file that lost its keys in an edit must not bring it into use.
-		return ErrKeys.New("the %s keys are gone from the settings", use)
+		// The key that is used without configured keys is publicly known. It
+		// must not come into use when the keys are removed by mistake.
+		return ErrKeys.New("the %s keys have been removed from the settings", use)
 	}
 	for _, n := range next {
 		for _, o := range old {
-			// Routers still hold the old secret under this number, and would
-			// take this one's proofs for forged, with no step in between at
-			// which both are accepted.
+			// Other routers still have the old secret under this id and would
+			// reject MACs made with the new one. There would be no step of the
+			// rotation at which both are accepted.
 			if n.id == o.id && !bytes.Equal(n.secret, o.secret) {
-				return ErrKeys.New("%s key %q has the id, or the number, of key %q in use; give the new key another id", use, n.name, o.name)
+				return ErrKeys.New("%s key %q has the same id, or one-byte id, as the active key %q; give the new key another id", use, n.name, o.name)
 			}
 		}
 	}
--- a/internal/secure/secret/secret.go
+++ b/internal/secure/secret/secret.go
@@ -1,10 +1,9 @@
-// Package secret holds the keys and certificates of one running router: the
-// fleet keys of gossip and of calls between routers, the keys of hints and
-// resume tokens, and the certificates of TLS. Check replaces them in place
-// from the files that they came from, so that a rotation neither restarts a
-// process nor cuts a connection.
+// Package secret manages the keys and certificates of a running router: the
+// fleet keys for gossip and for calls between routers, the keys for hints and
+// resume tokens, and the TLS certificates. Check reloads them from their files,
+// so that a rotation needs no restart and closes no connection.
 //
-// The package starts nothing: its owner calls Check every few seconds.
+// The package starts no goroutines: its user calls Check every few seconds.
 package secret
 
 import (
@@ -18,40 +17,39 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrKeys means that keys in the settings cannot be used, together or in place
-// of those in use.
+// ErrKeys means that the keys in the settings conflict with each other or cannot
+// replace the active keys.
 var ErrKeys = errs.Class("secret: keys")
 
-// logInterval is the least time between two log lines about failed checks. A
-// bad file fails every check until somebody mends it.
-const logInterval = time.Minute
+// failureLogInterval is the minimum time between two log lines about failed
+// checks, since an invalid file fails every check until it is corrected.
+const failureLogInterval = time.Minute
 
 // Options configures a Store.
 type Options struct {
-	// Settings say where the keys and certificates are.
+	// Settings hold the initial keys and the paths of the files.
 	Settings *settings.Settings
-	// Log writes one warning with keys and values in turn; nil discards.
+	// Log logs a warning with alternating keys and values; nil discards it.
 	Log func(message string, keyvals ...any)
-	// Now replaces the clock in tests.
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
 }
 
-// Store holds the keys and certificates in use. It is safe for concurrent use.
+// Store holds the active keys and certificates. It is safe for concurrent use.
 type Store struct {
 	opts    Options
 	current atomic.Pointer[keySet]
-	// callers and peers are nil where the settings name no certificate.
-	callers, peers *keys.CertReloader
+	// callerCerts and peerCerts are nil if the settings name no certificate.
+	callerCerts, peerCerts *keys.CertReloader
 
 	reloads, failures atomic.Uint64
 
-	mu     sync.Mutex
-	logged time.Time
+	mu         sync.Mutex
+	lastLogged time.Time
 }
 
-// Open reads everything that the settings name. Unlike Check it fails on
-// anything that cannot be used, as there is nothing older to keep.
-// Errors: ErrKeys, those of package keys and token.ErrKeys.
+// Open loads the keys and certificates that the settings name and fails if any
+// of them is invalid. Errors: ErrKeys, token.ErrKeys, those of keys.OpenCerts.
 func Open(o Options) (*Store, error) {
 	if o.Log == nil {
 		o.Log = func(string, ...any) {}
@@ -73,7 +71,7 @@
 	set := s.opts.Settings
 	if set.TLS.Cert != "" {
 		paths := keys.CertPaths{Cert: set.TLS.Cert, Key: set.TLS.Key}
-		if s.callers, err = keys.OpenCerts(paths, s.opts.Now); err != nil {
+		if s.callerCerts, err = keys.OpenCerts(paths, s.opts.Now); err != nil {
 			return err
 		}
 	}
@@ -81,17 +79,18 @@
 		return nil
 	}
 	paths := keys.CertPaths{Cert: set.PeerTLS.Cert, Key: set.PeerTLS.Key, CA: set.PeerTLS.CA, Router: set.Name}
-	s.peers, err = keys.OpenCerts(paths, s.opts.Now)
+	s.peerCerts, err = keys.OpenCerts(paths, s.opts.Now)
 	return err
 }
 
-// Check reads the files again and takes over what has changed. What cannot be
-// used is counted, logged once in a while, and leaves the old in use; the next
-// Check tries it again. The error joins what failed.
+// Check reloads the files that have changed. If a set of keys or a certificate
+// is invalid, the previous one stays in use and the next Check tries again. The
+// failure is counted and is logged at most once per failureLogInterval. The
+// returned error joins all failures.
 func (s *Store) Check() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	err := errors.Join(s.checkKeys(), s.checkCert(s.callers), s.checkCert(s.peers))
+	err := errors.Join(s.checkKeys(), s.checkCert(s.callerCerts), s.checkCert(s.peerCerts))
 	if err != nil {
 		s.logFailure(err)
 	}
@@ -100,17 +99,17 @@
 
 func (s *Store) checkKeys() error {
 	changed, err := s.reloadKeys()
-	return s.count(changed, err)
+	return s.countResult(changed, err)
 }
 
 func (s *Store) checkCert(r *keys.CertReloader) error {
 	if r == nil {
 		return nil
 	}
-	return s.count(r.Check())
+	return s.countResult(r.Check())
 }
 
-func (s *Store) count(changed bool, err error) error {
+func (s *Store) countResult(changed bool, err error) error {
 	switch {
 	case err != nil:
 		s.failures.Add(1)
@@ -133,7 +132,7 @@
 	if next.equal(old) {
 		return false, nil
 	}
-	if err := next.mayFollow(old); err != nil {
+	if err := next.validateReplacement(old); err != nil {
 		return false, err
 	}
 	s.current.Store(next)
@@ -142,9 +141,9 @@
 
 func (s *Store) logFailure(err error) {
 	now := s.opts.Now()
-	if !s.logged.IsZero() && now.Sub(s.logged) < logInterval {
+	if !s.lastLogged.IsZero() && now.Sub(s.lastLogged) < failureLogInterval {
 		return
 	}
-	s.logged = now
-	s.opts.Log("keys or certificates not reloaded; the old ones stay in use", "cause", err, "failures", s.failures.Load())
+	s.lastLogged = now
+	s.opts.Log("cannot reload keys or certificates; keeping the previous ones", "cause", err, "failures", s.failures.Load())
 }
--- a/internal/secure/secret/secret_test.go
+++ b/internal/secure/secret/secret_test.go
@@ -37,20 +37,20 @@
 hint_keys: [%[3]s]
 `
 
-// secretOf is the base64 text of the secret of key id.
-func secretOf(id string) string {
+// secretText returns the base64 text of the secret of key id.
+func secretText(id string) string {
 	return base64.StdEncoding.EncodeToString([]byte(strings.Repeat(id, settings.MinKeyBytes)))
 }
 
 func keyList(ids ...string) string {
 	var out []string
 	for _, id := range ids {
-		out = append(out, fmt.Sprintf("{id: %s, key: %q}", id, secretOf(id)))
+		out = append(out, fmt.Sprintf("{id: %s, key: %q}", id, secretText(id)))
 	}
 	return strings.Join(out, ", ")
 }
 
-// fixture is the files of one router, and the Store over them.
+// fixture holds the files of one router and the Store that loads them.
 type fixture struct {
 	*Store
 	name, dir, file string
@@ -58,13 +58,13 @@
 	logged          int
 }
 
-func newDir(t *testing.T) string {
+func newCertDir(t *testing.T) string {
 	dir := t.TempDir()
-	generate(t, dir, time.Now())
+	generateCerts(t, dir, time.Now())
 	return dir
 }
 
-func generate(t *testing.T, dir string, now time.Time) {
+func generateCerts(t *testing.T, dir string, now time.Time) {
 	require.NoError(t, keys.Generate(dir, keys.GenerateOptions{
 		Routers: []string{"r1", "r2", "r3"}, Hosts: []string{"127.0.0.1"}, Now: now,
 	}))
@@ -89,7 +89,7 @@
 	require.NoError(t, os.WriteFile(f.file, []byte(text), 0o600))
 }
 
-// router is one of a fleet: calls, packets and hints under one Store.
+// router is a member of a fleet whose calls, packets and hints use one Store.
 type router struct {
 	*fixture
 	id       uint64
@@ -100,10 +100,10 @@
 	address  string
 }
 
-// Ping is what the routers call.
+// Ping is the RPC service of the test routers.
 type Ping struct{}
 
-// Do returns what it is given.
+// Do returns its argument.
 func (Ping) Do(in int, out *int) error {
 	*out = in
 	return nil
@@ -131,15 +131,15 @@
 	return r
 }
 
-// reload is what a running router does every few seconds.
+// reload does what a running router does every few seconds.
 func (r *router) reload(t *testing.T) {
 	require.NoError(t, r.Check())
 	require.NoError(t, r.packets.SetKeys(r.Gossip()))
 	r.server.Sweep()
 }
 
-// reach calls to and hands it a hint and a resume token.
-func (r *router) reach(t *testing.T, to *router) {
+// checkReachable calls to and has it open a hint and a resume token.
+func (r *router) checkReachable(t *testing.T, to *router) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	var got int
@@ -154,31 +154,31 @@
 	require.NoError(t, err)
 }
 
-// Symptom: routers refuse each other's calls and packets, or callers' hints,
-// while a key is rotated. Sequence: new key added, keys swapped, old key
-// removed, each step on one router after the other. Cause: a router that signs
-// with a key before the others accept it, or connections cut at a step.
-func TestRotationAcrossRoutersRefusesNothing(t *testing.T) {
-	dir := newDir(t)
+// No call, packet, hint or resume token may be rejected while a key is rotated:
+// the new key is added, the keys are swapped, the old key is removed, each step
+// on one router after another. This fails if a router signs with a key that
+// others do not accept yet, or if a step closes connections.
+func TestKeyRotationAcrossRoutersRejectsNothing(t *testing.T) {
+	dir := newCertDir(t)
 	first := newRouter(t, dir, 1)
 	fleet := []*router{first, newRouter(t, dir, 2, first.address), newRouter(t, dir, 3, first.address)}
 	now := time.Duration(0)
-	everyone := func() {
-		exchange(fleet, &now)
+	checkAllPairs := func() {
+		runGossip(fleet, &now)
 		for _, from := range fleet {
 			for _, to := range fleet {
 				if from != to {
-					from.reach(t, to)
+					from.checkReachable(t, to)
 				}
 			}
 		}
 	}
-	everyone()
+	checkAllPairs()
 	for _, step := range [][]string{{"k1", "k2"}, {"k2", "k1"}, {"k2"}} {
 		for _, r := range fleet {
 			r.write(t, keyList(step...))
 			r.reload(t)
-			everyone()
+			checkAllPairs()
 		}
 	}
 	for _, r := range fleet {
@@ -196,11 +196,11 @@
 	}
 }
 
-// Symptom: a router is cut off from its fleet after a file was copied to it.
-// Sequence: files are torn, of another router, expired, or lose their keys.
-// Cause: new content taken over before it has proved usable.
-func TestBadFilesKeepTheOld(t *testing.T) {
-	f := newFixture(t, newDir(t), "r1", "k1")
+// Incomplete or expired files, files of another router, and settings without
+// keys must not replace valid ones. Loaded without validation, they would
+// disconnect the router from its fleet.
+func TestInvalidFilesKeepPreviousKeysAndCertificates(t *testing.T) {
+	f := newFixture(t, newCertDir(t), "r1", "k1")
 	sealed := f.SealHint("a", token.Hint{Chat: 1})
 	read := func(name string) []byte {
 		data, err := os.ReadFile(filepath.Join(f.dir, name))
@@ -210,19 +210,19 @@
 	put := func(name string, data []byte) {
 		require.NoError(t, os.WriteFile(filepath.Join(f.dir, name), data, 0o600))
 	}
-	expired := newDir(t)
-	generate(t, expired, f.now.Add(-keys.DefaultValidity*2))
+	expired := newCertDir(t)
+	generateCerts(t, expired, f.now.Add(-keys.DefaultValidity*2))
 	old, err := os.ReadFile(filepath.Join(expired, "r1.pem"))
 	require.NoError(t, err)
 	oldKey, err := os.ReadFile(filepath.Join(expired, "r1-key.pem"))
 	require.NoError(t, err)
 	cases := map[string]map[string][]byte{
-		"torn settings":             {"r1.yaml": read("r1.yaml")[:200]},
+		"incomplete settings":       {"r1.yaml": read("r1.yaml")[:200]},
 		"no settings":               {"r1.yaml": nil},
 		"settings of another":       {"r1.yaml": []byte(strings.Replace(string(read("r1.yaml")), "name: r1", "name: r2", 1))},
-		"keys gone":                 {"r1.yaml": []byte(strings.Replace(fmt.Sprintf(settingsText, "r1", f.dir, ""), "name", "allow_insecure: true\nname", 1))},
-		"other secret, same id":     {"r1.yaml": []byte(strings.ReplaceAll(string(read("r1.yaml")), secretOf("k1"), secretOf("xx")))},
-		"torn certificate":          {"r1.pem": read("r1.pem")[:100]},
+		"keys removed":              {"r1.yaml": []byte(strings.Replace(fmt.Sprintf(settingsText, "r1", f.dir, ""), "name", "allow_insecure: true\nname", 1))},
+		"other secret, same id":     {"r1.yaml": []byte(strings.ReplaceAll(string(read("r1.yaml")), secretText("k1"), secretText("xx")))},
+		"incomplete certificate":    {"r1.pem": read("r1.pem")[:100]},
 		"garbage authority":         {"ca.pem": []byte("garbage")},
 		"key of another":            {"r1-key.pem": read("r2-key.pem")},
 		"certificate of another":    {"r1-key.pem": read("r2-key.pem"), "r1.pem": read("r2.pem")},
@@ -252,36 +252,36 @@
 			assert.NoError(t, err)
 		})
 	}
-	assert.Equal(t, 1, f.logged, "one line for all of them")
+	assert.Equal(t, 1, f.logged, "one log line for all failures")
 	require.NoError(t, f.Check())
-	f.now = f.now.Add(logInterval)
+	f.now = f.now.Add(failureLogInterval)
 	put("r1.yaml", nil)
 	require.Error(t, f.Check())
 	assert.Equal(t, 2, f.logged)
 }
 
-// Symptom: a fleet key can be read from a metrics page. Sequence: an operator
-// looks at it. Cause: a status that holds more than names.
-func TestStatusShowsNoSecret(t *testing.T) {
-	f := newFixture(t, newDir(t), "r1", "k1", "k2")
+// The status is published as metrics, so it must contain the names of keys but
+// not their secrets.
+func TestStatusContainsNoSecret(t *testing.T) {
+	f := newFixture(t, newCertDir(t), "r1", "k1", "k2")
 	text, err := json.Marshal(f.Status())
 	require.NoError(t, err)
 	assert.Contains(t, string(text), `"fleet_keys":["k1","k2"]`)
-	assert.NotContains(t, string(text), secretOf("k1"))
+	assert.NotContains(t, string(text), secretText("k1"))
 	assert.NotContains(t, string(text), strings.Repeat("k1", 8))
 	assert.Positive(t, *f.Status().CallerCertSeconds)
 	f.now = f.now.Add(2 * keys.DefaultValidity)
 	assert.Negative(t, *f.Status().PeerCertSeconds)
 }
 
-// Symptom: streams break when the callers' certificate is replaced. Sequence:
-// a connection is open across the reload. Cause: a listener that is restarted.
-func TestCallerCertificateReload(t *testing.T) {
-	f := newFixture(t, newDir(t), "r1", "k1")
+// An open connection must survive a reload of the callers' certificate. It would
+// be closed if the reload restarted the listener.
+func TestCallerCertificateReloadKeepsConnections(t *testing.T) {
+	f := newFixture(t, newCertDir(t), "r1", "k1")
 	ln, err := tls.Listen("tcp", "127.0.0.1:0", f.CallerTLS())
 	require.NoError(t, err)
 	defer ln.Close()
-	go echoAll(ln)
+	go serveEcho(ln)
 	dial := func() *tls.Conn {
 		c, err := tls.Dial("tcp", ln.Addr().String(), &tls.Config{InsecureSkipVerify: true, NextProtos: []string{"h2", "http/1.1"}})
 		require.NoError(t, err)
@@ -296,7 +296,7 @@
 	}
 	old := dial()
 	ping(old)
-	generate(t, f.dir, f.now)
+	generateCerts(t, f.dir, f.now)
 	require.NoError(t, f.Check())
 	fresh := dial()
 	ping(fresh)
@@ -305,10 +305,10 @@
 	assert.NotEqual(t, serial(old), serial(fresh))
 	assert.Equal(t, "http/1.1", fresh.ConnectionState().NegotiatedProtocol)
 	assert.EqualValues(t, tls.VersionTLS13, fresh.ConnectionState().Version)
-	assert.EqualValues(t, 2, f.Status().Reloads, "the callers' and the routers' certificate")
+	assert.EqualValues(t, 2, f.Status().Reloads, "caller certificate and peer certificate")
 }
 
-func TestWithoutKeysAndCertificates(t *testing.T) {
+func TestOpenWithoutKeysAndCertificates(t *testing.T) {
 	s, err := Open(Options{Settings: &settings.Settings{Name: "r1", AllowInsecure: true}})
 	require.NoError(t, err)
 	assert.Nil(t, s.CallerTLS())
--- a/internal/secure/secret/status.go
+++ b/internal/secure/secret/status.go
@@ -6,37 +6,39 @@
 	"damaskrouter.example/damaskrouter/internal/secure/keys"
 )
 
-// Status is what may be shown of a Store: names and counts, never a secret.
+// Status is the public state of a Store. It contains no secrets.
 type Status struct {
-	// FleetKeys and HintKeys are the ids in use, the signing one first. An
-	// empty id is the public key of a router without keys.
+	// FleetKeys and HintKeys are the ids of the active keys, the signing key
+	// first. An empty id stands for the publicly known key of a router without
+	// keys.
 	FleetKeys []string `json:"fleet_keys"`
 	HintKeys  []string `json:"hint_keys"`
-	// CallerCertSeconds and PeerCertSeconds are how long the certificates
-	// still last, in seconds; negative once expired, nil without one.
+	// CallerCertSeconds and PeerCertSeconds are the remaining validity of the
+	// certificates, in seconds: negative after expiry, nil without a
+	// certificate.
 	CallerCertSeconds *int64 `json:"caller_cert_expires_seconds"`
 	PeerCertSeconds   *int64 `json:"peer_cert_expires_seconds"`
-	// Reloads counts replacements of a set of keys or a certificate, without
+	// Reloads counts successful reloads of the keys or of a certificate, without
 	// the first load.
 	Reloads uint64 `json:"reloads"`
-	// Failures counts checks of a set of files that kept the old content.
+	// Failures counts failed reloads of the keys or of a certificate.
 	Failures uint64 `json:"failures"`
 }
 
-// Status returns the present state, for metrics.
+// Status returns the current state, for metrics.
 func (s *Store) Status() Status {
 	set, now := s.current.Load(), s.opts.Now()
 	return Status{
-		FleetKeys:         names(set.fleet),
-		HintKeys:          names(set.hint),
-		CallerCertSeconds: left(s.callers, now),
-		PeerCertSeconds:   left(s.peers, now),
+		FleetKeys:         keyNames(set.fleet),
+		HintKeys:          keyNames(set.hint),
+		CallerCertSeconds: secondsLeft(s.callerCerts, now),
+		PeerCertSeconds:   secondsLeft(s.peerCerts, now),
 		Reloads:           s.reloads.Load(),
 		Failures:          s.failures.Load(),
 	}
 }
 
-func names(list []numbered) []string {
+func keyNames(list []wireKey) []string {
 	out := make([]string, 0, len(list))
 	for _, k := range list {
 		out = append(out, k.name)
@@ -44,7 +46,7 @@
 	return out
 }
 
-func left(r *keys.CertReloader, now time.Time) *int64 {
+func secondsLeft(r *keys.CertReloader, now time.Time) *int64 {
 	if r == nil {
 		return nil
 	}
--- a/internal/secure/token/errors.go
+++ b/internal/secure/token/errors.go
@@ -1,29 +1,30 @@
 package token
 
-// Reason says why a token was refused, for counters and logs.
+// Reason is why a token was rejected, for metrics and logs.
 type Reason string
 
-// Error is a refused token. Its text is the same for every reason: a caller
-// that could tell a forged token from another account's genuine one would
-// learn that the other account's chat exists.
+// Error reports a rejected token. Its text is the same for every reason: a
+// caller that could distinguish a forged token from a valid token of another
+// account would learn that the other account's chat exists.
 type Error struct {
 	reason Reason
 }
 
-// The reasons for refusing a token. Compare with errors.Is.
+// The errors for rejected tokens. Compare with errors.Is.
 var (
-	// ErrMalformed is text that is no token of the expected kind and version.
+	// ErrMalformed reports a text that is not a token of the expected kind and
+	// version.
 	ErrMalformed = &Error{reason: "malformed"}
-	// ErrForged is a token whose signature none of the valid keys made.
+	// ErrForged reports a token whose signature matches none of the valid keys.
 	ErrForged = &Error{reason: "forged"}
-	// ErrWrongAccount is a genuine token of another account.
+	// ErrWrongAccount reports a valid token of another account.
 	ErrWrongAccount = &Error{reason: "wrong_account"}
-	// ErrExpired is a genuine token whose lifetime is over.
+	// ErrExpired reports an authentic token whose lifetime has ended.
 	ErrExpired = &Error{reason: "expired"}
 )
 
-// Error implements error. The text does not depend on the reason.
+// Error implements error.
 func (e *Error) Error() string { return "token: not valid" }
 
-// Reason returns the reason. It must not reach a caller.
+// Reason returns why the token was rejected. It must not be sent to a caller.
 func (e *Error) Reason() Reason { return e.reason }
--- a/internal/secure/token/key.go
+++ b/internal/secure/token/key.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// MaxKeys is how many keys are valid at once.
+	// MaxKeys is the largest number of keys that are valid at once.
 	MaxKeys = 2
-	// MinSecret is the least length of a secret, in bytes.
+	// MinSecret is the minimum length of a secret, in bytes.
 	MinSecret = 32
 )
 
-// ErrKeys reports a set of keys that cannot be used.
+// ErrKeys reports an invalid set of keys.
 var ErrKeys = errs.Class("token: keys")
 
 // Key is one signing key of the fleet.
 type Key struct {
-	// ID names the key inside tokens.
+	// ID identifies the key in tokens.
 	ID byte
-	// Secret is random, at least MinSecret bytes long.
+	// Secret holds at least MinSecret random bytes.
 	Secret []byte
 }
 
 // ValidateKeys checks the number of keys, their ids and the length of their
-// secrets.
+// secrets. Errors: ErrKeys.
 func ValidateKeys(keys []Key) error {
 	if len(keys) == 0 || len(keys) > MaxKeys {
-		return ErrKeys.New("%d keys given, 1 to %d allowed", len(keys), MaxKeys)
+		return ErrKeys.New("%d keys, want 1 to %d", len(keys), MaxKeys)
 	}
 	for i, k := range keys {
 		if len(k.Secret) < MinSecret {
-			return ErrKeys.New("key %d has %d bytes, %d needed", k.ID, len(k.Secret), MinSecret)
+			return ErrKeys.New("key %d has %d bytes, want at least %d", k.ID, len(k.Secret), MinSecret)
 		}
 		if i > 0 && k.ID == keys[0].ID {
 			return ErrKeys.New("key id %d is used twice", k.ID)
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// macKey reuses HMAC states: building one per token would cost more than the
-// signature itself.
+// macKey computes MACs with pooled HMAC states: creating a state for each token
+// would cost more than the signature itself.
 type macKey struct {
 	id     byte
 	states sync.Pool
--- a/internal/secure/token/token_test.go
+++ b/internal/secure/token/token_test.go
@@ -19,46 +19,45 @@
 	}
 )
 
-func key(id byte) Key { return Key{ID: id, Secret: bytes.Repeat([]byte{id}, MinSecret)} }
+func testKey(id byte) Key { return Key{ID: id, Secret: bytes.Repeat([]byte{id}, MinSecret)} }
 
-func codec(t testing.TB, keys ...Key) *Codec {
+func newTestCodec(t testing.TB, keys ...Key) *Codec {
 	c, err := NewCodec(keys...)
 	require.NoError(t, err)
 	return c
 }
 
-func seal(t testing.TB, c *Codec, r Resume) string {
+func sealResume(t testing.TB, c *Codec, r Resume) string {
 	text, err := c.SealResume("acme", r)
 	require.NoError(t, err)
 	return text
 }
 
-func TestRoundTrip(t *testing.T) {
-	c := codec(t, key(1))
+func TestSealedTokensOpenUnchanged(t *testing.T) {
+	c := newTestCodec(t, testKey(1))
 	text := c.SealHint("acme", hint)
 	assert.Less(t, len(text), 120)
 	h, err := c.OpenHint("acme", text)
 	require.NoError(t, err)
 	assert.Equal(t, hint, h)
 
-	r, err := c.OpenResume("acme", seal(t, c, resume), issued)
+	r, err := c.OpenResume("acme", sealResume(t, c, resume), issued)
 	require.NoError(t, err)
 	assert.Equal(t, resume, r)
 }
 
-// Symptom: an account reads, or is steered by, what was issued to another, or
-// by something it made itself. Sequence: a caller alters, swaps or replays a
-// token. Cause: a token opened without its signature, kind, key or account
-// being checked. All refusals must look the same to the caller.
-func TestRefusals(t *testing.T) {
-	c := codec(t, key(1))
-	h, r := c.SealHint("acme", hint), seal(t, c, resume)
-	// As long as a hint, so that only the kind tells them apart.
-	short := seal(t, c, Resume{RequestID: strings.Repeat("r", 27), Lifetime: time.Minute})
+// A caller must not be able to use an altered, swapped or replayed token: each
+// open must check signature, kind, key, account and expiry. The error text must
+// be the same for all of them.
+func TestInvalidTokensAreRejected(t *testing.T) {
+	c := newTestCodec(t, testKey(1))
+	h, r := c.SealHint("acme", hint), sealResume(t, c, resume)
+	// This token is as long as a hint, so only the kind distinguishes them.
+	short := sealResume(t, c, Resume{RequestID: strings.Repeat("r", 27), Lifetime: time.Minute})
 	require.Len(t, short, len(h))
-	retired := codec(t, key(9)).SealHint("acme", hint)
-	sameID := codec(t, Key{ID: 1, Secret: bytes.Repeat([]byte{8}, MinSecret)}).SealHint("acme", hint)
-	late := issued.Add(resume.Lifetime + issueUnit + ClockSlack + time.Second)
+	retired := newTestCodec(t, testKey(9)).SealHint("acme", hint)
+	sameID := newTestCodec(t, Key{ID: 1, Secret: bytes.Repeat([]byte{8}, MinSecret)}).SealHint("acme", hint)
+	late := issued.Add(resume.Lifetime + timeResolution + MaxClockSkew + time.Second)
 	cases := map[string]struct {
 		account, text string
 		now           time.Time
@@ -75,7 +74,7 @@
 		"empty":                         {"acme", "", issued, true, ErrMalformed},
 		"line break inside":             {"acme", r[:8] + "\n" + r[8:], issued, false, ErrMalformed},
 		"line break for a char":         {"acme", h[:8] + "\n" + h[9:], issued, true, ErrMalformed},
-		"oversized":                     {"acme", strings.Repeat("A", maxText+1), issued, false, ErrMalformed},
+		"oversized":                     {"acme", strings.Repeat("A", maxTextLen+1), issued, false, ErrMalformed},
 		"expired":                       {"acme", r, late, false, ErrExpired},
 		"expired and another's":         {"bolt", r, late, false, ErrWrongAccount},
 	}
@@ -93,12 +92,12 @@
 	}
 }
 
-// Symptom: a caller changes one field of a token and the router believes it.
-// Sequence: any one character of the text is replaced. Cause: a byte that the
-// signature does not cover, or a second text for the same bytes.
-func TestTamperEveryCharacter(t *testing.T) {
-	c := codec(t, key(1), key(2))
-	h, r := c.SealHint("acme", hint), seal(t, c, resume)
+// A token with any one character replaced must be rejected. It would be accepted
+// if the signature did not cover a byte, or if two texts decoded to the same
+// bytes.
+func TestAnyChangedCharacterIsRejected(t *testing.T) {
+	c := newTestCodec(t, testKey(1), testKey(2))
+	h, r := c.SealHint("acme", hint), sealResume(t, c, resume)
 	const alphabet = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_=\n"
 	for i := range max(len(h), len(r)) {
 		for _, ch := range []byte(alphabet) {
@@ -114,13 +113,13 @@
 	}
 }
 
-// Symptom: hints and resumes fail for a while whenever keys are rotated.
-// Sequence: routers take the new key one after another. Cause: a router signs
-// with a key that others do not accept yet.
-func TestRotation(t *testing.T) {
-	steps := [][]Key{{key(1)}, {key(1), key(2)}, {key(2), key(1)}, {key(2)}}
+// Tokens must stay valid across routers while keys are rotated on one router
+// after another. They would fail if a router signed with a key that others do
+// not accept yet.
+func TestKeyRotationKeepsTokensValid(t *testing.T) {
+	steps := [][]Key{{testKey(1)}, {testKey(1), testKey(2)}, {testKey(2), testKey(1)}, {testKey(2)}}
 	for i := 1; i < len(steps); i++ {
-		before, after := codec(t, steps[i-1]...), codec(t, steps[i]...)
+		before, after := newTestCodec(t, steps[i-1]...), newTestCodec(t, steps[i]...)
 		_, err := after.OpenHint("acme", before.SealHint("acme", hint))
 		require.NoError(t, err, "step %d, old to new", i)
 		_, err = before.OpenHint("acme", after.SealHint("acme", hint))
@@ -128,56 +127,55 @@
 	}
 }
 
-// Symptom: resumes fail at one router only. Sequence: a stream breaks and the
-// caller goes to a router whose clock differs from the issuer's. Cause: expiry
-// compared strictly between two clocks.
-func TestClockDifference(t *testing.T) {
-	c := codec(t, key(1))
-	text := seal(t, c, resume)
-	for _, skew := range []time.Duration{-24 * time.Hour, -ClockSlack, 0, ClockSlack} {
+// A resume must succeed at a router whose clock differs from the issuer's by up
+// to MaxClockSkew. A strict comparison of expiry would fail at that router only.
+func TestExpiryAllowsClockSkew(t *testing.T) {
+	c := newTestCodec(t, testKey(1))
+	text := sealResume(t, c, resume)
+	for _, skew := range []time.Duration{-24 * time.Hour, -MaxClockSkew, 0, MaxClockSkew} {
 		_, err := c.OpenResume("acme", text, issued.Add(resume.Lifetime+skew))
 		assert.NoError(t, err, "skew %s", skew)
 	}
 }
 
-func TestInvalidInput(t *testing.T) {
+func TestInvalidKeysAndFieldsAreRejected(t *testing.T) {
 	for name, keys := range map[string][]Key{
 		"none":         nil,
-		"three":        {key(1), key(2), key(3)},
-		"same id":      {key(1), key(1)},
+		"three":        {testKey(1), testKey(2), testKey(3)},
+		"same id":      {testKey(1), testKey(1)},
 		"short secret": {{ID: 1, Secret: make([]byte, MinSecret-1)}},
 	} {
 		_, err := NewCodec(keys...)
 		assert.True(t, ErrKeys.Has(err), name)
 	}
-	long := strings.Repeat("x", maxString)
+	long := strings.Repeat("x", maxStringLen)
 	for name, r := range map[string]Resume{
 		"long string": {RequestID: long + "x", Lifetime: time.Minute},
 		"too long":    {RequestID: long, Engine: long, Model: long, Lifetime: time.Minute},
 		"no lifetime": {RequestID: "r"},
 	} {
-		_, err := codec(t, key(1)).SealResume("acme", r)
+		_, err := newTestCodec(t, testKey(1)).SealResume("acme", r)
 		assert.True(t, ErrUnsealable.Has(err), name)
 	}
 }
 
 func FuzzOpen(f *testing.F) {
-	c := codec(f, key(1))
+	c := newTestCodec(f, testKey(1))
 	f.Add(c.SealHint("acme", hint), []byte("fields"))
-	f.Add(seal(f, c, resume), make([]byte, 30))
+	f.Add(sealResume(f, c, resume), make([]byte, 30))
 	f.Fuzz(func(t *testing.T, text string, fields []byte) {
 		if h, err := c.OpenHint("acme", text); err == nil {
 			require.Equal(t, text, c.SealHint("acme", h))
 		}
 		if r, err := c.OpenResume("acme", text, issued); err == nil {
-			require.Equal(t, text, seal(t, c, r))
+			require.Equal(t, text, sealResume(t, c, r))
 		}
 		_, _ = parseResume(fields)
 	})
 }
 
 func BenchmarkSealHint(b *testing.B) {
-	c := codec(b, key(1))
+	c := newTestCodec(b, testKey(1))
 	b.ReportAllocs()
 	for b.Loop() {
 		_ = c.SealHint("acme", hint)
@@ -185,7 +183,7 @@
 }
 
 func BenchmarkOpenHint(b *testing.B) {
-	c := codec(b, key(1))
+	c := newTestCodec(b, testKey(1))
 	text := c.SealHint("acme", hint)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -195,8 +193,8 @@
 }
 
 func BenchmarkOpenResume(b *testing.B) {
-	c := codec(b, key(1))
-	text := seal(b, c, resume)
+	c := newTestCodec(b, testKey(1))
+	text := sealResume(b, c, resume)
 	b.ReportAllocs()
 	for b.Loop() {
 		_, _ = c.OpenResume("acme", text, issued)
