--- a/internal/operate/access/access_test.go
+++ b/internal/operate/access/access_test.go
@@ -73,12 +73,12 @@
 		by, grant *Operator
 		want      Reason
 	}{
-		"own scope":       {teamAdmin, &Operator{Role: RoleAdmin, Teams: []string{"desk"}}, ""},
-		"team by fleet":   {fleetAdmin, &Operator{Role: RoleEditor, Teams: []string{"keys"}}, ""},
-		"another team":    {teamAdmin, &Operator{Role: RoleViewer, Teams: []string{"desk", "keys"}}, ReasonScope},
-		"the whole fleet": {teamAdmin, &Operator{Role: RoleViewer}, ReasonScope},
-		"a higher role":   {fleetAdmin, &Operator{Role: RoleBreakGlass}, ReasonRole},
-		"granter too low": {&Operator{Role: RoleEditor}, &Operator{Role: RoleViewer}, ReasonRole},
+		"own scope":               {teamAdmin, &Operator{Role: RoleAdmin, Teams: []string{"desk"}}, ""},
+		"team by fleet":           {fleetAdmin, &Operator{Role: RoleEditor, Teams: []string{"keys"}}, ""},
+		"another team":            {teamAdmin, &Operator{Role: RoleViewer, Teams: []string{"desk", "keys"}}, ReasonScope},
+		"the whole fleet":         {teamAdmin, &Operator{Role: RoleViewer}, ReasonScope},
+		"a higher role":           {fleetAdmin, &Operator{Role: RoleBreakGlass}, ReasonRole},
+		"role of granter too low": {&Operator{Role: RoleEditor}, &Operator{Role: RoleViewer}, ReasonRole},
 	} {
 		err := AuthorizeGrant(tc.by, tc.grant)
 		if tc.want == "" {
@@ -139,7 +139,7 @@
 	for name, bad := range map[string]Operator{
 		"no name":                    {TokenHash: hash, Role: RoleViewer},
 		"unknown role":               {Name: "kim", TokenHash: hash, Role: "root"},
-		"break glass without an end": {Name: "kim", TokenHash: hash, Role: RoleBreakGlass},
+		"break glass without expiry": {Name: "kim", TokenHash: hash, Role: RoleBreakGlass},
 		"empty team":                 {Name: "kim", TokenHash: hash, Role: RoleAdmin, Teams: []string{""}},
 	} {
 		_, err := NewOperators([]Operator{bad})
--- a/internal/operate/admin/admin.go
+++ b/internal/operate/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the administration API: JSON over HTTP for operators of many
-// teams. README.md says why it is as it is, docs/API.md how to call it.
+// Package admin implements the administration API: JSON over HTTP, for operators
+// of several teams. README.md explains its design and docs/API.md its use.
 package admin
 
 import (
@@ -24,68 +24,70 @@
 )
 
 const (
-	// DefaultCallTimeout is how long one call may take.
+	// DefaultCallTimeout is the default time limit of a request.
 	DefaultCallTimeout = 10 * time.Second
-	// maxIDLength bounds a request id, in characters.
-	maxIDLength = 128
+	// maxRequestIDLen is the maximum length of a request id, in bytes.
+	maxRequestIDLen = 128
 )
 
 // Options configures a Server.
 type Options struct {
-	// Board shows the fleet.
+	// Board holds this router's view of the fleet.
 	Board *board.Board
-	// Loads tells how many unfinished requests the owner of an engine has
-	// admitted, as last heard here; ok is false where nothing was heard. It may
-	// be nil.
+	// Loads returns the number of unfinished requests that the owner of an
+	// engine has admitted, as last reported to this router. ok is false if there
+	// was no report. Loads may be nil.
 	Loads func(engine uint64) (admitted int, ok bool)
-	// Chain holds the configuration.
+	// Chain holds the versions of the configuration.
 	Chain *config.Chain
 	// Claims holds the claims of non-idempotent requests.
 	Claims *claim.Store
 	// Table holds the operators and the audit trail.
 	Table platform.Table
-	// InForce returns the configuration in force at this router; version 0
-	// before the first.
+	// InForce returns the active configuration of this router. The version is 0
+	// if there is none yet.
 	InForce func() (version uint64, b config.Bundle, err error)
-	// Accepted is told of each version accepted here, to spread it.
+	// Accepted is called with each version that this router accepts, to announce
+	// it to other routers.
 	Accepted func(config.Head)
-	// BootstrapHash is the SHA-256 sum, in hexadecimal, of the first
-	// operator's token; empty for none.
+	// BootstrapHash is the SHA-256 hash, in hexadecimal, of the bootstrap
+	// operator's token. It is empty if there is no bootstrap operator.
 	BootstrapHash string
 	Log           *log.Logger
-	// Now is the clock, and Rand the source of secrets.
+	// Now returns the current time. Rand is the source of random bytes for
+	// secrets.
 	Now  func() time.Time
 	Rand io.Reader
-	// CallTimeout bounds one call, with all its calls of the store;
-	// DefaultCallTimeout where zero.
+	// CallTimeout limits the duration of a request, including its store calls;
+	// zero means DefaultCallTimeout.
 	CallTimeout time.Duration
 }
 
 // Server serves the administration API.
 type Server struct {
 	Options
-	directory *directory
+	operators *operatorCache
 	catalog   catalog
 	trail     *audit.Trail
 	echo      *echo.Echo
 }
 
-// New returns a Server. Errors: access.ErrHash.
+// New returns a Server. Errors: access.ErrHash for an invalid BootstrapHash.
 func New(o Options) (*Server, error) {
 	if o.CallTimeout == 0 {
 		o.CallTimeout = DefaultCallTimeout
 	}
-	d, err := newDirectory(o)
+	operators, err := newOperatorCache(o)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{Options: o, directory: d, trail: audit.New(o.Table, o.Chain, o.Now)}
-	s.catalog.inForce = o.InForce
+	s := &Server{Options: o, operators: operators, trail: audit.New(o.Table, o.Chain, o.Now)}
+	s.catalog.activeConfig = o.InForce
 	s.echo = s.routes()
 	return s, nil
 }
 
-// Handler returns the API as an HTTP handler.
+// Handler returns the HTTP handler of the API.
 func (s *Server) Handler() http.Handler { return s.echo }
 
 func (s *Server) routes() *echo.Echo {
@@ -94,20 +96,20 @@
 	e.HidePort = true
 	e.HTTPErrorHandler = s.handleError
 	e.Use(middleware.RecoverWithConfig(middleware.RecoverConfig{DisablePrintStack: true}))
-	e.Use(identify, s.bound)
-	for _, r := range s.table() {
-		e.Add(r.method, r.path, s.authenticated(r.handle))
+	e.Use(assignRequestID, s.limitDuration)
+	for _, r := range s.apiRoutes() {
+		e.Add(r.method, r.path, s.requireOperator(r.handle))
 	}
 	return e
 }
 
-// route is one call of the API.
+// route is an endpoint of the API.
 type route struct {
 	method, path string
 	handle       handler
 }
 
-func (s *Server) table() []route {
+func (s *Server) apiRoutes() []route {
 	return []route{
 		{http.MethodGet, api.PathConfig, s.head},
 		{http.MethodPost, api.PathConfig, s.apply},
@@ -131,38 +133,39 @@
 	}
 }
 
-// call is one authenticated call.
-type call struct {
+// requestContext is the context of an authenticated request.
+type requestContext struct {
 	echo.Context
 	op *access.Operator
 }
 
-type handler func(*call) error
+type handler func(*requestContext) error
 
-func (c *call) ctx() context.Context { return c.Request().Context() }
+func (c *requestContext) ctx() context.Context { return c.Request().Context() }
 
-// authenticated lets h serve operators only. A change needs a list of
-// operators that was read just now; reading goes on with an older one while
-// the store is down, because that is when operators look.
-func (s *Server) authenticated(h handler) echo.HandlerFunc {
+// requireOperator wraps h so that it serves only authenticated operators.
+// Changes need a current list of operators. Reads accept an outdated list while
+// the store is down, because operators need them during an outage.
+func (s *Server) requireOperator(h handler) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		reads := c.Request().Method == http.MethodGet
-		op, err := s.directory.authenticate(c.Request().Context(), bearer(c.Request()), reads)
+		readOnly := c.Request().Method == http.MethodGet
+		op, err := s.operators.authenticate(c.Request().Context(), bearerToken(c.Request()), readOnly)
 		if err != nil {
 			return err
 		}
-		return h(&call{Context: c, op: op})
+		return h(&requestContext{Context: c, op: op})
 	}
 }
 
-// identify gives each call its id.
-func identify(next echo.HandlerFunc) echo.HandlerFunc {
+// assignRequestID sets the request id in the response header, from the request or
+// a new one. It rejects a malformed id.
+func assignRequestID(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		id := c.Request().Header.Get(wire.HeaderRequestID)
 		if id == "" {
 			id = uuid.NewString()
 		}
-		if !validID(id) {
+		if !isValidRequestID(id) {
 			return httperr.BadRequest("malformed " + wire.HeaderRequestID)
 		}
 		c.Response().Header().Set(wire.HeaderRequestID, id)
@@ -170,9 +173,9 @@
 	}
 }
 
-// validID accepts what may safely stand in a header and a log line.
-func validID(id string) bool {
-	if len(id) > maxIDLength {
+// isValidRequestID accepts ids that are safe in headers and log lines.
+func isValidRequestID(id string) bool {
+	if len(id) > maxRequestIDLen {
 		return false
 	}
 	for _, r := range id {
@@ -183,9 +186,9 @@
 	return true
 }
 
-// bound ends a call that takes too long. Without it a store that accepts
-// calls and never answers would hold operators' connections for good.
-func (s *Server) bound(next echo.HandlerFunc) echo.HandlerFunc {
+// limitDuration cancels a request that takes too long. Otherwise a store that
+// accepts calls but never responds would hold operators' connections forever.
+func (s *Server) limitDuration(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		ctx, cancel := context.WithTimeout(c.Request().Context(), s.CallTimeout)
 		defer cancel()
--- a/internal/operate/admin/api/api.go
+++ b/internal/operate/admin/api/api.go
@@ -1,6 +1,6 @@
-// Package api names the paths, headers and JSON bodies of the administration
-// API, so that server, client and command line agree. docs/API.md describes
-// the calls.
+// Package api defines the paths, headers and JSON bodies of the administration
+// API. It is shared by server, client and command line. docs/API.md describes
+// the endpoints.
 package api
 
 import (
@@ -13,8 +13,8 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrText means that a file of a bundle is not UTF-8.
-var ErrText = errs.Class("admin: not UTF-8")
+// ErrNotUTF8 means that a file of a bundle is not valid UTF-8.
+var ErrNotUTF8 = errs.Class("admin: not UTF-8")
 
 // Paths of the administration API.
 const (
@@ -33,7 +33,8 @@
 	PathClaims   = Prefix + "/claims"
 	PathResolve  = PathClaims + "/resolve"
 	PathAudit    = Prefix + "/audit"
-	// PathOperators is followed by a name to revoke an operator's token.
+	// PathOperators lists and adds operators. With "/" and a name appended it
+	// revokes an operator's token.
 	PathOperators = Prefix + "/operators"
 )
 
@@ -48,39 +49,38 @@
 	ParamVersion = "version"
 )
 
-// HeaderChangeID carries the id of a change of the configuration. Its author
-// chooses it once and keeps it for every repetition: the same id is accepted
-// once.
+// HeaderChangeID carries the id of a configuration change. The client chooses it
+// and keeps it for all retries: a change is accepted only once for each id.
 const HeaderChangeID = "Change-Id"
 
-// Sizes of pages.
+// Page sizes, in items.
 const (
 	DefaultLimit = 50
 	MaxLimit     = 200
 )
 
-// Page is a part of a list. Next asks for the following part; it is empty at
-// the end.
+// Page is a page of a list. Next is the cursor of the next page; it is empty on
+// the last page.
 type Page[T any] struct {
 	Items []T    `json:"items"`
 	Next  string `json:"next_cursor,omitempty"`
 }
 
-// Files is the text of a bundle.
+// Files holds the text of the files of a bundle. The keys of Overlays are sites.
 type Files struct {
 	Base     string            `json:"base"`
 	Overlays map[string]string `json:"overlays"`
 }
 
-// NewFiles returns the text of a bundle. Errors: ErrText.
+// NewFiles returns the text of a bundle. Errors: ErrNotUTF8.
 //
-// JSON replaces bytes that are not UTF-8 without saying so. What arrived would
-// be another configuration than the one that its author had checked.
+// JSON encoding silently replaces bytes that are not UTF-8, so the receiver would
+// get another configuration than the one that was checked.
 func NewFiles(b config.Bundle) (Files, error) {
 	f := Files{Base: string(b.Base), Overlays: make(map[string]string, len(b.Overlays))}
 	for name, data := range b.Files() {
 		if !utf8.Valid(data) {
-			return Files{}, ErrText.New("%s", name)
+			return Files{}, ErrNotUTF8.New("%s", name)
 		}
 	}
 	for site, data := range b.Overlays {
@@ -98,41 +98,41 @@
 	return b
 }
 
-// VersionFiles is one version with its text.
+// VersionFiles is a version with the text of its files.
 type VersionFiles struct {
 	config.Version
 	Files Files `json:"files"`
 }
 
-// CheckRequest asks what is wrong with a bundle.
+// CheckRequest asks for the problems of a bundle.
 type CheckRequest struct {
 	Files Files `json:"files"`
 }
 
-// CheckReply lists what is wrong with a bundle; no entries mean that it would
-// be accepted.
+// CheckReply lists the problems of a bundle. It would be accepted if all lists
+// are empty.
 type CheckReply struct {
-	// Version is the version in force that the change was judged against.
+	// Version is the active version that the bundle was compared with.
 	Version uint64 `json:"version"`
-	// Problems are faults of the bundle by itself.
+	// Problems are the problems of the bundle itself.
 	Problems []config.Problem `json:"problems"`
-	// ChangeProblems are faults of the step from the version in force.
+	// ChangeProblems are the problems of the change from the active version.
 	ChangeProblems []config.Problem `json:"change_problems"`
 	// Forbidden are the changed paths that the operator may not change.
 	Forbidden []string `json:"forbidden"`
 }
 
-// DiffRequest asks what changes between two versions, or from a version to
-// files. A version of 0 stands for the one in force.
+// DiffRequest asks for the differences between two versions, or between a version
+// and files. Version 0 means the active version.
 type DiffRequest struct {
 	From  uint64 `json:"from"`
 	To    uint64 `json:"to"`
 	Files *Files `json:"files,omitempty"`
 }
 
-// DiffReply lists what changes.
+// DiffReply lists differences.
 type DiffReply struct {
-	// From and To are the compared versions; To is 0 for files.
+	// From and To are the compared versions; To is 0 if files were compared.
 	From  uint64        `json:"from"`
 	To    uint64        `json:"to"`
 	Lines []config.Line `json:"lines"`
@@ -142,51 +142,52 @@
 type ApplyRequest struct {
 	Files   Files  `json:"files"`
 	Comment string `json:"comment"`
-	// Withdraw waives the check that sites go on serving what they serve.
+	// Withdraw skips the check that sites keep serving what they serve now.
 	Withdraw bool `json:"withdraw,omitempty"`
 }
 
-// RollbackRequest asks for the content of an earlier version to be accepted
-// as the next one.
+// RollbackRequest asks for the content of an earlier version to be accepted as
+// the next version.
 type RollbackRequest struct {
 	To       uint64 `json:"to"`
 	Comment  string `json:"comment"`
 	Withdraw bool   `json:"withdraw,omitempty"`
 }
 
-// Status says which routers have a version in force, as the answering router
-// knows.
+// Status lists the active configuration version of each router, as known to the
+// router that handled the request.
 type Status struct {
-	// SeenBy is the router that answered.
+	// SeenBy is the router that handled the request.
 	SeenBy string `json:"seen_by"`
-	// Version is the version asked about; the newest known one by default.
+	// Version is the requested version; the newest known version by default.
 	Version uint64 `json:"version"`
-	// HeadKnown is false where the store could not be asked for the head;
-	// Version is then the highest that a router has in force.
+	// HeadKnown is false if the head could not be read from the store; Version
+	// is then the highest active version of any router.
 	HeadKnown bool           `json:"head_known"`
 	Routers   []RouterStatus `json:"routers"`
-	// Lagging names the routers that are in service and have an older version.
+	// Lagging lists the live routers with an older version.
 	Lagging []string `json:"lagging"`
-	// Complete is set when no router lags.
+	// Complete is true if no router is lagging.
 	Complete bool `json:"complete"`
 }
 
 // RouterState is the state of a router in the fleet.
 type RouterState string
 
-// The states. Routers that are known to be dead are not listed.
+// The router states. Dead routers are not listed.
 const (
 	RouterLive    RouterState = "live"
 	RouterLeaving RouterState = "leaving"
 )
 
-// RouterStatus is one router.
+// RouterStatus is the status of a router.
 type RouterStatus struct {
 	Name    string      `json:"name"`
 	Site    string      `json:"site"`
 	State   RouterState `json:"state"`
 	Address string      `json:"address"`
-	// ConfigVersion is the version that the router last said it has in force.
+	// ConfigVersion is the active configuration version that the router last
+	// reported.
 	ConfigVersion uint64 `json:"config_version"`
 }
 
@@ -204,7 +205,7 @@
 	Models            []string `json:"models"`
 }
 
-// Fleet is the answering router's view of the fleet.
+// Fleet is the view of the fleet of the router that handled the request.
 type Fleet struct {
 	SeenBy        string         `json:"seen_by"`
 	ConfigVersion uint64         `json:"config_version"`
@@ -213,7 +214,7 @@
 	Engines       []Engine       `json:"engines"`
 }
 
-// Engine is one engine, or one VM of a plain service.
+// Engine is an engine, or a VM of a plain service.
 type Engine struct {
 	Name    string `json:"name"`
 	Kind    string `json:"kind"`
@@ -221,27 +222,27 @@
 	Site    string `json:"site"`
 	Address string `json:"address"`
 	Leaving bool   `json:"leaving"`
-	// Owner is the router that keeps the engine's count of admitted work, and
-	// that the engine reports to.
+	// Owner is the router that counts the engine's admitted requests and that
+	// receives the engine's reports.
 	Owner string `json:"owner,omitempty"`
-	// Known is set where the answering router is the owner and has had a
-	// report; Incarnation, Model and Version are empty elsewhere.
+	// Known is true if the router that handled the request is the owner and has
+	// received a report. Incarnation, Model and Version are empty otherwise.
 	Known       bool   `json:"known"`
 	Incarnation uint64 `json:"incarnation,omitempty"`
 	Model       string `json:"model,omitempty"`
 	Version     string `json:"version,omitempty"`
-	// Heard is set where the answering router has heard of the engine's load;
-	// Admitted is then the number of its unfinished requests.
+	// Heard is true if the router that handled the request has received a load
+	// report of the engine. Admitted is then the number of unfinished requests.
 	Heard    bool `json:"heard"`
 	Admitted int  `json:"admitted"`
 }
 
-// ResolveRequest gives an operator's verdict on a claim.
+// ResolveRequest sets the outcome of a claim to an operator's verdict.
 type ResolveRequest struct {
 	Account string        `json:"account"`
 	Key     string        `json:"key"`
 	Verdict claim.Verdict `json:"verdict"`
-	// Seen is the version of the claim that the verdict is about.
+	// Seen is the version of the claim that the operator has seen.
 	Seen int64 `json:"seen"`
 }
 
@@ -250,17 +251,17 @@
 	Name  string      `json:"name"`
 	Role  access.Role `json:"role"`
 	Teams []string    `json:"teams,omitempty"`
-	// ExpiresIn is how long the token lasts, in seconds; 0 means for good.
+	// ExpiresIn is the lifetime of the token, in seconds; 0 means no expiry.
 	ExpiresIn int64 `json:"expires_in_seconds,omitempty"`
 }
 
-// AddOperatorReply carries the token, which is shown this once.
+// AddOperatorReply contains the token, which cannot be retrieved again.
 type AddOperatorReply struct {
 	Operator Operator `json:"operator"`
 	Token    string   `json:"token"`
 }
 
-// Operator is an operator without the hash of the token.
+// Operator is an operator without the token hash.
 type Operator struct {
 	Name      string      `json:"name"`
 	Role      access.Role `json:"role"`
@@ -268,7 +269,7 @@
 	Created   time.Time   `json:"created"`
 	CreatedBy string      `json:"created_by"`
 	Expires   time.Time   `json:"expires,omitzero"`
-	// Revoked is when the token was revoked; zero for one that was not.
+	// Revoked is when the token was revoked; zero if it was not.
 	Revoked   time.Time `json:"revoked,omitzero"`
 	RevokedBy string    `json:"revoked_by,omitempty"`
 }
--- a/internal/operate/admin/api/failure.go
+++ b/internal/operate/admin/api/failure.go
@@ -9,20 +9,20 @@
 	"damaskrouter.example/damaskrouter/internal/store/config"
 )
 
-// Failure is the error of every call: what apierr.Error says, and what an
-// operator needs to go on.
+// Failure is the error of a request: the fields of apierr.Error and details that
+// an operator needs to correct the request.
 type Failure struct {
 	Code    apierr.Code `json:"code"`
 	Message string      `json:"message"`
-	// Ran says whether the change took effect, or still may.
+	// Ran tells whether the change took effect or may take effect.
 	Ran          apierr.Ran `json:"ran"`
 	RetryAfterMS int64      `json:"retry_after_ms,omitempty"`
 	RequestID    string     `json:"request_id,omitempty"`
-	// Problems are the faults of a configuration that was refused.
+	// Problems are the problems of a rejected configuration.
 	Problems []config.Problem `json:"problems,omitempty"`
-	// Conflict is the version that won.
+	// Conflict describes the version that was accepted first.
 	Conflict *Conflict `json:"conflict,omitempty"`
-	// Paths are those that the operator may not change.
+	// Paths are the changed paths that the operator may not change.
 	Paths []string `json:"paths,omitempty"`
 	// Status is the HTTP status code.
 	Status int `json:"-"`
@@ -30,21 +30,21 @@
 	cause error
 }
 
-// Conflict describes what is in force instead of a refused change.
+// Conflict describes the active version that conflicts with a rejected change.
 type Conflict struct {
 	Version int64  `json:"version"`
 	Hash    string `json:"hash,omitempty"`
 	Author  string `json:"author,omitempty"`
-	// Expected is the version that the refused change was made from.
+	// Expected is the version on which the rejected change was based.
 	Expected int64 `json:"expected"`
 }
 
-// FailureReply is the body of every refusal.
+// FailureReply is the body of an error response.
 type FailureReply struct {
 	Error *Failure `json:"error"`
 }
 
-// NewFailure returns the failure that e describes.
+// NewFailure returns a Failure with the fields and the cause of e.
 func NewFailure(e *apierr.Error) *Failure {
 	return &Failure{
 		Code:         e.Code,
@@ -57,14 +57,14 @@
 	}
 }
 
-// RetryAfter is how long to wait before asking again; 0 means that asking
-// again is pointless or needs no wait.
+// RetryAfter returns how long to wait before a retry. 0 means that a retry is
+// useless or needs no delay.
 func (f *Failure) RetryAfter() time.Duration { return time.Duration(f.RetryAfterMS) * time.Millisecond }
 
-// Unwrap returns the internal cause, which is never sent.
+// Unwrap returns the internal cause, which is not sent to the client.
 func (f *Failure) Unwrap() error { return f.cause }
 
-// Error implements error, in as many lines as an operator needs.
+// Error implements error. The text has one line for each detail.
 func (f *Failure) Error() string {
 	lines := []string{fmt.Sprintf("%s: %s (took effect: %s)", f.Code, f.Message, f.Ran)}
 	if f.Conflict != nil {
@@ -79,7 +79,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// String names the winner for a terminal.
+// String describes the conflict for display in a terminal.
 func (c *Conflict) String() string {
 	s := fmt.Sprintf("made from version %d, but version %d", c.Expected, c.Version)
 	if c.Author != "" {
--- a/internal/operate/admin/audit.go
+++ b/internal/operate/admin/audit.go
@@ -9,20 +9,21 @@
 	"damaskrouter.example/damaskrouter/internal/serve/apierr"
 )
 
-// maxAuditReads bounds the pages that are read to fill one of a filtered list.
+// maxAuditReads bounds the number of pages read to fill one page of a filtered
+// list.
 const maxAuditReads = 4
 
-// audit shows the trail, newest first. An operator sees the entries of the
-// teams in scope; those of the whole fleet, such as accepted configurations,
-// need the whole fleet as scope.
-func (s *Server) audit(c *call) error {
-	if err := anywhere(c.op, access.ActionReadAudit); err != nil {
+// audit returns a page of the audit trail, newest first. An operator sees the
+// entries of the teams in scope. Fleet-wide entries, such as accepted
+// configurations, are visible only to operators of the whole fleet.
+func (s *Server) audit(c *requestContext) error {
+	if err := authorizeAnyTeam(c.op, access.ActionReadAudit); err != nil {
 		return err
 	}
 	if err := checkParams(c, api.ParamLimit, api.ParamCursor, api.ParamTeam); err != nil {
 		return err
 	}
-	limit, err := limitOf(c)
+	limit, err := pageLimit(c)
 	if err != nil {
 		return err
 	}
@@ -48,14 +49,14 @@
 	return c.JSON(http.StatusOK, page)
 }
 
-func (s *Server) auditCursor(c *call) (audit.Cursor, error) {
+func (s *Server) auditCursor(c *requestContext) (audit.Cursor, error) {
 	if text := c.QueryParam(api.ParamCursor); text != "" {
 		return audit.ParseCursor(text)
 	}
 	return s.trail.Newest(c.ctx())
 }
 
-func visibleEntries(c *call, entries []audit.Entry) []audit.Entry {
+func visibleEntries(c *requestContext, entries []audit.Entry) []audit.Entry {
 	var out []audit.Entry
 	for _, e := range entries {
 		if visible(c, access.ActionReadAudit, e.Team) {
@@ -65,7 +66,7 @@
 	return out
 }
 
-// outcomeOf sorts the result of an operation for the trail.
+// outcomeOf returns the audit outcome of an operation that returned err.
 func outcomeOf(err error) audit.Outcome {
 	if err == nil {
 		return audit.OutcomeDone
@@ -76,13 +77,14 @@
 	return audit.OutcomeUnknown
 }
 
-// notBegun turns an entry that may have been written into a refusal: whatever
-// became of the entry, the change that it announces was not tried.
-func notBegun(err error) error {
+// auditUnavailable converts a failure to write the audit entry of a change that
+// has not been attempted. Even if the entry may have been written, the response
+// must say that the change did not take effect.
+func auditUnavailable(err error) error {
 	f := translate(err)
 	if f.Status < http.StatusInternalServerError {
 		return err
 	}
 	return apierr.New(apierr.CodeStoreDown, http.StatusServiceUnavailable, "the audit trail can't be written now").
-		WithRetryAfter(storeRetry).WithCause(err)
+		WithRetryAfter(storeRetryAfter).WithCause(err)
 }
--- a/internal/operate/admin/audit_test.go
+++ b/internal/operate/admin/audit_test.go
@@ -16,37 +16,38 @@
 	"github.com/stretchr/testify/require"
 )
 
-func (h *harness) trail(token, query string) []audit.Entry {
+func (h *harness) auditEntries(token, query string) []audit.Entry {
 	h.t.Helper()
 	var page api.Page[audit.Entry]
 	require.Nil(h.t, h.get(token, api.PathAudit+query, &page))
 	return page.Items
 }
 
-func TestAuditSaysWhoWhatWhenAndFromWhichVersion(t *testing.T) {
+func TestAuditRecordsActorActionTimeAndVersion(t *testing.T) {
 	h := newHarness(t)
-	h.pass(time.Minute)
-	ada := h.operator("ada", access.RoleAdmin, "desk")
-	h.pass(time.Minute)
-	_, f := h.apply(ada, 1, edited("weight: 2", "weight: 4"))
+	h.advance(time.Minute)
+	ada := h.addOperator("ada", access.RoleAdmin, "desk")
+	h.advance(time.Minute)
+	_, f := h.applyFiles(ada, 1, replaceInBase("weight: 2", "weight: 4"))
 	require.Nil(t, f)
-	h.pass(time.Minute)
-	seen := h.claimed("mills", "secret-key")
+	h.advance(time.Minute)
+	seen := h.addClaim("mills", "secret-key")
 	var v claim.View
 	require.Nil(t, h.get(ada, api.PathClaims+"?account=mills&key=secret-key", &v))
 	require.Nil(t, h.post(ada, api.PathResolve, api.ResolveRequest{Account: "mills", Key: "secret-key", Verdict: claim.VerdictRan, Seen: v.Version}, &v))
 	assert.Equal(t, claim.StateDone, v.State)
-	h.pass(time.Minute)
+	h.advance(time.Minute)
 	require.Nil(t, h.revoke(rootToken, "ada"))
 
 	at := func(minutes int) time.Time { return startTime.Add(time.Duration(minutes) * time.Minute) }
-	got := h.trail(rootToken, "")
+	got := h.auditEntries(rootToken, "")
 	require.Len(t, got, 6)
 	assert.Equal(t, got[1].ID, got[2].ID, "the two entries of one operation")
 	for i := range got {
 		got[i].ID = ""
 	}
-	// The store's first transaction is the seed's; the second added the operator.
+	// The first transaction of the store accepted version 1; the second added
+	// the operator.
 	const added = 2
 	target := claimTarget(claim.Key{Account: "mills", IdempotencyKey: "secret-key"})
 	assert.NotContains(t, target, "secret-key")
@@ -58,26 +59,25 @@
 		{Number: 1, Time: at(1), Actor: BootstrapOperator, Action: audit.ActionOperatorAdd, Outcome: audit.OutcomeDone, Team: "desk", Target: "operator ada", Detail: "admin of desk"},
 		{Number: 1, Time: at(0), Actor: "seed", Action: audit.ActionConfigAccept, Outcome: audit.OutcomeDone, Target: "version 1"},
 	}, got)
-	desk := h.operator("desk-editor", access.RoleEditor, "desk")
-	assert.Len(t, h.trail(desk, ""), 5, "its own and the new operator's entries, not the fleet's")
-	assert.Empty(t, h.trail(rootToken, "?team=portal"))
+	desk := h.addOperator("desk-editor", access.RoleEditor, "desk")
+	assert.Len(t, h.auditEntries(desk, ""), 5, "the entries of its team, including its own, but no fleet-wide ones")
+	assert.Empty(t, h.auditEntries(rootToken, "?team=portal"))
 }
 
-// giveUpSoon ends a call in an outage. The verdicts below hold whenever that
-// happens, so that it may come at any moment.
-const giveUpSoon = 200 * time.Millisecond
+// shortCallTimeout ends a request during an outage. The expected results do not
+// depend on when the timeout occurs.
+const shortCallTimeout = 200 * time.Millisecond
 
-// Symptom: a verdict took effect that nobody gave, says the trail. Sequence:
-// the store fails between the verdict and its entry. Cause: the entry is
-// written only afterwards.
-func TestVerdictNeedsItsEntry(t *testing.T) {
+// A verdict must not take effect without an audit entry. This would happen if the
+// entry were written only after the verdict and the store failed in between.
+func TestVerdictIsNotAppliedWithoutAuditEntry(t *testing.T) {
 	for name, fault := range map[string]platformtest.Fault{
 		"refused":     platformtest.Down,
 		"late effect": platformtest.LateEffect,
 	} {
 		h := newHarness(t)
-		h.admin.CallTimeout = giveUpSoon
-		seen := h.claimed("mills", "k")
+		h.admin.CallTimeout = shortCallTimeout
+		seen := h.addClaim("mills", "k")
 		req := api.ResolveRequest{Account: "mills", Key: "k", Verdict: claim.VerdictNotRun, Seen: seen}
 		h.store.Before(func(_ context.Context, c platformtest.Call) {
 			if c.Op == platformtest.OpCommit && c.Use == platform.UseAudit {
@@ -96,9 +96,9 @@
 	}
 }
 
-func TestVerdicts(t *testing.T) {
+func TestRejectedVerdictsAreRecordedAsFailed(t *testing.T) {
 	h := newHarness(t)
-	seen := h.claimed("mills", "k")
+	seen := h.addClaim("mills", "k")
 	for name, tc := range map[string]struct {
 		req  api.ResolveRequest
 		code apierr.Code
@@ -109,34 +109,33 @@
 		"no key":           {api.ResolveRequest{Account: "mills", Verdict: claim.VerdictRan, Seen: seen}, apierr.CodeBadRequest},
 		"another's claims": {api.ResolveRequest{Account: "pumps", Key: "k", Verdict: claim.VerdictRan, Seen: seen}, apierr.CodeNotFound},
 	} {
-		h.pass(time.Second)
+		h.advance(time.Second)
 		f := h.post(rootToken, api.PathResolve, tc.req, nil)
 		require.NotNil(t, f, name)
 		assert.Equal(t, []any{tc.code, apierr.RanNo}, []any{f.Code, f.Ran}, name)
-		assert.Equal(t, audit.OutcomeFailed, h.trail(rootToken, "?limit=1")[0].Outcome, name)
+		assert.Equal(t, audit.OutcomeFailed, h.auditEntries(rootToken, "?limit=1")[0].Outcome, name)
 	}
 }
 
-// Symptom: after a lost reply the operator can't tell whether the verdict
-// holds. Sequence: the reply to the write of the claim is lost. Cause: the
-// same verdict again must be no error.
-func TestVerdictWithLostReply(t *testing.T) {
+// If the store's reply to the write of the claim is lost, the operator must be able
+// to repeat the verdict without an error to learn that it took effect.
+func TestVerdictCanBeRepeatedAfterLostReply(t *testing.T) {
 	h := newHarness(t)
-	seen := h.claimed("mills", "k")
+	seen := h.addClaim("mills", "k")
 	req := api.ResolveRequest{Account: "mills", Key: "k", Verdict: claim.VerdictRan, Seen: seen}
 	h.store.Script(platformtest.OpCommit, platformtest.None, platformtest.LoseReplyAfterEffect)
-	h.pass(time.Second)
+	h.advance(time.Second)
 	f := h.post(rootToken, api.PathResolve, req, nil)
 	require.NotNil(t, f)
 	assert.Equal(t, []any{apierr.CodeOutcomeUnknown, apierr.RanUnknown}, []any{f.Code, f.Ran})
-	assert.Equal(t, audit.OutcomeUnknown, h.trail(rootToken, "?limit=1")[0].Outcome)
+	assert.Equal(t, audit.OutcomeUnknown, h.auditEntries(rootToken, "?limit=1")[0].Outcome)
 	assert.Nil(t, h.post(rootToken, api.PathResolve, req, nil))
 }
 
-func TestAuditIsStableWhileItGrows(t *testing.T) {
+func TestAuditPagesAreStableDuringWrites(t *testing.T) {
 	h := newHarness(t)
 	for _, name := range []string{"a", "b", "c"} {
-		h.operator(name, access.RoleViewer)
+		h.addOperator(name, access.RoleViewer)
 	}
 	var got []string
 	query := "?limit=2"
@@ -150,7 +149,7 @@
 		if page.Next != "" {
 			query = "?limit=2&cursor=" + page.Next
 		}
-		h.operator("late-"+string(rune('a'+i)), access.RoleViewer)
+		h.addOperator("late-"+string(rune('a'+i)), access.RoleViewer)
 	}
 	assert.Equal(t, []string{"version 1", "operator c", "operator b", "operator a"}, got)
 }
--- a/internal/operate/admin/catalog.go
+++ b/internal/operate/admin/catalog.go
@@ -13,26 +13,26 @@
 	"damaskrouter.example/damaskrouter/internal/store/config"
 )
 
-// catalog is the configuration in force at this router, decoded. It needs no
-// store, so the lists work through an outage.
+// catalog caches the decoded active configuration of this router. It does not use
+// the store, so lists remain available during an outage.
 type catalog struct {
-	inForce func() (uint64, config.Bundle, error)
+	activeConfig func() (uint64, config.Bundle, error)
 
 	mu      sync.Mutex
 	version uint64
 	parsed  *config.Parsed
 }
 
-// notReady is the refusal of a router without a configuration.
+// notReady returns the error of a router that has no configuration yet.
 func notReady() *apierr.Error {
 	return apierr.New(apierr.CodeNotReady, http.StatusServiceUnavailable, "no configuration in force yet").
 		WithRetryAfter(time.Second)
 }
 
-// current returns the configuration in force. Errors: notReady, those of
-// config.Bundle.Parse.
+// current returns the active configuration. Errors: notReady, those of
+// Options.InForce and config.Bundle.Parse.
 func (g *catalog) current() (*config.Parsed, error) {
-	version, bundle, err := g.inForce()
+	version, bundle, err := g.activeConfig()
 	if err != nil {
 		return nil, err
 	}
@@ -52,19 +52,20 @@
 	return parsed, nil
 }
 
-// teamOf returns the team of an account; access.FleetWide for one that is not
-// in the configuration, so that only operators of the fleet may act on it.
-func (g *catalog) teamOf(account string) (string, error) {
+// accountTeam returns the team of an account. It is access.FleetWide for an
+// account that is not in the configuration, so that only operators of the whole
+// fleet may act on it.
+func (g *catalog) accountTeam(account string) (string, error) {
 	parsed, err := g.current()
 	if err != nil {
 		return "", err
 	}
-	return teamOf(parsed.Document, account), nil
+	return accountTeam(parsed.Document, account), nil
 }
 
-// at returns the configuration as it applies at the site in the query, or as
-// the base document has it.
-func (g *catalog) at(c *call) (*config.Effective, error) {
+// effective returns the configuration of the site in the query, or the base
+// configuration if the query names no site.
+func (g *catalog) effective(c *requestContext) (*config.Effective, error) {
 	parsed, err := g.current()
 	if err != nil {
 		return nil, err
@@ -83,76 +84,79 @@
 	return e, err
 }
 
-func (s *Server) accounts(c *call) error {
-	return list(s, c, access.ActionReadConfig, func(e *config.Effective) []api.Account {
+func (s *Server) accounts(c *requestContext) error {
+	return listPage(s, c, access.ActionReadConfig, func(e *config.Effective) []api.Account {
 		out := make([]api.Account, 0, len(e.Accounts))
 		for _, a := range e.Accounts {
-			out = append(out, accountOf(a))
+			out = append(out, accountView(a))
 		}
 		return out
 	}, func(a api.Account) (string, string) { return a.Name, a.Team })
 }
 
-func (s *Server) services(c *call) error {
-	return list(s, c, access.ActionReadConfig, func(e *config.Effective) []config.Service { return e.Services },
+func (s *Server) services(c *requestContext) error {
+	return listPage(s, c, access.ActionReadConfig, func(e *config.Effective) []config.Service { return e.Services },
 		func(v config.Service) (string, string) { return v.Name, v.Team })
 }
 
-// sites and pools belong to no team, and show nothing of any.
+// Sites and pools belong to no team and reveal nothing about teams, so all
+// operators may list them.
 
-func (s *Server) sites(c *call) error {
-	return list(s, c, access.ActionReadStatus, func(e *config.Effective) []config.Site { return e.Sites },
+func (s *Server) sites(c *requestContext) error {
+	return listPage(s, c, access.ActionReadStatus, func(e *config.Effective) []config.Site { return e.Sites },
 		func(v config.Site) (string, string) { return v.Name, access.FleetWide })
 }
 
-func (s *Server) pools(c *call) error {
-	return list(s, c, access.ActionReadStatus, func(e *config.Effective) []config.Pool { return e.Pools },
+func (s *Server) pools(c *requestContext) error {
+	return listPage(s, c, access.ActionReadStatus, func(e *config.Effective) []config.Pool { return e.Pools },
 		func(v config.Pool) (string, string) { return v.Name, access.FleetWide })
 }
 
-func accountOf(a config.Account) api.Account {
+func accountView(a config.Account) api.Account {
 	return api.Account{
 		Name: a.Name, Team: a.Team, Keys: len(a.KeyHashes), Weight: a.Weight,
 		RequestsPerSecond: a.RequestsPerSecond, Burst: a.Burst, Concurrency: a.Concurrency,
-		MaxPriority: a.MaxPriority, Services: orEmpty(a.Services), Models: orEmpty(a.Models),
+		MaxPriority: a.MaxPriority, Services: nonNil(a.Services), Models: nonNil(a.Models),
 	}
 }
 
-// list answers with those items of the configuration in force that the
-// operator may see. Pages go by name, so that no item is shown twice or left
-// out because others came or went; identity returns an item's name and team.
-func list[T any](s *Server, c *call, action access.Action, items func(*config.Effective) []T, identity func(T) (name, team string)) error {
+// listPage responds with a page of the items of the active configuration that the
+// operator may see. nameAndTeam returns the name and the team of an item. The
+// cursor is a name, so that no item is repeated or skipped when others are added
+// or removed between pages.
+func listPage[T any](s *Server, c *requestContext, action access.Action, items func(*config.Effective) []T, nameAndTeam func(T) (name, team string)) error {
 	if err := checkParams(c, api.ParamLimit, api.ParamCursor, api.ParamSite, api.ParamTeam); err != nil {
 		return err
 	}
-	limit, err := limitOf(c)
+	limit, err := pageLimit(c)
 	if err != nil {
 		return err
 	}
-	e, err := s.catalog.at(c)
+	e, err := s.catalog.effective(c)
 	if err != nil {
 		return err
 	}
-	seen := items(e)
-	seen = slices.DeleteFunc(slices.Clone(seen), func(item T) bool {
-		name, team := identity(item)
+	visibleItems := items(e)
+	visibleItems = slices.DeleteFunc(slices.Clone(visibleItems), func(item T) bool {
+		name, team := nameAndTeam(item)
 		return name <= c.QueryParam(api.ParamCursor) || !visible(c, action, team)
 	})
-	slices.SortFunc(seen, func(a, b T) int {
-		first, _ := identity(a)
-		second, _ := identity(b)
+	slices.SortFunc(visibleItems, func(a, b T) int {
+		first, _ := nameAndTeam(a)
+		second, _ := nameAndTeam(b)
 		return cmp.Compare(first, second)
 	})
-	page := api.Page[T]{Items: orEmpty(seen)}
-	if len(seen) > limit {
-		page.Items = seen[:limit]
-		page.Next, _ = identity(seen[limit-1])
+	page := api.Page[T]{Items: nonNil(visibleItems)}
+	if len(visibleItems) > limit {
+		page.Items = visibleItems[:limit]
+		page.Next, _ = nameAndTeam(visibleItems[limit-1])
 	}
 	return c.JSON(http.StatusOK, page)
 }
 
-// visible applies the operator's scope and the filter by team.
-func visible(c *call, action access.Action, team string) bool {
+// visible reports whether the operator's scope and the team filter of the query
+// include team.
+func visible(c *requestContext, action access.Action, team string) bool {
 	if want := c.QueryParam(api.ParamTeam); want != "" && want != team {
 		return false
 	}
--- a/internal/operate/admin/change.go
+++ b/internal/operate/admin/change.go
@@ -10,10 +10,10 @@
 	"damaskrouter.example/damaskrouter/internal/store/config"
 )
 
-// apply accepts a bundle as the next version.
-func (s *Server) apply(c *call) error {
+// apply handles a request to accept a bundle as the next version.
+func (s *Server) apply(c *requestContext) error {
 	var req api.ApplyRequest
-	if err := decode(c, maxBundleBody, &req); err != nil {
+	if err := decodeBody(c, maxBundleBody, &req); err != nil {
 		return err
 	}
 	change, err := newChange(c, req.Comment, req.Withdraw)
@@ -24,17 +24,18 @@
 	if problems := config.Validate(change.Bundle); len(problems) > 0 {
 		return &config.InvalidError{Problems: problems}
 	}
-	if err := s.checkScope(c, change); err != nil {
+	if err := s.authorizeChange(c, change); err != nil {
 		return err
 	}
 	v, err := s.Chain.Accept(c.ctx(), change)
-	return s.accepted(c, v, err)
+	return s.replyAccepted(c, v, err)
 }
 
-// rollback accepts the content of an earlier version as the next one.
-func (s *Server) rollback(c *call) error {
+// rollback handles a request to accept the content of an earlier version as the
+// next version.
+func (s *Server) rollback(c *requestContext) error {
 	var req api.RollbackRequest
-	if err := decode(c, maxBody, &req); err != nil {
+	if err := decodeBody(c, maxBody, &req); err != nil {
 		return err
 	}
 	change, err := newChange(c, req.Comment, req.Withdraw)
@@ -46,17 +47,17 @@
 		return err
 	}
 	change.Bundle = old.Bundle
-	if err := s.checkScope(c, change); err != nil {
+	if err := s.authorizeChange(c, change); err != nil {
 		return err
 	}
 	v, err := s.Chain.Rollback(c.ctx(), req.To, change)
-	return s.accepted(c, v, err)
+	return s.replyAccepted(c, v, err)
 }
 
-// newChange reads what all changes have in common, and refuses operators who
-// may change nothing before anything is read from the store.
-func newChange(c *call, comment string, withdraw bool) (config.Change, error) {
-	if err := anywhere(c.op, access.ActionEditConfig); err != nil {
+// newChange parses the common fields of changes. It rejects operators without any
+// edit permission before the store is read.
+func newChange(c *requestContext, comment string, withdraw bool) (config.Change, error) {
+	if err := authorizeAnyTeam(c.op, access.ActionEditConfig); err != nil {
 		return config.Change{}, err
 	}
 	if withdraw {
@@ -71,37 +72,39 @@
 	if id == "" {
 		return config.Change{}, httperr.BadRequest(api.HeaderChangeID + " is missing; without it a lost reply can't be settled")
 	}
-	expected, err := ifMatch(c)
+	expected, err := ifMatchVersion(c)
 	if err != nil {
 		return config.Change{}, err
 	}
 	return config.Change{Expected: expected, ChangeID: id, Author: c.op.Name, Comment: comment, Withdraw: withdraw}, nil
 }
 
-// checkScope compares the change with the version that it was made from. That
-// is the right one to compare with: it is accepted only if that version is
-// still in force at the commit, so that nothing can come in between.
-func (s *Server) checkScope(c *call, change config.Change) error {
+// authorizeChange checks the operator's permission for each difference between
+// the bundle and the version on which it is based. Comparing with that version is
+// sufficient, because the change is accepted only if the version is still active
+// at the commit.
+func (s *Server) authorizeChange(c *requestContext, change config.Change) error {
 	if access.Authorize(c.op, access.ActionEditConfig, access.FleetWide) == nil {
 		return nil
 	}
-	var before config.Bundle
+	var oldBundle config.Bundle
 	if change.Expected > 0 {
 		v, err := s.Chain.Load(c.ctx(), change.Expected)
 		if config.ErrNoVersion.Has(err) {
-			return s.neverInForce(c, change)
+			return s.missingVersionConflict(c, change)
 		}
 		if err != nil {
 			return err
 		}
-		before = v.Bundle
+		oldBundle = v.Bundle
 	}
-	return mayChange(c.op, before, change.Bundle)
+	return authorizePaths(c.op, oldBundle, change.Bundle)
 }
 
-// neverInForce refuses a change that names a version which does not exist.
-func (s *Server) neverInForce(c *call, change config.Change) error {
-	head, err := s.load(c, 0)
+// missingVersionConflict returns the error of a change that is based on a version
+// that does not exist.
+func (s *Server) missingVersionConflict(c *requestContext, change config.Change) error {
+	head, err := s.loadVersion(c, 0)
 	if err != nil {
 		return err
 	}
@@ -110,9 +113,9 @@
 	}
 }
 
-// accepted answers for a change, and spreads a new version so that routers
-// need not wait for the next reading of the head.
-func (s *Server) accepted(c *call, v config.Version, err error) error {
+// replyAccepted responds to a change. It announces the accepted version, so that
+// routers need not wait until they read the head again.
+func (s *Server) replyAccepted(c *requestContext, v config.Version, err error) error {
 	if err != nil {
 		return err
 	}
--- a/internal/operate/admin/claims.go
+++ b/internal/operate/admin/claims.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// targetDigits is how much of a key's hash names a claim in the trail.
-	targetDigits = 16
-	// settleTimeout bounds the entry that ends an operation, which is written
-	// also if the caller is gone.
-	settleTimeout = 3 * time.Second
+	// keyHashDigits is the number of hexadecimal digits of the key's hash that
+	// identify a claim in the audit trail.
+	keyHashDigits = 16
+	// outcomeTimeout limits the write of the entry with the outcome of an
+	// operation, which is written even if the client has disconnected.
+	outcomeTimeout = 3 * time.Second
 )
 
-// showClaim shows what is known of a non-idempotent request.
-func (s *Server) showClaim(c *call) error {
+// showClaim returns the claim of a non-idempotent request.
+func (s *Server) showClaim(c *requestContext) error {
 	if err := checkParams(c, api.ParamAccount, api.ParamKey); err != nil {
 		return err
 	}
@@ -38,12 +39,13 @@
 
 // resolveClaim applies an operator's verdict to a claim without an outcome.
 //
-// The claim's row is not ours to write, so the trail can't be part of its
-// transaction. An entry goes before it: were it only written afterwards, a
-// verdict could take effect without a trace when the store fails in between.
-func (s *Server) resolveClaim(c *call) error {
+// Package claim writes the row of the claim, so the audit entry cannot be part of
+// that transaction. An entry is written before it: if it were written only
+// afterwards and the store failed in between, a verdict could take effect without
+// an entry.
+func (s *Server) resolveClaim(c *requestContext) error {
 	var req api.ResolveRequest
-	if err := decode(c, maxBody, &req); err != nil {
+	if err := decodeBody(c, maxBody, &req); err != nil {
 		return err
 	}
 	k := claim.Key{Account: req.Account, IdempotencyKey: req.Key}
@@ -62,43 +64,45 @@
 		Detail:      string(req.Verdict),
 	}
 	if _, err := s.trail.Record(c.ctx(), entry); err != nil {
-		return notBegun(err)
+		return auditUnavailable(err)
 	}
 	err = s.Claims.Resolve(c.ctx(), k, req.Seen, req.Verdict)
-	s.settle(c.ctx(), entry, err)
+	s.recordOutcome(c.ctx(), entry, err)
 	if err != nil {
 		return err
 	}
 	view, err := s.Claims.Show(c.ctx(), k)
 	if err != nil {
-		// The verdict is in force; only its picture could not be read.
+		// The verdict has taken effect; only the read of the claim failed.
 		return c.NoContent(http.StatusNoContent)
 	}
 	return c.JSON(http.StatusOK, view)
 }
 
-// settle ends an operation in the trail. If that fails the entry "begun" stands
-// alone, which says that the outcome is to be looked up.
-func (s *Server) settle(ctx context.Context, entry audit.Entry, outcome error) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
+// recordOutcome writes the audit entry with the outcome of an operation. If the
+// write fails, only the entry "begun" exists, which means that the outcome has to
+// be looked up.
+func (s *Server) recordOutcome(ctx context.Context, entry audit.Entry, result error) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), outcomeTimeout)
 	defer cancel()
-	entry.Outcome = outcomeOf(outcome)
+	entry.Outcome = outcomeOf(result)
 	if _, err := s.trail.Record(ctx, entry); err != nil {
-		s.Log.Error("outcome not in the audit trail", "id", entry.ID, "action", entry.Action,
+		s.Log.Error("cannot record the outcome in the audit trail", "id", entry.ID, "action", entry.Action,
 			"outcome", entry.Outcome, "actor", entry.Actor, "target", entry.Target, "cause", err)
 	}
 }
 
-// authorizeClaim returns the team of the claim's account.
-func (s *Server) authorizeClaim(c *call, action access.Action, k claim.Key) (string, error) {
-	team, err := s.catalog.teamOf(k.Account)
+// authorizeClaim returns the team of the claim's account, or an error if the
+// operator may not take the action for that team.
+func (s *Server) authorizeClaim(c *requestContext, action access.Action, k claim.Key) (string, error) {
+	team, err := s.catalog.accountTeam(k.Account)
 	if err != nil {
 		return "", err
 	}
 	return team, access.Authorize(c.op, action, team)
 }
 
-// claimTarget names a claim without showing the caller's key.
+// claimTarget identifies a claim without revealing its idempotency key.
 func claimTarget(k claim.Key) string {
-	return "claim " + k.Account + "/" + access.HashSecret(k.IdempotencyKey).String()[:targetDigits]
+	return "claim " + k.Account + "/" + access.HashSecret(k.IdempotencyKey).String()[:keyHashDigits]
 }
--- a/internal/operate/admin/client/client.go
+++ b/internal/operate/admin/client/client.go
@@ -1,4 +1,4 @@
-// Package client calls the administration API.
+// Package client is a client of the administration API.
 package client
 
 import (
@@ -21,32 +21,33 @@
 )
 
 var (
-	// ErrOptions means that the client can't be made from its options.
+	// ErrOptions reports invalid options or an invalid request.
 	ErrOptions = errs.Class("administration client")
-	// ErrNotSent means that no connection could be made; nothing happened.
+	// ErrNotSent means that no connection was established, so the request had no
+	// effect.
 	ErrNotSent = errs.Class("router not reached")
-	// ErrNoReply means that the call was sent and no whole reply came. A
-	// change may have taken effect.
+	// ErrNoReply means that the request may have been sent, but no complete
+	// response was received. A change may have taken effect.
 	ErrNoReply = errs.Class("no reply from the router")
 )
 
 const (
-	// callTimeout bounds one call. It is longer than the server's own bound.
+	// callTimeout limits a request. It is longer than the server's default limit.
 	callTimeout = 15 * time.Second
 	dialTimeout = 5 * time.Second
-	// maxReply bounds a reply, in bytes.
-	maxReply = 64 << 20
+	// maxReplyBytes limits the size of a response body.
+	maxReplyBytes = 64 << 20
 )
 
 // Options configures a Client.
 type Options struct {
-	// Address is the admin address of any router: a host and port, or a URL
-	// that begins with https:// for TLS.
+	// Address is the admin address of any router: a host and port, or an
+	// https:// URL for TLS.
 	Address string
 	// Token is the operator's token.
 	Token string
-	// CA is a PEM file with the authority of the routers' certificates; empty
-	// for those of the system.
+	// CA is the path of a PEM file with the authority of the routers'
+	// certificates; empty for the system's authorities.
 	CA string
 }
 
@@ -68,8 +69,8 @@
 		return nil, err
 	}
 	transport := &http.Transport{
-		// A connection of its own for each call: net/http sends a request
-		// again by itself only on a reused one, and a reused one may be dead.
+		// Each request uses a new connection: net/http retries a request on its
+		// own only on a reused connection, and a reused one may be dead.
 		DisableKeepAlives:   true,
 		TLSHandshakeTimeout: dialTimeout,
 		TLSClientConfig:     &tls.Config{RootCAs: roots, MinVersion: tls.VersionTLS13},
@@ -81,7 +82,7 @@
 			Transport: transport,
 			Timeout:   callTimeout,
 			CheckRedirect: func(*http.Request, []*http.Request) error {
-				// The token is for this router only.
+				// The token must not be sent to another host.
 				return http.ErrUseLastResponse
 			},
 		},
@@ -117,35 +118,36 @@
 	return roots, nil
 }
 
-// Request is one call.
+// Request is a request to the API.
 type Request struct {
 	Method string
 	Path   string
 	Query  url.Values
 	Header http.Header
-	// Body is sent as JSON; nil for none.
+	// Body is sent as JSON; nil means no body.
 	Body any
 }
 
-// Do makes a call, decodes the reply into out unless that is nil, and returns
-// the reply's text. Errors: *api.Failure for a refusal, ErrNotSent, ErrNoReply.
+// Do sends a request, decodes the response into out unless out is nil, and
+// returns the response body. Errors: *api.Failure for an error response,
+// ErrOptions, ErrNotSent, ErrNoReply.
 func (c *Client) Do(ctx context.Context, r Request, out any) ([]byte, error) {
 	req, err := c.request(ctx, r)
 	if err != nil {
 		return nil, err
 	}
-	trace := &sentTrace{}
-	res, err := c.http.Do(trace.on(req))
+	trace := &connTrace{}
+	res, err := c.http.Do(trace.attach(req))
 	if err != nil {
 		return nil, trace.classify(err)
 	}
 	defer func() { _ = res.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(res.Body, maxReply))
+	data, err := io.ReadAll(io.LimitReader(res.Body, maxReplyBytes))
 	if err != nil {
 		return nil, ErrNoReply.Wrap(err)
 	}
 	if res.StatusCode >= http.StatusMultipleChoices {
-		return data, failure(res, data)
+		return data, decodeFailure(res, data)
 	}
 	if out == nil || len(data) == 0 {
 		return data, nil
@@ -175,9 +177,9 @@
 	return req, nil
 }
 
-// failure decodes a refusal. A reply of another shape comes from something
-// between here and the router, and proves nothing about the call.
-func failure(res *http.Response, data []byte) error {
+// decodeFailure decodes an error response. A response in another format comes
+// from an intermediary, and it does not show whether the request took effect.
+func decodeFailure(res *http.Response, data []byte) error {
 	var reply api.FailureReply
 	if err := json.Unmarshal(data, &reply); err != nil || reply.Error == nil || reply.Error.Code == "" {
 		return ErrNoReply.New("status %s and no answer of a router", res.Status)
@@ -186,8 +188,8 @@
 	return reply.Error
 }
 
-// Unsettled reports whether a change that failed with err may have taken
-// effect, so that it should be sent again with the same id.
+// Unsettled reports whether a change that failed with err may have taken effect.
+// It should then be sent again with the same id.
 func Unsettled(err error) bool {
 	if ErrNoReply.Has(err) {
 		return true
--- a/internal/operate/admin/client/trace.go
+++ b/internal/operate/admin/client/trace.go
@@ -6,20 +6,21 @@
 	"sync/atomic"
 )
 
-// sentTrace notes whether a connection was made. Without one, the call
-// provably had no effect.
-type sentTrace struct {
+// connTrace records whether a connection was established. Without a connection,
+// the request cannot have taken effect.
+type connTrace struct {
 	connected atomic.Bool
 }
 
-// on returns the request with the trace.
-func (t *sentTrace) on(req *http.Request) *http.Request {
+// attach returns req with the trace in its context.
+func (t *connTrace) attach(req *http.Request) *http.Request {
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { t.connected.Store(true) }}
 	return req.WithContext(httptrace.WithClientTrace(req.Context(), trace))
 }
 
-// classify sorts the error of a call by what it proves.
-func (t *sentTrace) classify(err error) error {
+// classify wraps err in ErrNotSent if there was no connection, otherwise in
+// ErrNoReply.
+func (t *connTrace) classify(err error) error {
 	if t.connected.Load() {
 		return ErrNoReply.Wrap(err)
 	}
--- a/internal/operate/admin/config.go
+++ b/internal/operate/admin/config.go
@@ -8,8 +8,8 @@
 	"damaskrouter.example/damaskrouter/internal/store/config"
 )
 
-// head shows which version is in force.
-func (s *Server) head(c *call) error {
+// head returns the active version.
+func (s *Server) head(c *requestContext) error {
 	if err := access.Authorize(c.op, access.ActionReadStatus, access.FleetWide); err != nil {
 		return err
 	}
@@ -21,9 +21,9 @@
 	return c.JSON(http.StatusOK, head)
 }
 
-// version shows one version with its files.
-func (s *Server) version(c *call) error {
-	if err := mayReadBundle(c.op); err != nil {
+// version returns a version with its files.
+func (s *Server) version(c *requestContext) error {
+	if err := authorizeReadBundle(c.op); err != nil {
 		return err
 	}
 	number, err := parseVersion(c.Param("version"))
@@ -42,23 +42,23 @@
 	return c.JSON(http.StatusOK, api.VersionFiles{Version: v, Files: files})
 }
 
-// history lists the versions, newest first.
-func (s *Server) history(c *call) error {
+// history returns a page of the versions, newest first.
+func (s *Server) history(c *requestContext) error {
 	if err := access.Authorize(c.op, access.ActionReadStatus, access.FleetWide); err != nil {
 		return err
 	}
 	if err := checkParams(c, api.ParamLimit, api.ParamCursor); err != nil {
 		return err
 	}
-	limit, err := limitOf(c)
+	limit, err := pageLimit(c)
 	if err != nil {
 		return err
 	}
-	top, err := s.historyTop(c)
+	newest, err := s.historyStart(c)
 	if err != nil {
 		return err
 	}
-	versions, err := s.trail.Versions(c.ctx(), top, limit)
+	versions, err := s.trail.Versions(c.ctx(), newest, limit)
 	if err != nil {
 		return err
 	}
@@ -69,8 +69,9 @@
 	return c.JSON(http.StatusOK, page)
 }
 
-// historyTop is where a page begins: at the cursor, or at the head.
-func (s *Server) historyTop(c *call) (uint64, error) {
+// historyStart returns the first version of a page: the cursor, or the head if the
+// query has no cursor.
+func (s *Server) historyStart(c *requestContext) (uint64, error) {
 	if text := c.QueryParam(api.ParamCursor); text != "" {
 		return parseVersion(text)
 	}
@@ -78,23 +79,23 @@
 	return head.Version, err
 }
 
-// check says what is wrong with a bundle, by itself and as the next version.
-func (s *Server) check(c *call) error {
-	if err := mayReadBundle(c.op); err != nil {
+// check returns the problems of a bundle itself and as the next version.
+func (s *Server) check(c *requestContext) error {
+	if err := authorizeReadBundle(c.op); err != nil {
 		return err
 	}
 	var req api.CheckRequest
-	if err := decode(c, maxBundleBody, &req); err != nil {
+	if err := decodeBody(c, maxBundleBody, &req); err != nil {
 		return err
 	}
-	old, err := s.load(c, 0)
+	old, err := s.loadVersion(c, 0)
 	if err != nil {
 		return err
 	}
-	after := req.Files.Bundle()
+	proposed := req.Files.Bundle()
 	reply := api.CheckReply{
 		Version:        old.Number,
-		Problems:       orEmpty(config.Validate(after)),
+		Problems:       nonNil(config.Validate(proposed)),
 		ChangeProblems: []config.Problem{},
 		Forbidden:      []string{},
 	}
@@ -102,44 +103,45 @@
 		return c.JSON(http.StatusOK, reply)
 	}
 	if old.Number > 0 {
-		reply.ChangeProblems = orEmpty(config.ValidateChange(old.Bundle, after))
+		reply.ChangeProblems = nonNil(config.ValidateChange(old.Bundle, proposed))
 	}
 	if access.Authorize(c.op, access.ActionEditConfig, access.FleetWide) != nil {
-		paths, err := forbidden(c.op, old.Bundle, after)
+		paths, err := forbiddenPaths(c.op, old.Bundle, proposed)
 		if err != nil {
 			return err
 		}
-		reply.Forbidden = orEmpty(paths)
+		reply.Forbidden = nonNil(paths)
 	}
 	return c.JSON(http.StatusOK, reply)
 }
 
-// diff says what changes between two versions, or from a version to files.
-func (s *Server) diff(c *call) error {
-	if err := mayReadBundle(c.op); err != nil {
+// diff returns the differences between two versions, or between a version and
+// files.
+func (s *Server) diff(c *requestContext) error {
+	if err := authorizeReadBundle(c.op); err != nil {
 		return err
 	}
 	var req api.DiffRequest
-	if err := decode(c, maxBundleBody, &req); err != nil {
+	if err := decodeBody(c, maxBundleBody, &req); err != nil {
 		return err
 	}
-	from, err := s.load(c, req.From)
+	from, err := s.loadVersion(c, req.From)
 	if err != nil {
 		return err
 	}
 	to := config.Version{}
 	if req.Files != nil {
 		to.Bundle = req.Files.Bundle()
-	} else if to, err = s.load(c, req.To); err != nil {
+	} else if to, err = s.loadVersion(c, req.To); err != nil {
 		return err
 	}
-	lines := orEmpty(config.Diff(from.Bundle, to.Bundle))
+	lines := nonNil(config.Diff(from.Bundle, to.Bundle))
 	return c.JSON(http.StatusOK, api.DiffReply{From: from.Number, To: to.Number, Lines: lines})
 }
 
-// load returns a version; 0 stands for the one in force, and gives an empty
-// one where there is none yet.
-func (s *Server) load(c *call, number uint64) (config.Version, error) {
+// loadVersion returns a version. 0 means the active version, which is empty if
+// none has been accepted yet.
+func (s *Server) loadVersion(c *requestContext, number uint64) (config.Version, error) {
 	if number == 0 {
 		head, err := s.Chain.Head(c.ctx())
 		if err != nil || head.Version == 0 {
@@ -150,10 +152,10 @@
 	return s.Chain.Load(c.ctx(), number)
 }
 
-// orEmpty makes an empty list be sent as one, not as null.
-func orEmpty[T any](list []T) []T {
-	if list == nil {
+// nonNil returns an empty list for nil, so that JSON has [] instead of null.
+func nonNil[T any](items []T) []T {
+	if items == nil {
 		return []T{}
 	}
-	return list
+	return items
 }
--- a/internal/operate/admin/doc_test.go
+++ b/internal/operate/admin/doc_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDocumentation keeps docs/API.md complete: each code and each call is in it.
-func TestDocumentation(t *testing.T) {
+// docs/API.md must list each error code and each endpoint.
+func TestAPIDocumentationIsComplete(t *testing.T) {
 	doc, err := os.ReadFile("../../../docs/API.md")
 	require.NoError(t, err)
 	source, err := os.ReadFile("../../serve/apierr/apierr.go")
@@ -20,7 +20,7 @@
 	for _, code := range codes {
 		assert.Contains(t, string(doc), "| `"+code[1]+"` |")
 	}
-	for _, r := range new(Server).table() {
+	for _, r := range new(Server).apiRoutes() {
 		assert.Contains(t, string(doc), "`"+r.method+" "+r.path)
 	}
 }
--- a/internal/operate/admin/errors.go
+++ b/internal/operate/admin/errors.go
@@ -18,10 +18,10 @@
 	"github.com/labstack/echo/v4"
 )
 
-// storeRetry is when to come back after the store could not be used.
-const storeRetry = 2 * time.Second
+// storeRetryAfter is the Retry-After of errors that the store caused.
+const storeRetryAfter = 2 * time.Second
 
-// forbiddenError reports a change of what belongs to others.
+// forbiddenError reports a change of paths that the operator may not change.
 type forbiddenError struct {
 	operator string
 	paths    []string
@@ -32,15 +32,15 @@
 	return fmt.Sprintf("admin: %s may not change %d of the changed paths", e.operator, len(e.paths))
 }
 
-// handleError writes err to the operator. It is the only place where errors
-// become answers, so that each says whether the change took effect.
+// handleError writes the error response of err. All errors are converted here, so
+// that every response tells whether the change took effect.
 func (s *Server) handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
 	f := translate(err)
 	if c.Request().Method == http.MethodGet {
-		// A read changes nothing, whatever failed.
+		// A read never takes effect.
 		f.Ran = apierr.RanNo
 	}
 	h := c.Response().Header()
@@ -50,20 +50,20 @@
 		h.Set(echo.HeaderWWWAuthenticate, "Bearer")
 	}
 	if f.Status >= http.StatusInternalServerError {
-		s.Log.Warn("administration call failed", "code", f.Code, "ran", f.Ran, "request", f.RequestID, "cause", err)
+		s.Log.Warn("admin API request failed", "code", f.Code, "ran", f.Ran, "request", f.RequestID, "cause", err)
 	}
-	if werr := c.JSON(f.Status, api.FailureReply{Error: f}); werr != nil {
-		s.Log.Debug("refusal not delivered", "request", f.RequestID, "cause", werr)
+	if writeErr := c.JSON(f.Status, api.FailureReply{Error: f}); writeErr != nil {
+		s.Log.Debug("cannot write the error response", "request", f.RequestID, "cause", writeErr)
 	}
 }
 
-// translate sorts an error by what it proves. What may have taken effect
-// comes first: such an error often wraps one that, by itself, proves the
-// opposite.
+// translate converts an error to a Failure. Errors of changes that may have taken
+// effect are checked first, since they often wrap an error that on its own would
+// mean that the change did not take effect.
 func translate(err error) *api.Failure {
-	var known *apierr.Error
-	if errors.As(err, &known) {
-		return api.NewFailure(known)
+	var apiErr *apierr.Error
+	if errors.As(err, &apiErr) {
+		return api.NewFailure(apiErr)
 	}
 	var unknown *config.OutcomeUnknownError
 	if errors.As(err, &unknown) || platform.ErrOutcomeUnknown.Has(err) {
@@ -81,26 +81,26 @@
 	return api.NewFailure(httperr.From(err))
 }
 
-// translateChange handles the refusals that carry details.
+// translateChange converts the errors that have details.
 func translateChange(err error) *api.Failure {
 	var invalid *config.InvalidError
-	var lost *config.ConflictError
-	var changed *platform.ConflictError
+	var versionConflict *config.ConflictError
+	var rowConflict *platform.ConflictError
 	var forbidden *forbiddenError
 	switch {
 	case errors.As(err, &invalid):
 		f := api.NewFailure(apierr.New(apierr.CodeInvalidConfig, http.StatusUnprocessableEntity, "the configuration was refused"))
 		f.Problems = invalid.Problems
 		return f
-	case errors.As(err, &lost):
+	case errors.As(err, &versionConflict):
 		f := api.NewFailure(conflict("another version is in force"))
 		f.Conflict = &api.Conflict{
-			Version: int64(lost.Version), Hash: lost.Hash.String(), Author: lost.Author, Expected: int64(lost.Expected),
+			Version: int64(versionConflict.Version), Hash: versionConflict.Hash.String(), Author: versionConflict.Author, Expected: int64(versionConflict.Expected),
 		}
 		return f
-	case errors.As(err, &changed):
+	case errors.As(err, &rowConflict):
 		f := api.NewFailure(conflict("somebody else changed it first; read it again"))
-		f.Conflict = &api.Conflict{Version: changed.Current.Version}
+		f.Conflict = &api.Conflict{Version: rowConflict.Current.Version}
 		return f
 	case errors.As(err, &forbidden):
 		f := api.NewFailure(apierr.New(apierr.CodeForbidden, http.StatusForbidden, "the change reaches beyond your teams"))
@@ -139,7 +139,7 @@
 		return apierr.New(apierr.CodeNotFound, http.StatusNotFound, "nothing is stored under that name")
 	case platform.ErrUnavailable.Has(err), platform.ErrBudget.Has(err), audit.ErrContended.Has(err):
 		return apierr.New(apierr.CodeStoreDown, http.StatusServiceUnavailable, "the table service can't be used now").
-			WithRetryAfter(storeRetry)
+			WithRetryAfter(storeRetryAfter)
 	}
 	return nil
 }
@@ -151,5 +151,5 @@
 func outcomeUnknown(err error) *apierr.Error {
 	return apierr.New(apierr.CodeOutcomeUnknown, http.StatusServiceUnavailable,
 		"the change may or may not have taken effect; the same call again settles it").
-		WithRan(apierr.RanUnknown).WithRetryAfter(storeRetry).WithCause(err)
+		WithRan(apierr.RanUnknown).WithRetryAfter(storeRetryAfter).WithCause(err)
 }
--- a/internal/operate/admin/harness_test.go
+++ b/internal/operate/admin/harness_test.go
@@ -49,14 +49,14 @@
 	return api.Files{Base: fmt.Sprintf(baseText, 1, 2), Overlays: map[string]string{"north": overlayText}}
 }
 
-// edited replaces text in the base file.
-func edited(old, new string) api.Files {
+// replaceInBase returns the test files with old replaced by new in the base file.
+func replaceInBase(old, new string) api.Files {
 	f := testFiles()
 	f.Base = strings.Replace(f.Base, old, new, 1)
 	return f
 }
 
-// harness is an administration server over a fake store.
+// harness runs an administration server with a fake store.
 type harness struct {
 	t      *testing.T
 	store  *platformtest.Fake
@@ -66,14 +66,14 @@
 	server *httptest.Server
 	admin  *Server
 
-	mu       sync.Mutex
-	now      time.Time
-	accepted []config.Head
-	inForce  config.Version
-	changes  int
+	mu            sync.Mutex
+	now           time.Time
+	acceptedHeads []config.Head
+	activeVersion config.Version
+	changeCount   int
 }
 
-// newHarness has version 1 accepted and in force.
+// newHarness returns a harness in which version 1 is accepted and active.
 func newHarness(t *testing.T) *harness {
 	h := &harness{t: t, store: platformtest.New(), now: startTime}
 	h.chain = config.NewChain(h.store, h.store.Objects(), h.clock)
@@ -86,8 +86,8 @@
 	var err error
 	h.admin, err = New(Options{
 		Board: h.board, Chain: h.chain, Claims: h.claims, Table: h.store,
-		InForce:       func() (uint64, config.Bundle, error) { return h.inForce.Number, h.inForce.Bundle, nil },
-		Accepted:      h.note,
+		InForce:       func() (uint64, config.Bundle, error) { return h.activeVersion.Number, h.activeVersion.Bundle, nil },
+		Accepted:      h.recordAccepted,
 		BootstrapHash: access.HashSecret(rootToken).String(),
 		Log:           log.New(io.Discard),
 		Now:           h.clock,
@@ -96,7 +96,7 @@
 	require.NoError(t, err)
 	h.server = httptest.NewServer(h.admin.Handler())
 	t.Cleanup(h.server.Close)
-	h.inForce, err = h.chain.Accept(ctx, config.Change{Bundle: testFiles().Bundle(), ChangeID: "seed", Author: "seed"})
+	h.activeVersion, err = h.chain.Accept(ctx, config.Change{Bundle: testFiles().Bundle(), ChangeID: "seed", Author: "seed"})
 	require.NoError(t, err)
 	return h
 }
@@ -107,19 +107,19 @@
 	return h.now
 }
 
-func (h *harness) pass(d time.Duration) {
+func (h *harness) advance(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.now = h.now.Add(d)
 }
 
-func (h *harness) note(head config.Head) {
+func (h *harness) recordAccepted(head config.Head) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.accepted = append(h.accepted, head)
+	h.acceptedHeads = append(h.acceptedHeads, head)
 }
 
-// call makes one call and returns its failure, or nil.
+// call sends a request and returns its failure, or nil.
 func (h *harness) call(token string, r client.Request, out any) *api.Failure {
 	h.t.Helper()
 	c, err := client.New(client.Options{Address: h.server.URL, Token: token})
@@ -145,8 +145,8 @@
 	return h.call(token, client.Request{Method: http.MethodPost, Path: path, Body: body}, out)
 }
 
-// change sends a change of the configuration under an id.
-func (h *harness) change(token, path, id string, from uint64, body any) (config.Version, *api.Failure) {
+// sendChange sends a configuration change with the given id and base version.
+func (h *harness) sendChange(token, path, id string, from uint64, body any) (config.Version, *api.Failure) {
 	h.t.Helper()
 	var v config.Version
 	f := h.call(token, client.Request{Method: http.MethodPost, Path: path, Body: body, Header: http.Header{
@@ -155,15 +155,15 @@
 	return v, f
 }
 
-// apply is change for files, with a fresh id.
-func (h *harness) apply(token string, from uint64, files api.Files) (config.Version, *api.Failure) {
+// applyFiles sends a change to files with a new id.
+func (h *harness) applyFiles(token string, from uint64, files api.Files) (config.Version, *api.Failure) {
 	h.t.Helper()
-	h.changes++
-	return h.change(token, api.PathConfig, fmt.Sprint("change-", h.changes), from, api.ApplyRequest{Files: files, Comment: "why"})
+	h.changeCount++
+	return h.sendChange(token, api.PathConfig, fmt.Sprint("change-", h.changeCount), from, api.ApplyRequest{Files: files, Comment: "why"})
 }
 
-// operator issues a token.
-func (h *harness) operator(name string, role access.Role, teams ...string) string {
+// addOperator adds an operator and returns its token.
+func (h *harness) addOperator(name string, role access.Role, teams ...string) string {
 	h.t.Helper()
 	req := api.AddOperatorRequest{Name: name, Role: role, Teams: teams}
 	if role == access.RoleBreakGlass {
@@ -174,9 +174,8 @@
 	return reply.Token
 }
 
-// claimed leaves a claim without an outcome behind, and returns the version of its
-// row.
-func (h *harness) claimed(account, key string) int64 {
+// addClaim adds a claim without an outcome and returns the version of its row.
+func (h *harness) addClaim(account, key string) int64 {
 	h.t.Helper()
 	k := claim.Key{Account: account, IdempotencyKey: key, Service: "portal"}
 	out, err := h.claims.Begin(context.Background(), k, claim.HashBody(nil))
@@ -187,8 +186,8 @@
 	return view.Version
 }
 
-// rows returns everything that the store holds, behind its faults.
-func (h *harness) rows() []platform.Row {
+// storedRows returns all rows of the store and bypasses injected faults.
+func (h *harness) storedRows() []platform.Row {
 	h.t.Helper()
 	var all []platform.Row
 	for _, table := range []string{
--- a/internal/operate/admin/input.go
+++ b/internal/operate/admin/input.go
@@ -27,7 +27,7 @@
 
 const bearerPrefix = "Bearer "
 
-func bearer(r *http.Request) string {
+func bearerToken(r *http.Request) string {
 	token, ok := strings.CutPrefix(r.Header.Get(echo.HeaderAuthorization), bearerPrefix)
 	if !ok {
 		return ""
@@ -35,15 +35,16 @@
 	return token
 }
 
-// decode reads a JSON body of at most limit bytes. Unknown fields are refused:
-// a misspelt one would be ignored, and its author told that all is well.
-func decode(c *call, limit int64, into any) error {
+// decodeBody decodes a JSON body of at most limit bytes. It rejects unknown
+// fields: a misspelt field would otherwise be ignored and the request would
+// succeed.
+func decodeBody(c *requestContext, limit int64, into any) error {
 	body := http.MaxBytesReader(c.Response(), c.Request().Body, limit)
 	d := json.NewDecoder(body)
 	d.DisallowUnknownFields()
 	err := d.Decode(into)
 	if err == nil {
-		err = atEnd(d)
+		err = rejectTrailingData(d)
 	}
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -55,8 +56,8 @@
 	return nil
 }
 
-// atEnd refuses a second value after the first.
-func atEnd(d *json.Decoder) error {
+// rejectTrailingData rejects a second JSON value in the body.
+func rejectTrailingData(d *json.Decoder) error {
 	_, err := d.Token()
 	if err == io.EOF {
 		return nil
@@ -67,9 +68,10 @@
 	return err
 }
 
-// ifMatch reads the version that a change was made from. There is no default:
-// a change made from an unnamed version would overwrite whatever came between.
-func ifMatch(c *call) (uint64, error) {
+// ifMatchVersion returns the version on which a change is based. There is no
+// default: a change without a base version could overwrite changes that were made
+// in between.
+func ifMatchVersion(c *requestContext) (uint64, error) {
 	text := c.Request().Header.Get("If-Match")
 	if text == "" {
 		return 0, apierr.New(apierr.CodeBadRequest, http.StatusPreconditionRequired,
@@ -82,7 +84,7 @@
 	return version, nil
 }
 
-// etag is the entity tag of a version.
+// etag returns the entity tag of a version.
 func etag(version uint64) string { return strconv.Quote(strconv.FormatUint(version, 10)) }
 
 func parseVersion(text string) (uint64, error) {
@@ -93,8 +95,8 @@
 	return version, nil
 }
 
-// limitOf reads how many items a page may hold.
-func limitOf(c *call) (int, error) {
+// pageLimit returns the requested maximum number of items of a page.
+func pageLimit(c *requestContext) (int, error) {
 	text := c.QueryParam(api.ParamLimit)
 	if text == "" {
 		return api.DefaultLimit, nil
@@ -106,9 +108,9 @@
 	return limit, nil
 }
 
-// checkParams refuses query parameters that the call doesn't know. A filter
-// that is misspelt and ignored shows more than was asked for.
-func checkParams(c *call, known ...string) error {
+// checkParams rejects unknown and repeated query parameters. A misspelt filter
+// would otherwise be ignored and the response would contain too much.
+func checkParams(c *requestContext, known ...string) error {
 	for name, values := range c.QueryParams() {
 		if !slices.Contains(known, name) {
 			return httperr.BadRequest("unknown parameter " + strconv.Quote(name))
--- a/internal/operate/admin/operators.go
+++ b/internal/operate/admin/operators.go
@@ -17,25 +17,26 @@
 	"github.com/google/uuid"
 )
 
-// maxTokenLife bounds the life of a token that expires, in seconds.
-const maxTokenLife = 10 * 365 * 24 * 3600
+// maxTokenLifetime is the maximum lifetime of a token that expires, in seconds.
+const maxTokenLifetime = 10 * 365 * 24 * 3600
 
-// operatorName keeps names fit for keys, log lines and terminals.
-var operatorName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._@-]{0,63}$`)
+// operatorNamePattern allows names that are safe in keys, log lines and terminals.
+var operatorNamePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._@-]{0,63}$`)
 
-// listOperators shows those operators whom the caller could have made.
-func (s *Server) listOperators(c *call) error {
-	if err := anywhere(c.op, access.ActionIssueToken); err != nil {
+// listOperators returns a page of the operators that the requesting operator could
+// have added.
+func (s *Server) listOperators(c *requestContext) error {
+	if err := authorizeAnyTeam(c.op, access.ActionIssueToken); err != nil {
 		return err
 	}
 	if err := checkParams(c, api.ParamLimit, api.ParamCursor); err != nil {
 		return err
 	}
-	limit, err := limitOf(c)
+	limit, err := pageLimit(c)
 	if err != nil {
 		return err
 	}
-	rows, err := s.directory.list(c.ctx())
+	rows, err := s.operators.list(c.ctx())
 	if err != nil {
 		return err
 	}
@@ -61,31 +62,30 @@
 	}
 }
 
-// addOperator issues a token. The store keeps only its hash, so that a reply
-// that is lost on its way to the caller loses the token: it is revoked and
-// another one issued.
-func (s *Server) addOperator(c *call) error {
+// addOperator issues a token. The store has only its hash, so if the response is
+// lost, the token is lost too and has to be revoked and issued again.
+func (s *Server) addOperator(c *requestContext) error {
 	var req api.AddOperatorRequest
-	if err := decode(c, maxBody, &req); err != nil {
+	if err := decodeBody(c, maxBody, &req); err != nil {
 		return err
 	}
 	row, token, err := s.newOperator(c, req)
 	if err != nil {
 		return err
 	}
-	before, err := s.replaces(c, row.Name)
+	oldVersion, err := s.revokedVersion(c, row.Name)
 	if err != nil {
 		return err
 	}
-	if err := s.writeOperator(c, audit.ActionOperatorAdd, row, before); err != nil {
+	if err := s.writeOperator(c, audit.ActionOperatorAdd, row, oldVersion); err != nil {
 		return err
 	}
 	return c.JSON(http.StatusCreated, api.AddOperatorReply{Operator: row.view(), Token: token})
 }
 
-// newOperator checks a request for a token and makes the token.
-func (s *Server) newOperator(c *call, req api.AddOperatorRequest) (*operatorRow, string, error) {
-	if err := checkOperator(req); err != nil {
+// newOperator validates a request for a token and generates the token.
+func (s *Server) newOperator(c *requestContext, req api.AddOperatorRequest) (*operatorRow, string, error) {
+	if err := validateOperatorRequest(req); err != nil {
 		return nil, "", err
 	}
 	now := s.Now().UTC()
@@ -100,7 +100,7 @@
 	if err := access.AuthorizeGrant(c.op, &row.Operator); err != nil {
 		return nil, "", err
 	}
-	if err := s.knownTeams(req.Teams); err != nil {
+	if err := s.checkTeamsExist(req.Teams); err != nil {
 		return nil, "", err
 	}
 	token, err := access.NewSecret(s.Rand, access.PrefixOperator)
@@ -112,22 +112,22 @@
 	return row, token, err
 }
 
-func checkOperator(req api.AddOperatorRequest) error {
+func validateOperatorRequest(req api.AddOperatorRequest) error {
 	switch {
-	case !operatorName.MatchString(req.Name):
+	case !operatorNamePattern.MatchString(req.Name):
 		return httperr.BadRequest("a name has up to 64 letters, digits and . _ @ -, and begins with a letter or digit")
 	case req.Name == BootstrapOperator:
 		return httperr.BadRequest("the name " + BootstrapOperator + " is that of the token in the settings")
-	case req.ExpiresIn < 0 || req.ExpiresIn > maxTokenLife:
-		return httperr.BadRequest("expires_in_seconds is from 0 to " + strconv.Itoa(maxTokenLife))
+	case req.ExpiresIn < 0 || req.ExpiresIn > maxTokenLifetime:
+		return httperr.BadRequest("expires_in_seconds is from 0 to " + strconv.Itoa(maxTokenLifetime))
 	}
 	return nil
 }
 
-// knownTeams refuses a scope that names a team which does not exist. The token
-// would be good for nothing now, and for something unforeseen once somebody
-// creates a team of that name.
-func (s *Server) knownTeams(teams []string) error {
+// checkTeamsExist rejects a scope with an unknown team. Such a token would have no
+// permissions now and would gain unintended ones if a team of that name were
+// created later.
+func (s *Server) checkTeamsExist(teams []string) error {
 	if len(teams) == 0 {
 		return nil
 	}
@@ -136,21 +136,22 @@
 		return err
 	}
 	for _, name := range teams {
-		known := false
+		found := false
 		for _, t := range parsed.Document.Teams {
-			known = known || t.Name == name
+			found = found || t.Name == name
 		}
-		if !known {
+		if !found {
 			return httperr.BadRequest("no team is called " + strconv.Quote(name))
 		}
 	}
 	return nil
 }
 
-// replaces returns the version of the revoked row that a new operator takes
-// the place of, or 0. An operator whose token is valid is a conflict.
-func (s *Server) replaces(c *call, name string) (int64, error) {
-	old, err := s.directory.get(c.ctx(), name)
+// revokedVersion returns the version of the revoked row that a new operator of
+// that name replaces, or 0 if there is no row. An operator that is not revoked is
+// a conflict.
+func (s *Server) revokedVersion(c *requestContext, name string) (int64, error) {
+	old, err := s.operators.get(c.ctx(), name)
 	if platform.ErrNotFound.Has(err) {
 		return 0, nil
 	}
@@ -163,13 +164,13 @@
 	return old.version, nil
 }
 
-// revokeOperator makes a token invalid: here at once, at other routers within
-// freshFor while the store can be read.
-func (s *Server) revokeOperator(c *call) error {
-	if err := anywhere(c.op, access.ActionIssueToken); err != nil {
+// revokeOperator revokes a token. It becomes invalid at this router at once and at
+// other routers within refreshInterval if they can read the store.
+func (s *Server) revokeOperator(c *requestContext) error {
+	if err := authorizeAnyTeam(c.op, access.ActionIssueToken); err != nil {
 		return err
 	}
-	old, err := s.directory.get(c.ctx(), c.Param("name"))
+	old, err := s.operators.get(c.ctx(), c.Param("name"))
 	if err != nil {
 		return err
 	}
@@ -189,8 +190,8 @@
 }
 
 // writeOperator writes the row and its audit entry in one transaction.
-func (s *Server) writeOperator(c *call, action audit.Action, row *operatorRow, before int64) error {
-	defer s.directory.forget()
+func (s *Server) writeOperator(c *requestContext, action audit.Action, row *operatorRow, oldVersion int64) error {
+	defer s.operators.invalidate()
 	value, err := json.Marshal(row)
 	if err != nil {
 		return ErrRow.Wrap(err)
@@ -200,19 +201,19 @@
 		Actor:       c.op.Name,
 		Action:      action,
 		Outcome:     audit.OutcomeDone,
-		Team:        soleTeam(row.Teams),
+		Team:        owningTeam(row.Teams),
 		Target:      "operator " + row.Name,
-		FromVersion: before,
+		FromVersion: oldVersion,
 		Detail:      string(row.Role) + " of " + scopeText(row.Teams),
 	}
-	write := platform.Write{Table: TableOperators, Key: row.Name, Value: value, IfVersion: before}
+	write := platform.Write{Table: TableOperators, Key: row.Name, Value: value, IfVersion: oldVersion}
 	_, err = s.trail.Record(c.ctx(), entry, write)
 	return err
 }
 
-// soleTeam is the team that owns an operator of one team; others are the
-// fleet's.
-func soleTeam(teams []string) string {
+// owningTeam returns the team that owns an operator: the only team in its scope,
+// or access.FleetWide.
+func owningTeam(teams []string) string {
 	if len(teams) == 1 {
 		return teams[0]
 	}
--- a/internal/operate/admin/scope.go
+++ b/internal/operate/admin/scope.go
@@ -11,9 +11,9 @@
 	"damaskrouter.example/damaskrouter/internal/store/config"
 )
 
-// anywhere returns nil if op may take the action for the fleet or for any team
-// in its scope. What is shown or changed is then decided item by item.
-func anywhere(op *access.Operator, action access.Action) error {
+// authorizeAnyTeam returns nil if op may take the action for the fleet or for any
+// team in its scope. Callers then check each item.
+func authorizeAnyTeam(op *access.Operator, action access.Action) error {
 	err := access.Authorize(op, action, access.FleetWide)
 	if err == nil {
 		return nil
@@ -26,21 +26,21 @@
 	return err
 }
 
-// mayReadBundle decides about whole files. They hold the parts of all teams,
-// so a viewer needs the whole fleet as scope; an editor of any team needs them
-// to make a change at all.
-func mayReadBundle(op *access.Operator) error {
+// authorizeReadBundle returns nil if op may read complete files. The files contain
+// the sections of all teams, so a viewer needs the whole fleet as scope. An editor
+// of any team may read them, because a change requires them.
+func authorizeReadBundle(op *access.Operator) error {
 	err := access.Authorize(op, access.ActionReadConfig, access.FleetWide)
-	if err == nil || anywhere(op, access.ActionEditConfig) == nil {
+	if err == nil || authorizeAnyTeam(op, access.ActionEditConfig) == nil {
 		return nil
 	}
 	return err
 }
 
-// mayChange returns a *forbiddenError unless op may make the step from one
-// bundle to the other.
-func mayChange(op *access.Operator, before, after config.Bundle) error {
-	paths, err := forbidden(op, before, after)
+// authorizePaths returns a *forbiddenError unless op may change all paths that
+// differ between the bundles.
+func authorizePaths(op *access.Operator, oldBundle, newBundle config.Bundle) error {
+	paths, err := forbiddenPaths(op, oldBundle, newBundle)
 	if err != nil {
 		return err
 	}
@@ -50,34 +50,34 @@
 	return nil
 }
 
-// part is a piece of a bundle that is owned as a whole.
-type part struct {
-	// team is access.FleetWide for what no team owns.
+// section is a part of a bundle that has one owner.
+type section struct {
+	// team is access.FleetWide if no team owns the section.
 	team string
 	text string
 }
 
-// parts are the pieces of a bundle by path.
-type parts map[string]part
+// sections maps paths to the sections of a bundle.
+type sections map[string]section
 
-func (p parts) add(path, team string, value any) {
-	// Documents hold only plain fields, so the encoder cannot fail.
+func (p sections) add(path, team string, value any) {
+	// Documents have only plain fields, so the encoder cannot fail.
 	text, _ := json.Marshal(value)
-	p[path] = part{team: team, text: string(text)}
+	p[path] = section{team: team, text: string(text)}
 }
 
-// partsOf splits a bundle by owner. It works on the decoded documents, not on
-// their text: whatever two texts do to look alike, what routers would act on
-// is what is compared. Comments and layout make no difference.
-// The bundle before the first version is empty.
-func partsOf(b config.Bundle) (parts, error) {
-	out := make(parts)
+// splitBundle splits a bundle into sections. It uses the decoded documents instead
+// of their text, so that the comparison covers exactly what routers use. Comments
+// and formatting make no difference. An empty bundle, as before the first version,
+// has no sections.
+func splitBundle(b config.Bundle) (sections, error) {
+	out := make(sections)
 	if len(b.Base) == 0 && len(b.Overlays) == 0 {
 		return out, nil
 	}
 	parsed, err := b.Parse()
 	if err != nil {
-		return nil, unreadable(err)
+		return nil, bundleParseError(err)
 	}
 	out.addBase(parsed.Document)
 	for site, overlay := range parsed.Overlays {
@@ -86,9 +86,9 @@
 	return out, nil
 }
 
-// unreadable refuses a comparison with files that can't be decoded. Only an
-// operator of the whole fleet, who needs no comparison, can replace those.
-func unreadable(err error) error {
+// bundleParseError returns the error for files that cannot be decoded and compared.
+// Only an operator of the whole fleet, who needs no comparison, can replace them.
+func bundleParseError(err error) error {
 	var problems config.Problems
 	if errors.As(err, &problems) {
 		return &config.InvalidError{Problems: problems}
@@ -96,7 +96,7 @@
 	return err
 }
 
-func (p parts) addBase(doc *config.Document) {
+func (p sections) addBase(doc *config.Document) {
 	file := config.BaseFile + ": "
 	p.add(file+"teams", access.FleetWide, doc.Teams)
 	p.add(file+"sites", access.FleetWide, doc.Sites)
@@ -110,16 +110,17 @@
 	}
 }
 
-func (p parts) addOverlay(name string, o *config.Overlay, doc *config.Document) {
+func (p sections) addOverlay(name string, o *config.Overlay, doc *config.Document) {
 	p.add(name+": site", access.FleetWide, o.Site)
 	p.add(name+": pools", access.FleetWide, o.Pools)
 	for _, a := range o.Accounts {
-		p.add(name+": accounts["+a.Name+"]", teamOf(doc, a.Name), a)
+		p.add(name+": accounts["+a.Name+"]", accountTeam(doc, a.Name), a)
 	}
 }
 
-// teamOf returns the team of an account, or access.FleetWide for none.
-func teamOf(doc *config.Document, account string) string {
+// accountTeam returns the team of an account, or access.FleetWide if the account
+// does not exist.
+func accountTeam(doc *config.Document, account string) string {
 	for i := range doc.Accounts {
 		if doc.Accounts[i].Name == account {
 			return doc.Accounts[i].Team
@@ -128,38 +129,39 @@
 	return access.FleetWide
 }
 
-// forbidden returns the paths that differ between two bundles and that op may
-// not change. A part that goes from one team to another belongs to both.
-func forbidden(op *access.Operator, before, after config.Bundle) ([]string, error) {
-	was, err := partsOf(before)
+// forbiddenPaths returns the paths that differ between two bundles and that op may
+// not change. Moving a section from one team to another requires permission for
+// both.
+func forbiddenPaths(op *access.Operator, oldBundle, newBundle config.Bundle) ([]string, error) {
+	oldSections, err := splitBundle(oldBundle)
 	if err != nil {
 		return nil, err
 	}
-	is, err := partsOf(after)
+	newSections, err := splitBundle(newBundle)
 	if err != nil {
 		return nil, err
 	}
-	all := maps.Clone(was)
-	maps.Copy(all, is)
-	lines := config.Diff(before, after)
+	merged := maps.Clone(oldSections)
+	maps.Copy(merged, newSections)
+	lines := config.Diff(oldBundle, newBundle)
 	var paths []string
-	for _, path := range slices.Sorted(maps.Keys(all)) {
-		if was[path] == is[path] || mayEditPart(op, was, path) && mayEditPart(op, is, path) {
+	for _, path := range slices.Sorted(maps.Keys(merged)) {
+		if oldSections[path] == newSections[path] || mayEditSection(op, oldSections, path) && mayEditSection(op, newSections, path) {
 			continue
 		}
-		paths = append(paths, fields(lines, path)...)
+		paths = append(paths, changedFields(lines, path)...)
 	}
 	return paths, nil
 }
 
-func mayEditPart(op *access.Operator, p parts, path string) bool {
-	piece, ok := p[path]
-	return !ok || access.Authorize(op, access.ActionEditConfig, piece.team) == nil
+func mayEditSection(op *access.Operator, p sections, path string) bool {
+	owned, ok := p[path]
+	return !ok || access.Authorize(op, access.ActionEditConfig, owned.team) == nil
 }
 
-// fields returns the changed fields within a part. Some changes of meaning,
-// such as another order, have none; the part's own path stands for them.
-func fields(lines []config.Line, path string) []string {
+// changedFields returns the changed fields of a section. Some changes, such as a
+// different order, affect no single field; the path of the section represents them.
+func changedFields(lines []config.Line, path string) []string {
 	var out []string
 	for _, line := range lines {
 		if strings.HasPrefix(line.Path, path) {
--- a/internal/operate/admin/status.go
+++ b/internal/operate/admin/status.go
@@ -8,8 +8,9 @@
 	"damaskrouter.example/damaskrouter/internal/serve/board"
 )
 
-// status shows which routers have a version in force, as this one knows.
-func (s *Server) status(c *call) error {
+// status returns the active configuration version of each router, as known to this
+// router.
+func (s *Server) status(c *requestContext) error {
 	if err := access.Authorize(c.op, access.ActionReadStatus, access.FleetWide); err != nil {
 		return err
 	}
@@ -17,13 +18,13 @@
 		return err
 	}
 	snap := s.Board.Snapshot()
-	st := api.Status{SeenBy: snap.Self, Routers: routersOf(snap), Lagging: []string{}}
+	st := api.Status{SeenBy: snap.Self, Routers: routerStatuses(snap), Lagging: []string{}}
 	if err := s.statusVersion(c, snap, &st); err != nil {
 		return err
 	}
 	for _, r := range st.Routers {
-		// A leaving router may be gone before it takes in the version, and
-		// would keep the change from ever being complete.
+		// A leaving router may exit before it applies the version, and the
+		// change would never become complete.
 		if r.State == api.RouterLive && r.ConfigVersion < st.Version {
 			st.Lagging = append(st.Lagging, r.Name)
 		}
@@ -32,9 +33,9 @@
 	return c.JSON(http.StatusOK, st)
 }
 
-// statusVersion chooses the version to compare with. While the store is down
-// the newest one that any router has stands in for the head.
-func (s *Server) statusVersion(c *call, snap *board.Snapshot, st *api.Status) error {
+// statusVersion sets the version to compare with. While the store is down, it uses
+// the newest active version of any router instead of the head.
+func (s *Server) statusVersion(c *requestContext, snap *board.Snapshot, st *api.Status) error {
 	if text := c.QueryParam(api.ParamVersion); text != "" {
 		version, err := parseVersion(text)
 		st.Version, st.HeadKnown = version, true
@@ -52,7 +53,7 @@
 	return nil
 }
 
-func routersOf(snap *board.Snapshot) []api.RouterStatus {
+func routerStatuses(snap *board.Snapshot) []api.RouterStatus {
 	out := make([]api.RouterStatus, 0, len(snap.Routers))
 	for _, r := range snap.Routers {
 		state := api.RouterLive
@@ -70,8 +71,8 @@
 	return out
 }
 
-// fleet shows the routers and engines as this router sees them.
-func (s *Server) fleet(c *call) error {
+// fleet returns the routers and engines as known to this router.
+func (s *Server) fleet(c *requestContext) error {
 	if err := access.Authorize(c.op, access.ActionReadStatus, access.FleetWide); err != nil {
 		return err
 	}
@@ -83,18 +84,18 @@
 		SeenBy:        snap.Self,
 		ConfigVersion: snap.ConfigVersion,
 		Draining:      snap.Draining,
-		Routers:       routersOf(snap),
+		Routers:       routerStatuses(snap),
 		Engines:       []api.Engine{},
 	}
 	for _, g := range snap.Groups() {
 		for i, e := range g.Engines {
-			f.Engines = append(f.Engines, s.engineOf(snap, e, g.Owners[i]))
+			f.Engines = append(f.Engines, s.engineView(snap, e, g.Owners[i]))
 		}
 	}
 	return c.JSON(http.StatusOK, f)
 }
 
-func (s *Server) engineOf(snap *board.Snapshot, e board.Engine, owner int) api.Engine {
+func (s *Server) engineView(snap *board.Snapshot, e board.Engine, owner int) api.Engine {
 	out := api.Engine{
 		Name: e.Name, Kind: e.Kind, Pool: e.Pool, Site: e.Site, Address: e.Address,
 		Leaving: e.Leaving, Known: e.Known,
