--- a/internal/edge/forward/admit_test.go
+++ b/internal/edge/forward/admit_test.go
@@ -13,9 +13,9 @@
 
 const keyLease = 3500 * time.Millisecond
 
-// arriving is an exchange at a router whose configuration was last confirmed at asOf,
-// and is confirmed again after some time; zero for never.
-func arriving(t *testing.T, asOf, confirmedAfter time.Duration, lost bool) *exchange {
+// exchangeWithConfigAge returns an exchange at a router whose configuration was last confirmed at
+// asOf and is confirmed again confirmedAfter later, or never if that is zero.
+func exchangeWithConfigAge(t *testing.T, asOf, confirmedAfter time.Duration, storeLost bool) *exchange {
 	started := time.Now()
 	clock := func() time.Duration { return time.Minute + time.Since(started) }
 	config := catalog.NewConfig(catalog.Config{
@@ -33,31 +33,31 @@
 	f := &Forwarder{Options: Options{
 		Snapshot: snapshot, Clock: clock, KeyLease: func() time.Duration { return keyLease },
 		FreshFor:  func() time.Duration { return 2 * time.Second },
-		StoreLost: func() bool { return lost },
+		StoreLost: func() bool { return storeLost },
 	}}
 	r := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "http://h/missing/x", nil)
 	return &exchange{f: f, r: r, started: clock()}
 }
 
-// Symptom: a router that wakes up refuses hundreds of requests. Sequence: it is
-// suspended for seconds; requests wait in its sockets; it looks at them before it has
-// asked its source. Cause handled: it waits until it has asked.
-func TestWakingRouterWaitsForItsSource(t *testing.T) {
+// Guards against a router that refuses hundreds of requests when it resumes from a suspend of some
+// seconds: the requests wait in its sockets and are read before its source has confirmed the
+// configuration. They wait for that confirmation.
+func TestAdmitWaitsForConfigConfirmationAfterSuspend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		x := arriving(t, time.Second, 60*time.Millisecond, false)
+		x := exchangeWithConfigAge(t, time.Second, 60*time.Millisecond, false)
 		require.Equal(t, http.StatusNotFound, x.admit().Status)
 		require.Less(t, x.f.Clock()-x.started, 70*time.Millisecond)
 	})
 }
 
-// The wait is short, and there is none where the store is known to be lost.
-func TestNoLongWaitForALostStore(t *testing.T) {
+// The wait is short, and there is none if the store is known to be lost.
+func TestAdmitWaitIsBoundedAndSkippedWhenStoreIsLost(t *testing.T) {
 	for _, tc := range []struct {
 		lost bool
 		wait time.Duration
-	}{{false, catchUpWait}, {true, 0}} {
+	}{{false, configConfirmWait}, {true, 0}} {
 		synctest.Test(t, func(t *testing.T) {
-			x := arriving(t, time.Second, 0, tc.lost)
+			x := exchangeWithConfigAge(t, time.Second, 0, tc.lost)
 			refusal := x.admit()
 			require.Equal(t, http.StatusServiceUnavailable, refusal.Status)
 			require.Equal(t, ReasonStaleConfig, refusal.Reason)
@@ -66,22 +66,22 @@
 	}
 }
 
-// Symptom: after a loss of power routers refuse for seconds what they could serve. Sequence: all
-// start at once; requests arrive before a router knows the configuration, or any engine. Cause
-// handled: they wait for its first knowledge, a part of their time at most.
-func TestRouterThatStartsWaitsForItsFirstKnowledge(t *testing.T) {
+// Guards against routers that refuse requests for seconds after a power loss, when all start at
+// once and requests arrive before a router knows the configuration or any engine. Requests wait for
+// both, for at most a share of their timeout.
+func TestAdmitWaitsForFirstConfigAndEnginesAfterStart(t *testing.T) {
 	for _, tc := range []struct {
-		name                   string
-		config, engines        time.Duration
-		timeout, served, wants time.Duration
+		name                                 string
+		config, engines                      time.Duration
+		timeout, admittedAfter, refusedAfter time.Duration
 	}{
-		{"engines come last", 100 * time.Millisecond, 300 * time.Millisecond, 0, 300 * time.Millisecond, 0},
-		{"configuration comes last", 300 * time.Millisecond, 0, 6 * time.Second, 300 * time.Millisecond, 0},
-		{"nothing comes", time.Hour, time.Hour, 6 * time.Second, 0, firstWait},
-		{"a caller with little time", time.Hour, time.Hour, 600 * time.Millisecond, 0, 200 * time.Millisecond},
+		{"engines arrive last", 100 * time.Millisecond, 300 * time.Millisecond, 0, 300 * time.Millisecond, 0},
+		{"configuration arrives last", 300 * time.Millisecond, 0, 6 * time.Second, 300 * time.Millisecond, 0},
+		{"nothing arrives", time.Hour, time.Hour, 6 * time.Second, 0, startupWait},
+		{"short caller timeout", time.Hour, time.Hour, 600 * time.Millisecond, 0, 200 * time.Millisecond},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			x := arriving(t, time.Second, 0, true)
+			x := exchangeWithConfigAge(t, time.Second, 0, true)
 			x.req.Timeout = tc.timeout
 			x.r = httptest.NewRequestWithContext(t.Context(), http.MethodGet, "http://h/a/x", nil)
 			known := x.f.Snapshot
@@ -97,13 +97,13 @@
 			}
 			refusal := x.admit()
 			took := x.f.Clock() - x.started
-			if tc.served > 0 {
+			if tc.admittedAfter > 0 {
 				require.Nil(t, refusal, tc.name)
-				require.InDelta(t, tc.served, took, float64(catchUpPoll), tc.name)
+				require.InDelta(t, tc.admittedAfter, took, float64(snapshotPollInterval), tc.name)
 				return
 			}
 			require.Equal(t, ReasonNoConfig, refusal.Reason, tc.name)
-			require.InDelta(t, tc.wants, took, float64(catchUpPoll), tc.name)
+			require.InDelta(t, tc.refusedAfter, took, float64(snapshotPollInterval), tc.name)
 		})
 	}
 }
--- a/internal/edge/forward/plan.go
+++ b/internal/edge/forward/plan.go
@@ -10,112 +10,117 @@
 )
 
 const (
-	// crowdedFor is how long requests of a service go on asking for places after it was
-	// last crowded: a service at the limit would otherwise change its ways all the time.
-	crowdedFor = 2 * time.Second
-	// holdWeight is the weight of the newest request in the mean of how long they last.
-	holdWeight = 1.0 / 32
+	// congestedFor is how long requests of a service keep requesting permits after it was last
+	// congested. Without it, a service close to the threshold would switch back and forth.
+	congestedFor = 2 * time.Second
+	// meanHoldWeight is the weight of the newest request in the mean time that requests occupy an
+	// engine.
+	meanHoldWeight = 1.0 / 32
 )
 
-// Plan says where a request may go. Either Choice is taken, or the engines of Ask are to be
-// asked for a place, in order.
+// Plan is the result of choosing an engine. If Ask is empty, the request goes to Choice. Otherwise
+// a permit must be requested from the engines in Ask, in order.
 type Plan struct {
 	Choice Choice
-	Ask    []Alternative
-	// Warm means that the engines of Ask are cold and others are not: where these refuse,
-	// a request goes to the others without asking.
+	Ask    []PermitCandidate
+	// Warm means that the engine in Ask is cold and others are not. If it grants no permit, the
+	// request goes to the others without one.
 	Warm bool
-	// Hold is how long requests of the service have a place in the mean.
+	// Hold is the mean time that a request of the service occupies an engine.
 	Hold time.Duration
 }
 
-// Alternative is an engine that may take a request.
-type Alternative struct {
+// PermitCandidate is an engine at which a permit can be requested.
+type PermitCandidate struct {
 	Choice Choice
-	// Places is how many requests may be there at once.
-	Places int
-	// Pace bounds how often requests may be sent there, if it is cold.
+	// MaxInFlight is how many requests the engine may have in progress at once.
+	MaxInFlight int
+	// Pace limits the rate of requests to the engine while it is cold.
 	Pace gate.Pace
 }
 
-// Plan chooses an engine of the service, or several to ask if the service is crowded, for a
-// request with the given shared parts of a prompt. Engines in avoid are passed over. It
-// returns false if there is none. A choice that is taken must be given back by Done.
-func (p *Engines) Plan(s *catalog.Snapshot, service string, shared []string, avoid map[string]bool) (Plan, bool) {
+// Plan chooses an engine of the service, or the engines to request a permit from if the service is
+// congested or the chosen engine is cold. shared are the IDs of the prompt parts that other
+// requests may have too, in order. Plan skips the engines in excluded and returns false if there is
+// no engine left. If Ask is empty, Plan has counted the request, and Done must be called with
+// Choice.
+func (p *Engines) Plan(s *catalog.Snapshot, service string, shared []string, excluded map[string]bool) (Plan, bool) {
 	now := p.clock()
-	others := p.others()
+	others := p.otherLoads()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	engines, candidates := p.candidates(s, service, avoid, others, now)
-	plan := Plan{Hold: p.holds[service]}
+	engines, candidates := p.candidates(s, service, excluded, others, now)
+	plan := Plan{Hold: p.meanHolds[service]}
 	var order []int
-	switch at := p.placement(candidates, shared); {
-	case p.crowded(service, candidates, now), choose.OnlyCold(candidates):
-		order = p.order(candidates, shared)
-	case at.Engine != choose.None && candidates[at.Engine].Cold:
+	switch placement := p.placement(candidates, shared); {
+	case p.congested(service, candidates, now), choose.OnlyCold(candidates):
+		order = p.permitOrder(candidates, shared)
+	case placement.Engine != choose.None && candidates[placement.Engine].Cold:
 		plan.Warm = true
-		order = []int{at.Engine}
+		order = []int{placement.Engine}
 	default:
-		choice, ok := p.settle(engines, candidates, at, shared, now)
+		choice, ok := p.commit(engines, candidates, placement, shared, now)
 		return Plan{Choice: choice}, ok
 	}
 	config := s.Config.Service(service)
 	for _, i := range order {
-		plan.Ask = append(plan.Ask, Alternative{
-			Choice: p.choiceOf(engines, candidates, i, shared, now), Places: choose.Places(candidates, i),
-			Pace: p.paceOf(config, engines[i].ID, now),
+		plan.Ask = append(plan.Ask, PermitCandidate{
+			Choice: p.candidateChoice(engines, candidates, i, shared, now), MaxInFlight: choose.Places(candidates, i),
+			Pace: p.pace(config, engines[i].ID, now),
 		})
 	}
 	return plan, len(plan.Ask) > 0
 }
 
-// order returns the engines to ask for a place, the first one first.
-func (p *Engines) order(candidates []choose.Engine, shared []string) []int {
+// permitOrder returns the indexes of the engines to request a permit from, in order.
+func (p *Engines) permitOrder(candidates []choose.Engine, shared []string) []int {
 	if len(shared) == 0 {
 		return choose.PlainCandidates(candidates, p.rng)
 	}
 	return choose.Candidates(candidates, rendezvous.ID(shared[len(shared)-1]), p.rng)
 }
 
-// crowded says whether requests of the service ask for places. The caller holds the mutex.
-func (p *Engines) crowded(service string, candidates []choose.Engine, now time.Duration) bool {
+// congested reports whether requests of the service need a permit. The caller holds the mutex.
+func (p *Engines) congested(service string, candidates []choose.Engine, now time.Duration) bool {
 	if choose.Crowded(candidates) {
-		p.crowdedUntil[service] = now + crowdedFor
+		p.congestedUntil[service] = now + congestedFor
 	}
-	return now < p.crowdedUntil[service]
+	return now < p.congestedUntil[service]
 }
 
-// choiceOf is the choice of an engine that asking may lead to.
-func (p *Engines) choiceOf(engines []catalog.Engine, candidates []choose.Engine, i int, shared []string, now time.Duration) Choice {
+// candidateChoice returns the choice of the i-th engine, to be used if it grants a permit. The
+// caller holds the mutex.
+func (p *Engines) candidateChoice(engines []catalog.Engine, candidates []choose.Engine, i int, shared []string, now time.Duration) Choice {
 	choice := Choice{Engine: engines[i]}
 	if len(shared) > 0 {
-		at := choose.At(candidates, i, rendezvous.ID(shared[len(shared)-1]))
-		choice.FetchFrom = p.fetchFrom(engines, candidates, at, shared, now)
+		placement := choose.At(candidates, i, rendezvous.ID(shared[len(shared)-1]))
+		choice.FetchFrom = p.fetchSource(engines, candidates, placement, shared, now)
 	}
 	return choice
 }
 
-// TakeLeased counts a request to an engine that has granted it a place, until Done.
-func (p *Engines) TakeLeased(choice Choice, shared []string) Choice {
+// StartLeased counts a request at an engine that has granted a permit, until Done is called.
+func (p *Engines) StartLeased(choice Choice, shared []string) Choice {
 	now := p.clock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	load := p.of(choice.Engine.ID)
+	load := p.load(choice.Engine.ID)
 	load.inFlight++
 	load.leased++
-	choice.taken = now
+	choice.startedAt = now
 	if len(shared) > 0 {
-		p.holders.note(choice.Engine.ID, shared, now)
+		p.promptCaches.add(choice.Engine.ID, shared, now)
 	}
 	return choice
 }
 
-// noteHold adds how long a request had a place. The caller holds the mutex.
-func (p *Engines) noteHold(service string, took time.Duration) {
-	mean, ok := p.holds[service]
+// recordHold updates the mean time that requests of the service occupy an engine. The caller holds
+// the mutex.
+func (p *Engines) recordHold(service string, took time.Duration) {
+	mean, ok := p.meanHolds[service]
 	if !ok {
-		p.holds[service] = took
+		p.meanHolds[service] = took
 		return
 	}
-	p.holds[service] = mean + time.Duration(holdWeight*float64(took-mean))
+	p.meanHolds[service] = mean + time.Duration(meanHoldWeight*float64(took-mean))
 }
--- a/internal/edge/forward/throttle.go
+++ b/internal/edge/forward/throttle.go
@@ -7,44 +7,45 @@
 	"damaskrouter.example/damaskrouter/internal/decide/gate"
 )
 
-// throttleKey names requests that have the same prospects of a place.
+// throttleKey identifies requests with the same chance of getting a permit.
 type throttleKey struct {
 	service string
 	urgency int
 	late    bool
 }
 
-// throttles decide which requests ask for places. It is safe for concurrent use.
+// throttles decide which requests may request a permit. It is safe for concurrent use.
 type throttles struct {
 	mu     sync.Mutex
 	random func() float64
-	of     map[throttleKey]*gate.Throttle
+	byKey  map[throttleKey]*gate.Throttle
 }
 
-// refuses says whether a request is to be refused without asking.
-func (t *throttles) refuses(key throttleKey, now time.Duration) bool {
+// shouldRefuse reports whether a request is refused without requesting a permit, and records the
+// refusal.
+func (t *throttles) shouldRefuse(key throttleKey, now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	refused := t.get(key).Refuses(now, t.random())
+	refused := t.throttle(key).Refuses(now, t.random())
 	if refused {
-		t.get(key).Note(now, false)
+		t.throttle(key).Note(now, false)
 	}
 	return refused
 }
 
-// note adds whether a request that asked has a place.
-func (t *throttles) note(key throttleKey, granted bool, now time.Duration) {
+// record records whether a request got a permit.
+func (t *throttles) record(key throttleKey, granted bool, now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.get(key).Note(now, granted)
+	t.throttle(key).Note(now, granted)
 }
 
-// get returns the state of a key. The caller holds the mutex.
-func (t *throttles) get(key throttleKey) *gate.Throttle {
-	state := t.of[key]
+// throttle returns the throttle of a key. The caller holds the mutex.
+func (t *throttles) throttle(key throttleKey) *gate.Throttle {
+	state := t.byKey[key]
 	if state == nil {
 		state = &gate.Throttle{}
-		t.of[key] = state
+		t.byKey[key] = state
 	}
 	return state
 }
