--- a/internal/serve/admission/admission.go
+++ b/internal/serve/admission/admission.go
@@ -1,12 +1,13 @@
-// Package admission joins placement, permits and queues into one question
-// that a request asks: which engine may I use, and when?
+// Package admission decides which engine a request may use, and when. It
+// combines placement, permits and queues.
 //
-// For each pool and region there is a lane: the queue of requests that wait
-// here, and what is known of the engines' loads. The exact count of an engine
-// is kept by its owner, one router that all find alike without messages; the Keeper
-// holds the books of the engines that this router owns, and other routers ask
-// for permits over RPC. Callers are told to connect to the owner of their
-// chat's preferred engine, so most permits cost no message.
+// A scheduler for each pool and region holds the queue of requests that wait at
+// this router and the last known loads of the engines. The exact count of an
+// engine's unfinished requests is kept by the engine's owner: one router, which
+// all routers derive from the same view of the fleet without exchanging
+// messages. Type permitBooks holds the counts of the engines that this router
+// owns; other routers request permits over RPC. Callers are directed to the
+// owner of their chat's preferred engine, so most permits need no message.
 package admission
 
 import (
@@ -26,32 +27,33 @@
 	"damaskrouter.example/damaskrouter/internal/store/config"
 )
 
-// Request is what admission needs to know of a request.
+// Request describes a request to be admitted.
 type Request struct {
-	// ID names this attempt. It is unique across the fleet and never used
-	// again; the engine reports its unfinished work by it.
+	// ID identifies this attempt. It is unique across the fleet and never
+	// reused; engines list their unfinished requests by it.
 	ID string
-	// Account is the client account, for fairness in the queue.
+	// Account is the client account, which the queue needs for fairness.
 	Account *config.Account
 	Class   queue.Class
 	// Pools are the pools that can serve the request, in order of preference.
 	Pools []*config.Pool
-	// Deadline is when the caller stops waiting; zero for no limit of its own.
+	// Deadline is when the caller stops waiting; zero if the caller set none.
 	Deadline time.Time
-	// Adapter says that the request needs an adapter of the pool.
+	// Adapter reports whether the request needs an adapter of the pool.
 	Adapter bool
 	// Place describes the request to placement.
 	Place placement.Request
-	// Avoid lists engines that have already failed this request.
+	// Avoid lists the IDs of engines that have already failed this request.
 	Avoid []uint64
 }
 
 // Grant is the right to send one request to one engine.
 type Grant struct {
-	// ID is the request's, and the permit's.
+	// ID identifies both the request and its permit.
 	ID     string
 	Engine board.Engine
-	// Incarnation is the engine's, as its owner last saw it; 0 if unknown.
+	// Incarnation is the engine's incarnation last known to its owner; 0 if
+	// unknown.
 	Incarnation uint64
 	Decision    placement.Decision
 	// Waited is the time spent in the queue.
@@ -61,73 +63,76 @@
 	once sync.Once
 }
 
-// Release gives the permit back; only the first call of Release or GiveUp has
-// an effect.
+// Release returns the permit. Only the first call of Release or GiveUp has an
+// effect.
 func (g *Grant) Release() {
-	g.once.Do(func() { g.a.releaseHeld(g.ID) })
+	g.once.Do(func() { g.a.releasePermit(g.ID) })
 }
 
 // GiveUp ends the permit of a stream whose caller is gone. It reports whether
-// the permit was still this router's: the caller may have taken its stream up
-// at another router, where it goes on.
-func (g *Grant) GiveUp(ctx context.Context) (mine bool) {
-	g.once.Do(func() { mine = g.a.giveUp(ctx, g.ID) })
-	return mine
+// this router still held the permit: the caller may have resumed the stream at
+// another router, where it continues.
+func (g *Grant) GiveUp(ctx context.Context) (wasHeld bool) {
+	g.once.Do(func() { wasHeld = g.a.abort(ctx, g.ID) })
+	return wasHeld
 }
 
 const (
-	// DefaultMaxWait bounds the wait of a request that names no deadline.
+	// DefaultMaxWait is the default of Options.MaxWait.
 	DefaultMaxWait = 30 * time.Second
-	// DefaultCallTimeout bounds one question for a permit.
+	// DefaultCallTimeout is the default of Options.CallTimeout.
 	DefaultCallTimeout = 400 * time.Millisecond
-	// maxPlacements bounds the engines asked for one placement, so that a
-	// request is queued rather than chasing loads that change under it.
-	maxPlacements = 3
-	// noEngineRetry is suggested while a pool has no engine in service.
-	noEngineRetry = 2 * time.Second
+	// maxPlacementAttempts limits the engines tried for one placement, so that
+	// a request is queued instead of following loads that change meanwhile.
+	maxPlacementAttempts = 3
+	// noEngineRetryAfter is the Retry-After value while a pool has no engine in
+	// service.
+	noEngineRetryAfter = 2 * time.Second
 )
 
 // Options configures an Admission.
 type Options struct {
 	Board *board.Board
-	// Caller reaches the owners of other engines.
+	// Caller makes the calls to the owners of other engines.
 	Caller *peer.Caller
-	// Self is this router's name; Instance tells its restarts apart.
+	// Self is this router's name; Instance distinguishes its restarts.
 	Self     string
 	Instance uint64
 	Policy   placement.Policy
-	// NewStrategy makes the placement strategy of a lane; nil for the picker
-	// over Policy. Experiments put the baselines here.
+	// NewStrategy creates the placement strategy of a scheduler; nil means a
+	// placement.Picker with Policy. Benchmarks set it to compare other
+	// strategies.
 	NewStrategy func(*rand.Rand) placement.Strategy
-	// Rand seeds the lanes' random sources.
+	// Rand seeds the random sources of the schedulers.
 	Rand *rand.Rand
-	// MaxWait bounds the wait of requests without a deadline.
+	// MaxWait limits how long a request waits in the queue; a request with an
+	// earlier deadline waits only until then.
 	MaxWait time.Duration
-	// CallTimeout bounds one question for a permit.
+	// CallTimeout limits one call to an engine's owner.
 	CallTimeout time.Duration
 }
 
 // Admission grants engines to requests. It is safe for concurrent use.
 type Admission struct {
-	opts    Options
-	holder  string
-	keeper  *Keeper
-	held    *heldPermits
-	outbox  *outbox
-	health  *health
-	moves   *moves
-	Metrics Metrics
+	opts         Options
+	holder       string
+	books        *permitBooks
+	held         *heldPermits
+	releases     *releaseQueue
+	health       *health
+	ownerChanges *ownerChanges
+	Metrics      Metrics
 
-	mu    sync.Mutex
-	lanes map[laneKey]*lane
-	rng   *rand.Rand
+	mu         sync.Mutex
+	schedulers map[groupKey]*scheduler
+	rng        *rand.Rand
 
 	ctx  context.Context
 	stop context.CancelFunc
 	wg   sync.WaitGroup
 }
 
-// New returns an Admission. Close ends its goroutines.
+// New returns an Admission. The caller must call Close to stop its goroutines.
 func New(o Options) *Admission {
 	if o.MaxWait <= 0 {
 		o.MaxWait = DefaultMaxWait
@@ -138,89 +143,93 @@
 	if o.Policy == (placement.Policy{}) {
 		o.Policy = placement.DefaultPolicy()
 	}
-	a := &Admission{opts: o, holder: board.HolderName(o.Self, o.Instance), lanes: make(map[laneKey]*lane), rng: o.Rand}
+	a := &Admission{opts: o, holder: board.HolderName(o.Self, o.Instance), schedulers: make(map[groupKey]*scheduler), rng: o.Rand}
 	a.ctx, a.stop = context.WithCancel(context.Background())
-	a.keeper = newKeeper(a)
+	a.books = newPermitBooks(a)
 	a.held = newHeldPermits()
-	a.outbox = newOutbox(a)
+	a.releases = newReleaseQueue(a)
 	a.health = newHealth()
-	a.moves = newMoves()
+	a.ownerChanges = newOwnerChanges()
 	return a
 }
 
-// Close ends the goroutines; waiting requests are refused.
+// Close stops the goroutines. Requests still waiting are refused.
 func (a *Admission) Close() {
 	a.stop()
 	a.wg.Wait()
 }
 
 // Admit waits for a grant. Its errors are *apierr.Error, and each means that
-// nothing was sent.
+// nothing was sent to an engine.
 func (a *Admission) Admit(ctx context.Context, req *Request) (*Grant, error) {
 	snap := a.opts.Board.Snapshot()
 	now := time.Now()
-	var waitIn *lane
+	var queueAt *scheduler
 	var last error
 	for _, p := range req.Pools {
-		l := a.laneFor(snap, p)
-		if l == nil {
+		s := a.schedulerFor(snap, p)
+		if s == nil {
 			continue
 		}
-		g, err := l.enter(ctx, now, req)
+		g, err := s.tryPlace(ctx, now, req)
 		if err == nil {
 			a.Metrics.Granted.Add(1)
 			return g, nil
 		}
-		if waitIn == nil && errors.Is(err, placement.ErrFull) {
-			waitIn = l
+		if queueAt == nil && errors.Is(err, placement.ErrFull) {
+			queueAt = s
 		}
 		last = err
 	}
-	if waitIn == nil {
+	if queueAt == nil {
 		a.Metrics.NoEngine.Add(1)
-		return nil, noEngine(last)
+		return nil, noEngineError(last)
 	}
-	return waitIn.wait(ctx, now, req)
+	return queueAt.wait(ctx, now, req)
 }
 
-func noEngine(cause error) *apierr.Error {
+func noEngineError(cause error) *apierr.Error {
 	return apierr.New(apierr.CodeNoUpstream, http.StatusServiceUnavailable, "no engine in service can take the request").
-		WithRetryAfter(noEngineRetry).WithCause(cause)
+		WithRetryAfter(noEngineRetryAfter).WithCause(cause)
 }
 
-// laneFor finds or makes the lane of a pool in this router's region.
-func (a *Admission) laneFor(snap *board.Snapshot, p *config.Pool) *lane {
-	key := laneKey{pool: p.Name, region: snap.Config.Site.Region}
+// schedulerFor returns the scheduler of a pool in this router's region,
+// creating it if necessary. It returns nil if the region has no engines of the
+// pool.
+func (a *Admission) schedulerFor(snap *board.Snapshot, p *config.Pool) *scheduler {
+	key := groupKey{pool: p.Name, region: snap.Config.Site.Region}
 	if snap.Group(key.pool, key.region) == nil {
 		return nil
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.laneLocked(key, p)
+	return a.schedulerLocked(key, p)
 }
 
-func (a *Admission) laneLocked(key laneKey, p *config.Pool) *lane {
-	l := a.lanes[key]
-	if l == nil {
+func (a *Admission) schedulerLocked(key groupKey, p *config.Pool) *scheduler {
+	s := a.schedulers[key]
+	if s == nil {
 		rng := rand.New(rand.NewPCG(a.rng.Uint64(), a.rng.Uint64()))
-		l = newLane(a, key, rng)
-		a.lanes[key] = l
+		s = newScheduler(a, key, rng)
+		a.schedulers[key] = s
 		a.wg.Add(1)
-		go l.run()
+		go s.run()
 	}
-	l.setPool(p)
-	return l
+	s.setPool(p)
+	return s
 }
 
-// lane finds an existing lane.
-func (a *Admission) lane(key laneKey) *lane {
+// scheduler returns an existing scheduler, or nil.
+func (a *Admission) scheduler(key groupKey) *scheduler {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.lanes[key]
+	return a.schedulers[key]
 }
 
-// laneOf finds or makes the lane of an engine, for its owner.
-func (a *Admission) laneOf(snap *board.Snapshot, e *board.Engine) *lane {
+// schedulerOfEngine returns the scheduler of an engine's pool and region,
+// creating it if necessary. It returns nil if the configuration has no such
+// pool.
+func (a *Admission) schedulerOfEngine(snap *board.Snapshot, e *board.Engine) *scheduler {
 	if snap.Config == nil {
 		return nil
 	}
@@ -230,35 +239,36 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.laneLocked(laneKey{pool: e.Pool, region: e.Region}, p)
+	return a.schedulerLocked(groupKey{pool: e.Pool, region: e.Region}, p)
 }
 
-func (a *Admission) allLanes() []*lane {
+func (a *Admission) allSchedulers() []*scheduler {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	out := make([]*lane, 0, len(a.lanes))
-	for _, l := range a.lanes {
-		out = append(out, l)
+	out := make([]*scheduler, 0, len(a.schedulers))
+	for _, s := range a.schedulers {
+		out = append(out, s)
 	}
 	return out
 }
 
-// Sync takes in a new snapshot: books are opened for engines that this router
-// now owns, and closed for those that it no longer does. Waiting requests get
-// another chance.
+// Sync applies a new snapshot: it opens the books of engines that this router
+// now owns and closes those of engines that it no longer owns. Waiting requests
+// are tried again.
 func (a *Admission) Sync(snap *board.Snapshot) {
 	now := time.Now()
-	a.keeper.sync(now, snap)
+	a.books.sync(now, snap)
 	a.health.sync(now, snap)
-	a.moves.note(snap)
-	for _, l := range a.allLanes() {
-		l.prune(snap)
-		l.wake()
+	a.ownerChanges.update(snap)
+	for _, s := range a.allSchedulers() {
+		s.prune(snap)
+		s.wake()
 	}
 }
 
-// full is the local form of an owner's refusal.
-func full(err error) error {
+// placementError converts a *permit.FullError to a placement error that wraps
+// placement.ErrFull.
+func placementError(err error) error {
 	var f *permit.FullError
 	if errors.As(err, &f) {
 		return &placement.RefusedError{Cause: placement.ErrFull}
--- a/internal/serve/admission/admission_test.go
+++ b/internal/serve/admission/admission_test.go
@@ -30,36 +30,36 @@
 
 func keys() []peer.FleetKey { return []peer.FleetKey{{ID: 1, Secret: []byte("secret")}} }
 
-// node is one router's admission with its RPC server.
+// node is the admission of one router with its RPC server.
 type node struct {
-	name string
-	adm  *Admission
-	brd  *board.Board
-	srv  *peer.Server
-	ln   net.Listener
+	name      string
+	admission *Admission
+	board     *board.Board
+	server    *peer.Server
+	listener  net.Listener
 }
 
-// newNodes starts routers that know each other and the engines.
+// newNodes starts routers whose boards list each other and the engines.
 func newNodes(t *testing.T, routers, engines []string) map[string]*node {
 	nodes := make(map[string]*node)
 	views := make(map[string]board.Router)
 	for _, name := range routers {
 		n := startNode(t, name)
 		nodes[name] = n
-		views[name] = board.Router{Name: name, ID: rendezvous.ID(name), Instance: 1, Control: n.ln.Addr().String()}
+		views[name] = board.Router{Name: name, ID: rendezvous.ID(name), Instance: 1, Control: n.listener.Addr().String()}
 	}
 	doc := &config.Document{Sites: []config.Site{{Name: "s", Region: "r"}}, Pools: []config.Pool{*pool}}
-	eff, err := config.NewEffective(doc, nil, "s")
+	effective, err := config.NewEffective(doc, nil, "s")
 	require.NoError(t, err)
 	for _, n := range nodes {
-		n.brd.UpdateWait(func(s *board.State) {
-			s.Config = eff
+		n.board.UpdateWait(func(s *board.State) {
+			s.Config = effective
 			s.Routers = views
 			for _, e := range engines {
 				s.Engines[e] = board.Engine{Name: e, ID: rendezvous.ID(e), Pool: pool.Name, Region: "r", Site: "s"}
 			}
 		})
-		n.adm.Sync(n.brd.Snapshot())
+		n.admission.Sync(n.board.Snapshot())
 	}
 	for _, n := range nodes {
 		n.reportAll(engines)
@@ -68,43 +68,43 @@
 }
 
 func startNode(t *testing.T, name string) *node {
-	n := &node{name: name, brd: board.New(name)}
+	n := &node{name: name, board: board.New(name)}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go n.brd.Run(ctx)
+	go n.board.Run(ctx)
 	var err error
-	n.ln, err = net.Listen("tcp", "127.0.0.1:0")
+	n.listener, err = net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	cnt := new(peer.Counters)
-	caller := peer.NewCaller(name, keys, cnt)
+	counters := new(peer.Counters)
+	caller := peer.NewCaller(name, keys, counters)
 	t.Cleanup(caller.Close)
-	n.adm = New(Options{Board: n.brd, Caller: caller, Self: name, Instance: 1, Rand: rand.New(rand.NewPCG(1, 2))})
-	t.Cleanup(n.adm.Close)
-	n.serve(t, n.ln)
+	n.admission = New(Options{Board: n.board, Caller: caller, Self: name, Instance: 1, Rand: rand.New(rand.NewPCG(1, 2))})
+	t.Cleanup(n.admission.Close)
+	n.serve(t, n.listener)
 	return n
 }
 
-func (n *node) serve(t *testing.T, ln net.Listener) {
-	n.srv = peer.NewServer(n.name, keys, new(peer.Counters))
-	require.NoError(t, n.srv.Register(ServiceName, n.adm.Service()))
-	srv := n.srv
-	go srv.Serve(ln)
-	t.Cleanup(func() { _ = ln.Close(); srv.Close() })
+func (n *node) serve(t *testing.T, listener net.Listener) {
+	n.server = peer.NewServer(n.name, keys, new(peer.Counters))
+	require.NoError(t, n.server.Register(ServiceName, n.admission.Service()))
+	server := n.server
+	go server.Serve(listener)
+	t.Cleanup(func() { _ = listener.Close(); server.Close() })
 }
 
-// reportAll plays the engines' reports to their owner.
+// reportAll delivers a report of each engine to this router.
 func (n *node) reportAll(engines []string) {
-	snap := n.brd.Snapshot()
+	snap := n.board.Snapshot()
 	for _, name := range engines {
 		e := snap.Engines[name]
-		n.adm.laneFor(snap, pool)
-		n.adm.EngineReport(&e, wire.EngineStatus{Name: name, Incarnation: 1, Model: "m", Version: "1", MaxBatch: maxBatch})
+		n.admission.schedulerFor(snap, pool)
+		n.admission.EngineReport(&e, wire.EngineStatus{Name: name, Incarnation: 1, Model: "m", Version: "1", MaxBatch: maxBatch})
 	}
 }
 
 func ownerOf(nodes map[string]*node, engine string) (owner, other *node) {
 	for _, n := range nodes {
-		if n.adm.keeper.entry(rendezvous.ID(engine)) != nil {
+		if n.admission.books.find(rendezvous.ID(engine)) != nil {
 			owner = n
 		} else {
 			other = n
@@ -118,13 +118,14 @@
 		Place: placement.Request{PromptTokens: 10, OutputTokens: 10}}
 }
 
-func (n *node) counted(engine string) int {
-	load, _ := n.adm.keeper.load(time.Now(), rendezvous.ID(engine))
+func (n *node) permitCount(engine string) int {
+	load, _ := n.admission.books.load(time.Now(), rendezvous.ID(engine))
 	return load.Count
 }
 
-// until waits for a condition that another goroutine brings about.
-func until(t *testing.T, what string, ok func() bool) {
+// waitFor waits up to 30 seconds for a condition that another goroutine
+// fulfills.
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for range 6000 {
 		if ok() {
@@ -132,26 +133,25 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	require.FailNow(t, "never happened", what)
+	require.FailNow(t, "condition not met in time", what)
 }
 
-func TestRemotePermitIsCountedAndReleased(t *testing.T) {
+func TestRemotePermitCountedAndReleased(t *testing.T) {
 	nodes := newNodes(t, []string{"r1", "r2"}, []string{"e1"})
 	owner, other := ownerOf(nodes, "e1")
-	g, err := other.adm.Admit(context.Background(), request(queue.Normal))
+	g, err := other.admission.Admit(context.Background(), request(queue.Normal))
 	require.NoError(t, err)
 	require.Equal(t, uint64(1), g.Incarnation)
-	require.Equal(t, 1, owner.counted("e1"))
+	require.Equal(t, 1, owner.permitCount("e1"))
 	g.Release()
 	g.Release()
-	until(t, "release at the owner", func() bool { return owner.counted("e1") == 0 })
+	waitFor(t, "release at the owner", func() bool { return owner.permitCount("e1") == 0 })
 }
 
-// Symptom: an engine runs more than its batch, or more than its share.
-// Sequence: two routers ask for permits at the same moment, each with a view
-// in which there is room.
-// Cause: each decides by its own view instead of the owner's count.
-func TestOwnerKeepsTheLimit(t *testing.T) {
+// Guards against engines with more requests than their batch limit. Two routers
+// request permits at the same moment while both see free capacity; the owner's
+// count must decide, not the routers' views.
+func TestConcurrentRoutersDoNotExceedMaxBatch(t *testing.T) {
 	engines := []string{"e1", "e2", "e3"}
 	nodes := newNodes(t, []string{"r1", "r2"}, engines)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -164,7 +164,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				g, err := n.adm.Admit(ctx, request(queue.Normal))
+				g, err := n.admission.Admit(ctx, request(queue.Normal))
 				if err != nil {
 					return
 				}
@@ -179,7 +179,7 @@
 		defer mu.Unlock()
 		return perEngine["e1"] + perEngine["e2"] + perEngine["e3"]
 	}
-	until(t, "a full pool", func() bool { return granted() == 3*maxBatch })
+	waitFor(t, "a full pool", func() bool { return granted() == 3*maxBatch })
 	cancel()
 	wg.Wait()
 	for _, e := range engines {
@@ -187,31 +187,30 @@
 	}
 }
 
-// Symptom: an engine looks busy for ever, and gets less work with every fault.
-// Sequence: a router gives a permit back while the engine's owner can't be reached.
-// Cause: the release is sent once and lost.
-func TestReleaseIsRepeatedUntilTheOwnerHasIt(t *testing.T) {
+// Guards against permits that count forever. A router releases a permit while
+// the engine's owner is unreachable; a release sent only once would be lost.
+func TestReleaseRetriedWhileOwnerUnreachable(t *testing.T) {
 	nodes := newNodes(t, []string{"r1", "r2"}, []string{"e1"})
 	owner, other := ownerOf(nodes, "e1")
-	g, err := other.adm.Admit(context.Background(), request(queue.Normal))
+	g, err := other.admission.Admit(context.Background(), request(queue.Normal))
 	require.NoError(t, err)
-	address := owner.ln.Addr().String()
-	require.NoError(t, owner.ln.Close())
-	owner.srv.Close()
+	address := owner.listener.Addr().String()
+	require.NoError(t, owner.listener.Close())
+	owner.server.Close()
 	g.Release()
-	until(t, "a failed release", func() bool { return other.adm.Metrics.ReleaseRetries.Load() > 0 })
-	require.Equal(t, 1, owner.counted("e1"))
-	ln, err := net.Listen("tcp", address)
+	waitFor(t, "a failed release", func() bool { return other.admission.Metrics.ReleaseRetries.Load() > 0 })
+	require.Equal(t, 1, owner.permitCount("e1"))
+	listener, err := net.Listen("tcp", address)
 	require.NoError(t, err)
-	owner.serve(t, ln)
-	until(t, "release at the owner", func() bool { return owner.counted("e1") == 0 })
+	owner.serve(t, listener)
+	waitFor(t, "release at the owner", func() bool { return owner.permitCount("e1") == 0 })
 }
 
-// Symptom: a stream that a caller took up at another router is stopped under it.
-// Sequence: the first router loses the caller and keeps the stream for the
-// grace; the caller resumes at the second; the grace of the first one ends.
-// Cause: the first router ends a permit that is no longer its own.
-func TestStreamTakenUpElsewhereIsNotGivenUp(t *testing.T) {
+// Guards against stopping a stream that its caller has resumed at another
+// router. The first router loses the caller and keeps the stream for the grace
+// period; when that ends it must not end the permit, which the second router
+// holds by then.
+func TestStreamResumedElsewhereIsNotAborted(t *testing.T) {
 	for _, first := range []bool{true, false} {
 		nodes := newNodes(t, []string{"r1", "r2"}, []string{"e1"})
 		owner, other := ownerOf(nodes, "e1")
@@ -219,121 +218,121 @@
 		if first {
 			from, to = other, owner
 		}
-		g, err := from.adm.Admit(context.Background(), request(queue.Normal))
+		g, err := from.admission.Admit(context.Background(), request(queue.Normal))
 		require.NoError(t, err)
-		taken, err := to.adm.Adopt(context.Background(), g.ID, "e1", g.Incarnation)
+		resumed, err := to.admission.Adopt(context.Background(), g.ID, "e1", g.Incarnation)
 		require.NoError(t, err)
 		require.False(t, g.GiveUp(context.Background()))
-		require.Equal(t, 1, owner.counted("e1"))
-		taken.Release()
-		until(t, "release at the owner", func() bool { return owner.counted("e1") == 0 })
+		require.Equal(t, 1, owner.permitCount("e1"))
+		resumed.Release()
+		waitFor(t, "release at the owner", func() bool { return owner.permitCount("e1") == 0 })
 	}
 }
 
-func TestGiveUpOfAnUnclaimedStream(t *testing.T) {
+func TestAbortReleasesPermitOfUnresumedStream(t *testing.T) {
 	nodes := newNodes(t, []string{"r1", "r2"}, []string{"e1"})
 	owner, other := ownerOf(nodes, "e1")
-	g, err := other.adm.Admit(context.Background(), request(queue.Normal))
+	g, err := other.admission.Admit(context.Background(), request(queue.Normal))
 	require.NoError(t, err)
 	require.True(t, g.GiveUp(context.Background()))
-	require.Zero(t, owner.counted("e1"))
+	require.Zero(t, owner.permitCount("e1"))
 }
 
 func fill(t *testing.T, n *node, engines int) []*Grant {
 	var grants []*Grant
 	for range engines * maxBatch {
-		g, err := n.adm.Admit(context.Background(), request(queue.Normal))
+		g, err := n.admission.Admit(context.Background(), request(queue.Normal))
 		require.NoError(t, err)
 		grants = append(grants, g)
 	}
 	return grants
 }
 
-// Symptom: an urgent check waits behind a batch of dossiers.
-func TestWaitingRequestsGoByClass(t *testing.T) {
+// Guards against urgent requests waiting behind batch requests.
+func TestWaitingRequestsServedByClass(t *testing.T) {
 	n := newNodes(t, []string{"r1"}, []string{"e1"})["r1"]
 	grants := fill(t, n, 1)
 	order := make(chan queue.Class, 3)
-	l := n.adm.lane(laneKey{pool.Name, "r"})
+	s := n.admission.scheduler(groupKey{pool.Name, "r"})
 	for i, class := range []queue.Class{queue.Batch, queue.Normal, queue.Urgent} {
 		go func() {
-			g, err := n.adm.Admit(context.Background(), request(class))
+			g, err := n.admission.Admit(context.Background(), request(class))
 			if err == nil {
 				order <- class
 				g.Release()
 			}
 		}()
-		until(t, "a waiting request", func() bool { return waiting(l) == i+1 })
+		waitFor(t, "a waiting request", func() bool { return waiting(s) == i+1 })
 	}
 	grants[0].Release()
 	got := []queue.Class{<-order, <-order, <-order}
-	// The first one may have been taken out of the queue already, to be tried.
+	// The first request may already have left the queue to be tried.
 	require.Contains(t, got[:2], queue.Urgent)
 	require.NotEqual(t, queue.Batch, got[1])
 }
 
-func waiting(l *lane) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.waiting()
+func waiting(s *scheduler) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.waiting()
 }
 
-// Symptom: room that nobody uses.
-// Sequence: a caller leaves while its request waits, or just as it is granted.
-func TestCallerGoneWhileWaiting(t *testing.T) {
+// Guards against permits that nobody uses. A caller leaves while its request
+// waits, or just as it is granted.
+func TestPermitReleasedWhenCallerLeavesQueue(t *testing.T) {
 	n := newNodes(t, []string{"r1"}, []string{"e1"})["r1"]
 	grants := fill(t, n, 1)
-	l := n.adm.lane(laneKey{pool.Name, "r"})
+	s := n.admission.scheduler(groupKey{pool.Name, "r"})
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
+	result := make(chan error, 1)
 	go func() {
-		_, err := n.adm.Admit(ctx, request(queue.Normal))
-		ended <- err
+		_, err := n.admission.Admit(ctx, request(queue.Normal))
+		result <- err
 	}()
-	until(t, "a waiting request", func() bool { return waiting(l) == 1 })
+	waitFor(t, "a waiting request", func() bool { return waiting(s) == 1 })
 	cancel()
-	require.Error(t, <-ended)
+	require.Error(t, <-result)
 	for _, g := range grants {
 		g.Release()
 	}
-	until(t, "an empty engine", func() bool { return n.counted("e1") == 0 && n.adm.held.Len() == 0 })
+	waitFor(t, "an empty engine", func() bool { return n.permitCount("e1") == 0 && n.admission.held.Len() == 0 })
 }
 
-// Symptom: a caller whose deadline can't be met is kept waiting until it is over.
-func TestQueueRefusesAtOnce(t *testing.T) {
+// Guards against a request waiting until its deadline when the queue is full;
+// it must be refused immediately.
+func TestFullQueueRefusesImmediately(t *testing.T) {
 	n := newNodes(t, []string{"r1"}, []string{"e1"})["r1"]
 	fill(t, n, 1)
-	full := make(chan error, 1)
+	result := make(chan error, 1)
 	for range pool.QueueLimit {
-		go func() { _, _ = n.adm.Admit(context.Background(), request(queue.Normal)) }()
+		go func() { _, _ = n.admission.Admit(context.Background(), request(queue.Normal)) }()
 	}
-	l := n.adm.lane(laneKey{pool.Name, "r"})
-	until(t, "a full queue", func() bool { return waiting(l) == pool.QueueLimit })
+	s := n.admission.scheduler(groupKey{pool.Name, "r"})
+	waitFor(t, "a full queue", func() bool { return waiting(s) == pool.QueueLimit })
 	go func() {
-		_, err := n.adm.Admit(context.Background(), request(queue.Normal))
-		full <- err
+		_, err := n.admission.Admit(context.Background(), request(queue.Normal))
+		result <- err
 	}()
 	var refused *apierr.Error
-	require.True(t, errors.As(<-full, &refused))
+	require.True(t, errors.As(<-result, &refused))
 	require.Equal(t, apierr.CodeQueueFull, refused.Code)
 	require.Equal(t, apierr.RanNo, refused.Ran)
 	require.Positive(t, refused.RetryAfter)
 }
 
-// Symptom: a router places by a load that was true long ago.
-// Sequence: digests arrive late, twice, or by way of other routers; an owner
-// is lost, or another one takes over.
-// Cause: what arrives last is taken for what is newest.
-func TestOnlyNewerWordsOfTheOwnerCount(t *testing.T) {
+// Guards against placing requests by outdated loads. Digests arrive late, twice
+// or through other routers, and owners die or change; the last load to arrive
+// need not be the newest.
+func TestOutdatedLoadReportsIgnored(t *testing.T) {
 	nodes := newNodes(t, []string{"r1", "r2"}, []string{"e1"})
 	_, other := ownerOf(nodes, "e1")
-	l := other.adm.lane(laneKey{pool.Name, "r"})
+	s := other.admission.scheduler(groupKey{pool.Name, "r"})
 	start := time.Now()
-	word := func(seq uint32, weight int64) EngineLoad {
+	report := func(seq uint32, weight int64) EngineLoad {
 		return EngineLoad{Engine: rendezvous.ID("e1"), Incarnation: 1, Weight: weight, Flags: flagModel, Owner: 1, Seq: seq}
 	}
-	stranger := word(9, 900)
-	stranger.Owner = 2
+	fromOther := report(9, 900)
+	fromOther.Owner = 2
 	for i, c := range []struct {
 		what   string
 		load   EngineLoad
@@ -341,34 +340,35 @@
 		weight int64
 		at     int
 	}{
-		{"first", word(5, 50), false, 50, 0},
-		{"late", word(4, 40), false, 50, 0},
-		{"passed on again", word(5, 50), false, 50, 0},
-		{"the owner's own answer within the round", word(5, 55), true, 55, 3},
-		{"newer", word(6, 60), false, 60, 4},
-		{"not the owner", stranger, false, 60, 4},
+		{"first", report(5, 50), false, 50, 0},
+		{"late", report(4, 40), false, 50, 0},
+		{"forwarded again", report(5, 50), false, 50, 0},
+		{"the owner's direct reply in the same round", report(5, 55), true, 55, 3},
+		{"newer", report(6, 60), false, 60, 4},
+		{"from a router that isn't the owner", fromOther, false, 60, 4},
 	} {
-		l.learn(start.Add(time.Duration(i)*time.Second), []EngineLoad{c.load}, c.direct)
-		k := l.loads[c.load.Engine]
+		s.receiveLoads(start.Add(time.Duration(i)*time.Second), []EngineLoad{c.load}, c.direct)
+		k := s.loads[c.load.Engine]
 		require.Equal(t, c.weight, k.Weight, c.what)
-		require.Equal(t, start.Add(time.Duration(c.at)*time.Second), k.at, c.what)
+		require.Equal(t, start.Add(time.Duration(c.at)*time.Second), k.updatedAt, c.what)
 	}
 }
 
 func TestDigestRoundTrip(t *testing.T) {
 	in := []EngineLoad{
 		{Engine: 1, Incarnation: 9, Weight: 60_000, Count: 3, MaxBatch: 50, Flags: flagModel},
-		{Engine: ^uint64(0), Incarnation: ^uint64(0), Weight: -1, Flags: flagLeaving},
+		{Engine: ^uint64(0), Incarnation: ^uint64(0), Weight: -1, Flags: flagDraining},
 	}
 	out, err := decodeDigest(appendDigest(nil, in))
 	require.NoError(t, err)
 	require.Equal(t, in, out)
 }
 
-// BenchmarkSpreadDigest is the payload of one digest in a large group.
+// BenchmarkSpreadDigest reports the payload size of one digest in a large
+// group.
 func BenchmarkSpreadDigest(b *testing.B) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	loads := make([]EngineLoad, spreadLoads)
+	loads := make([]EngineLoad, maxForwardLoads)
 	for i := range loads {
 		loads[i] = EngineLoad{Engine: rng.Uint64(), Incarnation: rng.Uint64(), Weight: 60_000, Count: 40, MaxBatch: 100,
 			Flags: flagModel | flagAdapters, Owner: rng.Uint32(), Seq: 100_000}
--- a/internal/serve/admission/digest.go
+++ b/internal/serve/admission/digest.go
@@ -8,140 +8,145 @@
 	"damaskrouter.example/damaskrouter/internal/serve/board"
 )
 
-// EngineLoad is what an engine's owner tells other routers.
+// EngineLoad is the load of an engine as its owner reports it to other routers.
 type EngineLoad struct {
-	// Engine is the engine's id.
+	// Engine is the engine's ID.
 	Engine      uint64
 	Incarnation uint64
-	// Weight and Count are the admitted, unfinished work.
+	// Weight and Count sum up the admitted, unfinished requests.
 	Weight   int64
 	Count    int32
 	MaxBatch int32
 	Flags    uint8
-	// Owner is the low half of the owner's instance, and Seq counts the owner's
-	// rounds: what is passed on by others may arrive late and out of order.
+	// Owner is the low half of the owner's instance. Seq counts the owner's
+	// digest rounds, since loads forwarded by other routers may arrive late and
+	// out of order.
 	Owner uint32
 	Seq   uint32
 }
 
-// The flags of an EngineLoad.
+// Flags of an EngineLoad.
 const (
-	flagLeaving = 1 << iota
+	flagDraining = 1 << iota
 	flagModel
 	flagAdapters
 )
 
-// Leaving says that the engine is to stop.
-func (e EngineLoad) Leaving() bool { return e.Flags&flagLeaving != 0 }
+// Draining reports whether the engine is about to stop.
+func (e EngineLoad) Draining() bool { return e.Flags&flagDraining != 0 }
 
-// Serves says whether the engine can serve a request to its pool, with one of
-// the pool's adapters or without.
+// Serves reports whether the engine can serve a request to its pool. With
+// adapter set, the engine must have all adapters of the pool.
 func (e EngineLoad) Serves(adapter bool) bool {
 	return e.Flags&flagModel != 0 && (!adapter || e.Flags&flagAdapters != 0)
 }
 
 const (
-	// subscription is how long a router that asked for a permit is told of
+	// subscriptionTTL is how long a router that requested a permit receives
 	// load changes.
-	subscription = 30 * time.Second
-	// maxDigest bounds the engines in one digest.
-	maxDigest = 32
-	// directListeners is how many routers are told directly. In a larger group
-	// each owner tells spreadTo routers a round, drawn at random, and passes on
-	// what it heard of others, spreadLoads engines in all: the bytes of a router
-	// then do not grow with the group.
-	directListeners = 8
-	spreadTo        = 2
-	spreadLoads     = 8
+	subscriptionTTL = 30 * time.Second
+	// maxDigestEngines limits the engines in one digest.
+	maxDigestEngines = 32
+	// maxDirectRecipients is the largest number of routers to which an owner
+	// sends its loads directly. In a larger group an owner picks
+	// forwardRecipients routers at random per round and sends them up to
+	// maxForwardLoads loads, those received from other owners included, so that
+	// a router's traffic does not grow with the group.
+	maxDirectRecipients = 8
+	forwardRecipients   = 2
+	maxForwardLoads     = 8
 )
 
-// learn takes in what the owners of some engines said of them, directly or
-// passed on. The word of a router that does not own an engine any more is not
-// taken, nor one that is older than what is known. direct marks an owner's own
-// answer, which within a round is newer than its digest.
-func (l *lane) learn(now time.Time, loads []EngineLoad, direct bool) {
-	snap := l.a.opts.Board.Snapshot()
+// receiveLoads applies loads reported by engines' owners, directly or
+// forwarded. It ignores loads from a router that no longer owns the engine and
+// loads older than the known one. direct marks an owner's reply to a call,
+// which is newer than a digest of the same round.
+func (s *scheduler) receiveLoads(now time.Time, loads []EngineLoad, direct bool) {
+	snap := s.a.opts.Board.Snapshot()
 	changed := false
-	l.mu.Lock()
+	s.mu.Lock()
 	for _, e := range loads {
 		owner, ok := snap.EngineOwner(e.Engine)
 		if !ok || owner.Name == snap.Self || uint32(owner.Instance) != e.Owner {
 			continue
 		}
-		changed = l.hear(now, e, direct) || changed
+		changed = s.receiveLoad(now, e, direct) || changed
 	}
-	l.mu.Unlock()
+	s.mu.Unlock()
 	if changed {
-		l.wake()
+		s.wake()
 	}
 }
 
-// hear takes in one engine's load and reports whether it is news; the caller
-// holds l.mu.
+// receiveLoad applies the load of one engine and reports whether it changed
+// anything; the caller holds s.mu.
 //
-// What is passed on a second time is not news: it must not look fresh, or the
-// last words of an owner that is lost would go round for ever.
-func (l *lane) hear(now time.Time, e EngineLoad, direct bool) bool {
-	old, had := l.loads[e.Engine]
+// A load that arrives again does not update the time of the record. Otherwise
+// routers would keep forwarding the last load of a dead owner to each other
+// forever.
+func (s *scheduler) receiveLoad(now time.Time, e EngineLoad, direct bool) bool {
+	old, had := s.loads[e.Engine]
 	if had && e.Incarnation < old.Incarnation {
 		return false
 	}
 	if had && e.Owner == old.Owner && (e.Seq < old.Seq || e.Seq == old.Seq && !direct) {
 		return false
 	}
-	k := known{EngineLoad: e, at: now}
+	k := loadRecord{EngineLoad: e, updatedAt: now}
 	if e.Weight >= old.Weight {
 		k.deniedUntil = old.deniedUntil
 	}
-	l.loads[e.Engine] = k
+	s.loads[e.Engine] = k
 	return !had || e != old.EngineLoad
 }
 
-func (l *lane) subscribe(now time.Time, router string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.subs[router] = now.Add(subscription)
+func (s *scheduler) subscribe(now time.Time, router string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.subscribers[router] = now.Add(subscriptionTTL)
 }
 
-// owned lists the loads of the engines in this lane that this router owns.
-func (l *lane) owned(now time.Time) []EngineLoad {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// ownedLoads returns the loads of the engines of this group that this router
+// owns, at most maxDigestEngines of them.
+func (s *scheduler) ownedLoads(now time.Time) []EngineLoad {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var out []EngineLoad
-	for id, k := range l.loads {
-		load, ok := l.a.keeper.load(now, id)
+	for id, k := range s.loads {
+		load, ok := s.a.books.load(now, id)
 		if !ok {
 			continue
 		}
 		e := k.EngineLoad
 		e.Weight = load.Weight
 		e.Count = int32(load.Count)
-		e.Owner = uint32(l.a.opts.Instance)
-		e.Seq = l.round
+		e.Owner = uint32(s.a.opts.Instance)
+		e.Seq = s.digestRound
 		out = append(out, e)
-		if len(out) == maxDigest {
+		if len(out) == maxDigestEngines {
 			break
 		}
 	}
 	return out
 }
 
-// listeners are the routers to tell of load changes: those that own an engine
-// of the group, and those that asked for a permit lately.
-func (l *lane) listeners(now time.Time, snap *board.Snapshot) map[string]bool {
+// recipients returns the names of the routers that receive load changes: the
+// owners of engines of the group and the routers that requested a permit within
+// subscriptionTTL.
+func (s *scheduler) recipients(now time.Time, snap *board.Snapshot) map[string]bool {
 	out := make(map[string]bool)
-	if g := snap.Group(l.key.pool, l.key.region); g != nil {
+	if g := snap.Group(s.key.pool, s.key.region); g != nil {
 		for _, o := range g.Owners {
 			if o >= 0 {
 				out[snap.Routers[o].Name] = true
 			}
 		}
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for name, until := range l.subs {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for name, until := range s.subscribers {
 		if now.After(until) {
-			delete(l.subs, name)
+			delete(s.subscribers, name)
 			continue
 		}
 		out[name] = true
@@ -150,29 +155,29 @@
 	return out
 }
 
-// Digest is a datagram that tells one router of load changes.
+// Digest is a datagram that reports engine loads to one router.
 type Digest struct {
 	To      board.Router
 	Payload []byte
 }
 
-// Digests returns the datagrams to send now. Unless all is set, only engines
-// whose load changed since the last call are told of directly.
-func (a *Admission) Digests(now time.Time, all bool) []Digest {
+// Digests returns the datagrams to send now. Direct recipients get only the
+// loads that changed since the last call, unless full is set.
+func (a *Admission) Digests(now time.Time, full bool) []Digest {
 	snap := a.opts.Board.Snapshot()
 	perRouter := make(map[string][]EngineLoad)
-	for _, l := range a.allLanes() {
-		l.nextRound()
-		listeners := slices.Collect(maps.Keys(l.listeners(now, snap)))
-		loads := l.changed(now, all)
-		if len(listeners) > directListeners {
-			listeners = l.draw(listeners)
-			loads = l.passOn(now)
+	for _, s := range a.allSchedulers() {
+		s.nextRound()
+		recipients := slices.Collect(maps.Keys(s.recipients(now, snap)))
+		loads := s.changedLoads(now, full)
+		if len(recipients) > maxDirectRecipients {
+			recipients = s.sampleRecipients(recipients)
+			loads = s.forwardedLoads(now)
 		}
 		if len(loads) == 0 {
 			continue
 		}
-		for _, name := range listeners {
+		for _, name := range recipients {
 			perRouter[name] = append(perRouter[name], loads...)
 		}
 	}
@@ -182,44 +187,46 @@
 		if !ok {
 			continue
 		}
-		for part := range slices.Chunk(loads, maxDigest) {
-			out = append(out, Digest{To: r, Payload: appendDigest(nil, part)})
+		for chunk := range slices.Chunk(loads, maxDigestEngines) {
+			out = append(out, Digest{To: r, Payload: appendDigest(nil, chunk)})
 		}
 	}
 	return out
 }
 
-// nextRound begins a round of digests.
-func (l *lane) nextRound() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.round++
+// nextRound starts a digest round.
+func (s *scheduler) nextRound() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.digestRound++
 }
 
-// draw picks a few listeners at random. Every second round has none: news of a
-// large group's total may be a little older, as it changes less.
-func (l *lane) draw(listeners []string) []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.round%2 == 1 {
+// sampleRecipients returns forwardRecipients random recipients in every second
+// round and none in the others: the total load of a large group changes less,
+// so it may be reported less often.
+func (s *scheduler) sampleRecipients(recipients []string) []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.digestRound%2 == 1 {
 		return nil
 	}
-	slices.Sort(listeners)
-	l.rng.Shuffle(len(listeners), func(i, j int) { listeners[i], listeners[j] = listeners[j], listeners[i] })
-	return listeners[:spreadTo]
+	slices.Sort(recipients)
+	s.rng.Shuffle(len(recipients), func(i, j int) { recipients[i], recipients[j] = recipients[j], recipients[i] })
+	return recipients[:forwardRecipients]
 }
 
-// passOn is the loads of the engines owned here and, up to spreadLoads, some
-// that were heard of lately, drawn at random.
-func (l *lane) passOn(now time.Time) []EngineLoad {
-	out := l.owned(now)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for id, k := range l.loads {
-		if len(out) >= spreadLoads {
+// forwardedLoads returns the loads of the engines owned here and adds loads
+// received from other owners within maxForwardAge, in random order, up to
+// maxForwardLoads in all.
+func (s *scheduler) forwardedLoads(now time.Time) []EngineLoad {
+	out := s.ownedLoads(now)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for id, k := range s.loads {
+		if len(out) >= maxForwardLoads {
 			break
 		}
-		if _, own := l.a.keeper.load(now, id); own || now.Sub(k.at) > passOnAge {
+		if _, own := s.a.books.load(now, id); own || now.Sub(k.updatedAt) > maxForwardAge {
 			continue
 		}
 		out = append(out, k.EngineLoad)
@@ -227,27 +234,29 @@
 	return out
 }
 
-// passOnAge is from when on a load is too old to be passed on.
-const passOnAge = 10 * time.Second
+// maxForwardAge is the age above which a received load is no longer forwarded.
+const maxForwardAge = 10 * time.Second
 
-// changed lists the owned engines whose load is worth telling.
-func (l *lane) changed(now time.Time, all bool) []EngineLoad {
-	loads := l.owned(now)
+// changedLoads returns the loads of the owned engines that differ from the last
+// ones reported, or all of them if full is set.
+func (s *scheduler) changedLoads(now time.Time, full bool) []EngineLoad {
+	loads := s.ownedLoads(now)
 	out := loads[:0]
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, e := range loads {
-		told := e
-		told.Seq = 0
-		if all || l.told[e.Engine] != told {
+		withoutSeq := e
+		withoutSeq.Seq = 0
+		if full || s.reported[e.Engine] != withoutSeq {
 			out = append(out, e)
 		}
-		l.told[e.Engine] = told
+		s.reported[e.Engine] = withoutSeq
 	}
 	return out
 }
 
-// TakeDigest takes in a datagram from another router.
+// TakeDigest applies a digest from another router. It fails with ErrDigest if
+// the digest is malformed.
 func (a *Admission) TakeDigest(payload []byte) error {
 	loads, err := decodeDigest(payload)
 	if err != nil {
@@ -255,24 +264,24 @@
 	}
 	now := time.Now()
 	snap := a.opts.Board.Snapshot()
-	byLane := make(map[laneKey][]EngineLoad)
+	byGroup := make(map[groupKey][]EngineLoad)
 	for _, e := range loads {
-		if key, ok := laneKeyOf(snap, e.Engine); ok {
-			byLane[key] = append(byLane[key], e)
+		if key, ok := groupKeyOf(snap, e.Engine); ok {
+			byGroup[key] = append(byGroup[key], e)
 		}
 	}
-	for key, list := range byLane {
-		if l := a.lane(key); l != nil {
-			l.learn(now, list, false)
+	for key, list := range byGroup {
+		if s := a.scheduler(key); s != nil {
+			s.receiveLoads(now, list, false)
 		}
 	}
 	return nil
 }
 
-func laneKeyOf(snap *board.Snapshot, engine uint64) (laneKey, bool) {
+func groupKeyOf(snap *board.Snapshot, engine uint64) (groupKey, bool) {
 	e, ok := snap.EngineByID(engine)
 	if !ok {
-		return laneKey{}, false
+		return groupKey{}, false
 	}
-	return laneKey{pool: e.Pool, region: e.Region}, true
+	return groupKey{pool: e.Pool, region: e.Region}, true
 }
--- a/internal/serve/admission/digestcodec.go
+++ b/internal/serve/admission/digestcodec.go
@@ -6,10 +6,10 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrDigest is a load digest that can't be decoded.
+// ErrDigest is the class of errors for load digests that can't be decoded.
 var ErrDigest = errs.Class("admission: load digest")
 
-// digestVersion is the format of a digest.
+// digestVersion is the version of the digest format.
 const digestVersion = 2
 
 // appendDigest encodes loads for a datagram.
@@ -28,9 +28,9 @@
 	return dst
 }
 
-// decodeDigest reads what appendDigest wrote.
+// decodeDigest decodes the output of appendDigest.
 func decodeDigest(p []byte) ([]EngineLoad, error) {
-	if len(p) < 2 || p[0] != digestVersion || p[1] > maxDigest {
+	if len(p) < 2 || p[0] != digestVersion || p[1] > maxDigestEngines {
 		return nil, ErrDigest.New("header")
 	}
 	n := int(p[1])
@@ -38,30 +38,30 @@
 	loads := make([]EngineLoad, 0, n)
 	for range n {
 		loads = append(loads, EngineLoad{
-			Engine:      d.fixed(),
+			Engine:      d.fixed64(),
 			Incarnation: d.unsigned(),
 			Weight:      d.signed(),
 			Count:       int32(d.signed()),
 			MaxBatch:    int32(d.signed()),
-			Flags:       d.octet(),
+			Flags:       d.byte(),
 			Owner:       d.fixed32(),
 			Seq:         uint32(d.unsigned()),
 		})
 	}
-	if d.short || len(d.rest) > 0 {
+	if d.truncated || len(d.rest) > 0 {
 		return nil, ErrDigest.New("length")
 	}
 	return loads, nil
 }
 
 type digestReader struct {
-	rest  []byte
-	short bool
+	rest      []byte
+	truncated bool
 }
 
 func (d *digestReader) take(n int) []byte {
 	if n <= 0 || n > len(d.rest) {
-		d.short = true
+		d.truncated = true
 		d.rest = nil
 		return make([]byte, 8)
 	}
@@ -70,11 +70,11 @@
 	return p
 }
 
-func (d *digestReader) fixed() uint64 { return binary.LittleEndian.Uint64(d.take(8)) }
+func (d *digestReader) fixed64() uint64 { return binary.LittleEndian.Uint64(d.take(8)) }
 
 func (d *digestReader) fixed32() uint32 { return binary.LittleEndian.Uint32(d.take(4)) }
 
-func (d *digestReader) octet() uint8 { return d.take(1)[0] }
+func (d *digestReader) byte() uint8 { return d.take(1)[0] }
 
 func (d *digestReader) unsigned() uint64 {
 	v, n := binary.Uvarint(d.rest)
--- a/internal/serve/admission/engines.go
+++ b/internal/serve/admission/engines.go
@@ -16,15 +16,16 @@
 	"github.com/google/uuid"
 )
 
-// EngineReport takes in the report of an engine that this router owns.
+// EngineReport applies the report of an engine. It has no effect unless this
+// router owns the engine.
 func (a *Admission) EngineReport(e *board.Engine, st wire.EngineStatus) {
 	now := time.Now()
 	snap := a.opts.Board.Snapshot()
-	l := a.laneOf(snap, e)
-	if l == nil {
+	s := a.schedulerOfEngine(snap, e)
+	if s == nil {
 		return
 	}
-	owned := a.keeper.report(now, e.ID, permit.EngineLoad{
+	owned := a.books.applyEngineReport(now, e.ID, permit.EngineLoad{
 		Incarnation: st.Incarnation,
 		Age:         time.Duration(st.ReportAgeMS) * time.Millisecond,
 		Count:       st.Running + st.Queued,
@@ -34,47 +35,47 @@
 	if !owned {
 		return
 	}
-	l.heard(now, e, st)
+	s.recordStatus(now, e, st)
 }
 
-// EngineState takes in a report that does not name the unfinished requests.
-// Its count says nothing new: without the names it can't be told apart from
-// what has been released here since the report was made.
+// EngineState applies a report that doesn't list the unfinished requests. The
+// report's count is ignored: without the request IDs, requests released here
+// since the report was made can't be subtracted from it.
 func (a *Admission) EngineState(e *board.Engine, st wire.EngineStatus) {
-	l := a.laneOf(a.opts.Board.Snapshot(), e)
-	if l == nil || a.keeper.entry(e.ID) == nil {
+	s := a.schedulerOfEngine(a.opts.Board.Snapshot(), e)
+	if s == nil || a.books.find(e.ID) == nil {
 		return
 	}
-	l.heard(time.Now(), e, st)
+	s.recordStatus(time.Now(), e, st)
 }
 
-// heard records the parts of a report that the book does not keep.
-func (l *lane) heard(now time.Time, e *board.Engine, st wire.EngineStatus) {
-	l.mu.Lock()
-	k := l.loads[e.ID]
+// recordStatus records the parts of a report that the permit book doesn't keep.
+func (s *scheduler) recordStatus(now time.Time, e *board.Engine, st wire.EngineStatus) {
+	s.mu.Lock()
+	k := s.loads[e.ID]
 	k.Engine = e.ID
 	k.Incarnation = st.Incarnation
 	k.MaxBatch = int32(st.MaxBatch)
 	k.Flags = 0
 	if st.Leaving {
-		k.Flags |= flagLeaving
+		k.Flags |= flagDraining
 	}
-	if l.pool.Model == "" || l.pool.Model == st.Model {
-		// The version is not looked at: while a new one is rolled out, engines
-		// with the old one go on serving. Were they taken out, an accepted
-		// change of version would leave the pool without engines at once.
+	if s.pool.Model == "" || s.pool.Model == st.Model {
+		// The version isn't compared: engines with the previous version keep
+		// serving during a rollout. Excluding them would leave the pool without
+		// engines as soon as a new version is accepted.
 		k.Flags |= flagModel
 	}
-	if hasAdapters(l.pool, st) {
+	if hasAdapters(s.pool, st) {
 		k.Flags |= flagAdapters
 	}
-	k.at = now
-	l.loads[e.ID] = k
-	l.mu.Unlock()
-	l.wake()
+	k.updatedAt = now
+	s.loads[e.ID] = k
+	s.mu.Unlock()
+	s.wake()
 }
 
-// hasAdapters says whether an engine has all adapters of its pool.
+// hasAdapters reports whether the engine has all adapters of its pool.
 func hasAdapters(p *config.Pool, st wire.EngineStatus) bool {
 	for _, adapter := range p.Adapters {
 		if !slices.Contains(st.Adapters, adapter) {
@@ -84,21 +85,22 @@
 	return true
 }
 
-// Home is the owner of the engine that a chat without evidence goes to: the
-// first in its rendezvous order that is in service, as far as is known here.
+// Home returns the owner of the engine preferred for a chat of which no cached
+// prefix is known: the first engine in the chat's rendezvous order that this
+// router believes to be in service.
 func (a *Admission) Home(p *config.Pool, chat uint64) (board.Router, bool) {
 	snap := a.opts.Board.Snapshot()
 	g := snap.Group(p.Name, snap.Config.Site.Region)
 	if g == nil {
 		return board.Router{}, false
 	}
-	l := a.laneFor(snap, p)
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	s := a.schedulerFor(snap, p)
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := time.Now()
 	best, bestScore := -1, uint64(0)
 	for i := range g.Engines {
-		e := l.describe(now, &g.Engines[i], false)
+		e := s.engineView(now, &g.Engines[i], false)
 		if e.Leaving || !e.Loaded || e.Ejected || g.Owners[i] < 0 {
 			continue
 		}
@@ -112,88 +114,92 @@
 	return snap.Routers[g.Owners[best]], true
 }
 
-// Admitted is the number of an engine's admitted, unfinished requests, as its
-// owner told last; ok is false where nothing was heard.
+// Admitted returns the number of admitted, unfinished requests of an engine as
+// last reported by its owner; ok is false if no load is known.
 func (a *Admission) Admitted(engine uint64) (n int, ok bool) {
-	if load, own := a.keeper.load(time.Now(), engine); own {
+	if load, own := a.books.load(time.Now(), engine); own {
 		return load.Count, true
 	}
-	for _, l := range a.allLanes() {
-		if k, heard := l.lastHeard(engine); heard {
+	for _, s := range a.allSchedulers() {
+		if k, known := s.lastLoad(engine); known {
 			return int(k.Count), true
 		}
 	}
 	return 0, false
 }
 
-func (l *lane) lastHeard(engine uint64) (known, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	k, ok := l.loads[engine]
+func (s *scheduler) lastLoad(engine uint64) (loadRecord, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	k, ok := s.loads[engine]
 	return k, ok
 }
 
-// Adopt takes over the permit of a stream that is resumed at this router.
+// Adopt transfers the permit of a stream that is resumed at this router. It
+// fails with an *apierr.Error if the engine is not in the snapshot or has no
+// owner.
 func (a *Admission) Adopt(ctx context.Context, id, engine string, incarnation uint64) (*Grant, error) {
 	snap := a.opts.Board.Snapshot()
-	gone := apierr.New(apierr.CodeIncomplete, http.StatusBadGateway, "the stream can no longer be resumed").
+	notResumable := apierr.New(apierr.CodeIncomplete, http.StatusBadGateway, "the stream can no longer be resumed").
 		WithRan(apierr.RanYes)
 	e, ok := snap.Engines[engine]
 	if !ok {
-		return nil, gone
+		return nil, notResumable
 	}
 	owner, ok := snap.EngineOwner(e.ID)
-	l := a.laneOf(snap, &e)
-	if !ok || l == nil {
-		return nil, gone
+	s := a.schedulerOfEngine(snap, &e)
+	if !ok || s == nil {
+		return nil, notResumable
 	}
-	c := choice{engine: e, owner: owner, inc: incarnation}
-	c.decision.Weight = l.moveHere(ctx, c, id)
-	return l.grant(id, c, incarnation), nil
+	c := selection{engine: e, owner: owner, incarnation: incarnation}
+	c.decision.Weight = s.transferPermit(ctx, c, id)
+	return s.newGrant(id, c, incarnation), nil
 }
 
-// moveHere asks the engine's owner to move a permit to this router, and returns
-// its weight as far as it is known. The stream may be read whatever comes back.
+// transferPermit asks the engine's owner to transfer a permit to this router,
+// and returns the permit's weight, or 0 if unknown. The stream may be read even
+// if the transfer fails.
 //
-// What goes wrong otherwise: a router is lost, and with it the owner of its
-// callers' engines. For the seconds until that is known, each of them would be
-// told that its answer is gone, while the engine still has it. Or a router has
-// relayed the rest into a connection that the path has forgotten, and given the
-// permit back. Reading what an engine has adds no work to it, its own report
-// counts it, and the next holder's report brings the owner's book up to date.
-// An engine that has no such stream, or was restarted, says so.
-func (l *lane) moveHere(ctx context.Context, c choice, id string) (weight int64) {
-	if c.owner.Name == l.a.opts.Self {
-		r := permit.Request{ID: id, Holder: l.a.holder, Incarnation: c.inc}
-		p, _ := l.a.keeper.transfer(time.Now(), c.engine.ID, r)
+// Two cases need this. When a router dies, so does the owner of its callers'
+// engines; until the fleet notices, seconds later, those callers would be told
+// that their response is lost although the engine still has it. Or a router has
+// relayed the rest of the stream into a connection that the network has
+// dropped, and has returned the permit. Reading existing output adds no work to
+// the engine. The engine's own report counts the stream, and the next holder
+// report corrects the owner's book. An engine that no longer has the stream, or
+// was restarted, says so.
+func (s *scheduler) transferPermit(ctx context.Context, c selection, id string) (weight int64) {
+	if c.owner.Name == s.a.opts.Self {
+		r := permit.Request{ID: id, Holder: s.a.holder, Incarnation: c.incarnation}
+		p, _ := s.a.books.transfer(time.Now(), c.engine.ID, r)
 		return p.Weight
 	}
-	if _, err := l.call(ctx, c, id, AcquireArgs{Incarnation: c.inc, Transfer: true}); err != nil {
-		l.a.Metrics.AdoptedUnasked.Add(1)
+	if _, err := s.call(ctx, c, id, AcquireArgs{Incarnation: c.incarnation, Transfer: true}); err != nil {
+		s.a.Metrics.AdoptedUnconfirmed.Add(1)
 	}
 	return 0
 }
 
-// giveUp ends a permit whose caller did not come back, and reports whether it
-// was still this router's. Where the owner can't be asked the answer is no: a
-// stream that goes on for nobody ends by itself, one that is stopped under a
-// caller does not come back.
-func (a *Admission) giveUp(ctx context.Context, id string) bool {
+// abort ends a permit whose caller did not return, and reports whether this
+// router still held it. If the owner can't be reached the result is false: a
+// stream without a reader ends by itself, but a stream stopped while its caller
+// reads it can't be recovered.
+func (a *Admission) abort(ctx context.Context, id string) bool {
 	h, ok := a.held.remove(id)
 	if !ok {
 		return false
 	}
-	if l := a.lane(h.lane); l != nil {
-		defer l.finished(h)
+	if s := a.scheduler(h.group); s != nil {
+		defer s.recordFinished(h)
 	}
-	if out, _, owned := a.keeper.release(time.Now(), h.engine, id, a.holder); owned {
+	if out, _, owned := a.books.release(time.Now(), h.engine, id, a.holder); owned {
 		return out != permit.Moved
 	}
-	return a.giveUpRemote(ctx, h, id)
+	return a.abortRemote(ctx, h, id)
 }
 
-func (a *Admission) giveUpRemote(ctx context.Context, h held, id string) bool {
-	owner, ok := a.outbox.owner(h.engine)
+func (a *Admission) abortRemote(ctx context.Context, h heldPermit, id string) bool {
+	owner, ok := a.releases.owner(h.engine)
 	parsed, err := uuid.Parse(id)
 	if !ok || err != nil {
 		return false
@@ -205,18 +211,18 @@
 	args := ReleaseArgs{Holder: a.holder, Permits: []ReleasedPermit{p}}
 	t := peer.Target{Name: owner.Name, Address: owner.Control}
 	if err := a.opts.Caller.Call(ctx, t, ServiceName+".Release", args, &reply); err != nil {
-		a.outbox.add(p)
+		a.releases.add(p)
 		return false
 	}
 	return len(reply.Moved) == 0
 }
 
-// Reports returns, for each owner, what this router has unfinished at its
-// engines. Owners compare it with their books: a release that was lost for
-// good, or a permit that a new owner does not know, shows here.
+// Reports returns this router's unfinished requests by owner and engine. Owners
+// compare the reports with their books, which reveals releases that were lost
+// and permits that a new owner doesn't know.
 func (a *Admission) Reports() map[string]ReportArgs {
 	snap := a.opts.Board.Snapshot()
-	seq := a.held.seq.Add(1)
+	seq := a.held.reportSeq.Add(1)
 	byEngine := a.held.byEngine()
 	out := make(map[string]ReportArgs)
 	for _, e := range snap.Engines {
@@ -234,26 +240,27 @@
 	return out
 }
 
-// SendReports delivers the reports; an owner that can't be reached gets the next.
+// SendReports sends the reports to the owners. A report that can't be delivered
+// is not retried; the next one replaces it.
 func (a *Admission) SendReports(ctx context.Context) {
 	snap := a.opts.Board.Snapshot()
-	moved := a.moves.take(snap)
+	newOwners := a.ownerChanges.take(snap)
 	for name, args := range a.Reports() {
 		if name == a.opts.Self {
 			_ = a.Service().Report(args, nil)
 			continue
 		}
 		r, ok := snap.Router(name)
-		if !ok || !moved[name] && !worthTelling(args) {
+		if !ok || !newOwners[name] && !hasPermits(args) {
 			continue
 		}
 		a.sendReport(ctx, r, args)
 	}
 }
 
-// worthTelling leaves out reports of nothing: an owner that hears nothing
-// drops nothing.
-func worthTelling(args ReportArgs) bool {
+// hasPermits reports whether a report lists any permit. Empty reports are
+// normally not sent, since an owner that receives none drops nothing.
+func hasPermits(args ReportArgs) bool {
 	for _, list := range args.Engines {
 		if len(list) > 0 {
 			return true
--- a/internal/serve/admission/facts.go
+++ b/internal/serve/admission/facts.go
@@ -11,30 +11,32 @@
 )
 
 const (
-	// DefaultRecentChats bounds the table of recent chats. At 36.5 bytes each
-	// (go test -bench Memory ./internal/decide/prefix) that is 1.8 MB.
+	// DefaultRecentChats is the default capacity of the table of recent chats.
+	// At 36.5 bytes each (go test -bench Memory ./internal/decide/prefix) it
+	// takes 1.8 MB.
 	DefaultRecentChats = 50_000
-	// viewPrefixes bounds what is remembered of one engine's cache.
-	viewPrefixes = 20_000
-	// maxEvidence bounds the engines named in one answer.
+	// maxViewPrefixes limits the prefixes recorded for one engine's cache.
+	maxViewPrefixes = 20_000
+	// maxEvidence limits the engines that Evidence returns.
 	maxEvidence = 8
 )
 
-// Facts is what this router knows of where prefixes are cached. It is safe
-// for concurrent use.
+// Facts records at which engines prompt prefixes are cached, as far as this
+// router knows. It is safe for concurrent use.
 type Facts struct {
-	mu     sync.Mutex
-	recent *prefix.Recent
-	views  map[uint64]*prefix.View
-	list   []*prefix.View
-	seed   uint64
-	epoch  time.Time
-	found  []prefix.Evidence
-	// incarnations are the current ones, by engine.
+	mu       sync.Mutex
+	recent   *prefix.Recent
+	views    map[uint64]*prefix.View
+	viewList []*prefix.View
+	seed     uint64
+	epoch    time.Time
+	scratch  []prefix.Evidence
+	// incarnations maps engine IDs to the current incarnations.
 	incarnations map[uint64]uint64
 }
 
-// NewFacts returns an empty Facts for chats recent chats.
+// NewFacts returns an empty Facts with room for the given number of recent
+// chats.
 func NewFacts(chats int, seed uint64) (*Facts, error) {
 	epoch := time.Now()
 	r, err := prefix.NewRecent(chats, seed, epoch)
@@ -50,48 +52,51 @@
 	}, nil
 }
 
-// Incarnation implements prefix.Incarnations; f.mu is held.
+// Incarnation implements prefix.Incarnations; the caller holds f.mu.
 func (f *Facts) Incarnation(engine uint64) (uint64, bool) {
 	i, ok := f.incarnations[engine]
 	return i, ok
 }
 
-// Current notes the incarnation of an engine; evidence of others is void.
+// Current sets the current incarnation of an engine. Evidence from other
+// incarnations becomes invalid.
 func (f *Facts) Current(engine, incarnation uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.incarnations[engine] = incarnation
 }
 
-// Served notes that a chat's prefix is cached at an engine from now on.
+// Served records that a chat's prefix is now cached at an engine.
 func (f *Facts) Served(chat uint64, p prefix.Place) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, ok := f.incarnations[p.Engine]; !ok {
 		f.incarnations[p.Engine] = p.Incarnation
 	}
-	// A full table of engines loses only speed; the chat is then placed by
-	// its hint or its hash.
+	// An error means that the engine table is full. That costs only speed: the
+	// chat is then placed by its hint or its hash.
 	_ = f.recent.Record(chat, p, time.Now())
 }
 
-// Evidence finds what is known of a request's prefix.
+// Evidence returns the engines believed to cache a prefix of the request, at
+// most maxEvidence.
 func (f *Facts) Evidence(q prefix.Query) []placement.Evidence {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	q.Now = time.Now()
 	if q.Hint != nil {
 		if _, ok := f.incarnations[q.Hint.Engine]; !ok {
-			// Nothing better is known about that engine here; its owner
-			// refuses a permit for an incarnation that is over.
+			// The hint is the only source for this engine here. If the
+			// incarnation is outdated, the engine's owner rejects the permit
+			// request.
 			f.incarnations[q.Hint.Engine] = q.Hint.Incarnation
 		}
 	}
-	l := prefix.Locator{Recent: f.recent, Views: f.list, Current: f}
-	f.found = l.Evidence(f.found[:0], q)
-	n := min(len(f.found), maxEvidence)
+	locator := prefix.Locator{Recent: f.recent, Views: f.viewList, Current: f}
+	f.scratch = locator.Evidence(f.scratch[:0], q)
+	n := min(len(f.scratch), maxEvidence)
 	out := make([]placement.Evidence, 0, n)
-	for _, e := range f.found[:n] {
+	for _, e := range f.scratch[:n] {
 		out = append(out, placement.Evidence{
 			Engine:       e.Engine,
 			Incarnation:  f.incarnations[e.Engine],
@@ -102,37 +107,38 @@
 	return out
 }
 
-// Follow returns the sequence number from which to ask for an engine's events.
+// Follow starts a view of an engine's cache if there is none, and returns the
+// sequence number of the next cache event to fetch.
 func (f *Facts) Follow(engine uint64) (next uint64, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	v := f.views[engine]
 	if v == nil {
-		if v, err = prefix.NewView(engine, viewPrefixes, f.seed, f.epoch); err != nil {
+		if v, err = prefix.NewView(engine, maxViewPrefixes, f.seed, f.epoch); err != nil {
 			return 0, err
 		}
 		f.views[engine] = v
-		f.listViews()
+		f.rebuildViewList()
 	}
 	return v.Next(), nil
 }
 
-// Unfollow forgets the view of an engine that this router no longer owns.
+// Unfollow drops the view of an engine that this router no longer owns.
 func (f *Facts) Unfollow(engine uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.views, engine)
-	f.listViews()
+	f.rebuildViewList()
 }
 
-func (f *Facts) listViews() {
-	f.list = f.list[:0]
+func (f *Facts) rebuildViewList() {
+	f.viewList = f.viewList[:0]
 	for _, v := range f.views {
-		f.list = append(f.list, v)
+		f.viewList = append(f.viewList, v)
 	}
 }
 
-// Apply takes in a page of an engine's events.
+// Apply applies a page of an engine's cache events.
 func (f *Facts) Apply(engine uint64, page wire.CacheEvents) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -142,7 +148,8 @@
 	}
 }
 
-// Hot lists the chats that an engine served, for the export of its cache.
+// Hot returns up to limit chats that an engine served recently, so that their
+// cached prefixes can be exported.
 func (f *Facts) Hot(engine, incarnation uint64, limit int) []HotChat {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -155,15 +162,15 @@
 	return out
 }
 
-// HotChat is a chat whose prefix an engine holds.
+// HotChat is a chat whose prefix is cached at an engine.
 type HotChat struct {
 	Chat  uint64
 	Place prefix.Place
-	// Age is the time since its last turn.
+	// Age is the time since the chat's last turn.
 	Age time.Duration
 }
 
-// Prune forgets the incarnations of engines that are gone.
+// Prune drops the incarnations of engines that are no longer in the snapshot.
 func (f *Facts) Prune(snap *board.Snapshot) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/serve/admission/health.go
+++ b/internal/serve/admission/health.go
@@ -8,26 +8,26 @@
 	"damaskrouter.example/damaskrouter/internal/serve/board"
 )
 
-// Observation is how an engine did on one request.
+// Observation is the outcome of one request at an engine.
 type Observation = outlier.Observation
 
-// health watches the engines for grey failures: those that answer probes and
-// starve their streams. Each router judges by what it saw itself.
+// health detects gray failures of engines: those that answer health probes but
+// stall their streams. Each router uses only its own observations.
 type health struct {
 	mu        sync.Mutex
-	detectors map[laneKey]*outlier.Detector
-	members   map[laneKey]map[uint64]bool
+	detectors map[groupKey]*outlier.Detector
+	members   map[groupKey]map[uint64]bool
 	ejections int64
 }
 
 func newHealth() *health {
 	return &health{
-		detectors: make(map[laneKey]*outlier.Detector),
-		members:   make(map[laneKey]map[uint64]bool),
+		detectors: make(map[groupKey]*outlier.Detector),
+		members:   make(map[groupKey]map[uint64]bool),
 	}
 }
 
-// sync tells the detectors which engines joined and left.
+// sync adds new engines to the detectors and removes those that left.
 func (h *health) sync(now time.Time, snap *board.Snapshot) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -37,7 +37,7 @@
 }
 
 func (h *health) syncGroup(now time.Time, g *board.Group) {
-	key := laneKey{pool: g.Pool, region: g.Region}
+	key := groupKey{pool: g.Pool, region: g.Region}
 	d := h.detectors[key]
 	if d == nil {
 		d = outlier.NewDetector(outlier.DefaultConfig())
@@ -47,25 +47,26 @@
 	for i, id := range g.IDs {
 		present[id] = !g.Engines[i].Leaving
 	}
-	before := h.members[key]
-	for id, in := range present {
-		if in && !before[id] {
+	previous := h.members[key]
+	for id, inService := range present {
+		if inService && !previous[id] {
 			d.Join(id, now)
 		}
 	}
-	for id, in := range before {
-		if in && !present[id] {
+	for id, inService := range previous {
+		if inService && !present[id] {
 			d.Leave(id, now)
 		}
 	}
 	h.members[key] = present
 }
 
-// state says whether an engine is ejected, and its share of the normal load.
+// state reports whether an engine is ejected, and returns the share of its
+// normal load that it may take.
 func (h *health) state(now time.Time, e *board.Engine) (ejected bool, ramp float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	d := h.detectors[laneKey{pool: e.Pool, region: e.Region}]
+	d := h.detectors[groupKey{pool: e.Pool, region: e.Region}]
 	if d == nil {
 		return false, 1
 	}
@@ -75,7 +76,7 @@
 func (h *health) observe(e *board.Engine, o Observation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	d := h.detectors[laneKey{pool: e.Pool, region: e.Region}]
+	d := h.detectors[groupKey{pool: e.Pool, region: e.Region}]
 	if d == nil {
 		return
 	}
@@ -84,7 +85,8 @@
 	}
 }
 
-// evaluate compares the engines with each other; to be called about once a second.
+// evaluate compares the engines of each group with each other. It is meant to
+// be called about once a second.
 func (h *health) evaluate(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -99,7 +101,7 @@
 	return h.ejections
 }
 
-// Observe reports how an engine did on one request.
+// Observe records how an engine handled one request.
 func (a *Admission) Observe(engine string, o Observation) {
 	e, ok := a.opts.Board.Snapshot().Engines[engine]
 	if !ok {
@@ -110,5 +112,5 @@
 	a.health.observe(&e, o)
 }
 
-// Evaluate looks for engines that do worse than their pool.
+// Evaluate ejects engines that perform worse than the rest of their pool.
 func (a *Admission) Evaluate() { a.health.evaluate(time.Now()) }
--- a/internal/serve/admission/held.go
+++ b/internal/serve/admission/heldpermits.go
@@ -7,47 +7,48 @@
 	"damaskrouter.example/damaskrouter/internal/decide/permit"
 )
 
-// held is a permit that this router holds.
-type held struct {
+// heldPermit is a permit that this router holds.
+type heldPermit struct {
 	engine      uint64
 	name        string
 	weight      int64
 	incarnation uint64
-	lane        laneKey
+	group       groupKey
 }
 
-// heldPermits are the permits that this router holds, by id: what it reports
-// to the owners, and what must be given back.
+// heldPermits maps IDs to the permits that this router holds. They are reported
+// to the engines' owners and must be released.
 type heldPermits struct {
-	mu  sync.Mutex
-	all map[string]held
-	seq atomic.Uint64
+	mu        sync.Mutex
+	permits   map[string]heldPermit
+	reportSeq atomic.Uint64
 }
 
 func newHeldPermits() *heldPermits {
-	return &heldPermits{all: make(map[string]held)}
+	return &heldPermits{permits: make(map[string]heldPermit)}
 }
 
-func (h *heldPermits) add(id string, p held) {
+func (h *heldPermits) add(id string, p heldPermit) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.all[id] = p
+	h.permits[id] = p
 }
 
-func (h *heldPermits) remove(id string) (held, bool) {
+func (h *heldPermits) remove(id string) (heldPermit, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	p, ok := h.all[id]
-	delete(h.all, id)
+	p, ok := h.permits[id]
+	delete(h.permits, id)
 	return p, ok
 }
 
-// byEngine groups the permits for reports to the engines' owners.
+// byEngine returns the permits by engine, for the reports to the engines'
+// owners.
 func (h *heldPermits) byEngine() map[uint64][]ReportedPermit {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := make(map[uint64][]ReportedPermit)
-	for id, p := range h.all {
+	for id, p := range h.permits {
 		out[p.engine] = append(out[p.engine], ReportedPermit{
 			Held:        permit.Held{ID: id, Weight: p.weight},
 			Incarnation: p.incarnation,
@@ -60,5 +61,5 @@
 func (h *heldPermits) Len() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.all)
+	return len(h.permits)
 }
--- a/internal/serve/admission/metrics.go
+++ b/internal/serve/admission/metrics.go
@@ -7,27 +7,31 @@
 	"damaskrouter.example/damaskrouter/internal/decide/placement"
 )
 
-// Metrics counts decisions.
+// Metrics counts the outcomes of admission.
 type Metrics struct {
-	// Granted counts permits, Queued the requests that had to wait, Lumps
-	// the permits beyond the bound for a least loaded engine.
+	// Granted counts permits, Queued the requests that had to wait, and Lumps
+	// the permits granted beyond the load bound because the engine was the
+	// least loaded.
 	Granted, Queued, Lumps atomic.Int64
-	// NoEngine, QueueRefused and Expired count refusals.
+	// NoEngine, QueueRefused and Expired count refused requests.
 	NoEngine, QueueRefused, Expired atomic.Int64
-	// Asked counts questions to other owners, AskFailed those without answer.
-	Asked, AskFailed atomic.Int64
-	// ReleaseRetries counts permits that had to be given back again.
+	// PermitRequests counts calls to other owners, PermitRequestsFailed those
+	// without a reply.
+	PermitRequests, PermitRequestsFailed atomic.Int64
+	// ReleaseRetries counts releases that had to be repeated, ReportsFailed the
+	// reports that were not delivered.
 	ReleaseRetries, ReportsFailed atomic.Int64
-	// Chosen counts granted decisions by placement.Reason.
-	Chosen [placement.ReasonCount]atomic.Int64
-	// AdoptedUnasked counts streams taken up while their engine's owner could
-	// not be reached.
-	AdoptedUnasked atomic.Int64
-	// Reconciled counts permits that reports corrected.
+	// Selected counts grants by placement.Reason.
+	Selected [placement.ReasonCount]atomic.Int64
+	// AdoptedUnconfirmed counts streams resumed here although their engine's
+	// owner could not be reached.
+	AdoptedUnconfirmed atomic.Int64
+	// Reconciled counts permits that reports added to or removed from the
+	// books.
 	Reconciled atomic.Int64
 }
 
-// Vars returns the metrics for publication.
+// Vars returns the metrics for publication through expvar.
 func (a *Admission) Vars() expvar.Var {
 	m := &a.Metrics
 	out := new(expvar.Map).Init()
@@ -38,17 +42,17 @@
 		"no_engine":       &m.NoEngine,
 		"queue_refused":   &m.QueueRefused,
 		"expired":         &m.Expired,
-		"asked":           &m.Asked,
-		"ask_failed":      &m.AskFailed,
+		"asked":           &m.PermitRequests,
+		"ask_failed":      &m.PermitRequestsFailed,
 		"release_retries": &m.ReleaseRetries,
 		"reports_failed":  &m.ReportsFailed,
-		"adopted_unasked": &m.AdoptedUnasked,
+		"adopted_unasked": &m.AdoptedUnconfirmed,
 		"reconciled":      &m.Reconciled,
 	} {
 		out.Set(name, expvar.Func(func() any { return v.Load() }))
 	}
-	for r := range m.Chosen {
-		v := &m.Chosen[r]
+	for r := range m.Selected {
+		v := &m.Selected[r]
 		out.Set("chosen_"+placement.Reason(r).String(), expvar.Func(func() any { return v.Load() }))
 	}
 	out.Set("ejections", expvar.Func(func() any { return a.health.ejected() }))
--- a/internal/serve/admission/remote.go
+++ b/internal/serve/admission/remote.go
@@ -14,70 +14,72 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrAsk is a question for a permit that got no usable answer.
-var ErrAsk = errs.Class("admission: owner gave no answer")
+// ErrPermitRequest is the class of errors for permit requests that got no
+// usable reply.
+var ErrPermitRequest = errs.Class("admission: owner gave no answer")
 
 // ServiceName is the RPC name under which Permits is registered.
 const ServiceName = "Permits"
 
-// Verdict is an owner's answer to a question for a permit.
-type Verdict uint8
+// AcquireResult is the outcome of a permit request.
+type AcquireResult uint8
 
-// The verdicts.
+// Outcomes of a permit request.
 const (
-	// Granted means that the permit is counted at the owner.
-	Granted Verdict = iota + 1
-	// Full means that the engine has no room by the owner's count.
+	// Granted means that the owner's book counts the permit.
+	Granted AcquireResult = iota + 1
+	// Full means that the engine has no room according to its owner's count.
 	Full
-	// NotOwner means that the asked router does not own the engine, or has
-	// not heard from it yet.
+	// NotOwner means that the called router doesn't own the engine, or has no
+	// report of it yet.
 	NotOwner
-	// Gone means that the engine's incarnation, or the permit, is over.
-	Gone
+	// Stale means that the engine was restarted since the given incarnation, or
+	// that the permit has already been released.
+	Stale
 )
 
-// AcquireArgs asks the owner of an engine for a permit.
+// AcquireArgs requests a permit from the owner of an engine.
 type AcquireArgs struct {
-	// Engine is the engine's id; Incarnation the one meant, or 0.
+	// Engine is the engine's ID. Incarnation is the expected one, or 0 for any.
 	Engine      uint64
 	Incarnation uint64
-	// ID, Holder and Weight are those of the permit.
+	// ID, Holder and Weight describe the permit.
 	ID     uuid.UUID
 	Holder string
 	Weight int64
-	// Adapter says that the request needs an adapter of the pool.
+	// Adapter reports whether the request needs an adapter of the pool.
 	Adapter bool
-	// Transfer asks to move the permit to Holder instead of granting one.
+	// Transfer requests that an existing permit be transferred to Holder.
 	Transfer bool
 }
 
-// AcquireReply is the owner's answer.
+// AcquireReply is the owner's reply.
 type AcquireReply struct {
-	Verdict     Verdict
+	Verdict     AcquireResult
 	Incarnation uint64
-	// Loads is the asked engine's load and, with a refusal, that of the other
-	// engines of the pool that the router owns.
+	// Loads is the engine's load. Unless the permit was granted, it includes
+	// the other engines of the pool that the called router owns.
 	Loads []EngineLoad
 }
 
-// ReleaseArgs gives permits back. It may be delivered more than once.
+// ReleaseArgs releases permits. It may be delivered more than once.
 type ReleaseArgs struct {
 	Holder  string
 	Permits []ReleasedPermit
 }
 
-// ReleasedPermit is one permit given back.
+// ReleasedPermit identifies a permit to release.
 type ReleasedPermit struct {
 	Engine uint64
 	ID     uuid.UUID
 }
 
-// ReleaseReply lists, by their indexes, the permits that were not taken back.
+// ReleaseReply lists, by index, the permits that were not released.
 type ReleaseReply struct {
-	// Moved are no longer the holder's: another router has taken them over.
+	// Moved are permits that have been transferred to another holder.
 	Moved []int
-	// NotOwned are permits of engines that the asked router does not own; they
-	// are to be offered to whoever does.
+	// NotOwned are permits of engines that the called router doesn't own; the
+	// caller must send them to the current owner.
 	NotOwned []int
 }
 
@@ -87,7 +89,8 @@
 	Incarnation uint64
 }
 
-// ReportArgs tells an owner what the holder has unfinished at its engines.
+// ReportArgs lists the holder's unfinished requests at the engines of one
+// owner.
 type ReportArgs struct {
 	Holder  string
 	Seq     uint64
@@ -97,34 +100,36 @@
 // ReportReply is empty.
 type ReportReply struct{}
 
-// Permits is the RPC service of the engines' owners.
+// Permits is the RPC service of an engine owner.
 type Permits struct{ a *Admission }
 
-// Service returns the RPC service, to be registered under ServiceName.
+// Service returns the RPC service, which the caller registers under
+// ServiceName.
 func (a *Admission) Service() *Permits { return &Permits{a: a} }
 
-// Acquire answers a question for a permit.
+// Acquire handles a permit request. The outcome is in the reply; the error is
+// always nil.
 func (p *Permits) Acquire(args AcquireArgs, reply *AcquireReply) error {
 	a := p.a
 	now := time.Now()
-	key, ok := laneKeyOf(a.opts.Board.Snapshot(), args.Engine)
-	l := a.lane(key)
-	if !ok || l == nil {
+	key, ok := groupKeyOf(a.opts.Board.Snapshot(), args.Engine)
+	s := a.scheduler(key)
+	if !ok || s == nil {
 		reply.Verdict = NotOwner
 		return nil
 	}
-	l.subscribe(now, board.RouterOfHolder(args.Holder))
-	got, err := l.serve(now, args)
-	reply.Verdict = verdictOf(err)
-	reply.Incarnation = got.Incarnation
-	reply.Loads = l.owned(now)
+	s.subscribe(now, board.RouterOfHolder(args.Holder))
+	granted, err := s.serveAcquire(now, args)
+	reply.Verdict = acquireResult(err)
+	reply.Incarnation = granted.Incarnation
+	reply.Loads = s.ownedLoads(now)
 	if reply.Verdict == Granted {
 		reply.Loads = slices.DeleteFunc(reply.Loads, func(e EngineLoad) bool { return e.Engine != args.Engine })
 	}
 	return nil
 }
 
-// Release takes permits back.
+// Release releases permits. The error is always nil.
 func (p *Permits) Release(args ReleaseArgs, reply *ReleaseReply) error {
 	now := time.Now()
 	for i, r := range args.Permits {
@@ -139,17 +144,19 @@
 	return nil
 }
 
-// Report takes in a holder's unfinished requests.
+// Report applies a holder's report of its unfinished requests. The error is
+// always nil.
 func (p *Permits) Report(args ReportArgs, _ *ReportReply) error {
 	now := time.Now()
 	for engine, list := range args.Engines {
-		p.a.takeReport(now, engine, args, list)
+		p.a.applyReport(now, engine, args, list)
 	}
 	return nil
 }
 
-// takeReport hands a report to the engine's book, by incarnation.
-func (a *Admission) takeReport(now time.Time, engine uint64, args ReportArgs, list []ReportedPermit) {
+// applyReport applies a holder's report to the engine's book, once per
+// incarnation.
+func (a *Admission) applyReport(now time.Time, engine uint64, args ReportArgs, list []ReportedPermit) {
 	byIncarnation := make(map[uint64][]permit.Held)
 	for _, h := range list {
 		byIncarnation[h.Incarnation] = append(byIncarnation[h.Incarnation], h.Held)
@@ -157,104 +164,104 @@
 	if len(list) == 0 {
 		byIncarnation[0] = nil
 	}
-	for inc, heldThere := range byIncarnation {
-		a.keeper.holdings(now, engine, permit.HolderReport{
-			Holder: args.Holder, Seq: args.Seq, Incarnation: inc, Held: heldThere,
+	for incarnation, permits := range byIncarnation {
+		a.books.applyHolderReport(now, engine, permit.HolderReport{
+			Holder: args.Holder, Seq: args.Seq, Incarnation: incarnation, Held: permits,
 		})
 	}
 }
 
-func verdictOf(err error) Verdict {
+func acquireResult(err error) AcquireResult {
 	var released *permit.ReleasedError
-	var inc *permit.IncarnationError
+	var incarnation *permit.IncarnationError
 	switch {
 	case err == nil:
 		return Granted
-	case errors.As(err, &inc), errors.As(err, &released):
-		return Gone
-	case errors.Is(full(err), placement.ErrFull):
+	case errors.As(err, &incarnation), errors.As(err, &released):
+		return Stale
+	case errors.Is(placementError(err), placement.ErrFull):
 		return Full
 	}
 	return NotOwner
 }
 
-// serve grants or moves a permit of an engine owned here.
-func (l *lane) serve(now time.Time, args AcquireArgs) (permit.Permit, error) {
+// serveAcquire grants or transfers a permit of an engine that this router owns.
+func (s *scheduler) serveAcquire(now time.Time, args AcquireArgs) (permit.Permit, error) {
 	r := permit.Request{ID: args.ID.String(), Holder: args.Holder, Incarnation: args.Incarnation, Weight: args.Weight}
 	if args.Transfer {
-		return l.a.keeper.transfer(now, args.Engine, r)
+		return s.a.books.transfer(now, args.Engine, r)
 	}
-	snap := l.a.opts.Board.Snapshot()
-	group := snap.Group(l.key.pool, l.key.region)
+	snap := s.a.opts.Board.Snapshot()
+	group := snap.Group(s.key.pool, s.key.region)
 	if group == nil {
-		return permit.Permit{}, ErrNotOwner.New("pool %s", l.key.pool)
+		return permit.Permit{}, ErrNotOwner.New("pool %s", s.key.pool)
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	pool := l.view(now, snap, group, args.Adapter, nil)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	pool := s.poolView(now, snap, group, args.Adapter, nil)
 	for i := range pool.Engines {
 		if pool.Engines[i].ID == args.Engine {
-			return l.acquire(now, pool, i, r)
+			return s.acquireOwned(now, pool, i, r)
 		}
 	}
 	return permit.Permit{}, ErrNotOwner.New("engine %x", args.Engine)
 }
 
-// ask asks another router, the engine's owner, for a permit.
-func (l *lane) ask(ctx context.Context, c choice, req *Request) (*Grant, error) {
-	reply, err := l.call(ctx, c, req.ID, AcquireArgs{Weight: c.decision.Weight, Adapter: req.Adapter})
+// requestPermit requests a permit from the router that owns the engine.
+func (s *scheduler) requestPermit(ctx context.Context, c selection, req *Request) (*Grant, error) {
+	reply, err := s.call(ctx, c, req.ID, AcquireArgs{Weight: c.decision.Weight, Adapter: req.Adapter})
 	if err != nil {
 		return nil, err
 	}
 	if reply.Verdict == Full {
-		l.deny(c.engine.ID)
+		s.recordDenial(c.engine.ID)
 	}
 	if reply.Verdict != Granted {
-		return nil, refusedBy(reply.Verdict)
+		return nil, resultError(reply.Verdict)
 	}
-	return l.grant(req.ID, c, reply.Incarnation), nil
+	return s.newGrant(req.ID, c, reply.Incarnation), nil
 }
 
-// deny remembers that the owner of an engine has just refused.
-func (l *lane) deny(engine uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if k, ok := l.loads[engine]; ok {
-		k.deniedUntil = time.Now().Add(denial)
-		l.loads[engine] = k
+// recordDenial records that an engine's owner has just denied a permit.
+func (s *scheduler) recordDenial(engine uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if k, ok := s.loads[engine]; ok {
+		k.deniedUntil = time.Now().Add(denialBackoff)
+		s.loads[engine] = k
 	}
 }
 
-func refusedBy(v Verdict) error {
-	if v == Full {
+func resultError(result AcquireResult) error {
+	if result == Full {
 		return placement.ErrFull
 	}
-	return ErrAsk.New("verdict %d", v)
+	return ErrPermitRequest.New("verdict %d", result)
 }
 
-// call sends a question to the owner and takes in the loads that it tells.
-func (l *lane) call(ctx context.Context, c choice, id string, args AcquireArgs) (AcquireReply, error) {
+// call sends a permit request to the owner and applies the loads in the reply.
+func (s *scheduler) call(ctx context.Context, c selection, id string, args AcquireArgs) (AcquireReply, error) {
 	var err error
 	if args.ID, err = uuid.Parse(id); err != nil {
-		return AcquireReply{}, ErrAsk.Wrap(err)
+		return AcquireReply{}, ErrPermitRequest.Wrap(err)
 	}
 	args.Engine = c.engine.ID
-	args.Holder = l.a.holder
-	cctx, cancel := context.WithTimeout(ctx, l.a.opts.CallTimeout)
+	args.Holder = s.a.holder
+	callCtx, cancel := context.WithTimeout(ctx, s.a.opts.CallTimeout)
 	defer cancel()
 	var reply AcquireReply
 	t := peer.Target{Name: c.owner.Name, Address: c.owner.Control}
-	err = l.a.opts.Caller.Call(cctx, t, ServiceName+".Acquire", args, &reply)
-	l.a.Metrics.Asked.Add(1)
+	err = s.a.opts.Caller.Call(callCtx, t, ServiceName+".Acquire", args, &reply)
+	s.a.Metrics.PermitRequests.Add(1)
 	if err != nil {
-		l.a.Metrics.AskFailed.Add(1)
+		s.a.Metrics.PermitRequestsFailed.Add(1)
 		if !peer.ErrNotSent.Has(err) && !args.Transfer {
-			// The owner may have granted it. Without this, a permit that nobody
-			// holds would count against the engine until it is reconciled.
-			l.a.outbox.add(ReleasedPermit{Engine: c.engine.ID, ID: args.ID})
+			// The owner may have granted the permit. Without a release, it
+			// would count against the engine until the next reconciliation.
+			s.a.releases.add(ReleasedPermit{Engine: c.engine.ID, ID: args.ID})
 		}
-		return reply, ErrAsk.Wrap(err)
+		return reply, ErrPermitRequest.Wrap(err)
 	}
-	l.learn(time.Now(), reply.Loads, true)
+	s.receiveLoads(time.Now(), reply.Loads, true)
 	return reply, nil
 }
--- a/internal/serve/admission/waiting.go
+++ b/internal/serve/admission/waiting.go
@@ -11,13 +11,13 @@
 	"damaskrouter.example/damaskrouter/internal/serve/apierr"
 )
 
-// waiter is a request in a lane's queue.
+// waiter is a request in a scheduler's queue.
 type waiter struct {
-	ctx    context.Context
-	req    *Request
-	since  time.Time
-	until  time.Time
-	result chan outcome
+	ctx      context.Context
+	req      *Request
+	queuedAt time.Time
+	deadline time.Time
+	result   chan outcome
 }
 
 type outcome struct {
@@ -26,88 +26,92 @@
 }
 
 const (
-	// retryTick is how often waiting requests are tried without any event,
-	// for room that appears at another owner's engine unseen.
-	retryTick = 100 * time.Millisecond
-	// minRetryAfter is the least wait suggested to a refused caller.
+	// retryInterval is how often waiting requests are retried without any
+	// event, since capacity may become free at another owner's engine
+	// unnoticed.
+	retryInterval = 100 * time.Millisecond
+	// minRetryAfter is the smallest Retry-After value sent with a refusal.
 	minRetryAfter = 100 * time.Millisecond
 )
 
-// wait queues the request until it is granted, refused or its caller is gone.
-func (l *lane) wait(ctx context.Context, now time.Time, req *Request) (*Grant, error) {
-	w := &waiter{ctx: ctx, req: req, since: now, until: now.Add(l.a.opts.MaxWait), result: make(chan outcome, 1)}
-	if !req.Deadline.IsZero() && req.Deadline.Before(w.until) {
-		w.until = req.Deadline
+// wait queues the request until it is granted or refused, its caller is gone or
+// the router stops.
+func (s *scheduler) wait(ctx context.Context, now time.Time, req *Request) (*Grant, error) {
+	w := &waiter{ctx: ctx, req: req, queuedAt: now, deadline: now.Add(s.a.opts.MaxWait), result: make(chan outcome, 1)}
+	if !req.Deadline.IsZero() && req.Deadline.Before(w.deadline) {
+		w.deadline = req.Deadline
 	}
-	if err := l.push(now, w); err != nil {
-		l.a.Metrics.QueueRefused.Add(1)
-		return nil, queueRefusal(err)
+	if err := s.enqueue(now, w); err != nil {
+		s.a.Metrics.QueueRefused.Add(1)
+		return nil, queueError(err)
 	}
-	l.a.Metrics.Queued.Add(1)
-	l.wake()
+	s.a.Metrics.Queued.Add(1)
+	s.wake()
 	select {
 	case out := <-w.result:
 		return out.grant, out.err
 	case <-ctx.Done():
-		l.forget(w)
+		s.removeWaiter(w)
 		return nil, apierr.New(apierr.CodeDeadline, http.StatusRequestTimeout, "caller is gone").WithCause(ctx.Err())
-	case <-l.a.ctx.Done():
-		l.forget(w)
+	case <-s.a.ctx.Done():
+		s.removeWaiter(w)
 		return nil, apierr.New(apierr.CodeLeaving, http.StatusServiceUnavailable, "router is stopping").
 			WithRetryAfter(minRetryAfter)
 	}
 }
 
-func (l *lane) push(now time.Time, w *waiter) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.waiting() >= l.pool.QueueLimit {
+func (s *scheduler) enqueue(now time.Time, w *waiter) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.waiting() >= s.pool.QueueLimit {
 		return &queue.FullError{Scope: queue.ScopeQueue, RetryAfter: time.Second}
 	}
-	return l.queue.Push(now, queue.Item{
+	return s.queue.Push(now, queue.Item{
 		ID:       w.req.ID,
 		Account:  w.req.Account.Name,
 		Class:    w.req.Class,
-		Weight:   l.a.opts.Policy.Weight(&w.req.Place, 0),
+		Weight:   s.a.opts.Policy.Weight(&w.req.Place, 0),
 		Share:    w.req.Account.Weight,
-		Deadline: w.until,
+		Deadline: w.deadline,
 		Value:    w,
 	})
 }
 
-// waiting counts the requests that wait here; the caller holds l.mu.
-func (l *lane) waiting() int {
-	n := l.queue.Len()
-	if l.head != nil {
+// waiting returns the number of requests that wait at this router; the caller
+// holds s.mu.
+func (s *scheduler) waiting() int {
+	n := s.queue.Len()
+	if s.head != nil {
 		n++
 	}
 	return n
 }
 
-func queueRefusal(err error) *apierr.Error {
-	var full *queue.FullError
-	if errors.As(err, &full) {
+func queueError(err error) *apierr.Error {
+	var fullErr *queue.FullError
+	if errors.As(err, &fullErr) {
 		return apierr.New(apierr.CodeQueueFull, http.StatusServiceUnavailable, "too many requests are waiting").
-			WithRetryAfter(max(full.RetryAfter, minRetryAfter)).WithCause(err)
+			WithRetryAfter(max(fullErr.RetryAfter, minRetryAfter)).WithCause(err)
 	}
-	var late *queue.DeadlineError
-	if errors.As(err, &late) {
+	var deadlineErr *queue.DeadlineError
+	if errors.As(err, &deadlineErr) {
 		return apierr.New(apierr.CodeDeadline, http.StatusServiceUnavailable, "the deadline can't be met").
-			WithRetryAfter(max(late.RetryAfter, minRetryAfter)).WithCause(err)
+			WithRetryAfter(max(deadlineErr.RetryAfter, minRetryAfter)).WithCause(err)
 	}
 	return apierr.New(apierr.CodeQueueFull, http.StatusServiceUnavailable, "the request can't wait here").
 		WithRetryAfter(time.Second).WithCause(err)
 }
 
-// forget takes a waiter out whose caller is gone. Where the grant was faster,
-// it is given back: a permit that nobody uses would hold room for ever.
-func (l *lane) forget(w *waiter) {
-	l.mu.Lock()
-	l.queue.Remove(w.req.ID)
-	if l.head == w {
-		l.head = nil
+// removeWaiter removes a waiter whose caller is gone. If its request has been
+// granted meanwhile, the grant is released: an unused permit would occupy
+// capacity forever.
+func (s *scheduler) removeWaiter(w *waiter) {
+	s.mu.Lock()
+	s.queue.Remove(w.req.ID)
+	if s.head == w {
+		s.head = nil
 	}
-	l.mu.Unlock()
+	s.mu.Unlock()
 	select {
 	case out := <-w.result:
 		if out.grant != nil {
@@ -117,63 +121,63 @@
 	}
 }
 
-// run dispatches waiting requests whenever something may have changed.
-func (l *lane) run() {
-	defer l.a.wg.Done()
-	tick := time.NewTimer(retryTick)
-	defer tick.Stop()
+// run dispatches waiting requests whenever capacity may have become free.
+func (s *scheduler) run() {
+	defer s.a.wg.Done()
+	timer := time.NewTimer(retryInterval)
+	defer timer.Stop()
 	for {
 		select {
-		case <-l.a.ctx.Done():
+		case <-s.a.ctx.Done():
 			return
-		case <-l.woken:
-		case <-tick.C:
+		case <-s.wakeup:
+		case <-timer.C:
 		}
-		if l.dispatch() {
-			tick.Reset(retryTick)
+		if s.dispatch() {
+			timer.Reset(retryInterval)
 		}
 	}
 }
 
-// dispatch places waiting requests in order until there is no more room. It
-// reports whether any are left.
-func (l *lane) dispatch() (left bool) {
+// dispatch places waiting requests in order until no engine has room. It
+// reports whether any remain.
+func (s *scheduler) dispatch() (remaining bool) {
 	for {
-		w := l.next()
+		w := s.nextWaiter()
 		if w == nil {
 			return false
 		}
 		now := time.Now()
-		g, err := l.place(w.ctx, now, w.req)
+		g, err := s.place(w.ctx, now, w.req)
 		if err == nil {
-			g.Waited = now.Sub(w.since)
-			l.a.Metrics.Granted.Add(1)
-			l.deliver(w, outcome{grant: g})
+			g.Waited = now.Sub(w.queuedAt)
+			s.a.Metrics.Granted.Add(1)
+			s.deliver(w, outcome{grant: g})
 			continue
 		}
 		if !errors.Is(err, placement.ErrFull) {
-			l.deliver(w, outcome{err: noEngine(err)})
+			s.deliver(w, outcome{err: noEngineError(err)})
 			continue
 		}
-		l.putBack(w)
+		s.returnToHead(w)
 		return true
 	}
 }
 
-// next takes the request whose turn it is. Those that can no longer be served
-// in time are refused now, not when their deadline comes.
-func (l *lane) next() *waiter {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// nextWaiter returns the next request to place, or nil. It refuses requests
+// that can no longer be served in time now, not only at their deadline.
+func (s *scheduler) nextWaiter() *waiter {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := time.Now()
-	for _, it := range l.queue.Expire(now) {
-		l.refuseLate(now, it.Value.(*waiter))
+	for _, it := range s.queue.Expire(now) {
+		s.refuseExpired(now, it.Value.(*waiter))
 	}
 	for {
-		w := l.head
-		l.head = nil
+		w := s.head
+		s.head = nil
 		if w == nil {
-			it, ok := l.queue.Pop(now)
+			it, ok := s.queue.Pop(now)
 			if !ok {
 				return nil
 			}
@@ -182,48 +186,49 @@
 		if w.ctx.Err() != nil {
 			continue
 		}
-		if now.After(w.until) {
-			l.refuseLate(now, w)
+		if now.After(w.deadline) {
+			s.refuseExpired(now, w)
 			continue
 		}
 		return w
 	}
 }
 
-func (l *lane) refuseLate(now time.Time, w *waiter) {
-	l.a.Metrics.Expired.Add(1)
-	wait := l.queue.PredictWait(now, queue.Item{Class: w.req.Class, Account: w.req.Account.Name, Weight: 1})
-	w.result <- outcome{err: queueRefusal(&queue.DeadlineError{PredictedWait: wait, RetryAfter: wait})}
+func (s *scheduler) refuseExpired(now time.Time, w *waiter) {
+	s.a.Metrics.Expired.Add(1)
+	wait := s.queue.PredictWait(now, queue.Item{Class: w.req.Class, Account: w.req.Account.Name, Weight: 1})
+	w.result <- outcome{err: queueError(&queue.DeadlineError{PredictedWait: wait, RetryAfter: wait})}
 }
 
-func (l *lane) putBack(w *waiter) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.head = w
+func (s *scheduler) returnToHead(w *waiter) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.head = w
 }
 
-// deliver hands the outcome over. A caller that left in the meantime does not
-// read it any more, so its grant is given back here.
-func (l *lane) deliver(w *waiter, out outcome) {
+// deliver sends the outcome to the waiter. A caller that has left meanwhile no
+// longer reads it, so its grant is released here.
+func (s *scheduler) deliver(w *waiter, out outcome) {
 	w.result <- out
 	if w.ctx.Err() == nil {
 		return
 	}
-	l.forget(w)
+	s.removeWaiter(w)
 }
 
-// finished notes that work of this router ended at an engine. The queue
-// estimates waits from it. The owner of another router's engine tells the new
-// load only with its next digest; until then the last one is corrected here, or
-// a chat's next turn would find its own engine busy with its last one.
-func (l *lane) finished(h held) {
-	l.mu.Lock()
-	l.queue.Observe(time.Now(), h.weight)
-	if k, ok := l.loads[h.engine]; ok {
+// recordFinished records that a request of this router has finished at an
+// engine, from which the queue estimates waits. The owner reports the new load
+// only with its next digest; until then the last known load is corrected here.
+// Otherwise a chat's next turn would find its engine still busy with the
+// previous one.
+func (s *scheduler) recordFinished(h heldPermit) {
+	s.mu.Lock()
+	s.queue.Observe(time.Now(), h.weight)
+	if k, ok := s.loads[h.engine]; ok {
 		k.Weight = max(0, k.Weight-h.weight)
 		k.Count = max(0, k.Count-1)
-		l.loads[h.engine] = k
+		s.loads[h.engine] = k
 	}
-	l.mu.Unlock()
-	l.wake()
+	s.mu.Unlock()
+	s.wake()
 }
