--- a/internal/serve/admission/digest.go
+++ b/internal/serve/admission/digest.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// receiveLoad applies the load of one engine and reports whether it changed
-// anything; the caller holds s.mu.
+// receiveLoad applies the load of one engine and reports whether it differs
+// from the known one; the caller holds s.mu.
 //
 // A load that arrives again does not update the time of the record. Otherwise
 // routers would keep forwarding the last load of a dead owner to each other
--- a/internal/serve/quota/owner.go
+++ b/internal/serve/quota/owner.go
@@ -8,52 +8,55 @@
 	"damaskrouter.example/damaskrouter/internal/serve/board"
 )
 
-// GrantArgs asks the owner of an account for a batch.
+// GrantArgs requests a batch of tokens and slots from an account's owner.
 type GrantArgs struct {
 	Account string
 	Ask     limit.Ask
 }
 
-// GrantReply is the owner's answer.
+// GrantReply is the owner's reply.
 type GrantReply struct {
-	// Owner is false where the asked router does not take itself for the owner.
+	// Owner is false if the called router doesn't consider itself the owner;
+	// Batch is then empty.
 	Owner bool
 	Batch limit.Batch
 }
 
-// Accounts is the RPC service of the accounts' owners.
+// Accounts is the RPC service of an account owner.
 type Accounts struct{ q *Quota }
 
-// Service returns the RPC service, to be registered under ServiceName.
+// Service returns the RPC service, which the caller registers under
+// ServiceName.
 func (q *Quota) Service() *Accounts { return &Accounts{q: q} }
 
-// Grant answers an ask.
+// Grant handles a request for a batch. The error is always nil.
 func (a *Accounts) Grant(args GrantArgs, reply *GrantReply) error {
 	owner, ok := a.q.opts.Board.Snapshot().Owner(accountID(args.Account))
 	if !ok || owner.Name != a.q.opts.Self {
 		return nil
 	}
 	reply.Owner = true
-	reply.Batch = a.q.grant(args.Account, args.Ask)
+	reply.Batch = a.q.grantOwned(args.Account, args.Ask)
 	return nil
 }
 
-func (q *Quota) grant(account string, ask limit.Ask) limit.Batch {
+func (q *Quota) grantOwned(account string, request limit.Ask) limit.Batch {
 	now := time.Now()
 	limits := q.limits(account)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	l := q.ledgers[account]
 	if l == nil {
-		l = limit.NewLedger(now, limits, 0, q.others())
+		l = limit.NewLedger(now, limits, 0, q.otherHolders())
 		q.ledgers[account] = l
 	}
 	l.SetLimits(now, limits)
-	return l.Grant(now, ask)
+	return l.Grant(now, request)
 }
 
-// others are the routers whose reports a new ledger waits for.
-func (q *Quota) others() []string {
+// otherHolders returns the holder names of the routers from which a new ledger
+// awaits reports.
+func (q *Quota) otherHolders() []string {
 	var out []string
 	for _, r := range q.opts.Board.Snapshot().Live {
 		if r.Name != q.opts.Self {
@@ -63,8 +66,9 @@
 	return out
 }
 
-// Sync takes in a new snapshot: ledgers of accounts that moved away are closed,
-// and the new owners of accounts in use here are told what this router holds.
+// Sync applies a new snapshot: it drops the ledgers of accounts that this
+// router no longer owns, and makes reports due to the new owners of accounts in
+// use here.
 func (q *Quota) Sync(snap *board.Snapshot) {
 	now := time.Now()
 	q.mu.Lock()
@@ -74,23 +78,24 @@
 		live = append(live, r.HolderName())
 	}
 	q.cache.SetLive(live)
-	if slices.Equal(live, q.live) && snap.ConfigVersion == q.version {
-		// Owners move only with the routers; most snapshots are about engines.
+	if slices.Equal(live, q.liveHolders) && snap.ConfigVersion == q.configVersion {
+		// Owners change only with the live routers, accounts only with the
+		// configuration; most snapshots concern engines.
 		return
 	}
-	q.live, q.version = live, snap.ConfigVersion
+	q.liveHolders, q.configVersion = live, snap.ConfigVersion
 	for account := range q.ledgers {
 		if owner, ok := snap.Owner(accountID(account)); !ok || owner.Name != q.opts.Self {
 			delete(q.ledgers, account)
 		}
 	}
 	if snap.Config != nil {
-		q.followOwners(now, snap)
+		q.updateOwners(now, snap)
 	}
-	q.buryDead(snap)
+	q.reportDeadRouters(snap)
 }
 
-func (q *Quota) followOwners(now time.Time, snap *board.Snapshot) {
+func (q *Quota) updateOwners(now time.Time, snap *board.Snapshot) {
 	for i := range snap.Config.Accounts {
 		a := &snap.Config.Accounts[i]
 		owner, ok := snap.Owner(accountID(a.Name))
@@ -104,18 +109,18 @@
 	}
 }
 
-// buryDead tells the ledgers which routers are gone.
-func (q *Quota) buryDead(snap *board.Snapshot) {
+// reportDeadRouters reports to the ledgers which routers have left the fleet.
+func (q *Quota) reportDeadRouters(snap *board.Snapshot) {
 	known := make(map[string]bool, len(snap.Routers))
 	for _, r := range snap.Routers {
 		known[r.HolderName()] = true
 	}
-	for name := range q.seen {
+	for name := range q.knownHolders {
 		if !known[name] {
 			for _, l := range q.ledgers {
 				l.RouterDead(name)
 			}
 		}
 	}
-	q.seen = known
+	q.knownHolders = known
 }
--- a/internal/serve/quota/quota.go
+++ b/internal/serve/quota/quota.go
@@ -1,6 +1,6 @@
-// Package quota holds client accounts to their limits across the fleet. It
-// drives package limit: the accounts that this router owns have their ledgers
-// here, and for all others it asks their owners for batches in advance.
+// Package quota enforces the limits of client accounts across the fleet, using
+// package limit. It keeps the ledgers of the accounts that this router owns,
+// and requests batches in advance from the owners of all other accounts.
 package quota
 
 import (
@@ -21,14 +21,14 @@
 )
 
 const (
-	// DefaultCallTimeout bounds one ask of an account's owner.
+	// DefaultCallTimeout limits one call to an account's owner.
 	DefaultCallTimeout = 300 * time.Millisecond
-	// renewPeriod is how often leases are looked at.
-	renewPeriod = 500 * time.Millisecond
-	// maxUndecided bounds how long one request waits for the owner's answers.
-	// One answer may not be enough for all that wait; each ends in a few
-	// milliseconds, or in a failure that leaves the static share to decide.
-	maxUndecided = time.Second
+	// renewInterval is how often leases are checked for renewal.
+	renewInterval = 500 * time.Millisecond
+	// maxOwnerWait limits how long one request waits for replies of the owner.
+	// One reply may not be enough for all requests that wait; each call ends
+	// within a few milliseconds, or fails, and then the static share decides.
+	maxOwnerWait = time.Second
 )
 
 // ServiceName is the RPC name under which Accounts is registered.
@@ -38,13 +38,13 @@
 type Options struct {
 	Board  *board.Board
 	Caller *peer.Caller
-	// Self is this router's name; Instance tells its restarts apart.
+	// Self is this router's name; Instance distinguishes its restarts.
 	Self     string
 	Instance uint64
 	Rand     *rand.Rand
 }
 
-// Quota decides whether a request is within its account's limits. It is safe
+// Quota decides whether requests are within their account's limits. It is safe
 // for concurrent use.
 type Quota struct {
 	opts   Options
@@ -53,18 +53,21 @@
 	mu      sync.Mutex
 	cache   *limit.Cache
 	ledgers map[string]*limit.Ledger
-	// owners are the owners of the accounts in use, as of the last sync.
+	// owners maps the accounts of the configuration to their owners in the last
+	// snapshot.
 	owners map[string]string
-	// live and version are those of the last sync, seen all its routers.
-	live    []string
-	version uint64
-	seen    map[string]bool
-	// asking is closed when the ask under way for an account has ended.
-	asking map[string]chan struct{}
-
-	// Refused counts requests beyond a limit, Asks the questions to other
-	// routers, AsksFailed those without an answer.
-	Refused, Asks, AsksFailed atomic.Int64
+	// liveHolders and configVersion are those of the last snapshot that changed
+	// either, knownHolders all routers of that snapshot.
+	liveHolders   []string
+	configVersion uint64
+	knownHolders  map[string]bool
+	// pending holds, per account, a channel that is closed when the pending
+	// request to the owner ends.
+	pending map[string]chan struct{}
+
+	// Refused counts requests refused by a limit, OwnerCalls the calls to other
+	// routers, and OwnerCallsFailed the requests for a batch that failed.
+	Refused, OwnerCalls, OwnerCallsFailed atomic.Int64
 }
 
 // New returns a Quota.
@@ -74,7 +77,7 @@
 		holder:  board.HolderName(o.Self, o.Instance),
 		ledgers: make(map[string]*limit.Ledger),
 		owners:  make(map[string]string),
-		asking:  make(map[string]chan struct{}),
+		pending: make(map[string]chan struct{}),
 	}
 	q.cache = limit.NewCache(limit.CacheConfig{Self: q.holder, Limits: q.limits, Rand: o.Rand}, []string{q.holder})
 	return q
@@ -96,31 +99,32 @@
 	return limit.Limits{Rate: a.RequestsPerSecond, Burst: a.Burst, Concurrency: a.Concurrency}
 }
 
-// Take admits one request of the account; done must be called when it ends.
-// Its errors are *apierr.Error and mean that nothing was sent.
+// Take admits one request of the account. The caller must call done when the
+// request ends. Errors are *apierr.Error and mean that nothing was sent to an
+// engine.
 func (q *Quota) Take(ctx context.Context, a *config.Account) (done func(), err error) {
 	if a.RequestsPerSecond <= 0 && a.Concurrency <= 0 {
 		return func() {}, nil
 	}
-	for started := time.Now(); time.Since(started) < maxUndecided && ctx.Err() == nil; {
-		v := q.take(a.Name)
+	for started := time.Now(); time.Since(started) < maxOwnerWait && ctx.Err() == nil; {
+		v := q.takeCached(a.Name)
 		if v.Err != nil {
 			q.Refused.Add(1)
-			return nil, refusal(v.Err)
+			return nil, refusalError(v.Err)
 		}
 		if v.OK {
 			if v.NeedRefill {
-				go q.ask(context.WithoutCancel(ctx), a.Name)
+				go q.requestBatch(context.WithoutCancel(ctx), a.Name)
 			}
 			return q.doneOnce(a.Name), nil
 		}
-		q.ask(ctx, a.Name)
+		q.requestBatch(ctx, a.Name)
 	}
 	q.Refused.Add(1)
-	return nil, refusal(&limit.RateError{Account: a.Name, RetryAfter: time.Second})
+	return nil, refusalError(&limit.RateError{Account: a.Name, RetryAfter: time.Second})
 }
 
-func (q *Quota) take(account string) limit.Verdict {
+func (q *Quota) takeCached(account string) limit.Verdict {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.cache.Take(time.Now(), account)
@@ -137,7 +141,7 @@
 	}
 }
 
-func refusal(err error) *apierr.Error {
+func refusalError(err error) *apierr.Error {
 	var rate *limit.RateError
 	if errors.As(err, &rate) {
 		return apierr.New(apierr.CodeRateLimited, http.StatusTooManyRequests, "the account's request rate is used up").
@@ -151,56 +155,60 @@
 	return e.WithCause(err)
 }
 
-// ask asks the account's owner for more, or waits for the ask under way.
-func (q *Quota) ask(ctx context.Context, account string) {
+// requestBatch requests a batch from the account's owner, or waits for the
+// pending request.
+func (q *Quota) requestBatch(ctx context.Context, account string) {
 	q.mu.Lock()
 	args, ok := q.cache.Ask(time.Now(), account)
 	if !ok {
-		under := q.asking[account]
+		pending := q.pending[account]
 		q.mu.Unlock()
-		wait(ctx, under)
+		waitPending(ctx, pending)
 		return
 	}
-	ended := make(chan struct{})
-	q.asking[account] = ended
+	done := make(chan struct{})
+	q.pending[account] = done
 	q.mu.Unlock()
 
-	batch, err := q.grantOf(ctx, account, args)
+	batch, err := q.requestGrant(ctx, account, args)
 
 	q.mu.Lock()
 	if err != nil {
-		q.AsksFailed.Add(1)
+		q.OwnerCallsFailed.Add(1)
 		q.cache.Failed(time.Now(), account, args.Seq)
 	} else {
 		q.cache.Fill(time.Now(), account, batch)
 	}
-	delete(q.asking, account)
+	delete(q.pending, account)
 	q.mu.Unlock()
-	close(ended)
+	close(done)
 }
 
-func wait(ctx context.Context, under <-chan struct{}) {
-	if under == nil {
+func waitPending(ctx context.Context, pending <-chan struct{}) {
+	if pending == nil {
 		return
 	}
 	select {
-	case <-under:
+	case <-pending:
 	case <-ctx.Done():
 	}
 }
 
-// grantOf gets a batch from the account's owner, which may be this router.
-func (q *Quota) grantOf(ctx context.Context, account string, args limit.Ask) (limit.Batch, error) {
+// requestGrant returns a batch from the account's owner, which may be this
+// router. It fails with peer.ErrNotSent if the account has no owner, with
+// peer.ErrRemote if the called router isn't the owner, and with the error of
+// the call otherwise.
+func (q *Quota) requestGrant(ctx context.Context, account string, args limit.Ask) (limit.Batch, error) {
 	owner, ok := q.opts.Board.Snapshot().Owner(accountID(account))
 	if !ok {
 		return limit.Batch{}, peer.ErrNotSent.New("no router owns the account")
 	}
 	if owner.Name == q.opts.Self {
-		return q.grant(account, args), nil
+		return q.grantOwned(account, args), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, DefaultCallTimeout)
 	defer cancel()
-	q.Asks.Add(1)
+	q.OwnerCalls.Add(1)
 	var reply GrantReply
 	t := peer.Target{Name: owner.Name, Address: owner.Control}
 	err := q.opts.Caller.Call(ctx, t, ServiceName+".Grant", GrantArgs{Account: account, Ask: args}, &reply)
@@ -210,12 +218,12 @@
 	return reply.Batch, err
 }
 
-// accountID is the rendezvous key of an account.
+// accountID returns the rendezvous key of an account.
 func accountID(account string) uint64 { return rendezvous.ID("account/" + account) }
 
 // Run renews leases until ctx ends.
 func (q *Quota) Run(ctx context.Context) {
-	t := time.NewTicker(renewPeriod)
+	t := time.NewTicker(renewInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -232,6 +240,6 @@
 	due := q.cache.Due(time.Now())
 	q.mu.Unlock()
 	for _, account := range due {
-		q.ask(ctx, account)
+		q.requestBatch(ctx, account)
 	}
 }
--- a/internal/serve/quota/quota_test.go
+++ b/internal/serve/quota/quota_test.go
@@ -18,7 +18,7 @@
 
 func keys() []peer.FleetKey { return []peer.FleetKey{{ID: 1, Secret: []byte("0123456789abcdef")}} }
 
-// newRouters starts routers that know each other and one account.
+// newRouters starts routers whose boards list each other and one account.
 func newRouters(t *testing.T, a config.Account, names ...string) map[string]*Quota {
 	out := make(map[string]*Quota)
 	boards := make(map[string]*board.Board)
@@ -28,10 +28,10 @@
 		go b.Run(t.Context())
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		cnt := new(peer.Counters)
-		caller := peer.NewCaller(name, keys, cnt)
+		counters := new(peer.Counters)
+		caller := peer.NewCaller(name, keys, counters)
 		q := New(Options{Board: b, Caller: caller, Self: name, Instance: uint64(i + 1), Rand: rand.New(rand.NewPCG(1, 1))})
-		srv := peer.NewServer(name, keys, cnt)
+		srv := peer.NewServer(name, keys, counters)
 		require.NoError(t, srv.Register(ServiceName, q.Service()))
 		go srv.Serve(ln)
 		t.Cleanup(func() { _ = ln.Close(); srv.Close(); caller.Close() })
@@ -39,20 +39,20 @@
 		views[name] = board.Router{Name: name, ID: rendezvous.ID(name), Instance: uint64(i + 1), Control: ln.Addr().String()}
 	}
 	doc := &config.Document{Sites: []config.Site{{Name: "s", Region: "r"}}, Accounts: []config.Account{a}}
-	eff, err := config.NewEffective(doc, nil, "s")
+	effective, err := config.NewEffective(doc, nil, "s")
 	require.NoError(t, err)
 	for name, b := range boards {
-		b.UpdateWait(func(s *board.State) { s.Config, s.Routers = eff, views })
+		b.UpdateWait(func(s *board.State) { s.Config, s.Routers = effective, views })
 		out[name].Sync(b.Snapshot())
 	}
 	return out
 }
 
-// Symptom: an account far below its rate is told that its rate is used up.
-// Sequence: many requests come at once to a router that holds nothing of the
-// account; each waits for the owner's answer, and others take what it brings.
-// Cause: a request gives up after a few answers that were not enough for all.
-func TestBurstWithinTheRateIsNotRefused(t *testing.T) {
+// Guards against refusing an account far below its rate. Many requests arrive
+// at once at a router without tokens of the account; each waits for the owner's
+// reply, and others take the tokens that it brings. A request must not stop
+// waiting after a few replies that were not enough for all.
+func TestBurstWithinRateNotRefused(t *testing.T) {
 	a := config.Account{Name: "a", RequestsPerSecond: 5000}
 	for name, q := range newRouters(t, a, "r1", "r2", "r3") {
 		var refused atomic.Int32
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestRateIsKept(t *testing.T) {
+func TestRateLimitEnforced(t *testing.T) {
 	a := config.Account{Name: "a", RequestsPerSecond: 0.001, Burst: 5}
 	q := newRouters(t, a, "r1")["r1"]
 	taken := 0
@@ -91,7 +91,7 @@
 	require.Positive(t, taken)
 }
 
-func TestConcurrencyIsKeptAndGivenBack(t *testing.T) {
+func TestConcurrencyLimitEnforcedAndReleased(t *testing.T) {
 	a := config.Account{Name: "a", Concurrency: 2}
 	q := newRouters(t, a, "r1")["r1"]
 	first, err := q.Take(t.Context(), &a)
