--- a/internal/decide/outlier/detector.go
+++ b/internal/decide/outlier/detector.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// Detector watches the engines of one pool.
+// Detector detects outliers among the engines of one pool. It is not safe for concurrent use, and
+// the times passed to it must not run backwards.
 type Detector struct {
 	cfg     Config
 	engines map[uint64]*engine
-	// scratch holds the averages while the median is sought.
+	// scratch is the reused buffer in which the median is computed.
 	scratch []float64
 	// suppressed counts the ejections that the cap prevented.
 	suppressed int
@@ -17,9 +18,9 @@
 	return &Detector{cfg: cfg, engines: make(map[uint64]*engine)}
 }
 
-// Join adds an engine to the pool. One not seen before, or forgotten, is in
-// full service at once. One that has left recently returns in steps, which
-// grow longer with each return; an ejection it left under isn't shortened.
+// Join adds an engine to the pool. An engine that is new or has been forgotten may take its full
+// load at once. One that left recently ramps up, more slowly with each return; if it left during an
+// ejection, that ejection still runs to its end.
 func (d *Detector) Join(id uint64, now time.Time) {
 	e := d.engines[id]
 	if e == nil {
@@ -32,15 +33,15 @@
 	e.member = true
 	e.since = now
 	e.flaps++
-	length := doubled(d.cfg.RampTime, d.cfg.MaxEjection, e.flaps)
-	e.ramp = d.rampFrom(later(now, e.ramp.Start), length)
+	length := backoff(d.cfg.RampTime, d.cfg.MaxEjection, e.flaps)
+	e.ramp = d.newRamp(later(now, e.ramp.Start), length)
 	e.ejected = e.ramp.Start.After(now)
-	e.clear()
+	e.reset()
 	d.enforceCap(now)
 }
 
-// Leave takes an engine out of the pool. Others may have to be let back in,
-// since the cap is a share of a smaller pool now.
+// Leave removes an engine from the pool. This may end ejections of other engines, since the cap is
+// a share of a smaller pool afterwards.
 func (d *Detector) Leave(id uint64, now time.Time) {
 	e := d.engines[id]
 	if e == nil || !e.member {
@@ -52,23 +53,23 @@
 	d.enforceCap(now)
 }
 
-// Observe feeds one observation. Observations of engines that aren't in the
-// pool, or are ejected and finishing old streams, are ignored. The ejection is
-// nil unless this one was the last straw.
+// Observe records one observation. It ignores observations of engines that are not in the pool, and
+// of ejected engines, which may still be finishing old streams. It returns an ejection only if this
+// observation caused one, and nil otherwise.
 func (d *Detector) Observe(o Observation) *Ejection {
 	e := d.engines[o.Engine]
-	if e == nil || !e.member || d.away(e, o.Time) {
+	if e == nil || !e.member || d.ejectedAt(e, o.Time) {
 		return nil
 	}
-	e.feed(o, d.cfg.Smoothing)
-	if e.inARow < d.cfg.Consecutive {
+	e.observe(o, d.cfg.Smoothing)
+	if e.consecutive < d.cfg.Consecutive {
 		return nil
 	}
 	return d.eject(o.Engine, Consecutive, o.Time)
 }
 
-// Evaluate compares the engines with the pool's median, ejects the outliers,
-// worst first, and forgets what is old. Call it about once a second.
+// Evaluate compares the engines with the pool's median, ejects the outliers, worst first, and
+// forgets old ejections, flaps and engines. Call it about once a second.
 func (d *Detector) Evaluate(now time.Time) []Ejection {
 	d.expire(now)
 	d.enforceCap(now)
@@ -78,41 +79,40 @@
 
 func (d *Detector) ejectAll(done []Ejection, ids []uint64, cause Cause, now time.Time) []Ejection {
 	for _, id := range ids {
-		if ej := d.eject(id, cause, now); ej != nil {
-			done = append(done, *ej)
+		if ejection := d.eject(id, cause, now); ejection != nil {
+			done = append(done, *ejection)
 		}
 	}
 	return done
 }
 
-// Ejected says whether the engine must get no work now.
+// Ejected reports whether the engine is ejected and must get no new requests.
 func (d *Detector) Ejected(id uint64, now time.Time) bool {
 	e := d.engines[id]
-	return e != nil && d.away(e, now)
+	return e != nil && d.ejectedAt(e, now)
 }
 
-// Ramp returns the share, 0 to 1, of its normal load that the engine may take.
-// It is 0 during an ejection and 1 for an engine that isn't known.
+// Ramp returns the share, 0 to 1, of its normal load that the engine may take. It is 0 during an
+// ejection and 1 for an unknown engine.
 func (d *Detector) Ramp(id uint64, now time.Time) float64 {
 	e := d.engines[id]
 	if e == nil {
 		return 1
 	}
-	if d.away(e, now) {
+	if d.ejectedAt(e, now) {
 		return 0
 	}
 	return e.ramp.At(now)
 }
 
-// Suppressed returns how many attempts at an ejection the cap has prevented,
-// repeated ones of the same engine included. A rising count
-// means that the pool as a whole is in trouble, or the path to it.
+// Suppressed returns how many ejections the cap has prevented, repeated attempts for the same
+// engine included. A rising count means that the pool as a whole fails, or the path to it.
 func (d *Detector) Suppressed() int {
 	return d.suppressed
 }
 
-// away says whether e is ejected at now, ending the ejection once it is over.
-func (d *Detector) away(e *engine, now time.Time) bool {
+// ejectedAt reports whether e is ejected at now, and ends the ejection if its time is over.
+func (d *Detector) ejectedAt(e *engine, now time.Time) bool {
 	if e.ejected && !now.Before(e.ramp.Start) {
 		e.ejected = false
 		e.since = e.ramp.Start
@@ -120,8 +120,8 @@
 	return e.ejected
 }
 
-func (d *Detector) rampFrom(start time.Time, length time.Duration) Ramp {
-	return Ramp{Start: start, Time: length, Steps: d.cfg.RampSteps}
+func (d *Detector) newRamp(start time.Time, length time.Duration) Ramp {
+	return Ramp{Start: start, Duration: length, Steps: d.cfg.RampSteps}
 }
 
 func later(a, b time.Time) time.Time {
@@ -131,11 +131,11 @@
 	return a
 }
 
-// expire forgets one ejection and one flap of each engine for every
-// ForgetAfter in service, and engines that have been gone that long.
+// expire forgets one ejection and one flap of each engine per ForgetAfter in service, and forgets
+// engines that left that long ago.
 func (d *Detector) expire(now time.Time) {
 	for id, e := range d.engines {
-		if d.away(e, now) || now.Sub(e.since) < d.cfg.ForgetAfter {
+		if d.ejectedAt(e, now) || now.Sub(e.since) < d.cfg.ForgetAfter {
 			continue
 		}
 		if !e.member {
@@ -143,7 +143,7 @@
 			continue
 		}
 		e.since = now
-		e.repeat = max(e.repeat-1, 0)
+		e.ejections = max(e.ejections-1, 0)
 		e.flaps = max(e.flaps-1, 0)
 	}
 }
--- a/internal/decide/outlier/outlier.go
+++ b/internal/decide/outlier/outlier.go
@@ -1,48 +1,46 @@
-// Package outlier finds engines that are alive and still fail their callers:
-// they answer probes, and starve or delay the streams. It compares each engine
-// with its pool, ejects the outliers for a while and lets them return in steps.
+// Package outlier detects engines that respond to health probes but fail or delay streams. It
+// compares each engine with its pool, ejects outliers for a limited time and lets them return in
+// steps.
 //
-// The package is pure: observations and the time are arguments, and nothing
-// runs on its own. A Detector serves one pool and isn't safe for concurrent
-// use. The times given to it must not go backwards.
+// The package is pure: observations and the time are arguments, and nothing runs in the background.
+// A Detector serves one pool and is not safe for concurrent use. The times passed to it must not
+// run backwards.
 package outlier
 
 import "time"
 
-// Kind says what was observed of a stream. There is no kind for probes: an
-// engine with a grey failure answers every probe, and counting those as
-// successes would hide it.
+// Kind is the kind of an observation. There is no kind for probes: an engine with a grey failure
+// responds to every probe, and counting those as successes would hide the failure.
 type Kind uint8
 
 const (
-	// Success is a stream that ended whole.
+	// Success is a stream that completed.
 	Success Kind = iota
 	// FirstToken is the arrival of a first token, with its latency.
 	FirstToken
-	// Stall is a stream whose gap timer ran out, with the time waited so far.
-	// It has to be fed when the timer fires: a starved stream never yields a
-	// latency of its own.
+	// Stall is a stream whose gap timer expired, with the time waited so far. It must be observed
+	// when the timer fires: a starved stream never yields a latency of its own.
 	Stall
-	// Failure is a stream or connection that broke through the engine's fault.
+	// Failure is a stream or connection that broke because of the engine.
 	Failure
 )
 
-// Observation is one thing seen of an engine.
+// Observation is one event of a stream at an engine.
 type Observation struct {
 	// Engine is the engine's ID.
 	Engine uint64
-	// Time is when it was seen.
+	// Time is when the event was observed.
 	Time time.Time
-	// Kind says what was seen.
+	// Kind is what was observed.
 	Kind Kind
 	// Latency is the time waited, for FirstToken and Stall.
 	Latency time.Duration
-	// Expected is the part of Latency that placement predicted. Without it a
-	// long prompt, which takes seconds of prefill, would look like a fault.
+	// Expected is the part of Latency that placement predicted. Without it a long prompt, which
+	// takes seconds of prefill, would look like a fault.
 	Expected time.Duration
 }
 
-// Cause says why an engine was ejected.
+// Cause is the reason why an engine was ejected.
 type Cause uint8
 
 const (
@@ -67,54 +65,52 @@
 	return "none"
 }
 
-// Ejection reports that an engine was taken out.
+// Ejection describes the ejection of an engine.
 type Ejection struct {
 	Engine uint64
 	Cause  Cause
-	// Until is when the engine starts to return.
+	// Until is when the ejection ends and the engine starts to ramp up.
 	Until time.Time
-	// Repeat counts the ejections, this one included, that aren't forgotten.
-	Repeat int
+	// Count is the number of ejections, this one included, that are not forgotten.
+	Count int
 }
 
-// Config holds the thresholds of a Detector. DefaultConfig gives each a value.
+// Config holds the thresholds of a Detector. DefaultConfig sets all of them.
 type Config struct {
-	// MaxEjected is the share of the pool, 0 to 1, that may be ejected at once.
-	// At least one engine may be, and at least one never is. When everything
-	// fails, the fault is elsewhere, and ejecting the pool would turn a
-	// degraded service into none.
+	// MaxEjected is the share of the pool, 0 to 1, that may be ejected at once. At least one engine
+	// may be ejected, and at least one always stays. When every engine fails, the fault is
+	// elsewhere, and ejecting the pool would turn a degraded service into none.
 	MaxEjected float64
-	// Consecutive is how many stalls and failures in a row eject an engine.
+	// Consecutive is the number of stalls and failures in a row that ejects an engine.
 	Consecutive int
-	// SlowFactor ejects an engine whose mean excess latency is that many times
-	// the pool's median, and above SlowFloor.
+	// SlowFactor ejects an engine whose mean excess latency is above that many times the pool's
+	// median, if it is also above SlowFloor.
 	SlowFactor float64
-	// SlowFloor keeps engines of a fast pool from being ejected over
-	// differences that no caller notices.
+	// SlowFloor keeps engines of a fast pool from being ejected over differences that no caller
+	// notices.
 	SlowFloor time.Duration
-	// FailureShare, 0 to 1, ejects an engine that fails a larger share of its
-	// streams, if that is also twice the pool's median share.
+	// FailureShare, 0 to 1, ejects an engine that fails a larger share of its streams, if that is
+	// also above twice the pool's median share.
 	FailureShare float64
-	// MinSamples is how many latencies, or ends of streams, an engine must have
-	// to be compared by them.
+	// MinSamples is how many latencies, or ends of streams, an engine must have to be compared by
+	// them.
 	MinSamples int
-	// MinPeers is how many such engines the pool must have for a median.
+	// MinPeers is the number of such engines that a median needs.
 	MinPeers int
-	// Smoothing is the share of a new sample in the moving averages.
+	// Smoothing is the weight of a new sample in the moving averages.
 	Smoothing float64
-	// BaseEjection is the length of a first ejection; each repetition doubles
-	// it up to MaxEjection.
+	// BaseEjection is the length of a first ejection. Each repetition doubles it, up to MaxEjection.
 	BaseEjection, MaxEjection time.Duration
-	// ForgetAfter is how long an engine must stay in service for one of its
-	// ejections or flaps to be forgotten.
+	// ForgetAfter is how long an engine must stay in service for one of its ejections and one of its
+	// flaps to be forgotten, and how long an engine that left is remembered.
 	ForgetAfter time.Duration
-	// RampTime is how long a return takes, in RampSteps equal steps. Each further
-	// return of a flapping engine doubles it up to MaxEjection.
+	// RampTime is how long a return takes, in RampSteps equal steps. Each further return of a
+	// flapping engine doubles it, up to MaxEjection.
 	RampTime  time.Duration
 	RampSteps int
 }
 
-// Defaults of the thresholds.
+// Default thresholds.
 const (
 	DefaultMaxEjected   = 0.3
 	DefaultConsecutive  = 5
@@ -131,7 +127,7 @@
 	DefaultRampSteps    = 5
 )
 
-// DefaultConfig returns thresholds that suit most pools.
+// DefaultConfig returns the default thresholds, which suit most pools.
 func DefaultConfig() Config {
 	return Config{
 		MaxEjected:   DefaultMaxEjected,
--- a/internal/decide/outlier/outlier_test.go
+++ b/internal/decide/outlier/outlier_test.go
@@ -22,7 +22,7 @@
 	return d
 }
 
-// step is one observation, repeated.
+// step is one observation that recurs between healthy streams.
 type step struct {
 	engine   uint64
 	kind     Kind
@@ -30,8 +30,9 @@
 	expected time.Duration
 }
 
-// feed gives every engine 40 healthy streams, between which the steps recur.
-func feed(d *Detector, n int, steps ...step) (all []Ejection) {
+// observeStreams observes 40 healthy streams of each engine, with the steps after each round, and
+// evaluates the pool.
+func observeStreams(d *Detector, n int, steps ...step) (all []Ejection) {
 	for range 40 {
 		for id := range uint64(n) {
 			d.Observe(Observation{Engine: id + 1, Time: epoch, Kind: FirstToken, Latency: 50 * ms})
@@ -39,18 +40,17 @@
 		}
 		for _, s := range steps {
 			o := Observation{s.engine, epoch, s.kind, s.latency, s.expected}
-			if ej := d.Observe(o); ej != nil {
-				all = append(all, *ej)
+			if ejection := d.Observe(o); ejection != nil {
+				all = append(all, *ejection)
 			}
 		}
 	}
 	return append(all, d.Evaluate(epoch)...)
 }
 
-// Symptom: callers of one engine wait, although its probes are green.
-// Sequence: the engine answers what the case says. Cause: probes don't measure
-// what the streams get.
-func TestGreyFailures(t *testing.T) {
+// Guards against callers that wait at an engine whose probes succeed: only the streams show that it
+// fails, and engines that are no worse than their pool must stay.
+func TestOnlyOutliersAreEjected(t *testing.T) {
 	stall := step{2, Stall, 2 * time.Second, 0}
 	cases := map[string]struct {
 		n     int
@@ -64,15 +64,15 @@
 		"every other stream breaks":      {5, []step{{engine: 2, kind: Failure}}, Failing},
 		"late first tokens":              {5, []step{{2, FirstToken, time.Second, 0}}, Slow},
 		"long prompts, as predicted":     {5, []step{{2, FirstToken, 6 * time.Second, 6 * time.Second}}, 0},
-		"late, but no caller notices":    {5, []step{{2, FirstToken, 250 * ms, 0}}, 0},
+		"late, but below the floor":      {5, []step{{2, FirstToken, 250 * ms, 0}}, 0},
 		"too few peers to compare":       {2, []step{{2, FirstToken, time.Second, 0}}, 0},
 		"the whole pool fails":           {3, []step{{engine: 1, kind: Failure}, {engine: 2, kind: Failure}, {engine: 3, kind: Failure}}, 0},
-		"the only engine is never taken": {1, []step{stall, stall, stall, stall, stall}, 0},
+		"the only engine is not ejected": {1, []step{stall, stall, stall, stall, stall}, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			d := newPool(c.n)
-			got := feed(d, c.n, c.steps...)
+			got := observeStreams(d, c.n, c.steps...)
 			require.Equal(t, c.want != 0, d.Ejected(2, epoch) || d.Ejected(1, epoch))
 			if c.want == 0 {
 				require.Empty(t, got)
@@ -81,34 +81,34 @@
 			until := epoch.Add(DefaultBaseEjection)
 			require.Equal(t, []Ejection{{2, c.want, until, 1}}, got, got[0].Cause.String())
 			require.Zero(t, d.Ramp(2, epoch))
-			require.Empty(t, d.Evaluate(until), "judged anew after the return")
+			require.Empty(t, d.Evaluate(until), "old observations must not eject a returning engine")
 		})
 	}
 }
 
-func fail(d *Detector, id uint64, now time.Time) (ej *Ejection) {
+func fail(d *Detector, id uint64, now time.Time) (ejection *Ejection) {
 	for range DefaultConsecutive {
-		ej = d.Observe(Observation{Engine: id, Time: now, Kind: Failure})
+		ejection = d.Observe(Observation{Engine: id, Time: now, Kind: Failure})
 	}
-	return ej
+	return ejection
 }
 
-func TestBackOffGrowsAndIsForgotten(t *testing.T) {
+func TestRepeatedEjectionsLastLongerUntilForgotten(t *testing.T) {
 	d, now := newPool(4), epoch
 	for i, want := range []time.Duration{10, 20, 40, 80, 160, 300, 300} {
-		ej := fail(d, 1, now)
-		require.Equal(t, &Ejection{1, Consecutive, now.Add(want * time.Second), i + 1}, ej)
-		now = ej.Until
+		ejection := fail(d, 1, now)
+		require.Equal(t, &Ejection{1, Consecutive, now.Add(want * time.Second), i + 1}, ejection)
+		now = ejection.Until
 		require.False(t, d.Ejected(1, now))
 	}
 	for range 7 {
 		now = now.Add(DefaultForgetAfter)
 		d.Evaluate(now)
 	}
-	require.Equal(t, 1, fail(d, 1, now).Repeat)
+	require.Equal(t, 1, fail(d, 1, now).Count)
 }
 
-func TestReturnIsAStair(t *testing.T) {
+func TestRampRisesInSteps(t *testing.T) {
 	d := newPool(4)
 	until := fail(d, 1, epoch).Until
 	for after, want := range map[time.Duration]float64{
@@ -120,9 +120,8 @@
 	require.Equal(t, 1.0, Ramp{}.At(epoch))
 }
 
-// Symptom: an engine that flaps gets its full share each time and fails it.
-// Sequence: it joins, leaves and joins again. Cause: each return was taken for
-// a first arrival, and an ejection was forgotten by leaving.
+// Guards against a flapping engine that gets its full share at each return and fails again, or ends
+// its ejection by leaving: a returning engine must not be treated as a new one.
 func TestFlappingEngineReturnsInSteps(t *testing.T) {
 	d, now := newPool(4), epoch
 	require.Equal(t, 1.0, d.Ramp(1, now))
@@ -145,10 +144,9 @@
 	require.Equal(t, 1.0, d.Ramp(1, now), "forgotten")
 }
 
-// Symptom: a fault of the network, or of one site, empties the whole pool.
-// Sequence: every engine fails in any order, while others join and leave.
-// Cause: each ejection was judged by itself, without regard to the rest.
-func TestCapHolds(t *testing.T) {
+// Guards against a network or site outage that ejects the whole pool: the cap must hold while
+// engines fail in any order and others join and leave.
+func TestEjectedShareStaysWithinCap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
 		cfg.MaxEjected = rapid.Float64Range(0, 1).Draw(t, "cap")
@@ -177,12 +175,12 @@
 			}
 			n := len(members)
 			require.LessOrEqual(t, ejected, max(int(cfg.MaxEjected*float64(n)), 1))
-			require.False(t, n > 0 && ejected == n, "one engine must stay")
+			require.False(t, n > 0 && ejected == n, "one engine must stay in service")
 		}
 	})
 }
 
-func TestCapSuppresses(t *testing.T) {
+func TestSuppressedEjectionsAreCounted(t *testing.T) {
 	d := newPool(9)
 	for id := range uint64(9) {
 		fail(d, id+1, epoch)
