--- a/internal/decide/outlier/outlier.go
+++ b/internal/decide/outlier/outlier.go
@@ -99,10 +99,11 @@
 	MinPeers int
 	// Smoothing is the weight of a new sample in the moving averages.
 	Smoothing float64
-	// BaseEjection is the length of a first ejection. Each repetition doubles it, up to MaxEjection.
+	// BaseEjection is the length of a first ejection. Each repetition doubles it, up to
+	// MaxEjection.
 	BaseEjection, MaxEjection time.Duration
-	// ForgetAfter is how long an engine must stay in service for one of its ejections and one of its
-	// flaps to be forgotten, and how long an engine that left is remembered.
+	// ForgetAfter is how long an engine must stay in service for one of its ejections and one of
+	// its flaps to be forgotten, and how long an engine that left is remembered.
 	ForgetAfter time.Duration
 	// RampTime is how long a return takes, in RampSteps equal steps. Each further return of a
 	// flapping engine doubles it, up to MaxEjection.
--- a/internal/decide/permit/errors.go
+++ b/internal/decide/permit/errors.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Reason names the bound that a refused request ran into.
+// Reason names the bound that a rejected request would exceed.
 type Reason string
 
-// The reasons for a refusal.
+// Reasons for rejecting a request.
 const (
 	// ReasonBatch means that the engine holds as many requests as it may.
 	ReasonBatch Reason = "max_batch"
@@ -13,22 +13,22 @@
 	ReasonBound Reason = "load_bound"
 )
 
-// FullError reports that the engine has no room for the request.
+// FullError is returned when the request would exceed a bound of the engine.
 type FullError struct {
 	Reason Reason
 	Load   Load
-	// WarmingUp means that the owner is new and grants half of the bound.
+	// WarmingUp means that the owner is new and grants only half of the bound.
 	WarmingUp bool
 }
 
 // Error implements error.
 func (e *FullError) Error() string {
-	return fmt.Sprintf("permit: %s at count %d, weight %d (warming up: %t)",
+	return fmt.Sprintf("permit: request exceeds %s of the engine at %d requests, weight %d (warming up: %t)",
 		e.Reason, e.Load.Count, e.Load.Weight, e.WarmingUp)
 }
 
-// IncarnationError reports that the request means another incarnation of the
-// engine than the one that the book is about.
+// IncarnationError is returned for a request for another incarnation of the engine than the current
+// one.
 type IncarnationError struct {
 	Want uint64
 	Have uint64
@@ -36,21 +36,21 @@
 
 // Error implements error.
 func (e *IncarnationError) Error() string {
-	return fmt.Sprintf("permit: engine incarnation is %d, not %d", e.Have, e.Want)
+	return fmt.Sprintf("permit: engine has incarnation %d, but the request is for %d", e.Have, e.Want)
 }
 
-// ReleasedError reports a request whose permit has been released before, so
-// that the message must be a late duplicate.
+// ReleasedError is returned for a request whose permit has already been released. The request must
+// be a late duplicate.
 type ReleasedError struct {
 	ID string
 }
 
 // Error implements error.
 func (e *ReleasedError) Error() string {
-	return fmt.Sprintf("permit: %q has been released", e.ID)
+	return fmt.Sprintf("permit: %q has already been released", e.ID)
 }
 
-// HolderError reports an id for which another router holds a permit.
+// HolderError is returned for an ID for which another router holds a permit.
 type HolderError struct {
 	ID     string
 	Holder string
@@ -58,5 +58,5 @@
 
 // Error implements error.
 func (e *HolderError) Error() string {
-	return fmt.Sprintf("permit: %q is held by %q", e.ID, e.Holder)
+	return fmt.Sprintf("permit: %q is held by router %q", e.ID, e.Holder)
 }
--- a/internal/decide/permit/permit.go
+++ b/internal/decide/permit/permit.go
@@ -1,37 +1,36 @@
-// Package permit keeps the exact count of admitted, unfinished work of one
-// engine at the router that owns the engine.
+// Package permit keeps the exact count of the granted, unfinished requests of one engine, at the
+// router that owns the engine.
 //
-// A Book grants a permit for each request before it is sent. It bounds the
-// engine's load against the mean of its pool, and stays right through lost,
-// repeated and late messages, dead routers, changes of owner and restarts of
-// the engine. What it knows comes from three sides: its own grants, the
-// holders' reports and the engine's report; the largest counts.
+// A Book grants a permit for each request before the request is sent. It bounds the engine's load
+// relative to the mean of its pool. The count stays right when messages are lost, repeated or late,
+// when routers die, when the owner changes and when the engine restarts. It is based on the owner's
+// own grants, the reports of the holders and the reports of the engine; the largest figure counts.
 //
-// A Book is not safe for concurrent use and reads no clock; the caller passes
-// the time, which must not run backwards.
+// A Book is not safe for concurrent use and reads no clock; the times passed to it must not run
+// backwards.
 package permit
 
 import "time"
 
-// Request asks for a permit. Its delivery may be repeated.
+// Request is a request for a permit. It may be delivered more than once.
 type Request struct {
 	// ID is unique per attempt at the engine and never used again.
 	ID string
-	// Holder is the asking router, named so that a restarted one differs.
+	// Holder is the requesting router. A restarted router has a different name.
 	Holder string
-	// Incarnation is the engine incarnation the holder means; 0 means any.
+	// Incarnation is the incarnation of the engine that the request is for; 0 means any.
 	Incarnation uint64
-	// Weight is the request's work; less than 1 counts as 1.
+	// Weight is the work of the request; less than 1 counts as 1.
 	Weight int64
-	// PoolTotal and PoolN are the load and the number of engines of the pool.
+	// PoolTotal is the load of the pool, and PoolN its number of engines.
 	PoolTotal int64
 	PoolN     int
-	// LeastLoaded says that no engine of the pool has less load. Such an
-	// engine may exceed the bound, since the work would weigh as much anywhere.
+	// LeastLoaded means that no engine of the pool has less load. Such an engine may exceed the
+	// bound, since the request would weigh as much at any other engine.
 	LeastLoaded bool
 }
 
-// Permit is the right to have one request unfinished at the engine.
+// Permit is the right to have one unfinished request at the engine.
 type Permit struct {
 	ID          string
 	Holder      string
@@ -39,76 +38,76 @@
 	Incarnation uint64
 }
 
-// Outcome says what a release did.
+// Outcome is the result of a release.
 type Outcome string
 
-// The outcomes of a release.
+// Outcomes of a release.
 const (
-	// Released means that the permit was counted until now.
+	// Released means that this release ended the permit.
 	Released Outcome = "released"
-	// AlreadyReleased means that an earlier release had ended it.
+	// AlreadyReleased means that an earlier release ended the permit.
 	AlreadyReleased Outcome = "already_released"
-	// Moved means that another router has taken the permit over.
+	// Moved means that another router holds the permit now.
 	Moved Outcome = "moved"
-	// NotHeld means that the book did not know the permit. It will not grant
-	// the id afterwards: the release may have overtaken its request.
+	// NotHeld means that the permit was unknown. Its ID will not be granted afterwards, since the
+	// release may have overtaken the request.
 	NotHeld Outcome = "not_held"
 )
 
-// Held is one unfinished request in a holder's report.
+// Held is one unfinished request in the report of a holder.
 type Held struct {
 	ID     string
 	Weight int64
 }
 
-// HolderReport lists all that a router has unfinished at the engine.
+// HolderReport lists all unfinished requests of a router at the engine.
 type HolderReport struct {
 	Holder string
 	// Seq grows with each report of the holder.
 	Seq uint64
-	// Incarnation is the engine incarnation the report is about.
+	// Incarnation is the incarnation of the engine that the report is about.
 	Incarnation uint64
 	Held        []Held
 }
 
-// EngineLoad is an engine's report of itself.
+// EngineLoad is the load that an engine reports.
 type EngineLoad struct {
 	Incarnation uint64
 	// Age is how old the figures are.
 	Age time.Duration
-	// Count and Weight sum up the unfinished requests, running or queued.
+	// Count is the number of unfinished requests, running or queued, and Weight their sum of work.
 	Count  int
 	Weight int64
-	// IDs lists them; it is empty if the engine does not say.
+	// IDs lists these requests; it is empty if the engine does not report them.
 	IDs []string
 }
 
-// listed reports whether the engine names its requests.
-func (l *EngineLoad) listed() bool { return len(l.IDs) > 0 || l.Count == 0 }
+// listsRequests reports whether the report lists all requests of the engine.
+func (l *EngineLoad) listsRequests() bool { return len(l.IDs) > 0 || l.Count == 0 }
 
-// Load is what the book knows about the engine.
+// Load is the number and the total weight of unfinished requests.
 type Load struct {
 	Count  int
 	Weight int64
 }
 
-// Reconciled says what a report changed in the book.
+// Reconciled describes what a report changed.
 type Reconciled struct {
-	// Stale means that the report was out of date and changed nothing.
+	// Stale means that the report was outdated and changed nothing.
 	Stale bool
-	// Adopted counts permits that the book learned of.
+	// Adopted counts the permits that were unknown before the report.
 	Adopted int
-	// Dropped counts permits whose release must have been lost.
+	// Dropped counts the permits whose release must have been lost.
 	Dropped int
 }
 
-// Admissible is the bounded-load rule: an engine of a pool of n with the given
-// total load takes work of weight w while its load stays within c times the
-// mean.
-func Admissible(load, w, total int64, n int, c float64) bool {
+// Admissible implements the bounded-load rule. It reports whether an engine with the given load, in
+// a pool of n engines with the given total load, may take a request of the given weight: with it,
+// the engine's load must be at most factor times the mean.
+func Admissible(load, weight, total int64, n int, factor float64) bool {
 	if n < 1 {
 		return false
 	}
-	bound := c * float64(total+w) / float64(n)
-	return float64(load+w) <= bound
+	bound := factor * float64(total+weight) / float64(n)
+	return float64(load+weight) <= bound
 }
--- a/internal/decide/permit/reconcile.go
+++ b/internal/decide/permit/reconcile.go
@@ -5,13 +5,12 @@
 	"time"
 )
 
-// holderMemory is how long a holder without permits is remembered. Its last
-// sequence number keeps out reports that are still under way.
-const holderMemory = 2 * time.Minute
+// holderTTL is how long a holder without permits is remembered. Its last sequence number rejects
+// reports that are still in transit.
+const holderTTL = 2 * time.Minute
 
-// Holdings takes in a holder's list of unfinished requests. Permits that the
-// book does not know are adopted; permits that the holder no longer has are
-// dropped, since their release must have been lost.
+// Holdings applies a holder's list of unfinished requests. It adopts unknown permits, and drops
+// those that the holder no longer has, since their release must have been lost.
 func (b *Book) Holdings(now time.Time, r HolderReport) Reconciled {
 	if b.checkIncarnation(r.Incarnation) != nil {
 		return Reconciled{Stale: true}
@@ -19,7 +18,7 @@
 	if h := b.holders[r.Holder]; h != nil && r.Seq <= h.seq {
 		return Reconciled{Stale: true}
 	}
-	h := b.hear(now, r.Holder)
+	h := b.noteContact(now, r.Holder)
 	h.seq = r.Seq
 	delete(b.awaited, r.Holder)
 	res := Reconciled{Adopted: b.adopt(now, r)}
@@ -27,65 +26,64 @@
 	return res
 }
 
-// RouterDead notes that a router was lost. Its permits stay: the engine may
-// still run the work. The engine's reports end them.
+// RouterDead records that a router is dead. Its permits remain until a report of the engine ends
+// them, since the engine may still execute the requests.
 func (b *Book) RouterDead(now time.Time, name string) {
 	delete(b.awaited, name)
-	b.hear(now, name).dead = true
+	b.noteContact(now, name).dead = true
 	for _, rec := range b.permits {
-		if rec.permit.Holder == name && rec.orphaned.IsZero() {
-			rec.orphaned = now
+		if rec.permit.Holder == name && rec.orphanedAt.IsZero() {
+			rec.orphanedAt = now
 		}
 	}
 }
 
-// RouterAlive notes that a router taken for dead is back. Its next report says
-// which of its permits it still holds.
+// RouterAlive records that a router declared dead is alive. Its next report lists the permits that
+// it still holds.
 func (b *Book) RouterAlive(now time.Time, name string) {
-	b.hear(now, name).dead = false
+	b.noteContact(now, name).dead = false
 }
 
-// EngineReport takes in the engine's own load. A report of a newer incarnation
-// empties the book; one that is older than the last is ignored.
+// EngineReport applies the load that the engine reports. A report of a newer incarnation removes
+// all permits; a report older than the last one is ignored.
 func (b *Book) EngineReport(now time.Time, l EngineLoad) Reconciled {
-	taken := now.Add(-l.Age)
+	measuredAt := now.Add(-l.Age)
 	if l.Incarnation < b.incarnation {
 		return Reconciled{Stale: true}
 	}
 	if l.Incarnation > b.incarnation {
-		return b.restart(now, l)
+		return b.reset(now, l)
 	}
-	if taken.Before(b.engine.taken) {
+	if measuredAt.Before(b.engine.measuredAt) {
 		return Reconciled{Stale: true}
 	}
-	b.engine = engineView{EngineLoad: l, taken: taken, arrived: now}
+	b.engine = engineReport{EngineLoad: l, measuredAt: measuredAt, receivedAt: now}
 	b.orphanSilent(now)
 	dropped := b.dropOrphans(now)
 	b.forgetHolders(now)
 	return Reconciled{Dropped: dropped}
 }
 
-// restart empties the book for a new incarnation, which runs nothing that was
-// granted before.
-func (b *Book) restart(now time.Time, l EngineLoad) Reconciled {
+// reset removes all permits for a new incarnation, which executes nothing that was granted before.
+func (b *Book) reset(now time.Time, l EngineLoad) Reconciled {
 	res := Reconciled{Dropped: len(b.permits)}
 	clear(b.permits)
 	b.weight = 0
 	b.incarnation = l.Incarnation
-	b.engine = engineView{EngineLoad: l, taken: now.Add(-l.Age), arrived: now}
+	b.engine = engineReport{EngineLoad: l, measuredAt: now.Add(-l.Age), receivedAt: now}
 	return res
 }
 
-// adopt adds the permits that only the holder knows of.
+// adopt adds the permits that only the holder knows, and returns their number.
 func (b *Book) adopt(now time.Time, r HolderReport) int {
 	n := 0
 	for _, held := range r.Held {
 		if rec, ok := b.permits[held.ID]; ok {
-			b.claim(rec, r.Holder)
+			b.assign(rec, r.Holder)
 			continue
 		}
-		if _, ok := b.done.get(held.ID); ok {
-			// The report left before the release and was overtaken by it.
+		if _, ok := b.released.get(held.ID); ok {
+			// The release overtook the report.
 			continue
 		}
 		b.add(now, Permit{
@@ -99,19 +97,18 @@
 	return n
 }
 
-// claim marks a permit as seen with the holder, which may have taken the
-// stream over from another router.
-func (b *Book) claim(rec *record, by string) {
-	rec.permit.Holder = by
-	rec.misses = 0
-	if !b.holders[by].dead {
-		rec.orphaned = time.Time{}
+// assign records that the holder has the permit. It may have resumed the stream of another router.
+func (b *Book) assign(rec *record, holder string) {
+	rec.permit.Holder = holder
+	rec.missedReports = 0
+	if !b.holders[holder].dead {
+		rec.orphanedAt = time.Time{}
 	}
 }
 
-// dropMissing drops the holder's permits that it has ceased to report. A young
-// permit is left alone: its grant may not have reached the holder when it took
-// its list.
+// dropMissing drops the holder's permits that it no longer reports, and returns their number. It
+// keeps a permit younger than ReportDelay, whose grant may not have reached the holder when it
+// compiled the report.
 func (b *Book) dropMissing(now time.Time, r HolderReport) int {
 	listed := make(map[string]struct{}, len(r.Held))
 	for _, held := range r.Held {
@@ -119,14 +116,14 @@
 	}
 	n := 0
 	for id, rec := range b.permits {
-		if rec.permit.Holder != r.Holder || now.Sub(rec.granted) <= b.cfg.Settle {
+		if rec.permit.Holder != r.Holder || now.Sub(rec.grantedAt) <= b.cfg.ReportDelay {
 			continue
 		}
 		if _, ok := listed[id]; ok {
 			continue
 		}
-		rec.misses++
-		if rec.misses >= dropAfterMisses {
+		rec.missedReports++
+		if rec.missedReports >= dropAfterMissedReports {
 			b.remove(rec)
 			n++
 		}
@@ -134,46 +131,45 @@
 	return n
 }
 
-// orphanSilent treats holders that have not been heard of as dead. Without it
-// a grant to a router whose death the owner never learned of would count for
-// good.
+// orphanSilent treats holders without a message for SilenceTimeout as dead. Otherwise a grant to a
+// router whose death the owner never learned of would count permanently.
 func (b *Book) orphanSilent(now time.Time) {
 	for _, rec := range b.permits {
-		if !rec.orphaned.IsZero() {
+		if !rec.orphanedAt.IsZero() {
 			continue
 		}
 		h := b.holders[rec.permit.Holder]
-		if h == nil || h.dead || now.Sub(h.heard) > b.cfg.Silence {
-			rec.orphaned = now
+		if h == nil || h.dead || now.Sub(h.lastContact) > b.cfg.SilenceTimeout {
+			rec.orphanedAt = now
 		}
 	}
 }
 
-// dropOrphans ends permits of dead holders by the engine's report.
+// dropOrphans drops permits of dead holders that the engine's report shows to have ended.
 func (b *Book) dropOrphans(now time.Time) int {
-	orphans := b.settledOrphans()
-	if b.engine.listed() {
+	orphans := b.reportableOrphans()
+	if b.engine.listsRequests() {
 		return b.dropUnlisted(orphans)
 	}
 	return b.dropBeyondCount(now, orphans)
 }
 
-// settledOrphans returns, oldest first, the orphans whose work must have
-// reached the engine before its report if it did so at all.
-func (b *Book) settledOrphans() []*record {
+// reportableOrphans returns, oldest first, the orphans whose requests must have reached the engine
+// before its report if they reached it at all.
+func (b *Book) reportableOrphans() []*record {
 	var orphans []*record
-	limit := b.engine.taken.Add(-b.cfg.Settle)
+	limit := b.engine.measuredAt.Add(-b.cfg.ReportDelay)
 	for _, rec := range b.permits {
-		if rec.orphaned.IsZero() || rec.orphaned.After(limit) || rec.granted.After(limit) {
+		if rec.orphanedAt.IsZero() || rec.orphanedAt.After(limit) || rec.grantedAt.After(limit) {
 			continue
 		}
 		orphans = append(orphans, rec)
 	}
-	slices.SortFunc(orphans, func(x, y *record) int { return x.granted.Compare(y.granted) })
+	slices.SortFunc(orphans, func(x, y *record) int { return x.grantedAt.Compare(y.grantedAt) })
 	return orphans
 }
 
-// dropUnlisted drops the orphans that the engine does not name.
+// dropUnlisted drops the orphans that the engine does not list.
 func (b *Book) dropUnlisted(orphans []*record) int {
 	n := 0
 	for _, rec := range orphans {
@@ -186,14 +182,14 @@
 	return n
 }
 
-// dropBeyondCount drops the oldest orphans that do not fit into the engine's
-// count next to the work of live holders, and those that have grown too old.
+// dropBeyondCount drops the oldest orphans that exceed the engine's count less the requests of live
+// holders, and the orphans that are older than OrphanTTL.
 func (b *Book) dropBeyondCount(now time.Time, orphans []*record) int {
-	keep := max(0, b.engine.Count-b.settledLive())
+	keep := max(0, b.engine.Count-b.reportableLive())
 	n := 0
 	for i, rec := range orphans {
 		fits := len(orphans)-i <= keep
-		if fits && now.Sub(rec.orphaned) < b.cfg.OrphanTTL {
+		if fits && now.Sub(rec.orphanedAt) < b.cfg.OrphanTTL {
 			continue
 		}
 		b.remove(rec)
@@ -202,27 +198,28 @@
 	return n
 }
 
-// settledLive counts the permits of live holders that the engine's report
-// must include.
-func (b *Book) settledLive() int {
+// reportableLive returns the number of permits of live holders that the engine's report must
+// include.
+func (b *Book) reportableLive() int {
 	n := 0
-	limit := b.engine.taken.Add(-b.cfg.Settle)
+	limit := b.engine.measuredAt.Add(-b.cfg.ReportDelay)
 	for _, rec := range b.permits {
-		if rec.orphaned.IsZero() && !rec.granted.After(limit) {
+		if rec.orphanedAt.IsZero() && !rec.grantedAt.After(limit) {
 			n++
 		}
 	}
 	return n
 }
 
-// forgetHolders bounds the memory by the holders of late.
+// forgetHolders forgets the holders without permits and without contact for holderTTL, to bound the
+// memory.
 func (b *Book) forgetHolders(now time.Time) {
 	inUse := map[string]struct{}{}
 	for _, rec := range b.permits {
 		inUse[rec.permit.Holder] = struct{}{}
 	}
 	for name, h := range b.holders {
-		if _, ok := inUse[name]; !ok && now.Sub(h.heard) > holderMemory {
+		if _, ok := inUse[name]; !ok && now.Sub(h.lastContact) > holderTTL {
 			delete(b.holders, name)
 		}
 	}
--- a/internal/decide/permit/tombstone.go
+++ b/internal/decide/permit/tombstone.go
@@ -3,42 +3,42 @@
 import "time"
 
 const (
-	// tombstoneTTL is how long a released id is remembered. It must exceed
-	// the time that a message can be under way.
+	// tombstoneTTL is how long a released ID is remembered. It must exceed the time that a message
+	// can be in transit.
 	tombstoneTTL = time.Minute
-	// maxTombstones bounds the memory; at the 6 requests a second that an
-	// engine sees at the planned size it is not reached within the TTL.
+	// maxTombstones bounds the memory. At the 6 requests per second that an engine gets at the
+	// planned size, it is not reached within the TTL.
 	maxTombstones = 2048
 )
 
-// tombstone remembers a released permit.
+// tombstone records the release of a permit.
 type tombstone struct {
-	weight int64
-	at     time.Time
+	weight     int64
+	releasedAt time.Time
 }
 
-// tombstones remembers released ids, so that a request or a report which was
-// overtaken by the release does not bring the permit back. Such a permit would
-// have nobody to release it, and the count would drift upwards for good.
+// tombstones remembers released IDs, so that a request or a report that was overtaken by the
+// release does not restore the permit. Nobody would release such a permit, and the count would
+// drift upwards permanently.
 type tombstones struct {
 	byID map[string]tombstone
 	fifo []string
 }
 
-// add remembers id and forgets what is too old or too much.
+// add records the release of id and forgets entries beyond the TTL or the maximum number.
 func (t *tombstones) add(now time.Time, id string, weight int64) {
 	if t.byID == nil {
 		t.byID = map[string]tombstone{}
 	}
 	t.trim(now)
-	t.byID[id] = tombstone{weight: weight, at: now}
+	t.byID[id] = tombstone{weight: weight, releasedAt: now}
 	t.fifo = append(t.fifo, id)
 }
 
 func (t *tombstones) trim(now time.Time) {
 	for len(t.fifo) > 0 {
 		oldest := t.byID[t.fifo[0]]
-		if len(t.fifo) < maxTombstones && now.Sub(oldest.at) < tombstoneTTL {
+		if len(t.fifo) < maxTombstones && now.Sub(oldest.releasedAt) < tombstoneTTL {
 			return
 		}
 		delete(t.byID, t.fifo[0])
@@ -47,6 +47,6 @@
 }
 
 func (t *tombstones) get(id string) (tombstone, bool) {
-	x, ok := t.byID[id]
-	return x, ok
+	entry, ok := t.byID[id]
+	return entry, ok
 }
