--- a/internal/lab/bench/doc.go
+++ b/internal/lab/bench/doc.go
@@ -1,3 +1,3 @@
-// Package bench holds the benchmarks of a single router beside the same engine
-// without one; the packages below it hold the experiments with a whole fleet.
+// Package bench benchmarks a single router against direct access to the same
+// engine. Its subpackages run experiments with a whole fleet.
 package bench
--- a/internal/lab/bench/fleet/churn.go
+++ b/internal/lab/bench/fleet/churn.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// crashListed is how long the VM list still shows an engine that crashed.
-	crashListed = 1500 * time.Millisecond
-	// drainLimit bounds the wait for a leaving engine's last request.
-	drainLimit = 30 * time.Second
-	// flushTime lets connections carry the end of the last answers: the engine
-	// counts a request as done before its reader has written the last chunk.
-	flushTime = time.Second
+	// crashListingDelay is how long the VM list still shows an engine that crashed.
+	crashListingDelay = 1500 * time.Millisecond
+	// drainTimeout bounds the wait for the last request of a draining engine.
+	drainTimeout = 30 * time.Second
+	// flushDelay lets connections deliver the end of the last responses: the
+	// engine counts a request as done before the last chunk has been written.
+	flushDelay = time.Second
 )
 
-// Churn carries out a script. It returns once all engines that went are back,
-// or ctx has ended; told is called before each event.
-func (f *Fleet) Churn(ctx context.Context, script []workload.ChurnEvent, told func(workload.ChurnEvent)) {
+// Churn executes a churn script. It returns when all stopped engines have
+// restarted, or when ctx ends. It calls notify before each event.
+func (f *Fleet) Churn(ctx context.Context, script []workload.ChurnEvent, notify func(workload.ChurnEvent)) {
 	start := time.Now()
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -29,7 +29,7 @@
 		if !pause.For(ctx, ev.At-time.Since(start)) {
 			return
 		}
-		told(ev)
+		notify(ev)
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -44,9 +44,9 @@
 		e.Restart()
 		return
 	case workload.ChurnLeave:
-		e.leave(ctx)
+		e.drainAndStop(ctx)
 	case workload.ChurnCrash:
-		e.fall(ctx)
+		e.crashAndDelist(ctx)
 	}
 	if pause.For(ctx, ev.Absent) {
 		e.Restart()
@@ -54,27 +54,28 @@
 	}
 }
 
-// leave is a planned stop: listed as leaving, then gone once all work is done.
-func (e *Engine) leave(ctx context.Context) {
-	e.withdraw()
-	e.listLeaving()
+// drainAndStop stops the engine as planned: the VM list shows it as leaving,
+// and the engine stops when it has finished its requests.
+func (e *Engine) drainAndStop(ctx context.Context) {
+	e.endService()
+	e.markLeaving()
 	e.Leave()
-	// The end of the load doesn't end the drain: it would cut the last requests.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), drainLimit)
+	// The drain outlives the end of the load; otherwise it would abort the last requests.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), drainTimeout)
 	defer cancel()
 	select {
 	case <-e.Drained():
-		pause.For(ctx, flushTime)
+		pause.For(ctx, flushDelay)
 	case <-ctx.Done():
 	}
 	e.Crash()
-	e.gone()
+	e.delist()
 }
 
-// fall ends the engine at once; the VM list learns of it later.
-func (e *Engine) fall(ctx context.Context) {
-	e.withdraw()
+// crashAndDelist stops the engine at once and updates the VM list later.
+func (e *Engine) crashAndDelist(ctx context.Context) {
+	e.endService()
 	e.Crash()
-	pause.For(ctx, crashListed)
-	e.gone()
+	pause.For(ctx, crashListingDelay)
+	e.delist()
 }
--- a/internal/lab/bench/fleet/engine.go
+++ b/internal/lab/bench/fleet/engine.go
@@ -14,7 +14,7 @@
 	"damaskrouter.example/damaskrouter/internal/store/platform"
 )
 
-// Engine is one stand-in engine and its entry in the VM list.
+// Engine is a stand-in engine and its entry in the VM list.
 type Engine struct {
 	*engine.Engine
 	fleet *Fleet
@@ -23,11 +23,11 @@
 	vm      platform.VM
 	service []Span
 	up      []Span
-	// marks are the marks of the messages received, by request id.
-	marks map[string]string
+	// attemptIDs are the attempt ids of the messages received, by request id.
+	attemptIDs map[string]string
 }
 
-// Span is a time during which something held; a zero To means that it still does.
+// Span is a time interval; a zero To means that it has not ended.
 type Span struct{ From, To time.Time }
 
 func (f *Fleet) startEngine(i int) error {
@@ -39,8 +39,8 @@
 	o.StepTime = w.Step
 	o.CacheTokens = w.CacheTokens
 	o.PrefillPerMS = w.PrefillPerMS
-	e := &Engine{Engine: engine.New(o), fleet: f, marks: make(map[string]string)}
-	address, err := f.serve(e.record(e.Handler()))
+	e := &Engine{Engine: engine.New(o), fleet: f, attemptIDs: make(map[string]string)}
+	address, err := f.serve(e.recordAttempts(e.Handler()))
 	if err != nil {
 		e.Engine.Close()
 		return err
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// join lists the engine as a VM that was not there before.
+// join lists the engine as a new VM generation.
 func (e *Engine) join() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -66,22 +66,23 @@
 	e.fleet.putVM(e.vm)
 }
 
-// withdraw ends the time in which the engine is meant to take work.
-func (e *Engine) withdraw() {
+// endService ends the span in which the engine is expected to accept requests.
+func (e *Engine) endService() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	end(e.service)
 }
 
-// gone ends the time in which the engine's cache exists.
-func (e *Engine) gone() {
+// delist removes the engine from the VM list and ends the span in which its
+// cache exists.
+func (e *Engine) delist() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	end(e.up)
 	e.fleet.store.Remove(platform.TableVMs, e.vm.Name)
 }
 
-func (e *Engine) listLeaving() {
+func (e *Engine) markLeaving() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.vm.State = platform.VMLeaving
@@ -94,10 +95,10 @@
 	}
 }
 
-// Service lists the times in which the engine was meant to take work.
-func (e *Engine) Service() []Span { return e.spans(&e.service) }
+// InService returns the spans in which the engine was expected to accept requests.
+func (e *Engine) InService() []Span { return e.spans(&e.service) }
 
-// Up lists the times in which the engine's cache existed.
+// Up returns the spans in which the engine's cache existed.
 func (e *Engine) Up() []Span { return e.spans(&e.up) }
 
 func (e *Engine) spans(list *[]Span) []Span {
@@ -110,65 +111,66 @@
 	e.Engine.Close()
 }
 
-// The brackets of a mark; JSON leaves them as they are.
+// Delimiters of an attempt id. JSON encoding leaves them unescaped.
 const (
-	markBegin = "[["
-	markEnd   = "]]"
+	attemptIDBegin = "[["
+	attemptIDEnd   = "]]"
 )
 
-// Mark is a text that identifies one sending of one message. It stands at the
-// end of the message.
-func Mark(chat string, turn, attempt int) string {
-	return fmt.Sprintf("%s%s/%d/%d%s", markBegin, chat, turn, attempt, markEnd)
+// AttemptID returns a text that identifies one attempt to send a message. The
+// message ends with it.
+func AttemptID(chat string, turn, attempt int) string {
+	return fmt.Sprintf("%s%s/%d/%d%s", attemptIDBegin, chat, turn, attempt, attemptIDEnd)
 }
 
-// record notes which mark came with which request id: routers send each attempt
-// under an id of their own, and the engine's books know only that one.
-func (e *Engine) record(next http.Handler) http.Handler {
+// recordAttempts returns a handler that records the attempt id of each request
+// id: routers send each attempt with a new request id, and the engine's records
+// contain only that one.
+func (e *Engine) recordAttempts(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost && r.URL.Path == wire.PathChat {
 			body, err := io.ReadAll(r.Body)
 			if err != nil {
-				// The router gave up while it sent; nothing has run.
+				// The router aborted the request while sending it; nothing was executed.
 				http.Error(w, err.Error(), http.StatusBadRequest)
 				return
 			}
-			e.note(r.Header.Get(wire.HeaderRequestID), body)
+			e.recordAttempt(r.Header.Get(wire.HeaderRequestID), body)
 			r.Body = io.NopCloser(bytes.NewReader(body))
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-func (e *Engine) note(id string, body []byte) {
-	from := bytes.LastIndex(body, []byte(markBegin))
+func (e *Engine) recordAttempt(id string, body []byte) {
+	from := bytes.LastIndex(body, []byte(attemptIDBegin))
 	if from < 0 {
 		return
 	}
-	to := bytes.Index(body[from:], []byte(markEnd))
+	to := bytes.Index(body[from:], []byte(attemptIDEnd))
 	if to < 0 {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.marks[id] = string(body[from : from+to+len(markEnd)])
+	e.attemptIDs[id] = string(body[from : from+to+len(attemptIDEnd)])
 }
 
-// Executed lists the marks of the messages whose execution began.
+// Executed returns the attempt ids of the messages whose execution began.
 func (e *Engine) Executed() map[string]bool {
 	runs := e.Books().Runs
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := make(map[string]bool, len(runs))
 	for id := range runs {
-		if mark, ok := e.marks[id]; ok {
-			out[mark] = true
+		if attemptID, ok := e.attemptIDs[id]; ok {
+			out[attemptID] = true
 		}
 	}
 	return out
 }
 
-// Address is where the engine listens.
+// Address returns the address on which the engine listens.
 func (e *Engine) Address() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/lab/bench/fleet/fleet.go
+++ b/internal/lab/bench/fleet/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet starts a whole fleet in this process on loopback sockets: a
-// stand-in store, stand-in engines and service VMs, and real routers.
-// Engines go and come back on demand.
+// stand-in store, stand-in engines and service VMs, and real routers. Engines
+// can be stopped and restarted while it runs.
 package fleet
 
 import (
@@ -32,15 +32,15 @@
 
 const (
 	loopback = "127.0.0.1:0"
-	// readyTimeout bounds the wait until all routers know all others, the
+	// readyTimeout bounds the wait until each router knows all other routers, the
 	// engines and the configuration.
 	readyTimeout = 20 * time.Second
 	readyPoll    = 50 * time.Millisecond
-	// settleTime lets the owners hear from their engines and tell the others.
-	settleTime = 2500 * time.Millisecond
-	locateTTL  = 2 * time.Second
-	drainTime  = 10 * time.Second
-	readHeader = 5 * time.Second
+	// settleDelay lets the owners receive reports of their engines and propagate them.
+	settleDelay       = 2500 * time.Millisecond
+	locateTTL         = 2 * time.Second
+	drainTime         = 10 * time.Second
+	readHeaderTimeout = 5 * time.Second
 )
 
 // Options configures a fleet.
@@ -48,9 +48,9 @@
 	Workload *workload.Workload
 	// Bound is the load bound of the language pool.
 	Bound float64
-	// Router is passed to each router; the seed is made different for each.
+	// Router is passed to each router. The seed is incremented for each of them.
 	Router router.Options
-	// Log takes the routers' logs; nil drops them.
+	// Log receives the routers' logs; nil discards them.
 	Log *log.Logger
 }
 
@@ -58,19 +58,19 @@
 type Fleet struct {
 	opts  Options
 	store *storestandin.Server
-	// storeAddress is where the store listens.
+	// storeAddress is the address on which the store listens.
 	storeAddress string
 	servers      []*http.Server
 	wg           sync.WaitGroup
 
 	Engines  []*Engine
 	Services []*service.Service
-	// serviceURLs are the services' own addresses.
+	// serviceURLs are the base URLs of the services.
 	serviceURLs []string
 	Routers     []*router.Router
 }
 
-// Start starts a fleet and waits until it serves.
+// Start starts a fleet and waits until it is ready.
 func Start(ctx context.Context, o Options) (*Fleet, error) {
 	if o.Log == nil {
 		o.Log = log.New(io.Discard)
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// putVM lists a VM, or changes its entry.
+// putVM adds a VM to the list or replaces its entry.
 func (f *Fleet) putVM(vm platform.VM) { f.store.Put(platform.TableVMs, vm.Name, vm) }
 
 func (f *Fleet) startService(i int) error {
@@ -160,7 +160,7 @@
 		Name:   fmt.Sprintf("router-%d", i+1),
 		Site:   siteOf(i),
 		Region: workload.Region,
-		// Advertised as well, so that the port that is found is told.
+		// Also advertised, so that the port selected by the system is published.
 		Listen: loopback, Advertise: loopback,
 		ControlListen: loopback, ControlAdvertise: loopback,
 		Platform:      settings.Platform{Store: f.storeAddress},
@@ -170,24 +170,24 @@
 	for _, r := range f.Routers {
 		s.Seeds = append(s.Seeds, r.Control())
 	}
-	// Without keys there is nothing that Provision could find fault with.
+	// Provision fails only on invalid keys, and there are none here.
 	_ = s.Provision()
 	return s
 }
 
-// serve answers on a loopback port of its own.
+// serve serves h on a loopback port of its own and returns the address.
 func (f *Fleet) serve(h http.Handler) (string, error) {
 	ln, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return "", err
 	}
-	srv := &http.Server{Handler: h, ReadHeaderTimeout: readHeader, ErrorLog: f.opts.Log.StandardLog()}
+	srv := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout, ErrorLog: f.opts.Log.StandardLog()}
 	f.servers = append(f.servers, srv)
 	f.wg.Add(1)
 	go func() {
 		defer f.wg.Done()
 		if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-			f.opts.Log.Error("stand-in's listener failed", "cause", err)
+			f.opts.Log.Error("stand-in listener failed", "cause", err)
 		}
 	}()
 	return ln.Addr().String(), nil
@@ -201,7 +201,7 @@
 			return Error.New("not ready after %s", readyTimeout)
 		}
 	}
-	pause.For(ctx, settleTime)
+	pause.For(ctx, settleDelay)
 	return nil
 }
 
@@ -216,7 +216,7 @@
 	return true
 }
 
-// Addresses are where callers can ask for an address.
+// Addresses returns the addresses of the routers.
 func (f *Fleet) Addresses() []string {
 	var out []string
 	for _, r := range f.Routers {
@@ -225,29 +225,30 @@
 	return out
 }
 
-// ServiceURL is where a service answers without a router; n takes them in turn.
+// ServiceURL returns the base URL of a service, for calls that bypass the
+// routers. It selects service n modulo the number of services.
 func (f *Fleet) ServiceURL(n int) string { return f.serviceURLs[n%len(f.serviceURLs)] }
 
-// Control is the control traffic of one router, sent and received, in bytes:
-// membership and load digests by UDP, calls between routers by TCP, and polls
-// of and orders to upstreams.
-type Control struct {
+// ControlTraffic is the control traffic of one router, sent and received, in
+// bytes: membership and load digests over UDP, calls between routers over TCP,
+// and polls of and orders to upstreams.
+type ControlTraffic struct {
 	UDP, TCP int64
 	Upstream upstream.Traffic
 }
 
-// Since returns the traffic after an earlier reading.
-func (c Control) Since(earlier Control) Control {
-	return Control{
+// Since returns the traffic since an earlier reading.
+func (c ControlTraffic) Since(earlier ControlTraffic) ControlTraffic {
+	return ControlTraffic{
 		UDP:      c.UDP - earlier.UDP,
 		TCP:      c.TCP - earlier.TCP,
 		Upstream: c.Upstream.Since(earlier.Upstream),
 	}
 }
 
-// ControlBytes is each router's control traffic so far.
-func (f *Fleet) ControlBytes() ([]Control, error) {
-	out := make([]Control, len(f.Routers))
+// ControlBytes returns the total control traffic of each router.
+func (f *Fleet) ControlBytes() ([]ControlTraffic, error) {
+	out := make([]ControlTraffic, len(f.Routers))
 	for i, r := range f.Routers {
 		out[i].UDP, out[i].TCP = r.ControlBytes()
 		if err := readVar(r, upstreamBytes, &out[i].Upstream); err != nil {
@@ -257,19 +258,19 @@
 	return out, nil
 }
 
-// upstreamBytes is the metric of the traffic towards upstreams.
+// upstreamBytes is the metric of the traffic to and from upstreams.
 const upstreamBytes = "upstream_bytes"
 
-// readVar decodes a router's metric into out.
+// readVar decodes a metric of a router into out.
 func readVar(r *router.Router, name string, out any) error {
 	v := r.Vars().Get(name)
 	if v == nil {
-		return Error.New("a router has no metric %q", name)
+		return Error.New("router has no metric %q", name)
 	}
 	return Error.Wrap(json.Unmarshal([]byte(v.String()), out))
 }
 
-// Admission sums up the routers' counters of their decisions.
+// Admission sums up the admission counters of all routers.
 func (f *Fleet) Admission() map[string]int64 {
 	out := make(map[string]int64)
 	for _, r := range f.Routers {
@@ -279,7 +280,7 @@
 		}
 		var one map[string]int64
 		if json.Unmarshal([]byte(v.String()), &one) != nil {
-			continue // a counter that is no number has come to be
+			continue // a value that is not an integer
 		}
 		for name, n := range one {
 			out[name] += n
@@ -288,7 +289,7 @@
 	return out
 }
 
-// Close stops routers, upstreams and platform, in this order.
+// Close stops the routers, the upstreams and the store, in this order.
 func (f *Fleet) Close() {
 	for _, r := range f.Routers {
 		r.Close()
--- a/internal/lab/bench/latency_test.go
+++ b/internal/lab/bench/latency_test.go
@@ -25,14 +25,14 @@
 const (
 	benchStep   = 2 * time.Millisecond
 	benchTokens = 32
-	// benchBatch is beyond what any benchmark here opens: an engine finishes a
-	// stream whose caller left without a word, and it counts until then.
+	// benchBatch exceeds the number of streams that any benchmark opens: an engine
+	// finishes a stream after its connection has closed, which occupies a slot.
 	benchBatch   = 40_000
 	benchStreams = 20
 )
 
-// single starts one router before one engine.
-func single(b *testing.B, step time.Duration) *fleet.Fleet {
+// startSingle starts one router with one engine.
+func startSingle(b *testing.B, step time.Duration) *fleet.Fleet {
 	w := &workload.Workload{
 		Name:      "single",
 		Routers:   1,
@@ -47,7 +47,7 @@
 	return f
 }
 
-func callers(b *testing.B, f *fleet.Fleet) *client.Client {
+func newClient(b *testing.B, f *fleet.Fleet) *client.Client {
 	a := workload.Account{Name: "account"}
 	c, err := client.New(client.Options{Seeds: f.Addresses(), Key: a.Key()})
 	require.NoError(b, err)
@@ -55,38 +55,38 @@
 	return c
 }
 
-// times are those of one streamed answer.
-type times struct {
+// streamTimes are the latencies of one streamed answer.
+type streamTimes struct {
 	first time.Duration
 	gaps  []time.Duration
 }
 
-// direct asks the engine itself, with the work that the callers' library does
-// for each chunk.
-func direct(c *http.Client, address string, tokens int) (times, error) {
+// directStream reads a stream from the engine, with the same work per chunk as
+// the client library.
+func directStream(c *http.Client, address string, tokens int) (streamTimes, error) {
 	body, err := json.Marshal(wire.ChatRequest{
 		Model: workload.Model, Stream: true, MaxTokens: tokens,
 		Messages: []wire.Message{{Role: "user", Content: uuid.NewString()}},
 	})
 	if err != nil {
-		return times{}, err
+		return streamTimes{}, err
 	}
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+wire.PathChat, bytes.NewReader(body))
 	if err != nil {
-		return times{}, err
+		return streamTimes{}, err
 	}
 	req.Header.Set(wire.HeaderRequestID, uuid.NewString())
 	start := time.Now()
 	resp, err := c.Do(req)
 	if err != nil {
-		return times{}, err
+		return streamTimes{}, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return readAll(sse.NewReader(resp.Body, 0), start)
+	return readChunks(sse.NewReader(resp.Body, 0), start)
 }
 
-func readAll(r *sse.Reader, last time.Time) (times, error) {
-	var t times
+func readChunks(r *sse.Reader, last time.Time) (streamTimes, error) {
+	var t streamTimes
 	for {
 		ev, err := r.Next()
 		if err != nil {
@@ -109,11 +109,11 @@
 	}
 }
 
-func routed(c *client.Client, tokens int) (times, error) {
+func routedStream(c *client.Client, tokens int) (streamTimes, error) {
 	v := c.Conversation(uuid.NewString(), workload.Model)
 	v.MaxTokens = tokens
 	turn, err := v.Say(context.Background(), uuid.NewString(), nil)
-	return times{first: turn.FirstToken, gaps: turn.Gaps}, err
+	return streamTimes{first: turn.FirstToken, gaps: turn.Gaps}, err
 }
 
 func median(ds []time.Duration) time.Duration {
@@ -121,20 +121,20 @@
 	return ds[len(ds)/2]
 }
 
-// BenchmarkAddedLatency asks the same engine in turn with and without the
-// router, in one run, and reports the differences of the medians. Engine,
-// router and callers share this process and its processors.
+// BenchmarkAddedLatency alternates between the engine and the router in one run
+// and reports the differences of the medians. Engine, router and client share
+// this process and its processors.
 func BenchmarkAddedLatency(b *testing.B) {
-	f := single(b, benchStep)
-	c := callers(b, f)
+	f := startSingle(b, benchStep)
+	c := newClient(b, f)
 	plain := &http.Client{}
 	defer plain.CloseIdleConnections()
-	var with, without times
+	var with, without streamTimes
 	var firstWith, firstWithout []time.Duration
 	for b.Loop() {
-		d, err := direct(plain, f.Engines[0].Address(), benchTokens)
+		d, err := directStream(plain, f.Engines[0].Address(), benchTokens)
 		require.NoError(b, err)
-		r, err := routed(c, benchTokens)
+		r, err := routedStream(c, benchTokens)
 		require.NoError(b, err)
 		firstWithout, firstWith = append(firstWithout, d.first), append(firstWith, r.first)
 		without.gaps, with.gaps = append(without.gaps, d.gaps...), append(with.gaps, r.gaps...)
@@ -151,24 +151,24 @@
 }
 
 // BenchmarkTokenCPU reports the processor time that the router adds to one
-// token. The process's time per token is taken on one processor with callers
-// that go to the engine directly, and with the same callers through the
-// router; the difference is the router's own reading, checking and writing.
+// token. It compares the process time per token, on one processor, of direct
+// streams and of the same streams through the router; the difference is the
+// router's reading, checking and writing.
 func BenchmarkTokenCPU(b *testing.B) {
-	f := single(b, benchStep)
-	c := callers(b, f)
+	f := startSingle(b, benchStep)
+	c := newClient(b, f)
 	plain := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: benchStreams}}
 	defer plain.CloseIdleConnections()
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	var with, without time.Duration
 	tokens := 0
 	for b.Loop() {
-		without += cpuOf(b, func() error {
-			_, err := direct(plain, f.Engines[0].Address(), 10*benchTokens)
+		without += cpuOfStreams(b, func() error {
+			_, err := directStream(plain, f.Engines[0].Address(), 10*benchTokens)
 			return err
 		})
-		with += cpuOf(b, func() error {
-			_, err := routed(c, 10*benchTokens)
+		with += cpuOfStreams(b, func() error {
+			_, err := routedStream(c, 10*benchTokens)
 			return err
 		})
 		tokens += benchStreams * 10 * benchTokens
@@ -180,8 +180,8 @@
 	b.ReportMetric(float64(time.Second/time.Microsecond)/added, "tokens/s-per-core")
 }
 
-// cpuOf returns the processor time of the process while streams run side by side.
-func cpuOf(b *testing.B, stream func() error) time.Duration {
+// cpuOfStreams returns the processor time of the process during concurrent streams.
+func cpuOfStreams(b *testing.B, stream func() error) time.Duration {
 	before := cpuTime(b)
 	var wg sync.WaitGroup
 	failed := make([]error, benchStreams)
@@ -205,13 +205,13 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// benchKey is the API key of the benchmarks' account.
+// benchKey returns the API key of the benchmarks' account.
 func benchKey() string {
 	a := workload.Account{Name: "account"}
 	return a.Key()
 }
 
-// streamRequest is a whole HTTP request for a long stream.
+// streamRequest returns a complete HTTP request for a long stream.
 func streamRequest(host string) []byte {
 	body := fmt.Sprintf(`{"model":%q,"messages":[{"role":"user","content":%q}],"stream":true,"max_tokens":100000}`,
 		workload.Model, uuid.NewString())
--- a/internal/lab/bench/measure/bound.go
+++ b/internal/lab/bench/measure/bound.go
@@ -8,31 +8,32 @@
 	"time"
 )
 
-// Access is one turn of a chat as an engine served it.
+// Access is one turn of a chat, as executed by an engine.
 type Access struct {
 	// Chat identifies the chat.
 	Chat string
-	// Start is when the caller sent the turn, End when it had the answer.
+	// Start is when the caller sent the turn, End when it received the response.
 	Start, End time.Time
-	// Prompt is the length of the prompt, Earlier the part of it that the turn
-	// before left behind, and After the length with the answer, all in tokens.
+	// Prompt is the length of the prompt, Earlier the part of it that earlier
+	// turns left in the chat, and After the length including the answer, all in
+	// tokens.
 	Prompt, Earlier, After int
-	// Cached is what the engine found in its cache, in tokens.
+	// Cached is the number of tokens that the engine found in its cache.
 	Cached int
-	// Returning says that it isn't the chat's first turn.
+	// Returning reports whether the turn is not the chat's first.
 	Returning bool
-	// Broken says that no whole answer came: the turn may have filled a cache,
-	// and is not counted.
+	// Broken reports whether the response was incomplete. Such a turn may have
+	// filled a cache, but is not counted.
 	Broken bool
 }
 
-// Capacity is the fleet's cache from a time on, in tokens.
+// Capacity is the fleet's total cache capacity from a time on, in tokens.
 type Capacity struct {
 	At     time.Time
 	Tokens int64
 }
 
-// Reuse is the share of the returning turns' prompt tokens found in a cache.
+// Reuse returns the share of the returning turns' prompt tokens found in a cache.
 func Reuse(trace []Access) float64 {
 	var cached, prompt int64
 	for _, a := range trace {
@@ -45,27 +46,27 @@
 	return ratio(float64(cached), float64(prompt))
 }
 
-// ReuseBound replays a trace against one pooled cache that knows the future
-// and returns the reuse that it reaches: an upper bound for every placement
-// over engines with the same total cache.
+// ReuseBound replays a trace against a single pooled cache with knowledge of
+// the future and returns the resulting reuse. It is an upper bound for every
+// placement over engines with the same total cache capacity.
 //
-// It is an upper bound because each step only takes a restriction away:
-//   - one pool: whatever a placement keeps on separate engines fits, without
-//     copies, into one cache of their summed capacity, and in the pool every
-//     turn finds it, wherever it was made;
-//   - churn: an engine that goes takes its content along; here only the
-//     capacity shrinks, and the least useful tokens go;
-//   - single tokens: real caches keep whole blocks, and a token counts only
-//     together with those before it; here each token counts by itself, so the
-//     items have unit size, for which evicting the one with the furthest next
+// Each step of the model only removes a restriction:
+//   - Pooling: whatever a placement keeps on separate engines fits, without
+//     duplicates, into one cache of their total capacity, and every turn finds
+//     it there, whichever engine created it.
+//   - Churn: an engine that stops loses its content; here only the capacity
+//     shrinks, and the least useful tokens are evicted.
+//   - Single tokens: real caches keep whole blocks, and a token is useful only
+//     together with those before it. Here each token counts by itself, so the
+//     items have unit size, for which evicting the item with the furthest next
 //     use, or not admitting it, is optimal (Belady), also under a capacity
-//     that changes with time;
-//   - time: a turn's tokens need no room between its start and its end, and
-//     are offered to the cache at the end, whether or not they were found.
+//     that changes over time.
+//   - Time: a turn's tokens need no capacity between its start and its end, and
+//     are inserted at the end, whether or not they were found.
 //
-// It relies on no two chats sharing messages, which workload.Text ensures:
-// all tokens of a chat then have the same next use, the chat's next turn, and
-// are one item here, of which the cache may hold a part.
+// The bound requires that no two chats share messages, which workload.Text
+// ensures. All tokens of a chat then have the same next use, the chat's next
+// turn, and form one item here, of which the cache may hold a part.
 func ReuseBound(trace []Access, capacity []Capacity) float64 {
 	r := newReplay(trace, capacity)
 	for _, ev := range r.events {
@@ -77,7 +78,7 @@
 type eventKind int
 
 const (
-	// Ends come before starts of the same time, so that no hit is missed.
+	// Ends precede starts of the same time, so that no hit is missed.
 	eventEnd eventKind = iota
 	eventCapacity
 	eventStart
@@ -105,13 +106,13 @@
 	capacity int64
 	used     int64
 	byChat   map[string]*resident
-	byNext   furthest
+	byNext   nextUseHeap
 	hits     float64
 	prompt   float64
 }
 
-// never is the next use of what isn't used again.
-var never = time.Unix(math.MaxInt32, 0)
+// neverUsed is the next use of an item that is not used again.
+var neverUsed = time.Unix(math.MaxInt32, 0)
 
 func newReplay(trace []Access, capacity []Capacity) *replay {
 	r := &replay{byChat: make(map[string]*resident)}
@@ -122,7 +123,7 @@
 		a := &sorted[i]
 		use, again := next[a.Chat]
 		if !again {
-			use = never
+			use = neverUsed
 		}
 		r.events = append(r.events,
 			event{at: a.Start, kind: eventStart, access: a},
@@ -142,15 +143,15 @@
 	switch ev.kind {
 	case eventCapacity:
 		r.capacity = ev.tokens
-		r.shrink()
+		r.evict()
 	case eventStart:
 		r.lookUp(ev.access)
 	case eventEnd:
-		r.offer(ev)
+		r.insert(ev)
 	}
 }
 
-// lookUp counts what the cache holds and takes it out until the turn's end.
+// lookUp counts the cached tokens and removes them until the turn ends.
 func (r *replay) lookUp(a *Access) {
 	var found int64
 	if it := r.byChat[a.Chat]; it != nil {
@@ -163,10 +164,10 @@
 	}
 }
 
-// offer puts the turn's tokens in and evicts the least useful ones, which may
-// be the new ones themselves.
-func (r *replay) offer(ev event) {
-	if ev.next.Equal(never) {
+// insert adds the turn's tokens and evicts the least useful ones, which may be
+// the new ones.
+func (r *replay) insert(ev event) {
+	if ev.next.Equal(neverUsed) {
 		return
 	}
 	if old := r.byChat[ev.access.Chat]; old != nil {
@@ -176,7 +177,7 @@
 	r.byChat[it.chat] = it
 	heap.Push(&r.byNext, it)
 	r.used += it.tokens
-	r.shrink()
+	r.evict()
 }
 
 func (r *replay) remove(it *resident) {
@@ -185,7 +186,7 @@
 	r.used -= it.tokens
 }
 
-func (r *replay) shrink() {
+func (r *replay) evict() {
 	for r.used > r.capacity && len(r.byNext) > 0 {
 		last := r.byNext[0]
 		over := r.used - r.capacity
@@ -198,27 +199,27 @@
 	}
 }
 
-// furthest is a heap with the furthest next use on top.
-type furthest []*resident
+// nextUseHeap is a heap with the furthest next use on top.
+type nextUseHeap []*resident
 
-func (h furthest) Len() int           { return len(h) }
-func (h furthest) Less(i, j int) bool { return h[i].next.After(h[j].next) }
+func (h nextUseHeap) Len() int           { return len(h) }
+func (h nextUseHeap) Less(i, j int) bool { return h[i].next.After(h[j].next) }
 
-func (h furthest) Swap(i, j int) {
+func (h nextUseHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index = i
 	h[j].index = j
 }
 
 // Push implements heap.Interface.
-func (h *furthest) Push(x any) {
+func (h *nextUseHeap) Push(x any) {
 	it := x.(*resident)
 	it.index = len(*h)
 	*h = append(*h, it)
 }
 
 // Pop implements heap.Interface.
-func (h *furthest) Pop() any {
+func (h *nextUseHeap) Pop() any {
 	old := *h
 	it := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -232,7 +233,7 @@
 	return a / b
 }
 
-// SumCapacity turns changes of the capacity into the capacity over time.
+// SumCapacity converts capacity changes into the total capacity over time.
 func SumCapacity(changes []Capacity) []Capacity {
 	out := slices.Clone(changes)
 	slices.SortStableFunc(out, func(a, b Capacity) int { return a.At.Compare(b.At) })
--- a/internal/lab/bench/measure/latency.go
+++ b/internal/lab/bench/measure/latency.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	highest     = int64(10 * time.Minute / time.Microsecond)
-	precision   = 3
-	microsPerMS = 1000.0
+	maxMicros         = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
+	microsPerMS       = 1000.0
 )
 
-// Latency collects times by label. It is safe for concurrent use.
+// Latency collects latency samples by label. It is safe for concurrent use.
 type Latency struct {
 	mu      sync.Mutex
 	byLabel map[string]*hdrhistogram.Histogram
@@ -24,21 +24,21 @@
 	return &Latency{byLabel: make(map[string]*hdrhistogram.Histogram)}
 }
 
-// Add records times under a label. Those beyond ten minutes count as ten minutes.
+// Add records samples under a label. Samples beyond ten minutes count as ten minutes.
 func (l *Latency) Add(label string, times ...time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.byLabel[label]
 	if h == nil {
-		h = hdrhistogram.New(1, highest, precision)
+		h = hdrhistogram.New(1, maxMicros, significantDigits)
 		l.byLabel[label] = h
 	}
 	for _, t := range times {
-		_ = h.RecordValue(min(t.Microseconds(), highest))
+		_ = h.RecordValue(min(t.Microseconds(), maxMicros))
 	}
 }
 
-// Percentiles are times in milliseconds.
+// Percentiles are the percentiles of a set of samples, in milliseconds.
 type Percentiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
--- a/internal/lab/bench/measure/measure_test.go
+++ b/internal/lab/bench/measure/measure_test.go
@@ -15,7 +15,7 @@
 
 func at(seconds int) time.Time { return epoch.Add(time.Duration(seconds) * time.Second) }
 
-// turn is a turn of half a second that adds ten tokens to what the chat has.
+// turn returns a turn of half a second that adds ten tokens to the chat.
 func turn(chat string, second, earlier int) measure.Access {
 	return measure.Access{
 		Chat: chat, Start: at(second), End: at(second).Add(time.Second / 2),
@@ -23,22 +23,22 @@
 	}
 }
 
-func TestBoundKeepsWhatIsUsedNext(t *testing.T) {
+func TestReuseBoundKeepsNextUsedTokens(t *testing.T) {
 	trace := []measure.Access{
 		turn("a", 1, 0), turn("b", 2, 0), turn("b", 3, 10), turn("a", 4, 10), turn("c", 5, 0),
 	}
-	whole := []measure.Capacity{{At: at(0), Tokens: 20}}
-	require.InDelta(t, 20.0/30, measure.ReuseBound(trace, whole), 1e-9)
-	// With room for one chat b, which comes first, is kept whole, and of a
-	// nothing is left.
+	full := []measure.Capacity{{At: at(0), Tokens: 20}}
+	require.InDelta(t, 20.0/30, measure.ReuseBound(trace, full), 1e-9)
+	// With capacity for one chat, b, which is used first, is kept completely, and
+	// nothing of a is.
 	half := []measure.Capacity{{At: at(0), Tokens: 10}}
 	require.InDelta(t, 10.0/30, measure.ReuseBound(trace, half), 1e-9)
 	// A part of a chat counts.
-	more := []measure.Capacity{{At: at(0), Tokens: 14}}
-	require.InDelta(t, 14.0/30, measure.ReuseBound(trace, more), 1e-9)
+	partial := []measure.Capacity{{At: at(0), Tokens: 14}}
+	require.InDelta(t, 14.0/30, measure.ReuseBound(trace, partial), 1e-9)
 }
 
-func TestBoundShrinksWithTheFleet(t *testing.T) {
+func TestReuseBoundFollowsCapacity(t *testing.T) {
 	trace := []measure.Access{turn("a", 1, 0), turn("b", 2, 0), turn("a", 4, 10), turn("b", 5, 10)}
 	capacity := measure.SumCapacity([]measure.Capacity{
 		{At: at(3), Tokens: -10}, {At: at(0), Tokens: 10}, {At: at(0), Tokens: 10},
@@ -47,7 +47,7 @@
 	require.InDelta(t, 10.0/30, measure.ReuseBound(trace, capacity), 1e-9)
 }
 
-func TestBrokenTurnsAreNotCounted(t *testing.T) {
+func TestReuseIgnoresBrokenTurns(t *testing.T) {
 	broken := turn("a", 3, 10)
 	broken.Broken = true
 	broken.Cached = 10
@@ -56,11 +56,11 @@
 	require.Zero(t, measure.ReuseBound(trace, []measure.Capacity{{At: at(0), Tokens: 100}}))
 }
 
-// TestNoPlacementBeatsTheBound replays random traces against separate caches
-// that evict the chat used longest ago, under random placement and under one
-// fixed engine for each chat.
-func TestNoPlacementBeatsTheBound(t *testing.T) {
-	const engines, room, chats, turns = 3, 60, 12, 400
+// TestReuseBoundLimitsEveryPlacement replays random traces against separate
+// LRU caches of whole chats, with random placement and with one fixed engine
+// for each chat.
+func TestReuseBoundLimitsEveryPlacement(t *testing.T) {
+	const engines, capacity, chats, turns = 3, 60, 12, 400
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		length := map[string]int{}
@@ -70,21 +70,21 @@
 			trace = append(trace, turn(chat, s, length[chat]))
 			length[chat] = (length[chat] + 10) % 50
 		}
-		bound := measure.ReuseBound(trace, []measure.Capacity{{At: at(-1), Tokens: engines * room}})
+		bound := measure.ReuseBound(trace, []measure.Capacity{{At: at(-1), Tokens: engines * capacity}})
 		for _, place := range []func(measure.Access) int{
 			func(measure.Access) int { return rng.IntN(engines) },
 			func(a measure.Access) int { return int(a.Chat[len(a.Chat)-1]) % engines },
 		} {
-			reuse := reuseOf(trace, engines, room, place)
+			reuse := simulateLRU(trace, engines, capacity, place)
 			require.Positive(t, reuse)
 			require.LessOrEqual(t, reuse, bound+1e-9)
 		}
 	}
 }
 
-// reuseOf is the reuse of separate caches of whole chats, least recently used
-// evicted first.
-func reuseOf(trace []measure.Access, engines, room int, place func(measure.Access) int) float64 {
+// simulateLRU returns the reuse of separate caches of whole chats with least
+// recently used eviction.
+func simulateLRU(trace []measure.Access, engines, capacity int, place func(measure.Access) int) float64 {
 	caches := make([][]measure.Access, engines)
 	done := make([]measure.Access, 0, len(trace))
 	for _, a := range trace {
@@ -98,7 +98,7 @@
 			kept = append(kept, c)
 		}
 		kept = append(kept, a)
-		for used(kept) > room {
+		for totalTokens(kept) > capacity {
 			kept = kept[1:]
 		}
 		caches[i] = kept
@@ -107,7 +107,7 @@
 	return measure.Reuse(done)
 }
 
-func used(list []measure.Access) int {
+func totalTokens(list []measure.Access) int {
 	sum := 0
 	for _, a := range list {
 		sum += a.After
@@ -119,15 +119,15 @@
 	return []engine.LoadBucket{{Index: at(second).UnixNano() / int64(time.Second), WeightSeconds: weight}}
 }
 
-func TestSkewCountsEnginesInServiceAndWindowsWithLoad(t *testing.T) {
+func TestSkewIgnoresStoppedEnginesAndIdleWindows(t *testing.T) {
 	service := [][2]time.Time{{at(0), {}}}
 	engines := []measure.EngineLoad{
-		{Books: append(buckets(0, 30), buckets(1, 1)...), Bucket: time.Second, InService: service},
-		{Books: append(buckets(0, 10), buckets(1, 2)...), Bucket: time.Second, InService: service},
-		// This one left during the first window; its rest does not count.
-		{Books: buckets(0, 500), Bucket: time.Second, InService: [][2]time.Time{{at(-5), at(0).Add(time.Millisecond)}}},
+		{Buckets: append(buckets(0, 30), buckets(1, 1)...), BucketLength: time.Second, InService: service},
+		{Buckets: append(buckets(0, 10), buckets(1, 2)...), BucketLength: time.Second, InService: service},
+		// This engine stopped during the first window; its remaining load does not count.
+		{Buckets: buckets(0, 500), BucketLength: time.Second, InService: [][2]time.Time{{at(-5), at(0).Add(time.Millisecond)}}},
 	}
-	o := measure.SkewOptions{From: at(0), To: at(2), Window: time.Second, LeastMean: 5}
+	o := measure.SkewOptions{From: at(0), To: at(2), Window: time.Second, MinMean: 5}
 	windows := measure.Windows(o, engines)
 	require.Len(t, windows, 1, "the second window has too little load")
 	require.InDelta(t, 1.5, windows[0].Skew, 1e-9)
--- a/internal/lab/bench/measure/skew.go
+++ b/internal/lab/bench/measure/skew.go
@@ -1,5 +1,5 @@
-// Package measure turns what engines and callers saw into the figures that a
-// placement is judged by. It is pure: it looks at records after a run.
+// Package measure computes the metrics of a placement from the records of
+// engines and callers after a run. It has no side effects.
 package measure
 
 import (
@@ -9,60 +9,61 @@
 	"damaskrouter.example/damaskrouter/internal/lab/standin/engine"
 )
 
-// EngineLoad is what one engine's own books say, and when the engine was
-// meant to take work.
+// EngineLoad is the load that an engine recorded, with the times in which it
+// was expected to accept requests.
 type EngineLoad struct {
-	Books []engine.LoadBucket
-	// Bucket is the length of one of the books' buckets.
-	Bucket time.Duration
-	// InService are the times, in pairs of begin and end.
+	Buckets []engine.LoadBucket
+	// BucketLength is the length of one of Buckets.
+	BucketLength time.Duration
+	// InService are the times in service, as pairs of begin and end. A zero end
+	// means that the engine is still in service.
 	InService [][2]time.Time
 }
 
-// Window is the load of the pool during one span of time.
+// Window is the load of the pool during a time window.
 type Window struct {
-	// At is the time since the beginning of the run, in seconds.
+	// At is the start of the window, in seconds since the start of the run.
 	At float64 `json:"at"`
 	// Skew is the busiest engine's load divided by the mean.
 	Skew float64 `json:"skew"`
 	// Mean is the mean load of an engine, in weight units or requests.
 	Mean float64 `json:"mean"`
-	// Engines is how many were in service during the whole window.
+	// Engines is the number of engines in service during the whole window.
 	Engines int `json:"engines"`
 }
 
-// Skew sums up windows.
+// Skew summarizes the skew of a set of windows.
 type Skew struct {
 	Mean  float64 `json:"mean"`
 	P50   float64 `json:"p50"`
 	P99   float64 `json:"p99"`
 	Worst float64 `json:"worst"`
-	// Windows is how many carried enough load to be counted, of Total.
+	// Windows is the number of windows of Total that had enough load to count.
 	Windows int `json:"windows"`
 	Total   int `json:"total"`
 }
 
-// SkewOptions say which windows count.
+// SkewOptions selects the windows that count.
 type SkewOptions struct {
 	From, To time.Time
-	// Window is the span over which load is averaged.
+	// Window is the length of a window, over which load is averaged.
 	Window time.Duration
-	// LeastMean is the mean load of an engine below which a window isn't
-	// counted: where one request is more than the mean, any placement is skewed.
-	LeastMean float64
-	// Requests takes the number of unfinished requests for the load, instead
-	// of their weight.
+	// MinMean is the mean load of an engine below which a window is not counted:
+	// if one request exceeds the mean, every placement is skewed.
+	MinMean float64
+	// Requests measures load as the number of unfinished requests instead of
+	// their weight.
 	Requests bool
 }
 
 // Windows returns the windows that count. Load on engines that are not in
 // service during the whole window counts neither for the mean nor for the
-// peak: what a leaving engine finishes is no choice of the placement.
+// peak: the placement does not decide what a draining engine finishes.
 func Windows(o SkewOptions, engines []EngineLoad) []Window {
 	var out []Window
 	for from := o.From; !from.Add(o.Window).After(o.To); from = from.Add(o.Window) {
 		w := o.window(from, from.Add(o.Window), engines)
-		if w.Engines == 0 || w.Mean < o.LeastMean {
+		if w.Engines == 0 || w.Mean < o.MinMean {
 			continue
 		}
 		w.At = from.Sub(o.From).Seconds()
@@ -100,23 +101,23 @@
 
 // loadSeconds sums up the buckets that begin in the window.
 func (e *EngineLoad) loadSeconds(from, to time.Time, requests bool) float64 {
-	first := from.UnixNano() / int64(e.Bucket)
-	last := to.UnixNano() / int64(e.Bucket)
-	i, _ := slices.BinarySearchFunc(e.Books, first, func(b engine.LoadBucket, at int64) int {
+	first := from.UnixNano() / int64(e.BucketLength)
+	last := to.UnixNano() / int64(e.BucketLength)
+	i, _ := slices.BinarySearchFunc(e.Buckets, first, func(b engine.LoadBucket, at int64) int {
 		return int(b.Index - at)
 	})
 	sum := 0.0
-	for ; i < len(e.Books) && e.Books[i].Index < last; i++ {
+	for ; i < len(e.Buckets) && e.Buckets[i].Index < last; i++ {
 		if requests {
-			sum += e.Books[i].RequestSeconds
+			sum += e.Buckets[i].RequestSeconds
 			continue
 		}
-		sum += e.Books[i].WeightSeconds
+		sum += e.Buckets[i].WeightSeconds
 	}
 	return sum
 }
 
-// Summarize sums up the windows that counted, of total.
+// Summarize summarizes the counted windows, out of total.
 func Summarize(windows []Window, total int) Skew {
 	s := Skew{Windows: len(windows), Total: total}
 	if len(windows) == 0 {
@@ -136,7 +137,7 @@
 	return s
 }
 
-// quantile takes the nearest rank of sorted values.
+// quantile returns the value of the nearest rank in sorted values.
 func quantile(sorted []float64, q float64) float64 {
 	return sorted[int(q*float64(len(sorted)-1)+0.5)]
 }
--- a/internal/lab/bench/memory_test.go
+++ b/internal/lab/bench/memory_test.go
@@ -14,50 +14,50 @@
 
 const (
 	openStreams = 2000
-	// slowStep keeps streams open without much work.
+	// slowStep keeps streams open at a low token rate.
 	slowStep = 2 * time.Second
-	// openWait is how long streams may take to send their first bytes.
+	// openWait bounds the wait for the first bytes of a stream.
 	openWait = 30 * time.Second
 	mebibyte = 1 << 20
 )
 
 // BenchmarkOpenStreams reports the memory, heap and stacks, of open streams. The
-// callers are bare sockets, so that they hardly count. The router's own is the
-// memory of streams through it less that of streams to the engine directly.
+// clients are plain sockets, so that they use little memory. The router's share
+// is the memory of streams through it minus that of direct streams.
 func BenchmarkOpenStreams(b *testing.B) {
-	f := single(b, slowStep)
-	bare := httptest.NewServer(http.HandlerFunc(hold))
+	f := startSingle(b, slowStep)
+	bare := httptest.NewServer(http.HandlerFunc(holdStream))
 	defer bare.Close()
-	var plain, straight, through int64
+	var plain, direct, routed int64
 	for b.Loop() {
-		plain = held(b, strings.TrimPrefix(bare.URL, "http://"))
-		straight = held(b, f.Engines[0].Address())
-		through = held(b, f.Addresses()[0])
+		plain = streamMemory(b, strings.TrimPrefix(bare.URL, "http://"))
+		direct = streamMemory(b, f.Engines[0].Address())
+		routed = streamMemory(b, f.Addresses()[0])
 	}
-	router := through - straight
+	router := routed - direct
 	b.ReportMetric(float64(plain)/mebibyte, "bare-server-MiB")
 	b.ReportMetric(float64(router)/mebibyte, "router-MiB")
 	b.ReportMetric(float64(router-plain)/mebibyte, "beyond-bare-MiB")
 	b.ReportMetric(float64(router-plain)/1024/openStreams, "beyond-bare-KiB/stream")
 }
 
-// hold sends one event and keeps the stream open, as a bare Go server does.
-func hold(w http.ResponseWriter, r *http.Request) {
+// holdStream sends one event and keeps the stream open, like a minimal Go server.
+func holdStream(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	_, _ = w.Write([]byte("data: {}\n\n"))
 	w.(http.Flusher).Flush()
 	<-r.Context().Done()
 }
 
-// held returns the memory that open streams to the address take.
-func held(b *testing.B, address string) int64 {
-	before := memory()
+// streamMemory returns the memory that open streams to the address use.
+func streamMemory(b *testing.B, address string) int64 {
+	before := memoryInUse()
 	conns := make([]net.Conn, 0, openStreams)
 	defer func() {
 		for _, c := range conns {
 			_ = c.Close()
 		}
-		settle()
+		awaitClosed()
 	}()
 	for range openStreams {
 		c, err := net.Dial("tcp", address)
@@ -69,10 +69,10 @@
 	for _, c := range conns {
 		awaitEvent(b, c)
 	}
-	return memory() - before
+	return memoryInUse() - before
 }
 
-// awaitEvent waits until the first event has come.
+// awaitEvent waits until the first event has arrived.
 func awaitEvent(b *testing.B, c net.Conn) {
 	require.NoError(b, c.SetReadDeadline(time.Now().Add(openWait)))
 	buf := make([]byte, 4096)
@@ -85,10 +85,10 @@
 	require.Contains(b, got.String(), " 200 OK")
 }
 
-// settle lets the servers notice that their callers have left.
-func settle() { time.Sleep(slowStep) }
+// awaitClosed lets the servers detect the closed connections.
+func awaitClosed() { time.Sleep(slowStep) }
 
-func memory() int64 {
+func memoryInUse() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/lab/bench/report/html.go
+++ b/internal/lab/bench/report/html.go
@@ -22,11 +22,11 @@
 	plotWidth  = 20 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
 	barWidth   = 18
-	// legendRoom lets a share of 1 end below the legend.
+	// legendRoom scales the axis so that a share of 1 ends below the legend.
 	legendRoom = 1.25
 )
 
-// pageData is what the page shows.
+// pageData is the input of the page template.
 type pageData struct {
 	Title string
 	Table string
@@ -135,7 +135,7 @@
 	p.Y.Min = 0
 	var medians, tails plotter.Values
 	for _, r := range results {
-		t := merged(r.FirstToken)
+		t := largestClass(r.FirstToken)
 		medians = append(medians, t.P50)
 		tails = append(tails, t.P95)
 	}
--- a/internal/lab/bench/report/table.go
+++ b/internal/lab/bench/report/table.go
@@ -1,5 +1,5 @@
-// Package report renders the results of runs: a table for the terminal, JSON
-// for programs, and a page of HTML with plots.
+// Package report renders the results of runs as a table for the terminal, as
+// JSON, and as an HTML page with plots.
 package report
 
 import (
@@ -22,16 +22,16 @@
 const (
 	cellPadding = 2
 	fileMode    = 0o644
-	// shownSamples bounds the failures shown; the JSON has more.
+	// shownSamples bounds the failures in the table; the JSON has up to 20.
 	shownSamples = 5
 )
 
-// Table writes the results side by side, one line each, and what needs a look.
+// Table writes one line per result, followed by the details of each result.
 func Table(out io.Writer, results []*run.Result) error {
 	t := tabwriter.NewWriter(out, 0, 0, cellPadding, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "strategy\treuse\tof bound\tskew mean\tp99\tworst\tcount skew\tB/s router\tfirst p50\tp99 ms\tnext p50\tp99 ms\trequests\trefused\tinterrupted\tlost\tmixed\tdoubled\tfalse no\t")
 	for _, r := range results {
-		first, next := merged(r.FirstToken), merged(r.NextToken)
+		first, next := largestClass(r.FirstToken), largestClass(r.NextToken)
 		fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f\t%.0f\t%.0f\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n",
 			r.Strategy, r.CacheReuse, r.ReuseShare, r.Skew.Mean, r.Skew.P99, r.Skew.Worst, r.SkewRequests.Mean, r.ControlBytes,
 			first.P50, first.P99, next.P50, next.P99,
@@ -41,14 +41,14 @@
 		return Error.Wrap(err)
 	}
 	for _, r := range results {
-		details(out, r)
+		writeDetails(out, r)
 	}
 	return nil
 }
 
-// merged takes the class with the most samples: percentiles of several
-// histograms can't be joined afterwards.
-func merged(byClass map[string]measure.Percentiles) measure.Percentiles {
+// largestClass returns the percentiles of the class with the most samples:
+// percentiles of several histograms cannot be merged.
+func largestClass(byClass map[string]measure.Percentiles) measure.Percentiles {
 	var most measure.Percentiles
 	for _, p := range byClass {
 		if p.Count > most.Count {
@@ -58,8 +58,8 @@
 	return most
 }
 
-// details writes the times by class and the failures of one run.
-func details(out io.Writer, r *run.Result) {
+// writeDetails writes the latencies by class and the failures of one run.
+func writeDetails(out io.Writer, r *run.Result) {
 	fmt.Fprintf(out, "\n%s on %s, seed %d, %.0f s: all-knowing bound %.3f over %d returning turns; skew over %d of %d windows; churn %v\n",
 		r.Strategy, r.Workload, r.Seed, r.Seconds, r.ReuseBound, r.Returning, r.Skew.Windows, r.Skew.Total, r.Churn)
 	fmt.Fprintf(out, "  control bytes per router and second: %.0f by UDP, %.0f by TCP, sent and received; busiest router %.0f\n",
@@ -70,10 +70,10 @@
 	fmt.Fprintf(out, "  skew by requests: mean %.2f, p99 %.2f; in windows of %s: mean %.2f, p99 %.2f, worst %.2f (%d of %d)\n",
 		r.SkewRequests.Mean, r.SkewRequests.P99, run.SkewShortWindow, r.SkewShort.Mean, r.SkewShort.P99, r.SkewShort.Worst, r.SkewShort.Windows, r.SkewShort.Total)
 	fmt.Fprintf(out, "  admission: %v\n", r.Admission)
-	times(out, "first token", r.FirstToken)
-	times(out, "next token", r.NextToken)
-	times(out, "call", r.Calls)
-	surge(out, r.Surge)
+	writeLatencies(out, "first token", r.FirstToken)
+	writeLatencies(out, "next token", r.NextToken)
+	writeLatencies(out, "call", r.Calls)
+	writeSurge(out, r.Surge)
 	if len(r.Outcomes) > 0 {
 		fmt.Fprintf(out, "  failures by code and whether it ran: %v; engines lost %d requests in crashes\n", r.Outcomes, r.EngineLost)
 	}
@@ -82,7 +82,7 @@
 	}
 }
 
-func times(out io.Writer, what string, byLabel map[string]measure.Percentiles) {
+func writeLatencies(out io.Writer, what string, byLabel map[string]measure.Percentiles) {
 	for _, label := range slices.Sorted(maps.Keys(byLabel)) {
 		p := byLabel[label]
 		fmt.Fprintf(out, "  %s, %s: %d, p50 %.1f ms, p95 %.1f ms, p99 %.1f ms, max %.1f ms\n",
@@ -90,31 +90,31 @@
 	}
 }
 
-// surge writes the comparison of before and during, if there was a surge.
-func surge(out io.Writer, s *run.Surge) {
+// writeSurge compares the time before a surge with the surge; nil writes nothing.
+func writeSurge(out io.Writer, s *run.Surge) {
 	if s == nil {
 		return
 	}
 	fmt.Fprintf(out, "  surge of %s, chats %g times the usual:\n", s.Account, s.Factor)
-	phases(out, "call", s.Calls)
-	phases(out, "first token", s.FirstToken)
+	writePhases(out, "call", s.Calls)
+	writePhases(out, "first token", s.FirstToken)
 }
 
-func phases(out io.Writer, what string, byLabel map[string]run.Phases) {
+func writePhases(out io.Writer, what string, byLabel map[string]run.Phases) {
 	for _, label := range slices.Sorted(maps.Keys(byLabel)) {
 		p := byLabel[label]
 		fmt.Fprintf(out, "    %s, %s: p99 %.2f times; %s; %s; %s\n", what, label, p.Ratio,
-			onePhase("before", p.Before, p.FailedBefore),
-			onePhase("first second", p.Settling, p.FailedSettling),
-			onePhase("then", p.During, p.FailedDuring))
+			formatPhase("before", p.Before, p.FailedBefore),
+			formatPhase("first second", p.Settling, p.FailedSettling),
+			formatPhase("then", p.During, p.FailedDuring))
 	}
 }
 
-func onePhase(name string, p measure.Percentiles, failed int) string {
+func formatPhase(name string, p measure.Percentiles, failed int) string {
 	return fmt.Sprintf("%s %d, p50 %.1f ms, p99 %.1f ms, max %.1f ms, %d failed", name, p.Count, p.P50, p.P99, p.Max, failed)
 }
 
-// JSON writes value to a file.
+// JSON writes value to a file as indented JSON.
 func JSON(file string, value any) error {
 	data, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
@@ -123,7 +123,7 @@
 	return Error.Wrap(os.WriteFile(file, append(data, '\n'), fileMode))
 }
 
-// Summary is the short form of one result.
+// Summary is the short form of a result.
 type Summary struct {
 	CacheReuse     float64 `json:"cache_reuse"`
 	Skew           float64 `json:"skew"`
@@ -135,7 +135,7 @@
 	FalselyRefused int     `json:"falsely_refused"`
 }
 
-// Summarize returns the short form.
+// Summarize returns the short form of a result.
 func Summarize(r *run.Result) Summary {
 	return Summary{
 		CacheReuse:     r.CacheReuse,
--- a/internal/lab/bench/report/worth.go
+++ b/internal/lab/bench/report/worth.go
@@ -11,7 +11,7 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// Worth writes a plot of the worth of each site by round, as SVG.
+// Worth writes an SVG plot of the worth of each site by round.
 func Worth(file string, rounds []journal.Round) error {
 	p, err := plotWorth(rounds)
 	if err != nil {
--- a/internal/lab/bench/run/calls.go
+++ b/internal/lab/bench/run/calls.go
@@ -18,13 +18,13 @@
 
 const (
 	callTimeout = 20 * time.Second
-	// maxCallsOpen bounds the calls of one kind that wait at one time.
+	// maxCallsOpen bounds the number of concurrent calls of one kind.
 	maxCallsOpen = 200
 )
 
-// caller sends the calls of one kind at random times, whether or not earlier
-// ones have been answered.
-func (r *runner) caller(load context.Context, i int) {
+// callWorker sends the calls of one kind as a Poisson process, without waiting
+// for earlier calls.
+func (r *runner) callWorker(load context.Context, i int) {
 	c := &r.w.Calls[i]
 	rng := rand.New(rand.NewPCG(r.o.Seed, uint64(i)))
 	open := make(chan struct{}, maxCallsOpen)
@@ -38,15 +38,15 @@
 		case <-load.Done():
 			return
 		}
-		r.goRun(func() {
+		r.spawn(func() {
 			r.call(c, fmt.Sprintf("%s-%d", c.Name, n))
 			<-open
 		})
 	}
 }
 
-// call makes one call. An operation whose outcome is unknown is asked for
-// again with the same key; one that did not run is left at that.
+// call makes one call. It repeats an operation whose outcome is unknown with
+// the same key, and does not repeat one that was not executed.
 func (r *runner) call(c *workload.Call, id string) {
 	key := ""
 	if !c.Idempotent() {
@@ -54,12 +54,12 @@
 	}
 	for attempt := range maxAttempts {
 		reply, err := r.send(c, id, key)
-		v := judgeReply(c, id, reply, err)
-		r.tally.add(v, fmt.Sprintf("%s (%d)", id, attempt), err)
-		if v == refused && key != "" {
-			r.tally.refusedKey(keyAtService(c, id))
+		o := classifyReply(c, id, reply, err)
+		r.tally.add(o, fmt.Sprintf("%s (%d)", id, attempt), err)
+		if o == refused && key != "" {
+			r.tally.addRefusedKey(keyAtService(c, id))
 		}
-		if v != interrupted {
+		if o != interrupted {
 			return
 		}
 		time.Sleep(backoff(err))
@@ -82,20 +82,20 @@
 	return reply, nil
 }
 
-// keyAtService is the idempotency key as the service sees it: routers put the
-// account before it, so that two accounts' equal keys differ.
+// keyAtService returns the idempotency key that the service receives: routers
+// prepend the account, so that equal keys of two accounts differ.
 func keyAtService(c *workload.Call, key string) string { return c.Account + "/" + key }
 
-// judgeReply checks that the reply belongs to the call.
-func judgeReply(c *workload.Call, id string, reply client.Reply, err error) verdict {
+// classifyReply checks that the reply belongs to the call.
+func classifyReply(c *workload.Call, id string, reply client.Reply, err error) outcome {
 	if err != nil {
-		return judgeError(err)
+		return classifyError(err)
 	}
 	if reply.Status >= http.StatusBadRequest {
 		return interrupted
 	}
 	if c.Idempotent() {
-		return judgeLookup(c, id, reply.Body)
+		return classifyLookup(c, id, reply.Body)
 	}
 	var rec service.Record
 	switch {
@@ -107,13 +107,13 @@
 	return answered
 }
 
-func judgeLookup(c *workload.Call, id string, body []byte) verdict {
+func classifyLookup(c *workload.Call, id string, body []byte) outcome {
 	kind := path.Base(path.Dir(c.Path))
-	due, err := json.Marshal(service.Lookup{Kind: kind, ID: id, State: service.LookupState(kind, id)})
+	want, err := json.Marshal(service.Lookup{Kind: kind, ID: id, State: service.LookupState(kind, id)})
 	if err != nil || !json.Valid(body) {
 		return lost
 	}
-	if !bytes.Equal(bytes.TrimSpace(body), due) {
+	if !bytes.Equal(bytes.TrimSpace(body), want) {
 		return mixed
 	}
 	return answered
--- a/internal/lab/bench/run/chats.go
+++ b/internal/lab/bench/run/chats.go
@@ -17,28 +17,28 @@
 )
 
 const (
-	// requestTimeout is when a caller takes its request for lost.
+	// requestTimeout is the time after which a caller considers its request lost.
 	requestTimeout = 60 * time.Second
-	// maxAttempts bounds how often one message is sent.
+	// maxAttempts bounds the attempts to send one message or call.
 	maxAttempts = 6
-	// minBackoff and maxBackoff bound the wait before it is sent again.
+	// minBackoff and maxBackoff bound the delay before a retry.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 3 * time.Second
-	// surgeFirst numbers the chats of a surge apart from the others.
-	surgeFirst = 1 << 20
+	// surgeChatOffset separates the numbers of the surge's chats from the others.
+	surgeChatOffset = 1 << 20
 )
 
-// chatWorker keeps one chat open at any time until load ends.
+// chatWorker keeps one chat open at a time until load ends.
 func (r *runner) chatWorker(load context.Context, n int) {
-	if !pause.For(load, r.w.Start(r.o.Seed, n)) {
+	if !pause.For(load, r.w.StartDelay(r.o.Seed, n)) {
 		return
 	}
 	for ; load.Err() == nil; n += r.w.Chats.Open {
-		r.hold(load, r.w.Chat(r.o.Seed, n))
+		r.runChat(load, r.w.Chat(r.o.Seed, n))
 	}
 }
 
-// surgeWorker holds additional chats of the surging account.
+// surgeWorker runs additional chats of the surging account during the surge.
 func (r *runner) surgeWorker(load context.Context, n int) {
 	s := &r.w.Surge
 	if !pause.For(load, s.Start) {
@@ -47,37 +47,38 @@
 	ctx, cancel := context.WithTimeout(load, s.Length)
 	defer cancel()
 	for ; ctx.Err() == nil; n += r.w.SurgeChats() {
-		r.hold(ctx, r.w.SurgeChat(r.o.Seed, n))
+		r.runChat(ctx, r.w.SurgeChat(r.o.Seed, n))
 	}
 }
 
-// hold holds one chat to its end, or until load ends between two turns.
-func (r *runner) hold(load context.Context, p *workload.Plan) {
-	c := &conversation{r: r, plan: p, v: r.clients[p.Account.Name].Conversation(p.ID, workload.Model)}
-	c.v.Priority = p.Account.Priority
+// runChat runs one chat to its end, or until load ends between two turns.
+func (r *runner) runChat(load context.Context, p *workload.Plan) {
+	c := &conversation{r: r, plan: p, conv: r.clients[p.Account.Name].Conversation(p.ID, workload.Model)}
+	c.conv.Priority = p.Account.Priority
 	for i := range p.Turns {
 		if !pause.For(load, p.Turns[i].Pause) {
 			return
 		}
 		if !c.turn(load, i) {
-			r.tally.gaveUp()
+			r.tally.addGaveUp()
 			return
 		}
 	}
 }
 
-// conversation is a chat and what its last turn left behind, in tokens.
+// conversation is the state of one chat.
 type conversation struct {
-	r     *runner
-	plan  *workload.Plan
-	v     *client.Conversation
-	after int
+	r    *runner
+	plan *workload.Plan
+	conv *client.Conversation
+	// contextTokens is the number of tokens that the completed turns left in the chat.
+	contextTokens int
 }
 
-// turn sends one message until it is answered.
+// turn sends one message until it is answered. It returns false if all attempts failed.
 func (c *conversation) turn(load context.Context, i int) bool {
 	for attempt := range maxAttempts {
-		err := c.say(i, attempt)
+		err := c.send(i, attempt)
 		if err == nil {
 			return true
 		}
@@ -88,7 +89,7 @@
 	return false
 }
 
-// backoff is how long the caller was told to wait, within bounds.
+// backoff returns the delay that the error requests, within bounds.
 func backoff(err error) time.Duration {
 	var typed *apierr.Error
 	if !errors.As(err, &typed) {
@@ -97,63 +98,63 @@
 	return min(max(typed.RetryAfter, minBackoff), maxBackoff)
 }
 
-// say sends a message once and judges what comes back. Each sending has text
-// of its own, so that its execution shows in the engines' books.
-func (c *conversation) say(i, attempt int) error {
+// send sends a message once and classifies the response. Each attempt has a
+// unique text, so that its execution is identified in the engines' records.
+func (c *conversation) send(i, attempt int) error {
 	t := c.plan.Turns[i]
-	mark := fleet.Mark(c.plan.ID, i, attempt)
-	text := workload.Text(mark, t.Tokens)
-	c.v.MaxTokens = t.MaxTokens
-	due := engine.AnswerText(wire.ChatRequest{
+	attemptID := fleet.AttemptID(c.plan.ID, i, attempt)
+	text := workload.Text(attemptID, t.Tokens)
+	c.conv.MaxTokens = t.MaxTokens
+	want := engine.AnswerText(wire.ChatRequest{
 		Model:     workload.Model,
-		Messages:  append(c.v.Messages()[:len(c.v.Messages()):len(c.v.Messages())], wire.Message{Role: "user", Content: text}),
+		Messages:  append(c.conv.Messages()[:len(c.conv.Messages()):len(c.conv.Messages())], wire.Message{Role: "user", Content: text}),
 		MaxTokens: t.MaxTokens,
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	start := time.Now()
-	turn, err := c.v.Say(ctx, text, nil)
-	v := judge(turn.Text, due, err)
-	c.r.tally.add(v, mark, err)
-	if v != answered {
+	turn, err := c.conv.Say(ctx, text, nil)
+	o := classify(turn.Text, want, err)
+	c.r.tally.add(o, attemptID, err)
+	if o != answered {
 		c.r.firstPhases.fail(c.phaseLabel(), start)
 	}
-	if v == refused {
-		c.r.tally.refusedMark(mark)
+	if o == refused {
+		c.r.tally.addRefusedAttempt(attemptID)
 		return err
 	}
-	c.note(start, i, chat.Tokens(text), &turn, v)
-	if err == nil && v != answered {
-		return errAnswer.New("%s", mark)
+	c.record(start, i, chat.Tokens(text), &turn, o)
+	if err == nil && o != answered {
+		return errAnswer.New("%s", attemptID)
 	}
 	return err
 }
 
 func (c *conversation) phaseLabel() string {
-	return c.r.firstTokenLabel(c.plan.Account.Name, c.v.Priority)
+	return c.r.firstTokenLabel(c.plan.Account.Name, c.conv.Priority)
 }
 
-// note records a turn that has run, or may have.
-func (c *conversation) note(start time.Time, i, tokens int, turn *client.Turn, v verdict) {
-	prompt := c.after + tokens
+// record records a turn that was executed, or may have been.
+func (c *conversation) record(start time.Time, i, tokens int, turn *client.Turn, o outcome) {
+	prompt := c.contextTokens + tokens
 	a := measure.Access{
 		Chat:      c.plan.ID,
 		Start:     start,
 		End:       time.Now(),
 		Prompt:    prompt,
-		Earlier:   c.after,
+		Earlier:   c.contextTokens,
 		After:     prompt,
 		Cached:    turn.Usage.CachedTokens,
 		Returning: i > 0,
-		Broken:    v != answered,
+		Broken:    o != answered,
 	}
-	if v == answered {
+	if o == answered {
 		a.After = prompt + chat.Tokens(turn.Text)
-		c.after = a.After
-		class := c.v.Priority
-		c.r.first.Add(class, turn.FirstToken)
+		c.contextTokens = a.After
+		class := c.conv.Priority
+		c.r.firstToken.Add(class, turn.FirstToken)
 		c.r.firstPhases.add(c.phaseLabel(), start, turn.FirstToken)
-		c.r.gaps.Add(class, turn.Gaps...)
+		c.r.nextToken.Add(class, turn.Gaps...)
 	}
-	c.r.tally.access(a, turn.Resumes)
+	c.r.tally.addAccess(a, turn.Resumes)
 }
--- a/internal/lab/bench/run/judge_test.go
+++ b/internal/lab/bench/run/classify_test.go
@@ -10,36 +10,37 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestVerdicts: a bench that takes a cut, foreign or silent answer for a good
-// one reports kept promises that were broken.
-func TestVerdicts(t *testing.T) {
-	no := apierr.New(apierr.CodeQueueFull, http.StatusServiceUnavailable, "full")
+// A benchmark that counts a truncated answer, another request's answer or a
+// missing answer as correct would hide violated guarantees.
+func TestClassifyDetectsWrongAnswers(t *testing.T) {
+	notExecuted := apierr.New(apierr.CodeQueueFull, http.StatusServiceUnavailable, "full")
 	for _, c := range []struct {
 		text string
 		err  error
-		want verdict
+		want outcome
 	}{
 		{"whole answer", nil, answered},
 		{"whole", nil, lost},
 		{"another answer", nil, mixed},
 		{"whole answer and more", nil, mixed},
-		{"", no, refused},
-		{"", no.WithRan(apierr.RanUnknown), interrupted},
-		{"who", no.WithRan(apierr.RanYes), interrupted},
+		{"", notExecuted, refused},
+		{"", notExecuted.WithRan(apierr.RanUnknown), interrupted},
+		{"who", notExecuted.WithRan(apierr.RanYes), interrupted},
 		{"", client.ErrOutcomeUnknown.New("cut"), lost},
 		{"", client.ErrNoRouter.New("nobody"), lost},
 	} {
-		require.Equal(t, c.want, judge(c.text, "whole answer", c.err), "%q %v", c.text, c.err)
+		require.Equal(t, c.want, classify(c.text, "whole answer", c.err), "%q %v", c.text, c.err)
 	}
 }
 
-func TestCallRepliesMustBeTheCallsOwn(t *testing.T) {
+// A reply that belongs to another call must not count as answered.
+func TestClassifyReplyDetectsForeignReplies(t *testing.T) {
 	receipt := &workload.Call{Account: "a", Method: http.MethodPost, Path: "/receipts"}
 	status := &workload.Call{Account: "a", Method: http.MethodGet, Path: "/status/*"}
 	for _, c := range []struct {
 		call *workload.Call
 		body string
-		want verdict
+		want outcome
 	}{
 		{receipt, `{"number":1,"kind":"receipts","key":"a/7"}`, answered},
 		{receipt, `{"number":1,"kind":"receipts","key":"a/8"}`, mixed},
@@ -49,6 +50,6 @@
 		{status, ``, lost},
 	} {
 		reply := client.Reply{Status: http.StatusOK, Body: []byte(c.body)}
-		require.Equal(t, c.want, judgeReply(c.call, "7", reply, nil), c.body)
+		require.Equal(t, c.want, classifyReply(c.call, "7", reply, nil), c.body)
 	}
 }
--- a/internal/lab/bench/run/control.go
+++ b/internal/lab/bench/run/control.go
@@ -5,25 +5,25 @@
 	"damaskrouter.example/damaskrouter/internal/serve/upstream"
 )
 
-// ControlUpstream is the control traffic towards upstreams by kind, in bytes
-// per router and second, sent and received.
+// ControlUpstream is the control traffic to and from upstreams by kind, sent
+// and received, in bytes per router and second.
 type ControlUpstream struct {
-	// Status are polls of engines and services for their reports, Events polls
-	// of engines for cache events.
+	// Status is the traffic of polls of engines and services for their reports,
+	// Events that of polls of engines for cache events.
 	Status float64 `json:"status"`
 	Events float64 `json:"events"`
-	// Transfers are KV caches; they go by the rate of planned leaves.
+	// Transfers are KV caches; their volume depends on the rate of planned leaves.
 	Transfers float64 `json:"transfers"`
-	// Busiest is the most that one router had of all kinds.
+	// Busiest is the sum of all kinds at the router with the most traffic.
 	Busiest float64 `json:"busiest_router"`
 }
 
-// Polls is what goes on all the time.
+// Polls returns the traffic that does not depend on churn.
 func (c *ControlUpstream) Polls() float64 { return c.Status + c.Events }
 
-// fillControl takes each router's traffic during the run.
-func (res *Result) fillControl(control []fleet.Control) {
-	var sum fleet.Control
+// fillControl sets the control traffic from each router's traffic during the run.
+func (res *Result) fillControl(control []fleet.ControlTraffic) {
+	var sum fleet.ControlTraffic
 	var peak int64
 	for _, c := range control {
 		sum.UDP += c.UDP
@@ -38,7 +38,7 @@
 	res.ControlUpstream = controlUpstream(control, res.Seconds)
 }
 
-func controlUpstream(control []fleet.Control, seconds float64) ControlUpstream {
+func controlUpstream(control []fleet.ControlTraffic, seconds float64) ControlUpstream {
 	var out ControlUpstream
 	perSecond := 1 / float64(len(control)) / seconds
 	for _, c := range control {
--- a/internal/lab/bench/run/direct.go
+++ b/internal/lab/bench/run/direct.go
@@ -12,30 +12,31 @@
 )
 
 const (
-	// DirectCall labels calls that go to a service VM without a router.
+	// DirectCall labels calls to a service VM that bypass the routers.
 	DirectCall = "direct"
-	// directRate is calls per second, enough for a 99th percentile in seconds.
+	// directRate is in calls per second, enough for a 99th percentile within seconds.
 	directRate = 150
 	directPath = "/status/direct-%d"
-	// streamDirect keeps the random source apart from those of the calls.
-	streamDirect = 1 << 20
+	// directStream separates the random source from those of the calls.
+	directStream = 1 << 20
 )
 
-// directCaller calls service VMs without a router, while the phases of a surge
-// are measured. All parts of the bench share one process and its processors:
-// what becomes slower here as well is not the routers' queue.
-func (r *runner) directCaller(load context.Context) {
-	rng := rand.New(rand.NewPCG(r.o.Seed, streamDirect))
+// directWorker calls service VMs directly during the measured phases of a
+// surge, as a control. All parts of the bench share one process and its
+// processors: a slowdown that also appears here is not caused by the routers'
+// queue.
+func (r *runner) directWorker(load context.Context) {
+	rng := rand.New(rand.NewPCG(r.o.Seed, directStream))
 	for n := 0; ; n++ {
 		gap := time.Duration(rng.ExpFloat64() / directRate * float64(time.Second))
 		if !pause.For(load, gap) {
 			return
 		}
-		r.goRun(func() { r.direct(n) })
+		r.spawn(func() { r.callDirectly(n) })
 	}
 }
 
-func (r *runner) direct(n int) {
+func (r *runner) callDirectly(n int) {
 	start := time.Now()
 	if err := r.get(r.fleet.ServiceURL(n) + fmt.Sprintf(directPath, n)); err != nil {
 		r.callPhases.fail(DirectCall, start)
@@ -57,7 +58,7 @@
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
-		return Error.New("service answered %s", res.Status)
+		return Error.New("service responded with status %s", res.Status)
 	}
 	_, err = io.Copy(io.Discard, res.Body)
 	return Error.Wrap(err)
--- a/internal/lab/bench/run/phase.go
+++ b/internal/lab/bench/run/phase.go
@@ -10,38 +10,38 @@
 	"damaskrouter.example/damaskrouter/internal/lab/bench/workload"
 )
 
-// surgeSettle is measured apart: all the surge's chats begin at one moment.
-const surgeSettle = time.Second
+// surgeSettleTime is measured separately: all chats of the surge begin at once.
+const surgeSettleTime = time.Second
 
-// Surge compares the time before a surge with the time during it. What a
-// request belongs to is decided by when it was sent.
+// Surge compares the time before a surge with the time during it. A request
+// belongs to the phase in which it was sent.
 type Surge struct {
 	Account string  `json:"account"`
 	Factor  float64 `json:"factor"`
-	// Calls are by name. DirectCall is a call that no router has seen.
+	// Calls are by name. DirectCall is the name of calls that bypass the routers.
 	Calls map[string]Phases `json:"calls"`
 	// FirstToken is by priority class, and by name for the surging account.
 	FirstToken map[string]Phases `json:"first_token"`
 }
 
-// Phases are the times of one kind of request before and during a surge.
+// Phases are the latencies of one kind of request before and during a surge.
 type Phases struct {
 	Before measure.Percentiles `json:"before"`
 	During measure.Percentiles `json:"during"`
-	// Settling is the surge's first second, which is not in During.
+	// Settling is the surge's first second, which During excludes.
 	Settling measure.Percentiles `json:"settling"`
-	// Ratio is the 99th percentile during the surge over the one before; 0
-	// where one of them is missing.
+	// Ratio is the 99th percentile during the surge divided by the one before,
+	// or 0 if one of them is missing.
 	Ratio float64 `json:"p99_ratio"`
-	// FailedBefore and FailedDuring count requests without an answer, whose
-	// times are in no percentile.
+	// FailedBefore and FailedDuring count requests without a response, whose
+	// latencies are in no percentile.
 	FailedBefore int `json:"failed_before"`
 	FailedDuring int `json:"failed_during"`
-	// FailedSettling is of the first second.
+	// FailedSettling counts those of the first second.
 	FailedSettling int `json:"failed_settling"`
 }
 
-// phase is a part of a run that is measured apart.
+// phase is a part of a run that is measured separately.
 type phase int
 
 const (
@@ -51,15 +51,15 @@
 	phaseCount
 )
 
-// timetable says when the phases are.
-type timetable struct {
+// phaseTimes are the start and end of each phase.
+type phaseTimes struct {
 	from, to [phaseCount]time.Time
 }
 
-// newTimetable returns the phases of a run that starts at from. Without a
-// surge all of them are empty. The time in which the first chats begin is in none.
-func newTimetable(w *workload.Workload, from time.Time) timetable {
-	var t timetable
+// newPhaseTimes returns the phases of a run that starts at from. Without a surge
+// all of them are empty. The time in which the first chats begin is in none.
+func newPhaseTimes(w *workload.Workload, from time.Time) phaseTimes {
+	var t phaseTimes
 	s := &w.Surge
 	if s.Account == "" {
 		return t
@@ -68,14 +68,14 @@
 	t.from[beforeSurge] = from.Add(w.Chats.Ramp)
 	t.to[beforeSurge] = start
 	t.from[settling] = start
-	t.to[settling] = start.Add(surgeSettle)
+	t.to[settling] = start.Add(surgeSettleTime)
 	t.from[duringSurge] = t.to[settling]
 	t.to[duringSurge] = start.Add(s.Length)
 	return t
 }
 
-// at returns the phase of the moment, and false if it is in none.
-func (t *timetable) at(moment time.Time) (phase, bool) {
+// at returns the phase of the moment, or false if there is none.
+func (t *phaseTimes) at(moment time.Time) (phase, bool) {
 	for p := range phaseCount {
 		if !moment.Before(t.from[p]) && moment.Before(t.to[p]) {
 			return p, true
@@ -84,34 +84,35 @@
 	return 0, false
 }
 
-// phased collects times by phase and label. It is safe for concurrent use.
-type phased struct {
-	table timetable
-	times [phaseCount]*measure.Latency
+// phaseLatencies collects latencies by phase and label. It is safe for
+// concurrent use.
+type phaseLatencies struct {
+	times     phaseTimes
+	latencies [phaseCount]*measure.Latency
 
 	mu     sync.Mutex
 	failed [phaseCount]map[string]int
 }
 
-func newPhased(t timetable) *phased {
-	p := &phased{table: t}
+func newPhaseLatencies(t phaseTimes) *phaseLatencies {
+	p := &phaseLatencies{times: t}
 	for i := range phaseCount {
-		p.times[i] = measure.NewLatency()
+		p.latencies[i] = measure.NewLatency()
 		p.failed[i] = make(map[string]int)
 	}
 	return p
 }
 
 // add records a request that was sent at start and took d.
-func (p *phased) add(label string, start time.Time, d time.Duration) {
-	if i, ok := p.table.at(start); ok {
-		p.times[i].Add(label, d)
+func (p *phaseLatencies) add(label string, start time.Time, d time.Duration) {
+	if i, ok := p.times.at(start); ok {
+		p.latencies[i].Add(label, d)
 	}
 }
 
-// fail counts a request that was sent at start and got no answer.
-func (p *phased) fail(label string, start time.Time) {
-	i, ok := p.table.at(start)
+// fail counts a request that was sent at start and got no response.
+func (p *phaseLatencies) fail(label string, start time.Time) {
+	i, ok := p.times.at(start)
 	if !ok {
 		return
 	}
@@ -120,12 +121,12 @@
 	p.failed[i][label]++
 }
 
-// result joins the phases of each label.
-func (p *phased) result() map[string]Phases {
+// result returns the phases of each label.
+func (p *phaseLatencies) result() map[string]Phases {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	before, during := p.times[beforeSurge].Percentiles(), p.times[duringSurge].Percentiles()
-	settled := p.times[settling].Percentiles()
+	before, during := p.latencies[beforeSurge].Percentiles(), p.latencies[duringSurge].Percentiles()
+	settled := p.latencies[settling].Percentiles()
 	out := make(map[string]Phases)
 	for _, label := range p.labels(before, settled, during) {
 		out[label] = Phases{
@@ -141,9 +142,9 @@
 	return out
 }
 
-func (p *phased) labels(times ...map[string]measure.Percentiles) []string {
+func (p *phaseLatencies) labels(latencies ...map[string]measure.Percentiles) []string {
 	var all []string
-	for _, byLabel := range times {
+	for _, byLabel := range latencies {
 		all = slices.AppendSeq(all, maps.Keys(byLabel))
 	}
 	for _, byLabel := range p.failed {
@@ -160,10 +161,10 @@
 	return a / b
 }
 
-// surge returns the comparison, or nil where the run had no surge.
+// surge returns the comparison, or nil if the run had no surge.
 func (r *runner) surge() *Surge {
 	s := &r.w.Surge
-	if s.Account == "" || r.o.Length <= s.Start+surgeSettle {
+	if s.Account == "" || r.o.Length <= s.Start+surgeSettleTime {
 		return nil
 	}
 	return &Surge{
@@ -174,8 +175,8 @@
 	}
 }
 
-// firstTokenLabel keeps the surging account apart from its class: its own
-// chats may wait for its share.
+// firstTokenLabel separates the surging account from its priority class: its
+// own chats may wait for its share.
 func (r *runner) firstTokenLabel(account, class string) string {
 	if account == r.w.Surge.Account {
 		return account
--- a/internal/lab/bench/run/phase_test.go
+++ b/internal/lab/bench/run/phase_test.go
@@ -8,18 +8,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-func surging() *workload.Workload {
+func surgeWorkload() *workload.Workload {
 	return &workload.Workload{
 		Chats: workload.Chats{Ramp: 5 * time.Second},
 		Surge: workload.Surge{Account: "a", Factor: 10, Start: 20 * time.Second, Length: 20 * time.Second},
 	}
 }
 
-// TestPhasesAreApart: a percentile that holds the first chats' dossiers, or the
-// surge's own first moment, says nothing about either phase.
-func TestPhasesAreApart(t *testing.T) {
+// A percentile that includes the first chats' dossiers or the start of the
+// surge would describe neither phase.
+func TestPhaseTimesExcludeRampAndSettling(t *testing.T) {
 	from := time.Unix(1000, 0)
-	table := newTimetable(surging(), from)
+	times := newPhaseTimes(surgeWorkload(), from)
 	for _, c := range []struct {
 		after time.Duration
 		want  phase
@@ -35,23 +35,23 @@
 		{39999 * time.Millisecond, duringSurge, true},
 		{40 * time.Second, 0, false},
 	} {
-		got, in := table.at(from.Add(c.after))
+		got, in := times.at(from.Add(c.after))
 		require.Equal(t, c.in, in, c.after)
 		require.Equal(t, c.want, got, c.after)
 	}
 }
 
-func TestNoSurgeNoPhases(t *testing.T) {
-	table := newTimetable(&workload.Workload{}, time.Unix(1000, 0))
-	_, in := table.at(time.Unix(1000, 0))
+func TestPhaseTimesAreEmptyWithoutSurge(t *testing.T) {
+	times := newPhaseTimes(&workload.Workload{}, time.Unix(1000, 0))
+	_, in := times.at(time.Unix(1000, 0))
 	require.False(t, in)
 }
 
-func TestPhasesAreComparedByTheTimeOfSending(t *testing.T) {
+func TestPhaseLatenciesUseSendTime(t *testing.T) {
 	from := time.Unix(1000, 0)
-	p := newPhased(newTimetable(surging(), from))
+	p := newPhaseLatencies(newPhaseTimes(surgeWorkload(), from))
 	early, late := from.Add(19*time.Second), from.Add(30*time.Second)
-	p.add("checks", early, 10*time.Millisecond) // a slow one that ends in the surge counts as before
+	p.add("checks", early, 10*time.Millisecond) // counts as before, whenever it ends
 	p.add("checks", late, 20*time.Millisecond)
 	p.add("checks", from, time.Minute)
 	p.fail("checks", late)
--- a/internal/lab/bench/run/result.go
+++ b/internal/lab/bench/run/result.go
@@ -8,69 +8,71 @@
 	"damaskrouter.example/damaskrouter/internal/lab/standin/engine"
 )
 
-// Result is what one run measured.
+// Result is the measurements of one run.
 type Result struct {
 	Workload string  `json:"workload"`
 	Strategy string  `json:"strategy"`
 	Seed     uint64  `json:"seed"`
 	Seconds  float64 `json:"seconds"`
 	// CacheReuse is the share of the returning turns' prompt tokens that the
-	// engines found cached; ReuseBound what a pooled cache that knows the
-	// future would reach on this run's trace, and ReuseShare their quotient.
+	// engines found in their caches, ReuseBound the share that a pooled cache with
+	// knowledge of the future would reach on this run's trace, and ReuseShare
+	// their quotient.
 	CacheReuse float64 `json:"cache_reuse"`
 	ReuseBound float64 `json:"cache_reuse_bound"`
 	ReuseShare float64 `json:"cache_reuse_share_of_bound"`
 	Returning  int     `json:"returning_turns"`
-	// Skew is of the engines' weight over windows of SkewWindow, SkewShort over
-	// windows of SkewShortWindow, SkewRequests of the number of requests.
+	// Skew is the skew of the engines' weight in windows of SkewWindow, SkewShort
+	// in windows of SkewShortWindow; SkewRequests is the skew of the number of
+	// requests.
 	Skew         measure.Skew     `json:"skew"`
 	SkewShort    measure.Skew     `json:"skew_short"`
 	SkewRequests measure.Skew     `json:"skew_requests"`
 	SkewWindows  []measure.Window `json:"skew_windows"`
-	// ControlBytes is bytes per router and second, sent and received, between
-	// routers; ControlUpstream has what goes to and from upstreams.
+	// ControlBytes is the traffic between routers in bytes per router and second,
+	// sent and received; ControlUpstream is the traffic to and from upstreams.
 	ControlBytes     float64         `json:"control_bytes_per_router_second"`
 	ControlBytesPeak float64         `json:"control_bytes_busiest_router_second"`
 	ControlUDP       float64         `json:"control_udp_bytes_per_router_second"`
 	ControlTCP       float64         `json:"control_tcp_bytes_per_router_second"`
 	ControlUpstream  ControlUpstream `json:"control_upstream_bytes_per_router_second"`
-	// Admission sums up the routers' own counters, to explain the rest.
+	// Admission sums up the routers' own counters, for diagnosis.
 	Admission map[string]int64 `json:"admission"`
 	Counts
-	// Outcomes counts failures by code and what was said of execution.
+	// Outcomes counts failures by code and reported execution.
 	Outcomes map[string]int `json:"outcomes"`
-	// EngineLost is the number of requests that crashes ended at the engines.
+	// EngineLost is the number of requests that the engines lost in crashes.
 	EngineLost int                            `json:"engine_lost"`
 	Churn      map[string]int                 `json:"churn"`
 	FirstToken map[string]measure.Percentiles `json:"first_token"`
 	NextToken  map[string]measure.Percentiles `json:"next_token"`
 	Calls      map[string]measure.Percentiles `json:"calls"`
-	// Surge compares before and during; nil where the run had no surge.
+	// Surge compares the phases of a surge; nil if the run had none.
 	Surge *Surge `json:"surge,omitempty"`
-	// Samples are some failures word for word.
+	// Samples are descriptions of some failures.
 	Samples []string `json:"samples,omitempty"`
 }
 
-// Windows of the skew.
+// Window lengths of the skew.
 const (
 	SkewWindow      = time.Second
 	SkewShortWindow = 200 * time.Millisecond
 )
 
-// leastRequests is the mean load of an engine, in mean answers, from which on
-// a window's skew is counted.
-const leastRequests = 2
+// minMeanRequests is the mean load of an engine, in answers of mean length, from
+// which a window's skew is counted.
+const minMeanRequests = 2
 
-// collect makes the result of a run that is over.
-func (r *runner) collect(from, to time.Time, control []fleet.Control) *Result {
+// collect returns the result of a completed run.
+func (r *runner) collect(from, to time.Time, control []fleet.ControlTraffic) *Result {
 	res := &Result{
 		Workload: r.w.Name,
 		Strategy: r.o.Strategy,
 		Seed:     r.o.Seed,
 		Seconds:  to.Sub(from).Seconds(),
-		Churn:    r.churned,
+		Churn:    r.churnCounts,
 	}
-	r.judgeBooks()
+	r.checkExecutions()
 	res.Counts = r.tally.counts
 	res.Outcomes = r.tally.codes
 	res.Samples = r.tally.samples
@@ -79,36 +81,36 @@
 	r.fillSkew(res, from, to)
 	res.fillControl(control)
 	res.Admission = r.fleet.Admission()
-	res.FirstToken = r.first.Percentiles()
-	res.NextToken = r.gaps.Percentiles()
+	res.FirstToken = r.firstToken.Percentiles()
+	res.NextToken = r.nextToken.Percentiles()
 	res.Calls = r.calls.Percentiles()
 	res.Surge = r.surge()
 	return res
 }
 
-// judgeBooks compares what callers were told with what upstreams executed.
-func (r *runner) judgeBooks() {
+// checkExecutions compares what callers were told with what upstreams executed.
+func (r *runner) checkExecutions() {
 	c := &r.tally.counts
 	executed := make(map[string]bool)
 	for _, e := range r.fleet.Engines {
-		for mark := range e.Executed() {
-			executed[mark] = true
+		for attemptID := range e.Executed() {
+			executed[attemptID] = true
 		}
 	}
-	for _, mark := range r.tally.refusedMarks {
-		if executed[mark] {
+	for _, attemptID := range r.tally.refusedAttempts {
+		if executed[attemptID] {
 			c.FalselyRefused++
-			r.tally.samples = append(r.tally.samples, mark+": refused as not run, and executed")
+			r.tally.samples = append(r.tally.samples, attemptID+": refused as not run, and executed")
 		}
 	}
-	r.judgeServices(c)
-	// A crash interrupts what the engine had; anything more has no excuse.
+	r.checkServiceExecutions(c)
+	// A crash interrupts the requests at the engine; all other interruptions are losses.
 	if over := c.Interrupted - r.engineLost(); over > 0 {
 		c.Lost += over
 	}
 }
 
-func (r *runner) judgeServices(c *Counts) {
+func (r *runner) checkServiceExecutions(c *Counts) {
 	executions := make(map[string]int)
 	for _, s := range r.fleet.Services {
 		for key, n := range s.Books().Executions {
@@ -151,7 +153,7 @@
 	}
 }
 
-// capacity is the summed cache of the engines that are up, over time.
+// capacity returns the total cache capacity of the engines that are up, over time.
 func (r *runner) capacity() []measure.Capacity {
 	var steps []measure.Capacity
 	for _, e := range r.fleet.Engines {
@@ -167,7 +169,7 @@
 
 func (r *runner) fillSkew(res *Result, from, to time.Time) {
 	loads := r.loads()
-	long := measure.SkewOptions{From: from, To: to, Window: SkewWindow, LeastMean: r.leastMean()}
+	long := measure.SkewOptions{From: from, To: to, Window: SkewWindow, MinMean: r.minMean()}
 	short := long
 	short.Window = SkewShortWindow
 	res.SkewWindows = measure.Windows(long, loads)
@@ -175,21 +177,21 @@
 	res.SkewShort = measure.Summarize(measure.Windows(short, loads), int(to.Sub(from)/short.Window))
 	count := long
 	count.Requests = true
-	count.LeastMean = leastRequests
+	count.MinMean = minMeanRequests
 	res.SkewRequests = measure.Summarize(measure.Windows(count, loads), int(to.Sub(from)/count.Window))
 }
 
-// leastMean is the load of some answers of middling length.
-func (r *runner) leastMean() float64 {
+// minMean returns the weight of minMeanRequests answers of mean length.
+func (r *runner) minMean() float64 {
 	a := r.w.Chats.AnswerTokens
-	return leastRequests * float64(a.Min+a.Max) / 2
+	return minMeanRequests * float64(a.Min+a.Max) / 2
 }
 
 func (r *runner) loads() []measure.EngineLoad {
 	var out []measure.EngineLoad
 	for _, e := range r.fleet.Engines {
-		l := measure.EngineLoad{Books: e.Books().Load, Bucket: engine.Defaults("", "").Bucket}
-		for _, s := range e.Service() {
+		l := measure.EngineLoad{Buckets: e.Books().Load, BucketLength: engine.Defaults("", "").Bucket}
+		for _, s := range e.InService() {
 			l.InService = append(l.InService, pair(s))
 		}
 		out = append(out, l)
--- a/internal/lab/bench/run/run.go
+++ b/internal/lab/bench/run/run.go
@@ -1,7 +1,7 @@
-// Package run drives one experiment: it starts a fleet, holds the workload's
-// chats and makes its calls through the callers' own library, lets engines go
-// and come back, checks every answer against the one that is due, and compares
-// what callers were told with the upstreams' own books.
+// Package run executes one experiment: it starts a fleet, runs the workload's
+// chats and calls through the client library, stops and restarts engines,
+// checks every response against the expected one, and compares what callers
+// were told with the upstreams' own records.
 package run
 
 import (
@@ -18,10 +18,10 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of failures of a run itself.
+// Error is the class of failures of the run itself.
 var Error = errs.Class("bench run")
 
-// errAnswer is an answer that is not the one due.
+// errAnswer is the class of answers that differ from the expected one.
 var errAnswer = errs.Class("bench run: wrong answer")
 
 // Options configures a run.
@@ -30,17 +30,17 @@
 	// Strategy is one of Strategies.
 	Strategy string
 	Seed     uint64
-	// Length replaces the workload's duration where it is not zero.
+	// Length replaces the workload's duration if it is not zero.
 	Length time.Duration
-	// Log takes the routers' logs; nil drops them.
+	// Log receives the routers' logs; nil discards them.
 	Log *log.Logger
-	// Progress is called every second, and Event before each step of the
-	// churn; each may be nil.
+	// Progress is called every second, and Event before each churn event.
+	// Either may be nil.
 	Progress func(Progress)
 	Event    func(workload.ChurnEvent)
 }
 
-// Progress is how far a run has come.
+// Progress is the state of a run in progress.
 type Progress struct {
 	Elapsed, Length time.Duration
 	Counts          Counts
@@ -49,40 +49,41 @@
 // progressPeriod is the time between two calls of Options.Progress.
 const progressPeriod = time.Second
 
-// endTimeout bounds the wait for the last answers.
+// endTimeout bounds the wait for the last responses.
 const endTimeout = requestTimeout + 10*time.Second
 
 type runner struct {
-	o       Options
-	w       *workload.Workload
-	fleet   *fleet.Fleet
-	clients map[string]*client.Client
-	tally   *tally
-	first   *measure.Latency
-	gaps    *measure.Latency
-	calls   *measure.Latency
+	o          Options
+	w          *workload.Workload
+	fleet      *fleet.Fleet
+	clients    map[string]*client.Client
+	tally      *tally
+	firstToken *measure.Latency
+	nextToken  *measure.Latency
+	calls      *measure.Latency
 	// callPhases and firstPhases compare the time before a surge with the surge.
-	callPhases  *phased
-	firstPhases *phased
-	churned     map[string]int
+	callPhases  *phaseLatencies
+	firstPhases *phaseLatencies
+	churnCounts map[string]int
 	wg          sync.WaitGroup
 }
 
-// Run carries one experiment out. It ends by itself, somewhat after the
-// workload's duration, or when ctx does.
+// Run executes one experiment. It returns somewhat after the workload's
+// duration, or when ctx ends, after all requests have ended. Errors: Error,
+// ErrStrategy, fleet.Error, and those of package client.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if o.Length == 0 {
 		o.Length = o.Workload.Duration
 	}
 	r := &runner{
-		o:       o,
-		w:       o.Workload,
-		clients: make(map[string]*client.Client),
-		tally:   newTally(),
-		first:   measure.NewLatency(),
-		gaps:    measure.NewLatency(),
-		calls:   measure.NewLatency(),
-		churned: make(map[string]int),
+		o:           o,
+		w:           o.Workload,
+		clients:     make(map[string]*client.Client),
+		tally:       newTally(),
+		firstToken:  measure.NewLatency(),
+		nextToken:   measure.NewLatency(),
+		calls:       measure.NewLatency(),
+		churnCounts: make(map[string]int),
 	}
 	if err := r.start(ctx); err != nil {
 		return nil, err
@@ -92,7 +93,7 @@
 }
 
 func (r *runner) start(ctx context.Context) error {
-	s, err := setupOf(r.o.Strategy, r.w)
+	s, err := setupFor(r.o.Strategy, r.w)
 	if err != nil {
 		return err
 	}
@@ -126,13 +127,13 @@
 		return nil, err
 	}
 	from := time.Now()
-	table := newTimetable(r.w, from)
-	r.callPhases, r.firstPhases = newPhased(table), newPhased(table)
+	phases := newPhaseTimes(r.w, from)
+	r.callPhases, r.firstPhases = newPhaseLatencies(phases), newPhaseLatencies(phases)
 	load, stop := context.WithTimeout(ctx, r.o.Length)
 	defer stop()
-	churned := r.startChurn(load)
+	churnDone := r.startChurn(load)
 	r.startLoad(load)
-	r.watch(load, from)
+	r.reportProgress(load, from)
 	to := time.Now()
 	control, err := r.fleet.ControlBytes()
 	if err != nil {
@@ -144,7 +145,7 @@
 	if !r.waitEnd() {
 		return nil, Error.New("requests were still open %s after the end of the load", endTimeout)
 	}
-	<-churned
+	<-churnDone
 	if err := ctx.Err(); err != nil {
 		return nil, Error.Wrap(err)
 	}
@@ -157,7 +158,7 @@
 	go func() {
 		defer close(done)
 		r.fleet.Churn(load, script, func(ev workload.ChurnEvent) {
-			r.churned[string(ev.Kind)]++
+			r.churnCounts[string(ev.Kind)]++
 			if r.o.Event != nil {
 				r.o.Event(ev)
 			}
@@ -168,20 +169,20 @@
 
 func (r *runner) startLoad(load context.Context) {
 	for n := range r.w.Chats.Open {
-		r.goRun(func() { r.chatWorker(load, n) })
+		r.spawn(func() { r.chatWorker(load, n) })
 	}
 	for n := range r.w.SurgeChats() {
-		r.goRun(func() { r.surgeWorker(load, surgeFirst+n) })
+		r.spawn(func() { r.surgeWorker(load, surgeChatOffset+n) })
 	}
 	for i := range r.w.Calls {
-		r.goRun(func() { r.caller(load, i) })
+		r.spawn(func() { r.callWorker(load, i) })
 	}
 	if r.w.Surge.Account != "" && len(r.w.Calls) > 0 {
-		r.goRun(func() { r.directCaller(load) })
+		r.spawn(func() { r.directWorker(load) })
 	}
 }
 
-func (r *runner) goRun(f func()) {
+func (r *runner) spawn(f func()) {
 	r.wg.Add(1)
 	go func() {
 		defer r.wg.Done()
@@ -189,8 +190,8 @@
 	}()
 }
 
-// watch waits for the end of the load.
-func (r *runner) watch(load context.Context, from time.Time) {
+// reportProgress calls Options.Progress periodically until load ends.
+func (r *runner) reportProgress(load context.Context, from time.Time) {
 	for pause.For(load, progressPeriod) {
 		if r.o.Progress != nil {
 			r.o.Progress(Progress{Elapsed: time.Since(from), Length: r.o.Length, Counts: r.tally.snapshot()})
@@ -198,6 +199,7 @@
 	}
 }
 
+// waitEnd waits for all requests. It returns false after endTimeout.
 func (r *runner) waitEnd() bool {
 	done := make(chan struct{})
 	go func() {
--- a/internal/lab/bench/run/run_test.go
+++ b/internal/lab/bench/run/run_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func tiny(t *testing.T) *workload.Workload {
+func smallWorkload(t *testing.T) *workload.Workload {
 	data, err := workloads.Files.ReadFile(workloads.Demo)
 	require.NoError(t, err)
 	w, err := workload.Parse(workloads.Demo, data)
@@ -27,13 +27,13 @@
 	return w
 }
 
-// TestTinyRunKeepsThePromises runs a whole fleet with one planned leave and
-// looks at counts only.
-func TestTinyRunKeepsThePromises(t *testing.T) {
-	r, err := run.Run(t.Context(), run.Options{Workload: tiny(t), Strategy: run.Picker, Seed: 1, Length: 5 * time.Second})
+// TestSmallRunUpholdsGuarantees runs a fleet with one planned stop of an engine
+// and checks counts only, no latencies.
+func TestSmallRunUpholdsGuarantees(t *testing.T) {
+	r, err := run.Run(t.Context(), run.Options{Workload: smallWorkload(t), Strategy: run.Picker, Seed: 1, Length: 5 * time.Second})
 	require.NoError(t, err)
 	require.True(t, r.Kept(), "%+v", r.Counts)
-	require.Zero(t, r.Interrupted, "a planned leave cuts no request: %v", r.Samples)
+	require.Zero(t, r.Interrupted, "a planned stop must not interrupt requests: %v", r.Samples)
 	require.Positive(t, r.Returning)
 	require.Positive(t, r.CacheReuse)
 	require.LessOrEqual(t, r.CacheReuse, r.ReuseBound)
@@ -49,7 +49,7 @@
 	require.Contains(t, string(page), "<svg")
 }
 
-func TestUnknownStrategyIsRefused(t *testing.T) {
-	_, err := run.Run(t.Context(), run.Options{Workload: tiny(t), Strategy: "magic"})
+func TestRunRejectsUnknownStrategy(t *testing.T) {
+	_, err := run.Run(t.Context(), run.Options{Workload: smallWorkload(t), Strategy: "magic"})
 	require.True(t, run.ErrStrategy.Has(err))
 }
--- a/internal/lab/bench/run/strategy.go
+++ b/internal/lab/bench/run/strategy.go
@@ -10,19 +10,19 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrStrategy is a name that no strategy has.
+// ErrStrategy is the class of errors for unknown strategy names.
 var ErrStrategy = errs.Class("bench: unknown strategy")
 
 // Names of the picker's variants.
 const (
-	// Picker is the strategy as it is in production.
+	// Picker is the production strategy.
 	Picker = "picker"
-	// Informed is the picker with the engines' real rates in its policy, to
-	// see what the assumed ones cost.
+	// Informed is the production strategy with the engines' real rates in its
+	// policy, which shows the cost of the assumed rates.
 	Informed = "informed"
 )
 
-// baselines maps the command line's names to those of package placement.
+// baselines maps names on the command line to those of package placement.
 var baselines = map[string]string{
 	"random":     "random",
 	"roundrobin": "round-robin",
@@ -31,22 +31,22 @@
 	"unbounded":  "unbounded",
 }
 
-// Strategies lists the names, the one in production first.
+// Strategies returns the names of all strategies, the production one first.
 func Strategies() []string {
 	return []string{Picker, Informed, "random", "roundrobin", "leastload", "modulo", "unbounded"}
 }
 
-// noBound takes the load bound out: the engines' owners check it whatever the
-// strategy, and a baseline held to it would no longer be the baseline.
+// noBound disables the load bound: the engines' owners enforce it with every
+// strategy, and a baseline under the bound would not be a baseline.
 const noBound = 100
 
-// setup is what a strategy changes in the routers and in the configuration.
+// setup is the router options and the load bound of a strategy.
 type setup struct {
 	options router.Options
 	bound   float64
 }
 
-func setupOf(name string, w *workload.Workload) (setup, error) {
+func setupFor(name string, w *workload.Workload) (setup, error) {
 	switch name {
 	case Picker:
 		return setup{bound: w.LoadBound}, nil
@@ -64,11 +64,11 @@
 	}}, nil
 }
 
-// msPerSecond converts the workload's rate.
+// msPerSecond converts the workload's prefill rate to tokens per second.
 const msPerSecond = 1000
 
-// informed is the default policy with the rate at which the stand-in engines
-// take in prompts, which are nearly all of the weight.
+// informed returns the default policy with the prefill rate of the stand-in
+// engines; prefill is nearly all of the weight.
 func informed(w *workload.Workload) placement.Policy {
 	p := placement.DefaultPolicy()
 	p.PrefillRate = float64(w.Engines.PrefillPerMS * msPerSecond)
@@ -76,5 +76,5 @@
 	return p
 }
 
-// Known reports whether there is a strategy of that name.
+// Known reports whether a strategy has the given name.
 func Known(name string) bool { return slices.Contains(Strategies(), name) }
--- a/internal/lab/bench/run/tally.go
+++ b/internal/lab/bench/run/tally.go
@@ -11,24 +11,25 @@
 	"damaskrouter.example/damaskrouter/internal/serve/apierr"
 )
 
-// Counts are what callers saw, by request: one message sent once, or one call.
+// Counts are the outcomes that callers saw. A request is one attempt to send a
+// message, or one call.
 type Counts struct {
 	Requests int `json:"requests"`
-	// Answered requests got their own whole answer.
+	// Answered requests received their own complete response.
 	Answered int `json:"answered"`
-	// Refused requests were told that they did not run.
+	// Refused requests were reported as not executed.
 	Refused int `json:"refused"`
-	// Interrupted requests were told that their outcome is unknown or their
-	// answer incomplete, as after the crash of their engine.
+	// Interrupted requests were reported with an unknown outcome or an incomplete
+	// answer, as after a crash of their engine.
 	Interrupted int `json:"interrupted"`
-	// Lost requests got neither a whole answer nor a typed statement, or were
-	// interrupted though no crash accounts for it.
+	// Lost requests received neither a complete response nor a typed error, or
+	// were interrupted without a crash that explains it.
 	Lost int `json:"lost"`
-	// Mixed requests got an answer that is not their own.
+	// Mixed requests received a response to another request.
 	Mixed int `json:"mixed"`
 	// Doubled operations were executed more than once.
 	Doubled int `json:"doubled"`
-	// FalselyRefused requests were told that they did not run, and had.
+	// FalselyRefused requests were reported as not executed, but were executed.
 	FalselyRefused int `json:"falsely_refused"`
 	// Resumes counts streams that moved to another connection.
 	Resumes int `json:"resumes"`
@@ -36,54 +37,54 @@
 	GaveUp int `json:"gave_up"`
 }
 
-// Kept reports whether all promises were kept.
+// Kept reports whether the run has upheld all guarantees.
 func (c Counts) Kept() bool {
 	return c.Lost == 0 && c.Mixed == 0 && c.Doubled == 0 && c.FalselyRefused == 0
 }
 
-// tally collects outcomes while a run goes on.
+// tally collects the outcomes during a run. It is safe for concurrent use.
 type tally struct {
 	mu      sync.Mutex
 	counts  Counts
 	codes   map[string]int
 	samples []string
 	trace   []measure.Access
-	// refusedMarks are messages, refusedKeys operations, that were said not
-	// to have run.
-	refusedMarks []string
-	refusedKeys  []string
+	// refusedAttempts are the messages, refusedKeys the operations, that were
+	// reported as not executed.
+	refusedAttempts []string
+	refusedKeys     []string
 }
 
 func newTally() *tally { return &tally{codes: make(map[string]int)} }
 
-// verdict is what one request came to.
-type verdict int
+// outcome is the result of one request.
+type outcome int
 
 const (
-	answered verdict = iota
+	answered outcome = iota
 	refused
 	interrupted
 	lost
 	mixed
 )
 
-// maxSamples bounds the failures that are kept word for word.
+// maxSamples bounds the failures that are kept as text.
 const maxSamples = 20
 
-// judge compares an answer with the one that is due.
-func judge(text, due string, err error) verdict {
+// classify compares an answer with the expected one.
+func classify(text, want string, err error) outcome {
 	switch {
-	case err == nil && text == due:
+	case err == nil && text == want:
 		return answered
-	case err == nil && strings.HasPrefix(due, text):
-		return lost // a part was shown as the whole
+	case err == nil && strings.HasPrefix(want, text):
+		return lost // a truncated answer was returned as complete
 	case err == nil:
 		return mixed
 	}
-	return judgeError(err)
+	return classifyError(err)
 }
 
-func judgeError(err error) verdict {
+func classifyError(err error) outcome {
 	var typed *apierr.Error
 	if !errors.As(err, &typed) {
 		return lost
@@ -94,7 +95,7 @@
 	return interrupted
 }
 
-// codeOf labels a failure for the report.
+// codeOf returns the label of a failure for the report.
 func codeOf(err error) string {
 	var typed *apierr.Error
 	switch {
@@ -110,12 +111,12 @@
 	return "other"
 }
 
-// add counts one request; what names it in the samples.
-func (t *tally) add(v verdict, what string, err error) {
+// add counts one request; name identifies it in the samples.
+func (t *tally) add(o outcome, name string, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.counts.Requests++
-	switch v {
+	switch o {
 	case answered:
 		t.counts.Answered++
 		return
@@ -131,38 +132,38 @@
 	if err != nil {
 		t.codes[codeOf(err)]++
 	}
-	if v != refused && len(t.samples) < maxSamples {
-		t.samples = append(t.samples, sample(what, err))
+	if o != refused && len(t.samples) < maxSamples {
+		t.samples = append(t.samples, sample(name, err))
 	}
 }
 
-func sample(what string, err error) string {
+func sample(name string, err error) string {
 	if err == nil {
-		return what + ": answer differs"
+		return name + ": answer differs"
 	}
-	return what + ": " + err.Error()
+	return name + ": " + err.Error()
 }
 
-func (t *tally) access(a measure.Access, resumes int) {
+func (t *tally) addAccess(a measure.Access, resumes int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.trace = append(t.trace, a)
 	t.counts.Resumes += resumes
 }
 
-func (t *tally) refusedMark(mark string) {
+func (t *tally) addRefusedAttempt(attemptID string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.refusedMarks = append(t.refusedMarks, mark)
+	t.refusedAttempts = append(t.refusedAttempts, attemptID)
 }
 
-func (t *tally) refusedKey(key string) {
+func (t *tally) addRefusedKey(key string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.refusedKeys = append(t.refusedKeys, key)
 }
 
-func (t *tally) gaveUp() {
+func (t *tally) addGaveUp() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.counts.GaveUp++
--- a/internal/lab/bench/workload/bundle.go
+++ b/internal/lab/bench/workload/bundle.go
@@ -9,7 +9,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Names in the configuration of an experiment.
+// Names and limits in the configuration of an experiment.
 const (
 	Model        = "model"
 	Version      = "1"
@@ -23,26 +23,26 @@
 	serviceBound = 2
 )
 
-// Sites are the data centres that the fleet is spread over.
+// Sites are the sites over which the fleet is spread.
 var Sites = []string{"site-1", "site-2", "site-3"}
 
-// Key is the API key of an account.
+// Key returns the API key of an account.
 func (a *Account) Key() string { return keyPrefix + a.Name }
 
-// Bundle returns the fleet's configuration with the load bound of the language
-// pool replaced: the baselines are measured without one.
+// Bundle returns the fleet's configuration with the given load bound for the
+// language pool: the baselines are measured without one. Errors: ErrRead.
 func (w *Workload) Bundle(bound float64) (config.Bundle, error) {
 	doc := config.Document{
 		Teams:    []config.Team{{Name: team}},
 		Models:   []config.Model{{Name: Model, Versions: []string{Version}}},
-		Pools:    w.pools(bound),
-		Services: []config.Service{w.service()},
+		Pools:    w.poolConfigs(bound),
+		Services: []config.Service{w.serviceConfig()},
 	}
 	for _, name := range Sites {
 		doc.Sites = append(doc.Sites, config.Site{Name: name, Region: Region})
 	}
 	for i := range w.Accounts {
-		doc.Accounts = append(doc.Accounts, w.Accounts[i].configured())
+		doc.Accounts = append(doc.Accounts, w.Accounts[i].configFor())
 	}
 	data, err := yaml.Marshal(doc)
 	if err != nil {
@@ -51,14 +51,14 @@
 	return config.Bundle{Base: data, Overlays: map[string][]byte{}}, nil
 }
 
-func (w *Workload) pools(bound float64) []config.Pool {
+func (w *Workload) poolConfigs(bound float64) []config.Pool {
 	return []config.Pool{
 		{Name: EnginePool, Sites: Sites, Model: Model, Version: Version, LoadBound: bound, MaxBatch: w.Engines.MaxBatch, QueueLimit: queueLimit},
 		{Name: ServicePool, Sites: Sites, LoadBound: serviceBound, MaxBatch: config.DefaultMaxBatch, QueueLimit: queueLimit},
 	}
 }
 
-func (w *Workload) service() config.Service {
+func (w *Workload) serviceConfig() config.Service {
 	s := config.Service{Name: ServiceName, Team: team, Pool: ServicePool}
 	for _, c := range w.Calls {
 		idempotent := c.Idempotent()
@@ -70,7 +70,7 @@
 	return s
 }
 
-func (a *Account) configured() config.Account {
+func (a *Account) configFor() config.Account {
 	sum := sha256.Sum256([]byte(a.Key()))
 	return config.Account{
 		Name:              a.Name,
@@ -84,7 +84,7 @@
 	}
 }
 
-// Target is the path of call number n within the service.
+// Target returns the path of the call with the given id within the service.
 func (c *Call) Target(id string) string {
 	return strings.Replace(c.Path, "*", id, 1)
 }
--- a/internal/lab/bench/workload/chat.go
+++ b/internal/lab/bench/workload/chat.go
@@ -11,14 +11,14 @@
 	"damaskrouter.example/damaskrouter/internal/serve/chat"
 )
 
-// Plan is one chat, drawn in advance.
+// Plan is one chat, generated in advance.
 type Plan struct {
 	ID      string
 	Account *Account
 	Turns   []Turn
 }
 
-// Turn is one message and what precedes it.
+// Turn is one message and the pause before it.
 type Turn struct {
 	// Pause is the time since the last answer, already divided by Speed.
 	Pause time.Duration
@@ -27,33 +27,33 @@
 	MaxTokens int
 }
 
-// streams keep the random sources of different purposes apart.
+// Streams separate the random sources of different purposes.
 const (
 	streamChats  = 1 << 40
 	streamChurn  = 2 << 40
 	streamStarts = 3 << 40
 )
 
-func source(seed, stream uint64) *rand.Rand {
+func newRand(seed, stream uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, stream))
 }
 
-// Chat draws chat number n. It depends on workload, seed and n only.
+// Chat generates chat number n, which depends on workload, seed and n only.
 func (w *Workload) Chat(seed uint64, n int) *Plan {
-	rng := source(seed, streamChats+uint64(n))
+	rng := newRand(seed, streamChats+uint64(n))
 	p := &Plan{ID: fmt.Sprintf("chat-%d", n), Account: w.drawAccount(rng)}
 	w.drawTurns(rng, p)
 	return p
 }
 
-// SurgeChat draws chat number n of the surging account.
+// SurgeChat generates chat number n of the surging account.
 func (w *Workload) SurgeChat(seed uint64, n int) *Plan {
 	p := w.Chat(seed, n)
 	p.Account = w.account(w.Surge.Account)
 	return p
 }
 
-// SurgeChats is the number of additional chats that are open in the surge.
+// SurgeChats returns the number of additional open chats during the surge.
 func (w *Workload) SurgeChats() int {
 	a := w.account(w.Surge.Account)
 	if a == nil {
@@ -63,9 +63,10 @@
 	return int(math.Round(usual * max(0, w.Surge.Factor-1)))
 }
 
-// Start is when worker n sends its first message.
-func (w *Workload) Start(seed uint64, n int) time.Duration {
-	rng := source(seed, streamStarts+uint64(n))
+// StartDelay returns the time from the start of the load to the first message
+// of worker n.
+func (w *Workload) StartDelay(seed uint64, n int) time.Duration {
+	rng := newRand(seed, streamStarts+uint64(n))
 	return time.Duration(rng.Float64() * float64(w.Chats.Ramp))
 }
 
@@ -124,8 +125,9 @@
 	fillerBase = 36
 )
 
-// Text returns a message of about the given length that ends with mark. No two
-// marks give texts with a common beginning, so that no two chats share a prefix.
+// Text returns a message of about the given number of tokens that begins and
+// ends with mark. Texts with different marks have no common prefix, so that no
+// two chats share a prefix in a cache.
 func Text(mark string, tokens int) string {
 	var b strings.Builder
 	size := max(0, tokens*chat.BytesPerToken-2*len(mark))
--- a/internal/lab/bench/workload/workload.go
+++ b/internal/lab/bench/workload/workload.go
@@ -1,6 +1,6 @@
-// Package workload describes an experiment: the fleet, the chats that return
-// to it, the calls to plain services, and what happens to the engines
-// meanwhile. A workload and a seed give the same chats and the same churn.
+// Package workload describes an experiment: the fleet, the chats with their
+// returning turns, the calls to services, and the churn of engines. A workload
+// and a seed determine the chats and the churn.
 package workload
 
 import (
@@ -11,20 +11,21 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrRead means that a workload file can't be read.
+// ErrRead is the class of failures to read a workload file or to encode its
+// configuration.
 var ErrRead = errs.Class("workload: read")
 
 // Workload is one experiment.
 type Workload struct {
 	Name string `yaml:"name" validate:"required,name"`
-	// Duration is how long load is offered, without start and end.
+	// Duration is how long load is generated, without startup and shutdown.
 	Duration time.Duration `yaml:"duration" validate:"gt=0,lte=600000000000"`
-	// Speed divides the pauses between turns, and nothing else: the routers'
-	// timers, the engines' steps and the churn run in real time.
+	// Speed divides the pauses between turns only: the routers' timers, the
+	// engines' steps and the churn run in real time.
 	Speed float64 `yaml:"speed" validate:"gte=1,lte=100000"`
 	// Routers is the number of routers.
 	Routers int `yaml:"routers" validate:"gte=1,lte=32"`
-	// LoadBound is the bound c of the language pool.
+	// LoadBound is the load bound c of the language pool.
 	LoadBound float64   `yaml:"load_bound" validate:"gte=1.05,lte=100"`
 	Engines   Engines   `yaml:"engines"`
 	Services  Services  `yaml:"services"`
@@ -35,49 +36,49 @@
 	Churn     Churn     `yaml:"churn"`
 }
 
-// Engines are the settings of the stand-in engines.
+// Engines configures the stand-in engines.
 type Engines struct {
 	Count int `yaml:"count" validate:"gte=1,lte=64"`
 	// CacheTokens is the capacity of one engine's prefix cache.
 	CacheTokens int64 `yaml:"cache_tokens" validate:"gte=1"`
 	MaxBatch    int   `yaml:"max_batch" validate:"gte=1,lte=1000"`
-	// Step is the duration of one step.
+	// Step is the duration of one engine step.
 	Step time.Duration `yaml:"step" validate:"gt=0"`
-	// PrefillPerMS is uncached prompt tokens per millisecond and engine.
+	// PrefillPerMS is the number of uncached prompt tokens per millisecond and engine.
 	PrefillPerMS int `yaml:"prefill_per_ms" validate:"gte=1"`
 }
 
-// Services are the VMs behind the plain services.
+// Services configures the VMs of the services.
 type Services struct {
 	Count int `yaml:"count" validate:"gte=1,lte=16"`
 	// Latency is the duration of one call.
 	Latency time.Duration `yaml:"latency" validate:"gte=0"`
 }
 
-// Chats say who returns, when, and with what.
+// Chats describes the chats and the timing of their turns.
 type Chats struct {
-	// Open is the number of chats that are open at one time.
+	// Open is the number of concurrent chats.
 	Open int `yaml:"open" validate:"gte=1,lte=20000"`
-	// Ramp is the time over which the first of them begin: their whole dossiers
-	// at one moment would be an overload that no day brings.
+	// Ramp is the time over which the first chats start: prefilling all of their
+	// dossiers at once would be an overload that does not occur in production.
 	Ramp time.Duration `yaml:"ramp" validate:"gte=0"`
 	// Turns is the number of turns of one chat.
 	Turns Range `yaml:"turns"`
 	Pause Pause `yaml:"pause"`
-	// Dossiers are the lengths of the first message.
+	// Dossiers are the lengths of a chat's first message.
 	Dossiers []Dossier `yaml:"dossiers" validate:"min=1,dive"`
 	// QuestionTokens is the length of later messages, AnswerTokens that of answers.
 	QuestionTokens Range `yaml:"question_tokens"`
 	AnswerTokens   Range `yaml:"answer_tokens"`
 }
 
-// Range is drawn evenly, bounds included.
+// Range is a uniform distribution over [Min, Max].
 type Range struct {
 	Min int `yaml:"min" validate:"gte=1,lte=100000"`
 	Max int `yaml:"max" validate:"gtefield=Min,lte=100000"`
 }
 
-// Pause is a log-normal distribution, cut off at Max.
+// Pause is a log-normal distribution, truncated at Max.
 type Pause struct {
 	Median time.Duration `yaml:"median" validate:"gt=0"`
 	// Sigma is the standard deviation of the logarithm.
@@ -85,7 +86,7 @@
 	Max   time.Duration `yaml:"max" validate:"gtefield=Median"`
 }
 
-// Dossier is a length with its share of the chats.
+// Dossier is a message length with its share of the chats.
 type Dossier struct {
 	Share  float64 `yaml:"share" validate:"gt=0"`
 	Tokens int     `yaml:"tokens" validate:"gte=1,lte=200000"`
@@ -94,9 +95,9 @@
 // Account is a client account.
 type Account struct {
 	Name string `yaml:"name" validate:"required,name"`
-	// Share is the account's part of the chats; 0 for one that only calls services.
+	// Share is the account's share of the chats; 0 for an account that only calls services.
 	Share float64 `yaml:"share" validate:"gte=0"`
-	// Weight is the account's share when the fleet is short.
+	// Weight is the account's share when capacity is short.
 	Weight   float64 `yaml:"weight" validate:"gt=0"`
 	Priority string  `yaml:"priority" validate:"oneof=urgent high normal batch"`
 	// RequestsPerSecond and Concurrency are the account's limits; 0 for none.
@@ -104,13 +105,13 @@
 	Concurrency       int     `yaml:"concurrency" validate:"gte=0"`
 }
 
-// Call is a stream of calls to a plain service.
+// Call is a stream of calls to a service.
 type Call struct {
 	Name    string `yaml:"name" validate:"required,name"`
 	Account string `yaml:"account" validate:"required"`
 	Method  string `yaml:"method" validate:"oneof=GET POST"`
-	// Path is the route; a last segment "*" is replaced by a number. A POST
-	// is not idempotent and carries a key.
+	// Path is the route. A last segment "*" is replaced by the id of the call.
+	// A POST is not idempotent and carries a key.
 	Path     string `yaml:"path" validate:"required,startswith=/"`
 	Priority string `yaml:"priority" validate:"oneof=urgent high normal batch"`
 	// Rate is the mean number of calls per second.
@@ -120,7 +121,8 @@
 // Idempotent reports whether the call may be repeated.
 func (c *Call) Idempotent() bool { return c.Method == "GET" }
 
-// Surge multiplies the open chats of one account for a while. No account, no surge.
+// Surge multiplies the open chats of one account for a time. It is disabled
+// without an account.
 type Surge struct {
 	Account string        `yaml:"account"`
 	Factor  float64       `yaml:"factor" validate:"gte=0,lte=50"`
@@ -128,16 +130,16 @@
 	Length  time.Duration `yaml:"length" validate:"gte=0"`
 }
 
-// Churn takes an engine out at each period, in the way that is next in turn,
-// and brings it back. No kinds, no churn.
+// Churn stops one engine per period, cycling through Kinds, and restarts it.
+// It is disabled without kinds.
 type Churn struct {
 	Period time.Duration `yaml:"period" validate:"gte=0"`
-	// Absent is how long an engine stays away.
+	// Absent is how long an engine stays stopped.
 	Absent time.Duration `yaml:"absent" validate:"gte=0"`
 	Kinds  []string      `yaml:"kinds" validate:"dive,oneof=leave crash restart"`
 }
 
-// Load reads and checks a workload file. Errors: ErrRead, strictyaml.Problems.
+// Load reads and validates a workload file. Errors: ErrRead, strictyaml.Problems.
 func Load(file string) (*Workload, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -146,7 +148,7 @@
 	return Parse(file, data)
 }
 
-// Parse checks the text of a workload; file names it in problems.
+// Parse validates the text of a workload; file is its name in problems.
 func Parse(file string, data []byte) (*Workload, error) {
 	w := new(Workload)
 	src, problems := strictyaml.Decode(file, data, w)
@@ -161,7 +163,8 @@
 	return w, nil
 }
 
-// checkNames finds accounts that are named and not listed.
+// checkNames reports accounts that are used but not listed, and missing shares
+// and periods.
 func (w *Workload) checkNames(src *strictyaml.Source) strictyaml.Problems {
 	var problems strictyaml.Problems
 	for _, c := range w.Calls {
--- a/internal/lab/bench/workload/workload_test.go
+++ b/internal/lab/bench/workload/workload_test.go
@@ -20,7 +20,7 @@
 	return w
 }
 
-func TestEveryFileGivesAnAcceptableConfiguration(t *testing.T) {
+func TestWorkloadFilesYieldValidConfiguration(t *testing.T) {
 	entries, err := workloads.Files.ReadDir(".")
 	require.NoError(t, err)
 	require.NotEmpty(t, entries)
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestSameSeedGivesSameChatsAndChurn(t *testing.T) {
+func TestSameSeedYieldsSameChatsAndChurn(t *testing.T) {
 	a, b := load(t, workloads.Demo), load(t, workloads.Demo)
 	for n := range 50 {
 		require.Equal(t, a.Chat(7, n), b.Chat(7, n))
@@ -41,18 +41,18 @@
 	require.NotEqual(t, a.Chat(7, 1).Turns, a.Chat(8, 1).Turns)
 }
 
-func TestScriptTakesNoEngineThatIsAway(t *testing.T) {
+func TestScriptStopsNoAbsentEngine(t *testing.T) {
 	w := load(t, "sebeke.yaml")
 	for seed := range uint64(20) {
-		gone := map[int]time.Duration{}
+		absentUntil := map[int]time.Duration{}
 		for _, ev := range w.Script(seed, time.Minute) {
-			require.GreaterOrEqual(t, ev.At, gone[ev.Engine])
-			gone[ev.Engine] = ev.At + ev.Absent
+			require.GreaterOrEqual(t, ev.At, absentUntil[ev.Engine])
+			absentUntil[ev.Engine] = ev.At + ev.Absent
 		}
 	}
 }
 
-func TestUnknownKeysAndAccountsAreRefused(t *testing.T) {
+func TestParseRejectsUnknownKeysAndAccounts(t *testing.T) {
 	data, err := workloads.Files.ReadFile(workloads.Demo)
 	require.NoError(t, err)
 	for from, to := range map[string]string{
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestTextHasItsLengthAndItsMark(t *testing.T) {
+func TestTextLengthAndMark(t *testing.T) {
 	for _, tokens := range []int{20, 500, 10_000} {
 		text := workload.Text("[[c/1/0]]", tokens)
 		require.InDelta(t, tokens, chat.Tokens(text), 5)
