--- a/internal/lab/standin/engine/answer.go
+++ b/internal/lab/standin/engine/answer.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// minAnswer and answerSpread give the length, in chunks, of an answer
-	// whose request names no bound.
+	// minAnswer and answerSpread determine the length, in chunks, of the answer
+	// to a request without MaxTokens.
 	minAnswer    = 16
 	answerSpread = 48
-	// wordMask keeps a word short.
+	// wordMask limits the length of a word.
 	wordMask = 1<<30 - 1
 	wordBase = 36
 )
 
-// Answer returns the chunks of the answer to req. It depends on model,
-// adapter, messages and MaxTokens only, so a test can tell each caller's own
-// whole answer from any other.
+// Answer returns the chunks of the answer to req. It depends only on model,
+// adapter, messages and MaxTokens, so that a test can distinguish the complete
+// answer to each request from any other.
 func Answer(req wire.ChatRequest) []string {
 	seed := answerSeed(chat.Boundaries(req.Model, req.Adapter, req.Messages))
 	words := make([]string, answerLength(seed, req.MaxTokens))
@@ -30,7 +30,7 @@
 	return words
 }
 
-// AnswerText returns the whole answer to req.
+// AnswerText returns the complete answer to req.
 func AnswerText(req wire.ChatRequest) string {
 	return strings.Join(Answer(req), "")
 }
--- a/internal/lab/standin/engine/batch.go
+++ b/internal/lab/standin/engine/batch.go
@@ -8,28 +8,29 @@
 	"damaskrouter.example/damaskrouter/internal/serve/wire"
 )
 
-// accept queues j, or returns why it is refused before executing.
+// accept queues j, or returns the reason for which it is refused before
+// execution.
 func (e *Engine) accept(j *job) (protocol.Code, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if code, ok := e.mayAccept(j); !ok {
-		e.ledger.books.Refused++
+	if code, ok := e.canAccept(j); !ok {
+		e.recorder.stats.Refused++
 		return code, false
 	}
-	j.cached = e.cache.hit(j.prompt)
+	j.cached = e.cache.lookup(j.prompt)
 	j.prefill = j.promptTokens() - j.cached
 	j.weight = int64(j.prefill + j.expectedTokens())
 	e.jobs[j.id] = j
 	e.queue[j.priority] = append(e.queue[j.priority], j)
 	e.queued++
-	e.ledger.change(1, j.weight)
-	e.signal()
+	e.recorder.adjust(1, j.weight)
+	e.wakeLoop()
 	return "", true
 }
 
-func (e *Engine) mayAccept(j *job) (protocol.Code, bool) {
+func (e *Engine) canAccept(j *job) (protocol.Code, bool) {
 	switch {
-	case e.leaving:
+	case e.draining:
 		return protocol.CodeLeaving, false
 	case !e.serves(j.req):
 		return protocol.CodeModelNotLoaded, false
@@ -48,14 +49,14 @@
 	return req.Model == e.model && hasAdapter
 }
 
-func (e *Engine) signal() {
+func (e *Engine) wakeLoop() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-// loop steps the batch while there is work and sleeps otherwise.
+// loop executes steps while there is work and waits otherwise.
 func (e *Engine) loop() {
 	for {
 		wait, busy := e.nextStep()
@@ -67,18 +68,19 @@
 				return
 			}
 		}
-		if !e.pause(wait) {
+		if !e.sleep(wait) {
 			return
 		}
 		e.step(wait)
 	}
 }
 
-// nextStep fills the batch from the queue and returns the step's duration.
+// nextStep fills the batch from the queue. It returns the duration of the next
+// step and whether the batch has jobs.
 func (e *Engine) nextStep() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.forget()
+	e.expireJobs()
 	for len(e.batch) < e.opts.MaxBatch {
 		j := e.pop()
 		if j == nil {
@@ -86,10 +88,10 @@
 		}
 		e.start(j)
 	}
-	return e.opts.StepTime * time.Duration(e.slowness()), len(e.batch) > 0
+	return e.opts.StepTime * time.Duration(e.slowdown()), len(e.batch) > 0
 }
 
-func (e *Engine) pause(d time.Duration) bool {
+func (e *Engine) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -103,7 +105,8 @@
 	}
 }
 
-// pop takes the oldest job of the most urgent class.
+// pop removes the oldest job of the highest priority from the queue, or
+// returns nil.
 func (e *Engine) pop() *job {
 	for p, q := range e.queue {
 		if len(q) == 0 {
@@ -120,14 +123,14 @@
 	j.state = jobRunning
 	j.started = time.Now()
 	e.batch = append(e.batch, j)
-	books := &e.ledger.books
-	books.Runs[j.id]++
-	books.PromptTokens += int64(j.promptTokens())
-	books.CachedTokens += int64(j.cached)
+	stats := &e.recorder.stats
+	stats.Runs[j.id]++
+	stats.PromptTokens += int64(j.promptTokens())
+	stats.CachedTokens += int64(j.cached)
 }
 
-// step gives each sequence one chunk; sequences in their prefill share the
-// step's prefill tokens, most urgent first.
+// step produces one chunk per sequence. Sequences in prefill share the step's
+// prefill tokens by priority.
 func (e *Engine) step(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -147,9 +150,9 @@
 }
 
 func (e *Engine) prefillBatch(d time.Duration) {
-	// A step without duration has no prefill limit.
+	// A step of zero duration has no prefill limit.
 	unlimited := e.opts.PrefillPerMS <= 0 || d <= 0
-	perStep := d.Seconds() * 1000 * float64(e.opts.PrefillPerMS) / float64(e.slowness())
+	perStep := d.Seconds() * 1000 * float64(e.opts.PrefillPerMS) / float64(e.slowdown())
 	budget := max(1, int(perStep))
 	for p := range priorityNames {
 		for _, j := range e.batch {
@@ -172,26 +175,26 @@
 func (e *Engine) decode(j *job) {
 	if j.produced < j.total {
 		j.produced++
-		e.ledger.books.OutputTokens++
+		e.recorder.stats.OutputTokens++
 	}
 	if j.produced == j.total {
 		e.end(j, jobFinished)
-		e.ledger.books.Finished[j.id]++
-		e.cache.store(j.answered())
+		e.recorder.stats.Finished[j.id]++
+		e.cache.store(j.promptWithAnswer())
 	}
-	j.wake()
+	j.notify()
 }
 
-// end takes j out of the load. The caller takes it out of batch or queue.
+// end removes j from the load. The caller removes it from the batch or queue.
 func (e *Engine) end(j *job, state jobState) {
 	j.state = state
 	j.ended = time.Now()
 	e.ended = append(e.ended, j)
-	e.ledger.change(-1, -j.weight)
+	e.recorder.adjust(-1, -j.weight)
 }
 
-// forget drops ended jobs that nobody may resume any more.
-func (e *Engine) forget() {
+// expireJobs removes ended jobs whose streams can no longer be resumed.
+func (e *Engine) expireJobs() {
 	limit := time.Now().Add(-e.opts.KeepStreams)
 	for len(e.ended) > 0 && e.ended[0].ended.Before(limit) {
 		j := e.ended[0]
@@ -202,7 +205,7 @@
 	}
 }
 
-// cancel gives up the job id and reports whether it was known.
+// cancel aborts the job with the id and reports whether the id was known.
 func (e *Engine) cancel(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -220,14 +223,14 @@
 	if i := slices.Index(e.batch, j); i >= 0 {
 		e.batch = slices.Delete(e.batch, i, i+1)
 	}
-	e.ledger.books.Canceled++
+	e.recorder.stats.Canceled++
 	e.end(j, jobCanceled)
-	j.wake()
+	j.notify()
 	e.checkDrained()
 	return true
 }
 
-// addLoad counts the requests that were unfinished at the given time.
+// addLoad adds the requests that were unfinished at the given time to st.
 func (e *Engine) addLoad(st *wire.EngineStatus, at time.Time) {
 	for _, jobs := range append(e.queue[:len(e.queue):len(e.queue)], e.batch, e.ended) {
 		for _, j := range jobs {
@@ -237,7 +240,7 @@
 	slices.Sort(st.RequestIDs)
 }
 
-// addTo counts j if it was unfinished at the given time.
+// addTo adds j to st if it was unfinished at the given time.
 func (j *job) addTo(st *wire.EngineStatus, at time.Time) {
 	over := !j.unfinished() && !j.ended.After(at)
 	if over || j.accepted.After(at) {
--- a/internal/lab/standin/engine/cache.go
+++ b/internal/lab/standin/engine/cache.go
@@ -14,22 +14,22 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrCache is an import that is no exported KV cache.
+// ErrCache is the class of failures to encode or decode an exported KV cache.
 var ErrCache = errs.Class("engine cache")
 
 // block is the part of a prefix between two message boundaries.
 type block struct {
 	Hash   uint64 `json:"hash"`
 	Parent uint64 `json:"parent"`
-	// Tokens is the length of the prefix up to the block's end, Cost the
-	// block's own length.
+	// Tokens is the length of the prefix up to the block's end, Cost the length
+	// of the block.
 	Tokens int   `json:"tokens"`
 	Cost   int64 `json:"cost"`
 }
 
-// prefixCache holds blocks up to a number of tokens and evicts the one used
-// longest ago. A chain is always touched from its end to its start, so that a
-// block is never evicted before those that build on it.
+// prefixCache holds blocks up to a total number of tokens, with least recently
+// used eviction. A chain is always touched from its end to its start, so that a
+// block is never evicted before the blocks that follow it.
 type prefixCache struct {
 	lru    *simplelru.LRU[uint64, block]
 	used   int64
@@ -39,13 +39,13 @@
 
 func newPrefixCache(limit int64, report func(wire.CacheEventKind, block)) *prefixCache {
 	c := &prefixCache{limit: limit, report: report}
-	// The size is positive, the only demand of NewLRU.
+	// NewLRU fails only if the size is not positive.
 	c.lru, _ = simplelru.NewLRU[uint64, block](math.MaxInt32, nil)
 	return c
 }
 
-// hit returns the tokens of the longest cached boundary.
-func (c *prefixCache) hit(bs []chat.Boundary) int {
+// lookup returns the length, in tokens, of the longest cached prefix.
+func (c *prefixCache) lookup(bs []chat.Boundary) int {
 	for i := len(bs) - 1; i >= 0; i-- {
 		if c.lru.Contains(bs[i].Hash) {
 			c.touch(bs[:i+1])
@@ -84,7 +84,7 @@
 	c.evict(c.limit)
 }
 
-// evict drops the oldest blocks until no more than limit tokens are left.
+// evict removes the least recently used blocks until at most limit tokens remain.
 func (c *prefixCache) evict(limit int64) {
 	for c.used > limit {
 		_, b, ok := c.lru.RemoveOldest()
@@ -96,7 +96,7 @@
 	}
 }
 
-// chain returns the cached blocks up to prefix, first one first.
+// chain returns the cached blocks of a prefix, from its start to its end.
 func (c *prefixCache) chain(prefix uint64) []block {
 	var chain []block
 	for {
@@ -111,7 +111,7 @@
 	return chain
 }
 
-// encodeKV renders a chain as a line of JSON and filler of the cache's size.
+// encodeKV encodes a chain as a line of JSON, followed by filler of the cache's size.
 func encodeKV(chain []block, bytesPerToken int) ([]byte, error) {
 	head, err := json.Marshal(chain)
 	if err != nil {
--- a/internal/lab/standin/engine/engine.go
+++ b/internal/lab/standin/engine/engine.go
@@ -7,7 +7,7 @@
 	"damaskrouter.example/damaskrouter/internal/serve/wire"
 )
 
-// Engine is the stand-in. It is safe for concurrent use.
+// Engine is a stand-in engine. It is safe for concurrent use.
 type Engine struct {
 	opts Options
 	wake chan struct{}
@@ -18,7 +18,7 @@
 	incarnation uint64
 	down        bool
 	crashed     chan struct{}
-	leaving     bool
+	draining    bool
 	drained     chan struct{}
 	isDrained   bool
 	model       string
@@ -32,13 +32,13 @@
 	ended       []*job
 	cache       *prefixCache
 	events      *eventLog
-	ledger      *ledger
+	recorder    *recorder
 	faults      []Fault
 }
 
 // New returns a running engine. Close stops its goroutine.
 func New(opts Options) *Engine {
-	opts = opts.withFloors()
+	opts = opts.withDefaults()
 	e := &Engine{
 		opts:        opts,
 		wake:        make(chan struct{}, 1),
@@ -48,14 +48,14 @@
 		model:       opts.Model,
 		version:     opts.Version,
 		adapters:    opts.Adapters,
-		ledger:      newLedger(opts),
+		recorder:    newRecorder(opts),
 	}
 	e.reset()
 	go e.loop()
 	return e
 }
 
-// reset gives the engine the state of a process that just started.
+// reset sets the state of a newly started process.
 func (e *Engine) reset() {
 	e.crashed = make(chan struct{})
 	e.queue = make([][]*job, len(priorityNames))
@@ -67,21 +67,22 @@
 	e.cache = newPrefixCache(e.opts.CacheTokens, e.events.add)
 }
 
-// Close stops the engine and breaks its connections.
+// Close stops the engine and aborts its connections.
 func (e *Engine) Close() {
 	e.once.Do(func() { close(e.stop) })
 	e.Crash()
 }
 
-// Leave makes the engine refuse new work and finish what it has.
+// Leave starts the drain: the engine refuses new requests and finishes the others.
 func (e *Engine) Leave() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.leaving = true
+	e.draining = true
 	e.checkDrained()
 }
 
-// Drained is closed once the engine is leaving and has nothing left to do.
+// Drained returns a channel that is closed when the engine is draining and has
+// no requests left.
 func (e *Engine) Drained() <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -89,14 +90,14 @@
 }
 
 func (e *Engine) checkDrained() {
-	if e.leaving && !e.isDrained && e.queued+len(e.batch) == 0 {
+	if e.draining && !e.isDrained && e.queued+len(e.batch) == 0 {
 		e.isDrained = true
 		close(e.drained)
 	}
 }
 
-// Crash ends all work and breaks all connections. Until Restart, every new
-// connection is broken too.
+// Crash ends all requests and aborts all connections. New connections are
+// aborted until Restart.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -104,11 +105,11 @@
 		return
 	}
 	e.down = true
-	e.ledger.books.Lost += e.queued + len(e.batch)
-	e.ledger.change(-e.ledger.requests, -e.ledger.weight)
+	e.recorder.stats.Lost += e.queued + len(e.batch)
+	e.recorder.adjust(-e.recorder.requests, -e.recorder.weight)
 	close(e.crashed)
 	for _, j := range e.jobs {
-		j.wake()
+		j.notify()
 	}
 	e.queue = make([][]*job, len(priorityNames))
 	e.queued = 0
@@ -118,14 +119,14 @@
 }
 
 // Restart crashes the engine and starts it with a new incarnation, an empty
-// cache and the model it was first given.
+// cache and its initial model.
 func (e *Engine) Restart() {
 	e.Crash()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.down = false
 	e.incarnation++
-	e.leaving = false
+	e.draining = false
 	e.isDrained = false
 	e.drained = make(chan struct{})
 	e.model = e.opts.Model
@@ -135,17 +136,17 @@
 	e.reset()
 }
 
-// Books returns a copy of the engine's books.
-func (e *Engine) Books() Books {
+// Books returns a copy of the engine's stats.
+func (e *Engine) Books() Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	b := e.ledger.copy()
-	b.Incarnation = e.incarnation
-	return b
+	s := e.recorder.copy()
+	s.Incarnation = e.incarnation
+	return s
 }
 
-// Status returns the engine's report: load figures as they were ReportLag ago,
-// all else as it is now.
+// Status returns the engine's status report. The load is that of ReportLag ago,
+// all other fields are current.
 func (e *Engine) Status() wire.EngineStatus {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -156,7 +157,7 @@
 		Version:      e.version,
 		Adapters:     e.adapters,
 		Role:         e.role,
-		Leaving:      e.leaving,
+		Leaving:      e.draining,
 		MaxBatch:     e.opts.MaxBatch,
 		MaxQueue:     e.opts.MaxQueue,
 		CacheTokens:  e.opts.CacheTokens,
--- a/internal/lab/standin/engine/events.go
+++ b/internal/lab/standin/engine/events.go
@@ -7,7 +7,7 @@
 	"damaskrouter.example/damaskrouter/internal/serve/wire"
 )
 
-// eventPage bounds one answer to a request for cache events.
+// eventPage is the maximum number of cache events in a response.
 const eventPage = 512
 
 type loggedEvent struct {
@@ -15,55 +15,54 @@
 	at time.Time
 }
 
-// eventLog is a bounded log of cache events, shown late and with gaps.
+// eventLog is a bounded log of cache events, with configurable delay and loss.
 type eventLog struct {
-	delay  time.Duration
-	size   int
-	loss   float64
-	rng    *rand.Rand
-	seq    uint64
-	drop   int
-	events []loggedEvent
+	delay    time.Duration
+	size     int
+	lossRate float64
+	rng      *rand.Rand
+	seq      uint64
+	dropNext int
+	events   []loggedEvent
 }
 
 func newEventLog(o Options) *eventLog {
 	return &eventLog{
-		delay: o.EventDelay,
-		size:  o.EventLog,
-		loss:  o.EventLoss,
-		rng:   rand.New(rand.NewPCG(o.Seed, o.Seed)),
+		delay:    o.EventDelay,
+		size:     o.EventLog,
+		lossRate: o.EventLoss,
+		rng:      rand.New(rand.NewPCG(o.Seed, o.Seed)),
 	}
 }
 
-// add logs an event, unless it is one of those to be lost. A lost event still
-// takes a sequence number.
+// add logs an event, unless it is lost. A lost event still uses a sequence number.
 func (l *eventLog) add(kind wire.CacheEventKind, b block) {
 	l.seq++
-	if l.lost() {
+	if l.isLost() {
 		return
 	}
 	e := wire.CacheEvent{Seq: l.seq, Kind: kind, Prefix: b.Hash, Tokens: b.Tokens}
 	l.events = append(l.events, loggedEvent{CacheEvent: e, at: time.Now()})
-	// The log is trimmed in strides, so that trimming costs little per event.
+	// Trimming half of the log at a time keeps the cost per event low.
 	if len(l.events) >= 2*l.size {
 		l.events = append(l.events[:0:0], l.events[len(l.events)-l.size:]...)
 	}
 }
 
-func (l *eventLog) lost() bool {
-	if l.drop > 0 {
-		l.drop--
+func (l *eventLog) isLost() bool {
+	if l.dropNext > 0 {
+		l.dropNext--
 		return true
 	}
-	return l.loss > 0 && l.rng.Float64() < l.loss
+	return l.lossRate > 0 && l.rng.Float64() < l.lossRate
 }
 
-// after returns the visible events beyond seq, and the sequence number to ask
-// with next.
+// after returns the visible events after seq, and the sequence number to pass
+// to the next call.
 func (l *eventLog) after(seq uint64) ([]wire.CacheEvent, uint64) {
 	visible := time.Now().Add(-l.delay)
 	page := []wire.CacheEvent{}
-	for _, e := range l.kept() {
+	for _, e := range l.retained() {
 		if e.at.After(visible) || len(page) == eventPage {
 			break
 		}
@@ -77,6 +76,6 @@
 	return page, seq
 }
 
-func (l *eventLog) kept() []loggedEvent {
+func (l *eventLog) retained() []loggedEvent {
 	return l.events[max(0, len(l.events)-l.size):]
 }
--- a/internal/lab/standin/engine/faults.go
+++ b/internal/lab/standin/engine/faults.go
@@ -2,45 +2,45 @@
 
 import "slices"
 
-// FaultKind names what goes wrong.
+// FaultKind is the kind of a fault.
 type FaultKind string
 
-// The faults. Those of a connection strike streams opened by a chat request,
-// never resumed ones, so that a new connection always works.
+// Kinds of faults. Connection faults affect streams opened by a chat request
+// and never resumed ones, so that a new connection always works.
 const (
-	// FaultHang makes a stream silent after After chunks; the engine lives on.
+	// FaultHang stops sending after After chunks; the engine continues to run.
 	FaultHang FaultKind = "hang"
-	// FaultSilent executes, but sends not even the reply's headers.
+	// FaultSilent executes the request, but does not send response headers.
 	FaultSilent FaultKind = "silent"
-	// FaultCut breaks the connection after After chunks.
+	// FaultCut aborts the connection after After chunks.
 	FaultCut FaultKind = "cut"
-	// FaultNoEnd ends the body in good order after After chunks, or before
-	// the end marker where the answer is no longer than that.
+	// FaultNoEnd ends the body cleanly after After chunks, or before the end
+	// marker if the answer is not longer than that.
 	FaultNoEnd FaultKind = "no_end"
-	// FaultStaleChunk puts a chunk of another request in after After chunks.
+	// FaultStaleChunk inserts a chunk of another request after After chunks.
 	FaultStaleChunk FaultKind = "stale_chunk"
 	// FaultCrash crashes the engine after After chunks.
 	FaultCrash FaultKind = "crash"
-	// FaultRefuse refuses before executing, with proof.
+	// FaultRefuse refuses before execution, with proof of that.
 	FaultRefuse FaultKind = "refuse"
-	// FaultErrorBefore answers 500 without executing and without proof.
+	// FaultErrorBefore responds with status 500, without execution and without proof.
 	FaultErrorBefore FaultKind = "error_before"
-	// FaultErrorAfter executes and then answers 500.
+	// FaultErrorAfter executes the request and responds with status 500.
 	FaultErrorAfter FaultKind = "error_after"
-	// FaultSlow makes each step Factor times as long, until cleared.
+	// FaultSlow makes each step Factor times as long until it is cleared.
 	FaultSlow FaultKind = "slow"
 	// FaultEventGap loses the next After cache events.
 	FaultEventGap FaultKind = "event_gap"
 )
 
-// Fault is one thing that goes wrong.
+// Fault is a fault to inject.
 type Fault struct {
 	Kind FaultKind `json:"kind"`
 	// After is a number of chunks or events.
 	After int `json:"after,omitempty"`
-	// Count is how many requests are struck; 0 strikes all.
+	// Count is the number of requests affected; 0 affects all.
 	Count int `json:"count,omitempty"`
-	// Factor is how much slower a slow engine is.
+	// Factor is the slowdown of FaultSlow.
 	Factor int `json:"factor,omitempty"`
 }
 
@@ -49,7 +49,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if f.Kind == FaultEventGap {
-		e.events.drop += f.After
+		e.events.dropNext += f.After
 		return
 	}
 	e.faults = append(e.faults, f)
@@ -62,7 +62,7 @@
 	e.faults = nil
 }
 
-// takeFault returns the oldest fault of the kinds and uses it up.
+// takeFault returns the oldest fault of one of the kinds and decrements its count.
 func (e *Engine) takeFault(kinds ...FaultKind) (Fault, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -80,8 +80,8 @@
 	return Fault{}, false
 }
 
-// slowness returns the factor of a slow engine. The caller holds the lock.
-func (e *Engine) slowness() int {
+// slowdown returns the factor of FaultSlow, or 1. The caller holds the lock.
+func (e *Engine) slowdown() int {
 	for _, f := range e.faults {
 		if f.Kind == FaultSlow {
 			return max(1, f.Factor)
--- a/internal/lab/standin/engine/http.go
+++ b/internal/lab/standin/engine/http.go
@@ -12,9 +12,9 @@
 	"github.com/labstack/echo/v4/middleware"
 )
 
-// Paths of the stand-in's own controls.
+// Paths of the stand-in's control endpoints.
 const (
-	PathBooks   = "/standin/books"
+	PathStats   = "/standin/books"
 	PathFaults  = "/standin/faults"
 	PathLeave   = "/standin/leave"
 	PathRestart = "/standin/restart"
@@ -38,7 +38,7 @@
 	r.GET(wire.PathEngineEvents, e.getEvents, middleware.Gzip())
 	r.POST(wire.PathEngineExport, e.postExport)
 	r.POST(wire.PathEngineImport, e.postImport)
-	r.GET(PathBooks, e.getBooks)
+	r.GET(PathStats, e.getStats)
 	r.POST(PathFaults, e.postFault)
 	r.DELETE(PathFaults, e.deleteFaults)
 	r.POST(PathLeave, e.postLeave)
@@ -46,8 +46,8 @@
 	return e.guard(r)
 }
 
-// guard breaks every connection while the engine is down, save for the
-// stand-in's own controls.
+// guard aborts every connection while the engine is down, except for the
+// control endpoints to restart it and to read its stats.
 func (e *Engine) guard(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.mu.Lock()
@@ -55,7 +55,7 @@
 		w.Header().Set(wire.HeaderIncarnation, strconv.FormatUint(e.incarnation, 10))
 		e.mu.Unlock()
 		w.Header().Set(protocol.HeaderName, e.opts.Name)
-		if down && r.URL.Path != PathRestart && r.URL.Path != PathBooks {
+		if down && r.URL.Path != PathRestart && r.URL.Path != PathStats {
 			panic(http.ErrAbortHandler)
 		}
 		if id := r.Header.Get(wire.HeaderRequestID); id != "" {
@@ -65,16 +65,16 @@
 	})
 }
 
-// refuse answers a request that was not executed, with proof. It reads the
-// body first: a reply that crosses with a body still being written may be lost
-// to the closing connection, and the proof with it.
+// refuse refuses a request that was not executed, with proof of that. It reads
+// the body first: a response sent while the client is still writing the body
+// may be lost, with the proof, when the connection closes.
 func refuse(c echo.Context, status int, code protocol.Code) error {
 	_, _ = io.Copy(io.Discard, c.Request().Body)
 	c.Response().Header().Set(wire.HeaderRan, ranNo)
 	return c.JSON(status, protocol.Refusal{Code: code})
 }
 
-// refusalStatus maps a reason to its status.
+// refusalStatus returns the HTTP status of a refusal.
 func refusalStatus(code protocol.Code) int {
 	switch code {
 	case protocol.CodeQueueFull:
@@ -90,7 +90,8 @@
 	}
 }
 
-// wrongIdentity reports whether the router meant another engine or incarnation.
+// wrongIdentity reports whether the request is addressed to another engine or
+// incarnation.
 func (e *Engine) wrongIdentity(c echo.Context) bool {
 	h := c.Request().Header
 	if name := h.Get(protocol.HeaderName); name != "" && name != e.opts.Name {
@@ -111,14 +112,14 @@
 		return refuse(c, refusalStatus(code), code)
 	}
 	if f, ok := e.takeFault(FaultRefuse, FaultErrorBefore); ok {
-		return strikeBefore(c, f)
+		return failBefore(c, f)
 	}
 	j := newJob(c.Request().Header.Get(wire.HeaderRequestID), c.Request().Header.Get(wire.HeaderPriority), req)
 	if code, ok := e.accept(j); !ok {
 		return refuse(c, refusalStatus(code), code)
 	}
 	if _, ok := e.takeFault(FaultErrorAfter); ok {
-		return e.strikeAfter(c, j)
+		return e.failAfter(c, j)
 	}
 	if _, ok := e.takeFault(FaultSilent); ok {
 		e.attach(c, j).hang()
@@ -142,14 +143,14 @@
 	return req, ""
 }
 
-func strikeBefore(c echo.Context, f Fault) error {
+func failBefore(c echo.Context, f Fault) error {
 	if f.Kind == FaultRefuse {
 		return refuse(c, http.StatusServiceUnavailable, protocol.CodeFault)
 	}
 	return c.JSON(http.StatusInternalServerError, protocol.Refusal{Code: protocol.CodeFault})
 }
 
-func (e *Engine) strikeAfter(c echo.Context, j *job) error {
+func (e *Engine) failAfter(c echo.Context, j *job) error {
 	if !e.wait(c, j) {
 		return nil
 	}
@@ -165,22 +166,23 @@
 	j, ok := e.jobs[c.Param(paramID)]
 	e.mu.Unlock()
 	if !ok {
-		return refuseKnown(c, protocol.CodeUnknownStream)
+		return refuseWithoutProof(c, protocol.CodeUnknownStream)
 	}
 	if err != nil || from < 0 || from > j.total {
-		return refuseKnown(c, protocol.CodeBadRequest)
+		return refuseWithoutProof(c, protocol.CodeBadRequest)
 	}
 	return e.stream(c, j, from, Fault{})
 }
 
-// refuseKnown answers about a request that may have run, so without proof.
-func refuseKnown(c echo.Context, code protocol.Code) error {
+// refuseWithoutProof refuses a request that concerns another one, which may
+// have been executed.
+func refuseWithoutProof(c echo.Context, code protocol.Code) error {
 	return c.JSON(refusalStatus(code), protocol.Refusal{Code: code})
 }
 
 func (e *Engine) deleteStream(c echo.Context) error {
 	if !e.cancel(c.Param(paramID)) {
-		return refuseKnown(c, protocol.CodeUnknownStream)
+		return refuseWithoutProof(c, protocol.CodeUnknownStream)
 	}
 	return c.NoContent(http.StatusNoContent)
 }
@@ -196,7 +198,7 @@
 func (e *Engine) getEvents(c echo.Context) error {
 	after, err := strconv.ParseUint(c.QueryParam(protocol.QueryAfter), 10, 64)
 	if c.QueryParam(protocol.QueryAfter) != "" && err != nil {
-		return refuseKnown(c, protocol.CodeBadRequest)
+		return refuseWithoutProof(c, protocol.CodeBadRequest)
 	}
 	if e.wrongIdentity(c) {
 		return refuse(c, http.StatusConflict, protocol.CodeWrongIdentity)
@@ -208,12 +210,12 @@
 	return c.JSON(http.StatusOK, page)
 }
 
-func (e *Engine) getBooks(c echo.Context) error { return c.JSON(http.StatusOK, e.Books()) }
+func (e *Engine) getStats(c echo.Context) error { return c.JSON(http.StatusOK, e.Books()) }
 
 func (e *Engine) postFault(c echo.Context) error {
 	var f Fault
 	if err := json.NewDecoder(c.Request().Body).Decode(&f); err != nil {
-		return refuseKnown(c, protocol.CodeBadRequest)
+		return refuseWithoutProof(c, protocol.CodeBadRequest)
 	}
 	e.Inject(f)
 	return c.NoContent(http.StatusNoContent)
--- a/internal/lab/standin/engine/job.go
+++ b/internal/lab/standin/engine/job.go
@@ -18,7 +18,7 @@
 	jobCanceled
 )
 
-// job is one request. The engine's lock guards its changing fields.
+// job is one request. The engine's lock guards the fields that change.
 type job struct {
 	id       string
 	req      wire.ChatRequest
@@ -39,7 +39,8 @@
 	watchers []chan struct{}
 }
 
-// priorityNames lists the classes, most urgent first. Unknown names count as normal.
+// priorityNames lists the priorities from highest to lowest. Unknown names
+// count as normal.
 var priorityNames = []string{"urgent", "high", "normal", "batch"}
 
 const priorityNormal = 2
@@ -73,7 +74,8 @@
 	return j.prompt[len(j.prompt)-1].Tokens
 }
 
-// expectedTokens is what the engine counts for an answer not yet written.
+// expectedTokens returns the number of answer tokens that count as load before
+// the answer is complete.
 func (j *job) expectedTokens() int {
 	if j.req.MaxTokens > 0 {
 		return j.req.MaxTokens
@@ -83,8 +85,8 @@
 
 func (j *job) unfinished() bool { return j.state == jobQueued || j.state == jobRunning }
 
-// wake tells the connections that read the job that it moved on.
-func (j *job) wake() {
+// notify wakes the connections that read the job.
+func (j *job) notify() {
 	for _, w := range j.watchers {
 		select {
 		case w <- struct{}{}:
@@ -93,9 +95,9 @@
 	}
 }
 
-// answered returns the boundaries of the prompt together with the answer: the
-// prefix that the chat's next turn will start with.
-func (j *job) answered() []chat.Boundary {
+// promptWithAnswer returns the boundaries of the prompt and the answer, which
+// are the prefix of the chat's next turn.
+func (j *job) promptWithAnswer() []chat.Boundary {
 	text := AnswerText(j.req)
 	turn := wire.Message{Role: roleAssistant, Content: text}
 	return chat.Boundaries(j.req.Model, j.req.Adapter, append(slices.Clone(j.req.Messages), turn))
@@ -109,8 +111,8 @@
 	}
 }
 
-// appendChunk appends the JSON of one wire.Chunk. It is written by hand, since
-// encoding all chunks by reflection would be most of the stand-in's work.
+// appendChunk appends a wire.Chunk in JSON. It is encoded by hand, since
+// reflection would take most of the stand-in's processor time.
 func (j *job) appendChunk(b []byte, offset int) []byte {
 	b = append(b, j.head...)
 	b = strconv.AppendInt(b, int64(offset), 10)
--- a/internal/lab/standin/engine/options.go
+++ b/internal/lab/standin/engine/options.go
@@ -1,12 +1,12 @@
 // Package engine is a stand-in for a language model engine: continuous
 // batching, prefix cache, priorities, resumable streams, cache events, load
-// reports, orders and faults. It keeps books of its own, so that tests judge
-// the router by what the engine saw and not by what the router believes.
+// reports, orders and faults. It records its own stats, so that tests check the
+// router against what the engine executed and not against the router's state.
 package engine
 
 import "time"
 
-// Options are the settings of an Engine.
+// Options configures an Engine.
 type Options struct {
 	// Name and Incarnation are the engine's identity; 0 means incarnation 1.
 	Name        string
@@ -15,35 +15,35 @@
 	Model    string
 	Version  string
 	Adapters []string
-	// MaxBatch and MaxQueue bound running and waiting requests.
+	// MaxBatch and MaxQueue are the maximum numbers of running and queued requests.
 	MaxBatch int
 	MaxQueue int
-	// StepTime is the duration of one step, which gives each sequence that is
-	// past its prefill one chunk. 0 steps without waiting.
+	// StepTime is the duration of one step, which produces one chunk for each
+	// sequence that has completed its prefill. 0 steps without delay.
 	StepTime time.Duration
-	// PrefillPerMS is how many uncached prompt tokens the engine takes in per
-	// millisecond, over the whole batch. 0 is without limit.
+	// PrefillPerMS is the number of uncached prompt tokens per millisecond that
+	// the engine prefills, over the whole batch. 0 means no limit.
 	PrefillPerMS int
 	// CacheTokens is the capacity of the prefix cache.
 	CacheTokens int64
-	// KVBytesPerToken is the size of an exported token, in bytes.
+	// KVBytesPerToken is the size of a token in an exported cache, in bytes.
 	KVBytesPerToken int
-	// EventDelay is how late cache events become visible, EventLog how many
-	// are kept, EventLoss the share that is lost without trace.
+	// EventDelay is the delay until cache events become visible, EventLog the
+	// number of events kept, and EventLoss the share that is silently lost.
 	EventDelay time.Duration
 	EventLog   int
 	EventLoss  float64
-	// ReportLag is the age of the load figures in a status report.
+	// ReportLag is the age of the load in a status report.
 	ReportLag time.Duration
-	// KeepStreams is how long a finished stream can still be resumed.
+	// KeepStreams is how long an ended stream can still be resumed.
 	KeepStreams time.Duration
-	// Bucket is the resolution of the load in the books.
+	// Bucket is the resolution of the load in the stats.
 	Bucket time.Duration
-	// Seed drives the loss of events.
+	// Seed seeds the loss of events.
 	Seed uint64
 }
 
-// Defaults returns the settings of a middling engine.
+// Defaults returns the options of a typical engine.
 func Defaults(name, model string) Options {
 	return Options{
 		Name:            name,
@@ -64,20 +64,20 @@
 	}
 }
 
-// withFloors replaces the settings that an engine can't work without.
-func (o Options) withFloors() Options {
+// withDefaults replaces zero values that an engine cannot work with.
+func (o Options) withDefaults() Options {
 	d := Defaults(o.Name, o.Model)
-	floor(&o.Incarnation, d.Incarnation)
-	floor(&o.MaxBatch, d.MaxBatch)
-	floor(&o.MaxQueue, d.MaxQueue)
-	floor(&o.CacheTokens, d.CacheTokens)
-	floor(&o.EventLog, d.EventLog)
-	floor(&o.KeepStreams, d.KeepStreams)
-	floor(&o.Bucket, d.Bucket)
+	setDefault(&o.Incarnation, d.Incarnation)
+	setDefault(&o.MaxBatch, d.MaxBatch)
+	setDefault(&o.MaxQueue, d.MaxQueue)
+	setDefault(&o.CacheTokens, d.CacheTokens)
+	setDefault(&o.EventLog, d.EventLog)
+	setDefault(&o.KeepStreams, d.KeepStreams)
+	setDefault(&o.Bucket, d.Bucket)
 	return o
 }
 
-func floor[T comparable](field *T, value T) {
+func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
 		*field = value
--- a/internal/lab/standin/engine/stream.go
+++ b/internal/lab/standin/engine/stream.go
@@ -11,10 +11,10 @@
 	"github.com/labstack/echo/v4"
 )
 
-// staleID is the id of the foreign chunk that FaultStaleChunk puts in.
+// staleID is the request id of the chunk that FaultStaleChunk inserts.
 const staleID = "another-request"
 
-// reader is one connection that reads a job.
+// reader is a connection that reads a job.
 type reader struct {
 	e       *Engine
 	c       echo.Context
@@ -44,16 +44,16 @@
 	}
 }
 
-// progress returns how much of the answer there is.
+// progress returns the number of chunks produced and the job's state.
 func (r *reader) progress() (produced int, state jobState) {
 	r.e.mu.Lock()
 	defer r.e.mu.Unlock()
 	return r.j.produced, r.j.state
 }
 
-// pause waits for the job to move on. It reports false when the caller went
-// away, and breaks the connection when the engine crashed.
-func (r *reader) pause() bool {
+// wait waits for progress of the job. It returns false when the client
+// disconnected, and aborts the connection when the engine crashed.
+func (r *reader) wait() bool {
 	select {
 	case <-r.crashed:
 		panic(http.ErrAbortHandler)
@@ -64,7 +64,7 @@
 	}
 }
 
-// hang stays silent until the caller goes away or the engine crashes.
+// hang sends nothing until the client disconnects or the engine crashes.
 func (r *reader) hang() {
 	select {
 	case <-r.crashed:
@@ -90,7 +90,7 @@
 	for {
 		produced, state := r.progress()
 		for r.pos < produced {
-			if r.strike() {
+			if r.applyFault() {
 				return nil
 			}
 			r.writeChunk(r.pos)
@@ -102,15 +102,15 @@
 		case jobCanceled:
 			panic(http.ErrAbortHandler)
 		}
-		if r.strike() || !r.pause() {
+		if r.applyFault() || !r.wait() {
 			return nil
 		}
 	}
 }
 
-// strike carries out the fault once its chunk is reached, and reports whether
+// applyFault applies the fault once its chunk is reached, and reports whether
 // the body ends here.
-func (r *reader) strike() bool {
+func (r *reader) applyFault() bool {
 	if r.fault.Kind == "" || r.pos < r.fault.After {
 		return false
 	}
@@ -163,8 +163,8 @@
 	r.buf = append(r.buf, "\n\n"...)
 }
 
-// flush writes what has gathered. A write that fails means that the caller
-// went away, which the request's context tells as well.
+// flush writes the buffered chunks. It ignores write errors, which mean that the
+// client disconnected: the request's context reports that too.
 func (r *reader) flush() {
 	if len(r.buf) == 0 {
 		return
@@ -174,8 +174,8 @@
 	r.c.Response().Flush()
 }
 
-// wait blocks until j has finished; false means that the caller went away or
-// the job was canceled.
+// wait blocks until j has finished. It returns false when the client
+// disconnected, and aborts the connection when the job was canceled.
 func (e *Engine) wait(c echo.Context, j *job) bool {
 	r := e.attach(c, j)
 	defer r.detach()
@@ -187,7 +187,7 @@
 		case jobCanceled:
 			panic(http.ErrAbortHandler)
 		}
-		if !r.pause() {
+		if !r.wait() {
 			return false
 		}
 	}
@@ -209,7 +209,7 @@
 	})
 }
 
-// chunkHead is the JSON of a chunk up to its offset.
+// chunkHead returns the JSON of a chunk up to its offset.
 func chunkHead(id, model string) []byte {
 	b := append([]byte(`{"id":`), quote(id)...)
 	b = append(b, `,"object":"`+protocol.ObjectChunk+`","model":`...)
--- a/internal/lab/standin/service/faults.go
+++ b/internal/lab/standin/service/faults.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// FaultKind names what goes wrong.
+// FaultKind is the kind of a fault.
 type FaultKind string
 
-// The faults.
+// Kinds of faults.
 const (
-	// FaultReplyLost executes and then breaks the connection.
+	// FaultReplyLost executes the call and aborts the connection.
 	FaultReplyLost FaultKind = "reply_lost"
-	// FaultHang executes and then stays silent until the caller gives up.
+	// FaultHang executes the call and sends nothing until the client disconnects.
 	FaultHang FaultKind = "hang"
-	// FaultSlow waits for Delay before it executes.
+	// FaultSlow waits for Delay before execution.
 	FaultSlow FaultKind = "slow"
-	// FaultRefuse refuses before executing, with proof.
+	// FaultRefuse refuses before execution, with proof of that.
 	FaultRefuse FaultKind = "refuse"
-	// FaultErrorBefore answers 500 without executing and without proof.
+	// FaultErrorBefore responds with status 500, without execution and without proof.
 	FaultErrorBefore FaultKind = "error_before"
-	// FaultErrorAfter executes and then answers 500.
+	// FaultErrorAfter executes the call and responds with status 500.
 	FaultErrorAfter FaultKind = "error_after"
 )
 
-// Fault is one thing that goes wrong.
+// Fault is a fault to inject.
 type Fault struct {
 	Kind FaultKind `json:"kind"`
-	// Count is how many calls are struck; 0 strikes all.
+	// Count is the number of calls affected; 0 affects all.
 	Count int `json:"count,omitempty"`
-	// Delay is how long a slow call waits, in nanoseconds.
+	// Delay is the delay of FaultSlow, in nanoseconds.
 	Delay time.Duration `json:"delay,omitempty"`
 }
 
@@ -47,7 +47,7 @@
 	s.faults = nil
 }
 
-// takeFault returns the oldest fault of the kinds and uses it up.
+// takeFault returns the oldest fault of one of the kinds and decrements its count.
 func (s *Service) takeFault(kinds ...FaultKind) (Fault, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/standin/service/http.go
+++ b/internal/lab/standin/service/http.go
@@ -14,13 +14,13 @@
 	"github.com/labstack/echo/v4"
 )
 
-// Paths of the service and of the stand-in's own controls.
+// Paths of the service and of the stand-in's control endpoints.
 const (
 	PathReceipts  = "/receipts"
 	PathHandovers = "/handovers"
 	PathStatus    = "/status/"
 	PathChecks    = "/checks/"
-	PathBooks     = "/standin/books"
+	PathStats     = "/standin/books"
 	PathFaults    = "/standin/faults"
 	PathLeave     = "/standin/leave"
 )
@@ -33,20 +33,21 @@
 // Handler returns the service's HTTP interface.
 func (s *Service) Handler() http.Handler {
 	r := echo.New()
-	r.POST(PathReceipts, s.work("receipts"), s.echoIdentity)
-	r.POST(PathHandovers, s.work("handovers"), s.echoIdentity)
+	r.POST(PathReceipts, s.operation("receipts"), s.echoIdentity)
+	r.POST(PathHandovers, s.operation("handovers"), s.echoIdentity)
 	r.GET(PathStatus+":"+paramID, s.lookup("status"), s.echoIdentity)
 	r.GET(PathChecks+":"+paramID, s.lookup("checks"), s.echoIdentity)
 	r.GET(wire.PathEngineStatus, s.getReport, s.echoIdentity)
-	r.GET(PathBooks, s.getBooks)
+	r.GET(PathStats, s.getStats)
 	r.POST(PathFaults, s.postFault)
 	r.DELETE(PathFaults, s.deleteFaults)
 	r.POST(PathLeave, s.postLeave)
 	return r
 }
 
-// echoIdentity names the service and the request in the reply. It reads the body to its
-// end, since net/http notices that a caller left only after that.
+// echoIdentity sets the headers that identify the service and the request. It
+// reads the body to its end, since net/http detects a disconnected client only
+// after that.
 func (s *Service) echoIdentity(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		h := c.Response().Header()
@@ -62,16 +63,16 @@
 	}
 }
 
-// work handles a kind of non-idempotent call.
-func (s *Service) work(kind string) echo.HandlerFunc {
+// operation handles a kind of non-idempotent call.
+func (s *Service) operation(kind string) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		defer s.enter(c.Request().Header.Get(wire.HeaderRequestID))()
-		if done, err := s.before(c); done {
+		defer s.beginCall(c.Request().Header.Get(wire.HeaderRequestID))()
+		if done, err := s.beforeExecution(c); done {
 			return err
 		}
 		r := s.execute(kind, c.Request().Header.Get(wire.HeaderIdempotencyKey))
 		if f, ok := s.takeFault(FaultReplyLost, FaultHang, FaultErrorAfter); ok {
-			return strikeAfter(c, f)
+			return failAfter(c, f)
 		}
 		return c.JSON(http.StatusCreated, r)
 	}
@@ -80,28 +81,28 @@
 // lookup handles a kind of idempotent call.
 func (s *Service) lookup(kind string) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		defer s.enter(c.Request().Header.Get(wire.HeaderRequestID))()
-		if done, err := s.before(c); done {
+		defer s.beginCall(c.Request().Header.Get(wire.HeaderRequestID))()
+		if done, err := s.beforeExecution(c); done {
 			return err
 		}
 		s.mu.Lock()
-		s.books.Lookups++
+		s.stats.Lookups++
 		s.mu.Unlock()
 		if f, ok := s.takeFault(FaultReplyLost, FaultHang, FaultErrorAfter); ok {
-			return strikeAfter(c, f)
+			return failAfter(c, f)
 		}
 		id := c.Param(paramID)
 		return c.JSON(http.StatusOK, Lookup{Kind: kind, ID: id, State: LookupState(kind, id)})
 	}
 }
 
-// before runs what can end a call before its execution, and reports whether
-// it has.
-func (s *Service) before(c echo.Context) (bool, error) {
+// beforeExecution checks the call and applies the faults that precede its
+// execution. It reports whether it has responded.
+func (s *Service) beforeExecution(c echo.Context) (bool, error) {
 	if s.wrongIdentity(c) {
 		return true, s.refuse(c, http.StatusConflict, protocol.CodeWrongIdentity)
 	}
-	if s.isLeaving() {
+	if s.isDraining() {
 		return true, s.refuse(c, http.StatusServiceUnavailable, protocol.CodeLeaving)
 	}
 	if f, ok := s.takeFault(FaultRefuse, FaultErrorBefore); ok {
@@ -114,15 +115,16 @@
 	if f, ok := s.takeFault(FaultSlow); ok {
 		wait += f.Delay
 	}
-	// Execution goes on although the caller may have left: that is what makes
-	// a timeout's outcome unknown.
+	// The sleep ignores the request's context: the execution continues after the
+	// client disconnects, so that the outcome of a timeout is unknown.
 	if wait > 0 {
 		time.Sleep(wait)
 	}
 	return false, nil
 }
 
-// wrongIdentity reports whether the router meant another service or incarnation.
+// wrongIdentity reports whether the call is addressed to another service or
+// incarnation.
 func (s *Service) wrongIdentity(c echo.Context) bool {
 	h := c.Request().Header
 	name := h.Get(protocol.HeaderName)
@@ -133,22 +135,22 @@
 	return want != "" && want != strconv.FormatUint(s.opts.Incarnation, 10)
 }
 
-func (s *Service) isLeaving() bool {
+func (s *Service) isDraining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.leaving
+	return s.draining
 }
 
-// refuse answers a call that was not executed, with proof.
+// refuse refuses a call that was not executed, with proof of that.
 func (s *Service) refuse(c echo.Context, status int, code protocol.Code) error {
 	s.mu.Lock()
-	s.books.Refused++
+	s.stats.Refused++
 	s.mu.Unlock()
 	c.Response().Header().Set(wire.HeaderRan, ranNo)
 	return c.JSON(status, protocol.Refusal{Code: code})
 }
 
-func strikeAfter(c echo.Context, f Fault) error {
+func failAfter(c echo.Context, f Fault) error {
 	if f.Kind == FaultErrorAfter {
 		return c.JSON(http.StatusInternalServerError, protocol.Refusal{Code: protocol.CodeFault})
 	}
@@ -165,7 +167,7 @@
 	return wire.EngineStatus{
 		Name:        s.opts.Name,
 		Incarnation: s.opts.Incarnation,
-		Leaving:     s.leaving,
+		Leaving:     s.draining,
 		Running:     s.calls,
 		Weight:      int64(s.calls),
 		MaxBatch:    s.opts.MaxRunning,
@@ -175,7 +177,7 @@
 
 func (s *Service) getReport(c echo.Context) error { return c.JSON(http.StatusOK, s.Report()) }
 
-func (s *Service) getBooks(c echo.Context) error { return c.JSON(http.StatusOK, s.Books()) }
+func (s *Service) getStats(c echo.Context) error { return c.JSON(http.StatusOK, s.Books()) }
 
 func (s *Service) postFault(c echo.Context) error {
 	var f Fault
--- a/internal/lab/standin/service/service.go
+++ b/internal/lab/standin/service/service.go
@@ -1,6 +1,6 @@
-// Package service is a stand-in for a plain service: it issues receipts, logs
-// key handovers and answers look-ups. Its books count every execution, so that
-// a test sees a doubled one whatever the router believes.
+// Package service is a stand-in for a service: it issues receipts, logs key
+// handovers and answers look-ups. Its stats count every execution, so that
+// tests detect a double execution independently of the router.
 package service
 
 import (
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// Options are the settings of a Service.
+// Options configures a Service.
 type Options struct {
 	// Name and Incarnation are the service's identity; 0 means incarnation 1.
 	Name        string
 	Incarnation uint64
-	// Deduplicates makes the service answer a repeated Idempotency-Key from
-	// memory, without executing again.
+	// Deduplicates makes the service answer a repeated Idempotency-Key with the
+	// stored reply, without executing the call again.
 	Deduplicates bool
-	// Latency is how long an execution takes.
+	// Latency is the duration of an execution.
 	Latency time.Duration
-	// MaxRunning is the limit that the service reports; 0 means 64.
+	// MaxRunning is the limit in the status report; 0 means 64.
 	MaxRunning int
 }
 
@@ -41,38 +41,38 @@
 type Lookup struct {
 	Kind string `json:"kind"`
 	ID   string `json:"id"`
-	// State is a deterministic function of kind and id.
+	// State is a function of kind and id.
 	State string `json:"state"`
 }
 
-// Books are what the service itself saw.
-type Books struct {
+// Stats are the service's own counters.
+type Stats struct {
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"incarnation"`
-	// Executions counts, by Idempotency-Key, how often work was executed.
+	// Executions counts executions by Idempotency-Key.
 	Executions map[string]int `json:"executions"`
-	// Records lists the executions in their order.
+	// Records lists the executions in order.
 	Records []Record `json:"records"`
-	// Lookups counts idempotent calls, Refused those refused before
-	// executing, Deduplicated those answered from memory.
+	// Lookups counts idempotent calls, Refused calls refused before execution,
+	// Deduplicated calls answered with a stored reply.
 	Lookups      int `json:"lookups"`
 	Refused      int `json:"refused"`
 	Deduplicated int `json:"deduplicated"`
-	// MaxRunning is the highest number of calls at one time.
+	// MaxRunning is the maximum number of concurrent calls.
 	MaxRunning int `json:"max_running"`
 }
 
-// Service is the stand-in. It is safe for concurrent use.
+// Service is a stand-in service. It is safe for concurrent use.
 type Service struct {
 	opts Options
 
-	mu      sync.Mutex
-	books   Books
-	byKey   map[string]Record
-	running map[string]int
-	calls   int
-	leaving bool
-	faults  []Fault
+	mu       sync.Mutex
+	stats    Stats
+	byKey    map[string]Record
+	running  map[string]int
+	calls    int
+	draining bool
+	faults   []Fault
 }
 
 // New returns a Service.
@@ -83,42 +83,42 @@
 	}
 	return &Service{
 		opts:    opts,
-		books:   Books{Executions: map[string]int{}},
+		stats:   Stats{Executions: map[string]int{}},
 		byKey:   map[string]Record{},
 		running: map[string]int{},
 	}
 }
 
-// Books returns a copy of the service's books.
-func (s *Service) Books() Books {
+// Books returns a copy of the service's stats.
+func (s *Service) Books() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b := s.books
-	b.Name = s.opts.Name
-	b.Incarnation = s.opts.Incarnation
-	b.Executions = maps.Clone(b.Executions)
-	b.Records = slices.Clone(b.Records)
-	return b
+	out := s.stats
+	out.Name = s.opts.Name
+	out.Incarnation = s.opts.Incarnation
+	out.Executions = maps.Clone(out.Executions)
+	out.Records = slices.Clone(out.Records)
+	return out
 }
 
-// Leave makes the service refuse new work.
+// Leave starts the drain: the service refuses new calls.
 func (s *Service) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving = true
+	s.draining = true
 }
 
-// execute does the work, once per call or, with Deduplicates, once per key.
+// execute executes the call, or returns the stored reply to its key with Deduplicates.
 func (s *Service) execute(kind, key string) Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r, ok := s.byKey[key]; ok && s.opts.Deduplicates {
-		s.books.Deduplicated++
+		s.stats.Deduplicated++
 		return r
 	}
-	s.books.Executions[key]++
-	r := Record{Number: len(s.books.Records) + 1, Kind: kind, Key: key}
-	s.books.Records = append(s.books.Records, r)
+	s.stats.Executions[key]++
+	r := Record{Number: len(s.stats.Records) + 1, Kind: kind, Key: key}
+	s.stats.Records = append(s.stats.Records, r)
 	if key != "" {
 		s.byKey[key] = r
 	}
@@ -130,17 +130,17 @@
 	return fmt.Sprintf("%s of %s: open", kind, id)
 }
 
-// enter counts a call as running; the returned function ends it.
-func (s *Service) enter(requestID string) func() {
+// beginCall counts a call as running. The returned function ends it.
+func (s *Service) beginCall(requestID string) func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
 	s.running[requestID]++
-	s.books.MaxRunning = max(s.books.MaxRunning, s.calls)
-	return func() { s.exit(requestID) }
+	s.stats.MaxRunning = max(s.stats.MaxRunning, s.calls)
+	return func() { s.endCall(requestID) }
 }
 
-func (s *Service) exit(requestID string) {
+func (s *Service) endCall(requestID string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls--
--- a/internal/lab/standin/service/service_test.go
+++ b/internal/lab/standin/service/service_test.go
@@ -23,13 +23,13 @@
 	return w
 }
 
-func TestEveryExecutionIsCounted(t *testing.T) {
+func TestStatsCountEveryExecution(t *testing.T) {
 	for name, tc := range map[string]struct {
 		dedupe bool
 		want   int
 	}{
-		"a plain service executes each call":    {false, 2},
-		"a deduplicating one executes each key": {true, 1},
+		"a service without deduplication executes each call": {false, 2},
+		"a deduplicating service executes each key":          {true, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := New(Options{Name: "keys", Deduplicates: tc.dedupe})
@@ -84,8 +84,8 @@
 	require.Equal(t, http.StatusCreated, call(s, http.MethodPost, PathReceipts, "k", "{}").Code)
 	require.Equal(t, http.StatusNoContent, call(s, http.MethodPost, PathLeave, "", "").Code)
 	require.Equal(t, http.StatusServiceUnavailable, call(s, http.MethodPost, PathReceipts, "k", "{}").Code)
-	var b Books
-	require.NoError(t, json.Unmarshal(call(s, http.MethodGet, PathBooks, "", "").Body.Bytes(), &b))
+	var b Stats
+	require.NoError(t, json.Unmarshal(call(s, http.MethodGet, PathStats, "", "").Body.Bytes(), &b))
 	require.Equal(t, 2, b.Refused)
 	require.Equal(t, map[string]int{"k": 1}, b.Executions)
 }
--- a/internal/lab/standin/standin.go
+++ b/internal/lab/standin/standin.go
@@ -1,6 +1,6 @@
-// Package standin puts the stand-ins of this repository together: a store,
-// engines and plain services that the router meets over their published
-// protocols, on one machine, in tests and trials.
+// Package standin creates the stand-ins of this repository: a store, engines
+// and services that routers reach over their published protocols, on one
+// machine, in tests and trials.
 package standin
 
 import (
@@ -16,14 +16,14 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrRegister means that a stand-in could not be listed in the VM list.
+// ErrRegister is the class of failures to add a stand-in to the VM list.
 var ErrRegister = errs.Class("standin: register")
 
 // NewStore returns a stand-in for the platform's store.
 func NewStore() *standin.Server { return standin.NewServer(standin.Options{}) }
 
-// Seed accepts a bundle as the first version of the configuration in the store at
-// an address.
+// Seed writes a bundle as the first version of the configuration to the store at
+// the address.
 func Seed(ctx context.Context, address string, b config.Bundle) error {
 	store := platform.NewStore(address, platform.Options{})
 	_, err := config.NewChain(store, store.Objects(), time.Now).Accept(ctx, config.Change{
@@ -32,7 +32,7 @@
 	return err
 }
 
-// EngineOptions are the settings of a stand-in engine that trials vary.
+// EngineOptions configures a stand-in engine.
 type EngineOptions struct {
 	Name, Model, Version string
 	Adapters             []string
@@ -56,7 +56,7 @@
 	return engine.New(opts)
 }
 
-// NewService returns a stand-in plain service.
+// NewService returns a stand-in service.
 func NewService(name string) *service.Service {
 	return service.New(service.Options{Name: name})
 }
@@ -64,13 +64,13 @@
 const (
 	// registerTimeout bounds Register.
 	registerTimeout = 5 * time.Second
-	// registerPause is the wait between two attempts.
+	// registerPause is the delay between two attempts.
 	registerPause = 100 * time.Millisecond
 )
 
-// Register lists a VM in the store at an address. It waits a moment for a store
-// that was started at the same time and doesn't listen yet; otherwise the
-// stand-in would end, and one sees a fleet without engines. Errors: ErrRegister.
+// Register adds a VM to the list in the store at the address. It retries for up
+// to five seconds, since a store that was started at the same time may not
+// listen yet, and the fleet would stay without the stand-in. Errors: ErrRegister.
 func Register(ctx context.Context, address string, vm api.VM) error {
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
--- a/internal/lab/testseed/testseed.go
+++ b/internal/lab/testseed/testseed.go
@@ -1,17 +1,17 @@
-// Package testseed makes property tests draw the same values in every run.
-// Test files import it for its side effect.
+// Package testseed fixes the seed of property tests. Test files import it for
+// its side effect.
 //
-// Package rapid takes a random seed unless told one. A commit's verdict would then
-// depend on the run: a fault that one seed in a thousand meets turns an
-// unrelated commit red, and a second run turns it green again. With a fixed
-// seed the same code gives the same verdict. To look for new faults, give a
-// seed of your own: go test -rapid.seed=N, or RAPID_SEED=N for all packages.
+// Package rapid uses a random seed by default, so that the result of a commit
+// depends on the run: a fault that one seed in a thousand finds fails an
+// unrelated commit, and passes on a retry. With a fixed seed the same code has
+// the same result. To search for new faults, pass another seed with
+// go test -rapid.seed=N, or RAPID_SEED=N for all packages.
 package testseed
 
 import (
 	"flag"
 
-	// Its init defines the flag, and so must run before the one below.
+	// Its init defines the flag, and must run before the one below.
 	_ "pgregory.net/rapid"
 )
 
@@ -21,11 +21,11 @@
 // flagName is rapid's flag for the seed.
 const flagName = "rapid.seed"
 
-// random is the flag's value where neither RAPID_SEED nor the command line
-// gives a seed; rapid then takes a random one.
+// random is the flag's default if neither RAPID_SEED nor the command line sets
+// a seed; rapid then uses a random one.
 const random = "0"
 
-// The flag is set before the command line is parsed, which so overrides it.
+// The command line is parsed after init, and so overrides the seed set here.
 func init() {
 	if flag.Lookup(flagName).Value.String() != random {
 		return
--- a/internal/lab/testseed/testseed_test.go
+++ b/internal/lab/testseed/testseed_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// draws returns what one property test draws.
+// draws returns the values that one property test draws.
 func draws(t *testing.T) []uint64 {
 	var out []uint64
 	rapid.Check(t, func(rt *rapid.T) {
@@ -17,10 +17,9 @@
 	return out
 }
 
-// Symptom: a commit's tests fail, and pass when they are run again.
-// Sequence: each run seeds its property tests anew; few seeds meet the fault.
-// Cause: rapid takes a random seed unless it is told one.
-func TestDrawsAreTheSameInEveryRun(t *testing.T) {
+// With a random seed, a property test finds a rare fault in some runs only: the
+// tests of a commit fail and pass on a retry.
+func TestPropertyTestsDrawSameValues(t *testing.T) {
 	first := draws(t)
 	require.NotEmpty(t, first)
 	require.Equal(t, first, draws(t))
--- a/test/e2e/faults_test.go
+++ b/test/e2e/faults_test.go
@@ -63,9 +63,9 @@
 	t.Helper()
 	n := 0
 	for _, p := range f.portals {
-		var b service.Books
-		getJSON(t, "http://"+p.address+service.PathBooks, &b)
-		n += len(b.Records)
+		var stats service.Stats
+		getJSON(t, "http://"+p.address+service.PathStats, &stats)
+		n += len(stats.Records)
 	}
 	return n
 }
