--- a/test/e2e/faults_test.go
+++ b/test/e2e/faults_test.go
@@ -22,31 +22,31 @@
 )
 
 const (
-	// longTokens makes a stream that lasts for some seconds.
+	// longTokens yields a stream that lasts several seconds.
 	longTokens = 4000
-	// strikeAt is the number of pieces after which a fault strikes a stream.
-	strikeAt = 50
-	// executionDelay holds a receipt up at the portal, so that its router is
-	// found in the middle of it.
+	// faultPosition is the number of chunks after which a fault occurs.
+	faultPosition = 50
+	// executionDelay delays a receipt at the portal, so that a fault can occur
+	// during its execution.
 	executionDelay = 3 * time.Second
 )
 
-// signal reaches one process that this test started.
+// signal sends a signal to the process.
 func (p *process) signal(t *testing.T, s os.Signal) {
 	t.Helper()
 	require.NoError(t, p.cmd.Process.Signal(s))
 }
 
-// exited waits for the process to end by itself.
-func (p *process) exited(t *testing.T) {
+// awaitExit waits until the process exits without error.
+func (p *process) awaitExit(t *testing.T) {
 	t.Helper()
 	ended := make(chan error, 1)
 	go func() { ended <- p.cmd.Wait() }()
 	select {
 	case err := <-ended:
 		require.NoError(t, err)
-	case <-time.After(patience):
-		require.FailNow(t, "the process does not end")
+	case <-time.After(waitTimeout):
+		require.FailNow(t, "process did not exit")
 	}
 }
 
@@ -58,8 +58,8 @@
 	require.NoError(t, json.NewDecoder(resp.Body).Decode(out))
 }
 
-// receipts is how often the portals executed anything, by their own books.
-func (f *fleet) receipts(t *testing.T) int {
+// receiptCount returns the number of executions that the portals have recorded.
+func (f *fleet) receiptCount(t *testing.T) int {
 	t.Helper()
 	n := 0
 	for _, p := range f.portals {
@@ -70,8 +70,8 @@
 	return n
 }
 
-// slowPortals lets the next execution at each portal take a while.
-func (f *fleet) slowPortals(t *testing.T) {
+// delayPortals delays the next execution at each portal by executionDelay.
+func (f *fleet) delayPortals(t *testing.T) {
 	t.Helper()
 	body, err := json.Marshal(service.Fault{Kind: service.FaultSlow, Count: 1, Delay: executionDelay})
 	require.NoError(t, err)
@@ -82,8 +82,8 @@
 	}
 }
 
-// working returns the processes whose report shows a running request.
-func working(t *testing.T, processes []*process) []*process {
+// busyProcesses returns the processes whose status reports a running request.
+func busyProcesses(t *testing.T, processes []*process) []*process {
 	t.Helper()
 	var out []*process
 	for _, p := range processes {
@@ -96,24 +96,25 @@
 	return out
 }
 
-var errIdle = errors.New("nothing runs yet")
+var errIdle = errors.New("no request is running")
 
-// readyChat starts a fleet and returns a conversation that has had a turn.
+// readyChat starts a fleet and returns a client and a conversation, once the
+// fleet answers.
 func readyChat(t *testing.T, chat string) (*fleet, *client.Client, *client.Conversation) {
 	f := startFleet(t)
 	c := f.client(t, chatKey)
 	eventually(t, func() error {
-		v := c.Conversation(chat, "dossier")
-		v.MaxTokens = 1
-		_, err := v.Say(t.Context(), "hello", nil)
+		conv := c.Conversation(chat, "dossier")
+		conv.MaxTokens = 1
+		_, err := conv.Say(t.Context(), "hello", nil)
 		return err
 	})
-	v := c.Conversation(chat, "dossier")
-	v.MaxTokens = longTokens
-	return f, c, v
+	conv := c.Conversation(chat, "dossier")
+	conv.MaxTokens = longTokens
+	return f, c, conv
 }
 
-// router returns the router that the client uses for a chat.
+// router returns the router to which the client sends a chat.
 func (f *fleet) router(t *testing.T, c *client.Client, chat string) *process {
 	t.Helper()
 	addresses, err := c.Locate(t.Context(), chat, "dossier")
@@ -123,75 +124,72 @@
 			return r
 		}
 	}
-	require.FailNow(t, "no such router", addresses[0])
+	require.FailNow(t, "router not found", addresses[0])
 	return nil
 }
 
-// sayStruck has a long turn, and strikes in the middle of it.
-func sayStruck(t *testing.T, v *client.Conversation, strike func()) (client.Turn, string, error) {
+// sayWithFault sends a message with a long answer and calls fault during the stream.
+func sayWithFault(t *testing.T, conv *client.Conversation, fault func()) (client.Turn, string, error) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	var shown strings.Builder
 	n := 0
-	turn, err := v.Say(ctx, struckText, func(piece string) {
-		shown.WriteString(piece)
-		if n++; n == strikeAt {
-			strike()
+	turn, err := conv.Say(ctx, longQuestion, func(chunk string) {
+		shown.WriteString(chunk)
+		if n++; n == faultPosition {
+			fault()
 		}
 	})
 	return turn, shown.String(), err
 }
 
-const struckText = "Please check the whole dossier."
+const longQuestion = "Please check the whole dossier."
 
-func expected() string {
+func expectedAnswer() string {
 	return engine.AnswerText(wire.ChatRequest{
-		Model: "dossier", MaxTokens: longTokens, Messages: []wire.Message{{Role: "user", Content: struckText}},
+		Model: "dossier", MaxTokens: longTokens, Messages: []wire.Message{{Role: "user", Content: longQuestion}},
 	})
 }
 
-// Symptom: a caller gets half of an answer, or pieces twice.
-// Sequence: the router that relays the stream is killed; the client resumes at
-// another one.
-// Cause: the state that resuming needs is lost with the router.
-func TestRouterKilledMidStream(t *testing.T) {
-	f, c, v := readyChat(t, "killed-router")
+// A stream must be neither truncated nor repeated when the router that relays
+// it is killed and the client resumes at another one: the state needed to
+// resume must survive the router.
+func TestStreamResumesAfterRouterKill(t *testing.T) {
+	f, c, conv := readyChat(t, "killed-router")
 	relay := f.router(t, c, "killed-router")
-	turn, shown, err := sayStruck(t, v, func() { relay.signal(t, syscall.SIGKILL) })
+	turn, shown, err := sayWithFault(t, conv, func() { relay.signal(t, syscall.SIGKILL) })
 	require.NoError(t, err)
-	require.Equal(t, expected(), turn.Text)
+	require.Equal(t, expectedAnswer(), turn.Text)
 	require.Equal(t, turn.Text, shown)
 	require.Positive(t, turn.Resumes)
 }
 
-// Symptom: a planned stop of a router cuts streams.
-// Sequence: the router that relays a stream is told to stop in the middle.
-// Cause: it exits while it still has something to relay.
-func TestRouterStopsWithoutCuttingStreams(t *testing.T) {
-	f, c, v := readyChat(t, "stopped-router")
+// A router that is stopped with SIGTERM must not exit, and truncate streams,
+// before it has relayed them to their ends.
+func TestRouterStopDoesNotTruncateStreams(t *testing.T) {
+	f, c, conv := readyChat(t, "stopped-router")
 	relay := f.router(t, c, "stopped-router")
-	turn, shown, err := sayStruck(t, v, func() { relay.signal(t, syscall.SIGTERM) })
+	turn, shown, err := sayWithFault(t, conv, func() { relay.signal(t, syscall.SIGTERM) })
 	require.NoError(t, err)
-	require.Equal(t, expected(), turn.Text)
+	require.Equal(t, expectedAnswer(), turn.Text)
 	require.Equal(t, turn.Text, shown)
-	require.Zero(t, turn.Resumes, "nothing was cut")
-	relay.exited(t)
+	require.Zero(t, turn.Resumes, "the stream must not be interrupted")
+	relay.awaitExit(t)
 }
 
-// Symptom: half of an answer is shown as whole.
-// Sequence: the engine that serves a stream is killed in the middle of it.
-// Cause: the end of a connection is taken for the end of the answer.
-func TestEngineKilledMidStream(t *testing.T) {
-	f, _, v := readyChat(t, "killed-engine")
-	turn, shown, err := sayStruck(t, v, func() {
-		for _, e := range working(t, f.engines) {
+// A truncated answer must not be reported as complete when the engine is killed
+// during the stream and its connection closes.
+func TestEngineKillDoesNotCompleteAnswer(t *testing.T) {
+	f, _, conv := readyChat(t, "killed-engine")
+	turn, shown, err := sayWithFault(t, conv, func() {
+		for _, e := range busyProcesses(t, f.engines) {
 			e.signal(t, syscall.SIGKILL)
 		}
 	})
-	require.True(t, strings.HasPrefix(expected(), shown))
+	require.True(t, strings.HasPrefix(expectedAnswer(), shown))
 	if err == nil {
-		require.Equal(t, expected(), turn.Text)
+		require.Equal(t, expectedAnswer(), turn.Text)
 		return
 	}
 	var refusal *client.Refusal
@@ -199,15 +197,15 @@
 	require.NotEqual(t, apierr.RanNo, refusal.Ran)
 }
 
-// Symptom: a receipt is issued twice.
-// Sequence: a router is stopped while the portal executes a receipt; the caller
-// comes back with the same key to another router; the first one goes on.
-// Cause: the claim of a router that does not answer is taken over.
-func TestRouterFrozenMidReceipt(t *testing.T) {
+// A receipt must not be issued twice: a router is frozen while the portal
+// executes a receipt, the client retries with the same key at another router,
+// and the first router resumes. The claim of an unresponsive router must not be
+// taken over.
+func TestFrozenRouterDoesNotRepeatReceipt(t *testing.T) {
 	f := startFleet(t)
-	f.issue(t, f.client(t, portalKey), "warm-up")
-	before := f.receipts(t)
-	f.slowPortals(t)
+	f.issueReceipt(t, f.client(t, portalKey), "warm-up")
+	before := f.receiptCount(t)
+	f.delayPortals(t)
 	frozen, other := f.routers[0], f.routers[1]
 	first := make(chan struct{})
 	go func() {
@@ -215,7 +213,7 @@
 		_, _ = f.receiptAt(t.Context(), frozen, "frozen")
 	}()
 	eventually(t, func() error {
-		if len(working(t, f.portals)) == 0 {
+		if len(busyProcesses(t, f.portals)) == 0 {
 			return errIdle
 		}
 		return nil
@@ -223,7 +221,7 @@
 	frozen.signal(t, syscall.SIGSTOP)
 	status, err := f.receiptAt(t.Context(), other, "frozen")
 	require.NoError(t, err)
-	require.Equal(t, http.StatusConflict, status, "its outcome is not known")
+	require.Equal(t, http.StatusConflict, status, "the outcome must be unknown")
 	frozen.signal(t, syscall.SIGCONT)
 	<-first
 	eventually(t, func() error {
@@ -233,11 +231,12 @@
 		}
 		return err
 	})
-	require.Equal(t, before+1, f.receipts(t))
+	require.Equal(t, before+1, f.receiptCount(t))
 }
 
-// issue issues a receipt; a fleet that has just started may refuse at first.
-func (f *fleet) issue(t *testing.T, c *client.Client, key string) {
+// issueReceipt issues a receipt. It retries, since a fleet that has just started
+// may refuse calls.
+func (f *fleet) issueReceipt(t *testing.T, c *client.Client, key string) {
 	t.Helper()
 	eventually(t, func() error {
 		_, err := c.Call(t.Context(), http.MethodPost, "portal", "/receipts", key, []byte(`{"cooperative":"a"}`))
@@ -245,7 +244,7 @@
 	})
 }
 
-// receiptAt asks one router for a receipt, once.
+// receiptAt requests a receipt from one router, without retries.
 func (f *fleet) receiptAt(ctx context.Context, r *process, key string) (status int, err error) {
 	url := "http://" + r.address + wire.PathServices + "portal/receipts"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(`{"cooperative":"b"}`))
@@ -263,22 +262,18 @@
 	return resp.StatusCode, resp.Body.Close()
 }
 
-// Symptom: chats stop with the platform, or a receipt is issued that no claim
-// protects.
-// Sequence: the platform's services are lost; a chat goes on; a receipt is
-// asked for.
-// Cause: traffic depends on the store where it need not, or goes on without it
-// where it must not.
-func TestPlatformDown(t *testing.T) {
+// Without the platform, chats must continue, and no receipt may be issued, since
+// no claim protects it.
+func TestPlatformOutageStopsOnlyReceipts(t *testing.T) {
 	f, c, _ := readyChat(t, "no-platform")
 	portal := f.client(t, portalKey)
-	f.issue(t, portal, "before")
-	before := f.receipts(t)
+	f.issueReceipt(t, portal, "before")
+	before := f.receiptCount(t)
 	f.store.signal(t, syscall.SIGKILL)
 
-	v := c.Conversation("no-platform", "dossier")
-	v.MaxTokens = 16
-	_, err := v.Say(t.Context(), "Does it go on?", nil)
+	conv := c.Conversation("no-platform", "dossier")
+	conv.MaxTokens = 16
+	_, err := conv.Say(t.Context(), "Does it go on?", nil)
 	require.NoError(t, err)
 
 	_, err = portal.Call(t.Context(), http.MethodPost, "portal", "/receipts", "during", []byte(`{"cooperative":"a"}`))
@@ -286,5 +281,5 @@
 	require.ErrorAs(t, err, &refusal)
 	require.Equal(t, apierr.CodeStoreDown, refusal.Code)
 	require.Equal(t, apierr.RanNo, refusal.Ran)
-	require.Equal(t, before, f.receipts(t))
+	require.Equal(t, before, f.receiptCount(t))
 }
--- a/test/e2e/fleet_test.go
+++ b/test/e2e/fleet_test.go
@@ -1,4 +1,4 @@
-// Package e2e runs the real binary as separate processes on loopback.
+// Package e2e tests the real binary as separate processes on loopback.
 package e2e
 
 import (
@@ -21,42 +21,43 @@
 )
 
 const (
-	// patience is how long a test waits for an event before it fails. Nothing
-	// is judged by how long it took.
-	patience   = 60 * time.Second
-	exampleDir = "../../examples/sebeke"
-	chatKey    = "example-review-office-sebeke"
-	portalKey  = "example-applicant-portal-sebeke"
+	// waitTimeout bounds the wait for an event before a test fails. No test
+	// depends on how long an event takes.
+	waitTimeout = 60 * time.Second
+	exampleDir  = "../../examples/sebeke"
+	chatKey     = "example-review-office-sebeke"
+	portalKey   = "example-applicant-portal-sebeke"
 )
 
 var sites = []string{"cankaya", "yenimahalle", "mamak"}
 
-// runAsProduct makes a copy of the test binary behave as damaskrouter. So the
-// test's result depends on the product's code, and go test never takes an old
-// result for a new one, as it would if the binary were built on the side.
-const runAsProduct = "DAMASKROUTER_E2E_RUN"
+// runAsBinary makes a copy of the test binary run as damaskrouter. The test
+// result then depends on the code of damaskrouter, so that go test does not
+// reuse a cached result after a change, as it would with a binary that is
+// built separately.
+const runAsBinary = "DAMASKROUTER_E2E_RUN"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(runAsProduct) != "" {
+	if os.Getenv(runAsBinary) != "" {
 		os.Exit(cli.Main(os.Args[1:], os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
 }
 
-// process is one started process and the addresses that its log named.
+// process is a started process and the addresses from its log.
 type process struct {
 	cmd     *exec.Cmd
 	address string
 	control string
 }
 
-// start runs the binary and waits for the log line that names its address.
+// start runs the binary and waits for the log line with its address.
 func start(t *testing.T, args ...string) *process {
 	t.Helper()
 	binary, err := os.Executable()
 	require.NoError(t, err)
 	p := &process{cmd: exec.Command(binary, args...)}
-	p.cmd.Env = append(os.Environ(), runAsProduct+"=1")
+	p.cmd.Env = append(os.Environ(), runAsBinary+"=1")
 	stderr, err := p.cmd.StderrPipe()
 	require.NoError(t, err)
 	require.NoError(t, p.cmd.Start())
@@ -65,16 +66,16 @@
 		_ = p.cmd.Wait()
 	})
 	found := make(chan struct{})
-	go p.read(bufio.NewScanner(stderr), found)
+	go p.readLog(bufio.NewScanner(stderr), found)
 	select {
 	case <-found:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		require.FailNow(t, "no address in the log", strings.Join(args, " "))
 	}
 	return p
 }
 
-func (p *process) read(lines *bufio.Scanner, found chan struct{}) {
+func (p *process) readLog(lines *bufio.Scanner, found chan struct{}) {
 	for lines.Scan() {
 		var entry struct{ Msg, Address, Control string }
 		if json.Unmarshal(lines.Bytes(), &entry) != nil || entry.Address == "" || p.address != "" {
@@ -127,7 +128,7 @@
 	return file
 }
 
-// freeAddress returns an address that nothing listens on.
+// freeAddress returns an address on which nothing listens.
 func freeAddress(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -146,11 +147,11 @@
 	return c
 }
 
-// eventually repeats f until it succeeds: a fleet that has just started
-// refuses with a typed error until it has its configuration and engines.
+// eventually repeats f until it succeeds: a fleet that has just started refuses
+// requests with a typed error until it has its configuration and engines.
 func eventually(t *testing.T, f func() error) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for {
 		err := f()
 		if err == nil {
@@ -161,30 +162,31 @@
 	}
 }
 
-// errNotCached means that a second turn did not find its prefix cached.
-var errNotCached = errors.New("the second turn read its prefix again")
+// errNotCached means that the engine did not find the prefix of a second turn in
+// its cache.
+var errNotCached = errors.New("the prefix of the second turn was not cached")
 
-func TestWholePath(t *testing.T) {
+func TestChatAndReceiptEndToEnd(t *testing.T) {
 	f := startFleet(t)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 
-	callers, chats := f.client(t, chatKey), 0
+	c, chats := f.client(t, chatKey), 0
 	eventually(t, func() error {
 		chats++
-		v := callers.Conversation(fmt.Sprint("chat-", chats), "dossier")
-		v.Adapter = "grid-code"
-		v.MaxTokens = 16
-		first, err := v.Say(ctx, "Please check the first page of the dossier.", nil)
+		conv := c.Conversation(fmt.Sprint("chat-", chats), "dossier")
+		conv.Adapter = "grid-code"
+		conv.MaxTokens = 16
+		first, err := conv.Say(ctx, "Please check the first page of the dossier.", nil)
 		if err != nil {
 			return err
 		}
-		second, err := v.Say(ctx, "And the second page?", nil)
+		second, err := conv.Say(ctx, "And the second page?", nil)
 		require.NoError(t, err)
 		require.NotEmpty(t, first.Text)
 		require.NotEmpty(t, second.Text)
 		require.NotEqual(t, first.Text, second.Text)
-		// A chat's engine may change while routers still find engines.
+		// The engine of a chat may change while routers still discover engines.
 		if second.Usage.CachedTokens == 0 {
 			return errNotCached
 		}
@@ -200,7 +202,7 @@
 		issued, err = call()
 		return err
 	})
-	again, err := call()
+	repeated, err := call()
 	require.NoError(t, err)
-	require.Equal(t, issued.Body, again.Body, "the same key gets the stored answer, not a second receipt")
+	require.Equal(t, issued.Body, repeated.Body, "a repeated key must return the stored reply, not a second receipt")
 }
--- a/workloads/workloads.go
+++ b/workloads/workloads.go
@@ -1,12 +1,12 @@
-// Package workloads holds the workloads that come with the program.
+// Package workloads embeds the workload files that are part of the program.
 package workloads
 
 import "embed"
 
-// Files are the workload files, by name.
+// Files holds the workload files by name.
 //
 //go:embed *.yaml
 var Files embed.FS
 
-// Demo is the file that the demonstration runs.
+// Demo is the workload file of the demo command.
 const Demo = "sebeke-short.yaml"
