--- a/internal/lab/capacity/board_test.go
+++ b/internal/lab/capacity/board_test.go
@@ -15,11 +15,11 @@
 
 const self = "entry-000"
 
-// BenchmarkPublish is one published snapshot without subscribers: what any
-// change of a member, an engine or the configuration costs the board.
+// BenchmarkPublish publishes one snapshot without subscribers, which any change
+// of a member, an engine or the configuration requires.
 func BenchmarkPublish(b *testing.B) {
 	perSize(b, func(b *testing.B, f *capacity.Fleet) {
-		bd := f.Start(contextOf(b), self)
+		bd := f.Start(benchContext(b), self)
 		b.ReportAllocs()
 		for b.Loop() {
 			bd.UpdateWait(func(*board.State) {})
@@ -27,49 +27,49 @@
 	})
 }
 
-// BenchmarkPublishEngineChange is a published snapshot whose set of engines
-// differs from the last one's, so that engines are assigned to owners anew.
+// BenchmarkPublishEngineChange publishes a snapshot whose set of engines differs
+// from that of the last one, so that engines are assigned to owners again.
 func BenchmarkPublishEngineChange(b *testing.B) {
 	perSize(b, func(b *testing.B, f *capacity.Fleet) {
-		bd := f.Start(contextOf(b), self)
-		var gone board.Engine
+		bd := f.Start(benchContext(b), self)
+		var toggled board.Engine
 		for _, e := range bd.Snapshot().Engines {
-			gone = e
+			toggled = e
 		}
 		b.ReportAllocs()
 		for b.Loop() {
 			bd.UpdateWait(func(s *board.State) {
-				if _, ok := s.Engines[gone.Name]; ok {
-					delete(s.Engines, gone.Name)
+				if _, ok := s.Engines[toggled.Name]; ok {
+					delete(s.Engines, toggled.Name)
 					return
 				}
-				s.Engines[gone.Name] = gone
+				s.Engines[toggled.Name] = toggled
 			})
 		}
 	})
 }
 
-// BenchmarkSnapshotMemory is what one snapshot and the state under it keep
-// alive, next to a configuration that is shared by all snapshots.
+// BenchmarkSnapshotMemory measures the memory that one snapshot and its state
+// keep alive, without the configuration, which all snapshots share.
 func BenchmarkSnapshotMemory(b *testing.B) {
 	perSize(b, func(b *testing.B, f *capacity.Fleet) {
-		ctx := contextOf(b)
+		ctx := benchContext(b)
 		var bytes float64
 		for b.Loop() {
-			bytes = heapOf(func() any { return f.Start(ctx, self) })
+			bytes = heapSize(func() any { return f.Start(ctx, self) })
 		}
 		b.ReportMetric(bytes, "heap-B")
 	})
 }
 
-// BenchmarkConfigMemory is the bundle in text and the effective configuration.
+// BenchmarkConfigMemory measures the bundle as text and the effective configuration.
 func BenchmarkConfigMemory(b *testing.B) {
-	for _, s := range capacity.Steps() {
+	for _, s := range capacity.Sizes() {
 		b.Run(s.String(), func(b *testing.B) {
 			var bytes float64
 			for b.Loop() {
-				bytes = heapOf(func() any {
-					f := fleetOf(b, s)
+				bytes = heapSize(func() any {
+					f := newFleet(b, s)
 					return []any{f.Bundle, f.Config}
 				})
 			}
@@ -78,10 +78,10 @@
 	}
 }
 
-// BenchmarkOwner is one question for the owner of a key.
+// BenchmarkOwner looks up the owner of one key.
 func BenchmarkOwner(b *testing.B) {
 	perSize(b, func(b *testing.B, f *capacity.Fleet) {
-		snap := f.Start(contextOf(b), self).Snapshot()
+		snap := f.Start(benchContext(b), self).Snapshot()
 		key := uint64(0)
 		for b.Loop() {
 			key++
@@ -90,22 +90,22 @@
 	})
 }
 
-// BenchmarkRank is one question for a duty's order, as asked once a second.
+// BenchmarkRank looks up the order of one duty, as routers do once a second.
 func BenchmarkRank(b *testing.B) {
 	perSize(b, func(b *testing.B, f *capacity.Fleet) {
-		snap := f.Start(contextOf(b), self).Snapshot()
+		snap := f.Start(benchContext(b), self).Snapshot()
 		for b.Loop() {
 			snap.Rank(1)
 		}
 	})
 }
 
-// BenchmarkAdmissionSync is what a new snapshot costs admission when nothing
-// has moved.
+// BenchmarkAdmissionSync passes a new snapshot to admission that is equal to the
+// last one.
 func BenchmarkAdmissionSync(b *testing.B) {
 	perSize(b, func(b *testing.B, f *capacity.Fleet) {
-		bd := f.Start(contextOf(b), self)
-		a := admissionOf(b, bd, self, new(peer.Counters))
+		bd := f.Start(benchContext(b), self)
+		a := newAdmission(b, bd, self, new(peer.Counters))
 		snap := bd.Snapshot()
 		a.Sync(snap)
 		b.ReportAllocs()
@@ -115,11 +115,11 @@
 	})
 }
 
-// BenchmarkQuotaSync is what a new snapshot costs the account limits, when
-// only an engine has changed and when a router came or went.
+// BenchmarkQuotaSync passes a new snapshot to the account limits, after a change
+// of an engine only, and after a change of the routers.
 func BenchmarkQuotaSync(b *testing.B) {
 	perSize(b, func(b *testing.B, f *capacity.Fleet) {
-		bd := f.Start(contextOf(b), self)
+		bd := f.Start(benchContext(b), self)
 		q := quota.New(quota.Options{Board: bd, Self: self, Instance: 1, Rand: rand.New(rand.NewPCG(1, 1))})
 		with := bd.Snapshot()
 		bd.UpdateWait(func(s *board.State) { delete(s.Routers, capacity.RouterName(1)) })
@@ -141,53 +141,53 @@
 	})
 }
 
-// BenchmarkEngineScan is the engine controller's step: the search for the
-// engines that this router owns, twice a second.
+// BenchmarkEngineScan searches for the engines that this router owns, as the
+// engine controller does twice a second.
 func BenchmarkEngineScan(b *testing.B) {
 	perSize(b, func(b *testing.B, f *capacity.Fleet) {
-		snap := f.Start(contextOf(b), self).Snapshot()
+		snap := f.Start(benchContext(b), self).Snapshot()
 		for b.Loop() {
 			capacity.Owned(snap)
 		}
 	})
 }
 
-// BenchmarkReports is the search for what to report to engines' owners, once
-// in five seconds.
+// BenchmarkReports collects the reports to the owners of engines, as routers do
+// every five seconds.
 func BenchmarkReports(b *testing.B) {
 	perSize(b, func(b *testing.B, f *capacity.Fleet) {
-		a := admissionOf(b, f.Start(contextOf(b), self), self, new(peer.Counters))
+		a := newAdmission(b, f.Start(benchContext(b), self), self, new(peer.Counters))
 		for b.Loop() {
 			a.Reports()
 		}
 	})
 }
 
-// BenchmarkOwnersMoved takes a share of the target's routers away, as when a
-// rack, a data centre or a region is lost, and counts the engines and accounts
-// that get a new owner. Time is that of the snapshot and of the books that one
-// remaining router opens.
+// BenchmarkOwnersMoved removes a share of the target's routers, as in the loss of
+// a rack, a site or a region, and counts the engines and accounts whose owner
+// changes. The time is that of the snapshot and of the books that one remaining
+// router opens.
 func BenchmarkOwnersMoved(b *testing.B) {
-	f := fleetOf(b, capacity.Target())
-	for _, parts := range []int{20, 6, 2} {
-		b.Run(fmt.Sprintf("lost=one-in-%d", parts), func(b *testing.B) {
-			bd := f.Start(contextOf(b), self)
-			a := admissionOf(b, bd, self, new(peer.Counters))
+	f := newFleet(b, capacity.Target())
+	for _, divisor := range []int{20, 6, 2} {
+		b.Run(fmt.Sprintf("lost=one-in-%d", divisor), func(b *testing.B) {
+			bd := f.Start(benchContext(b), self)
+			a := newAdmission(b, bd, self, new(peer.Counters))
 			before := bd.Snapshot()
-			bd.UpdateWait(func(s *board.State) { loseRouters(s, f.Size.Routers/parts) })
+			bd.UpdateWait(func(s *board.State) { loseRouters(s, f.Size.Routers/divisor) })
 			after := bd.Snapshot()
 			for b.Loop() {
 				a.Sync(before)
 				a.Sync(after)
 			}
-			b.ReportMetric(float64(moved(before.EngineOwner, after.EngineOwner, engineIDs(f))), "engines-moved")
-			b.ReportMetric(float64(moved(before.Owner, after.Owner, accountIDs(f))), "accounts-moved")
+			b.ReportMetric(float64(countMoved(before.EngineOwner, after.EngineOwner, engineIDs(f))), "engines-moved")
+			b.ReportMetric(float64(countMoved(before.Owner, after.Owner, accountIDs(f))), "accounts-moved")
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(2*b.N), "us/sync")
 		})
 	}
 }
 
-// loseRouters removes the routers with the highest numbers.
+// loseRouters removes the n routers with the highest numbers.
 func loseRouters(s *board.State, n int) {
 	routers := maps.Clone(s.Routers)
 	total := len(routers)
@@ -197,7 +197,7 @@
 	s.Routers = routers
 }
 
-func moved(before, after func(key uint64) (board.Router, bool), keys []uint64) (count int) {
+func countMoved(before, after func(key uint64) (board.Router, bool), keys []uint64) (count int) {
 	for _, k := range keys {
 		old, _ := before(k)
 		now, _ := after(k)
@@ -222,30 +222,30 @@
 	return ids
 }
 
-// BenchmarkOwnersSpread counts the engines of the busiest owner, and the share
-// of the engines whose owner is a router in another region.
+// BenchmarkOwnersSpread counts the engines of the busiest owner, and reports the
+// share of the engines that are owned by a router in another region.
 func BenchmarkOwnersSpread(b *testing.B) {
 	perSize(b, func(b *testing.B, f *capacity.Fleet) {
-		snap := f.Start(contextOf(b), self).Snapshot()
+		snap := f.Start(benchContext(b), self).Snapshot()
 		regions := make(map[string]string)
 		for _, s := range f.Config.Sites {
 			regions[s.Name] = s.Region
 		}
 		owned := make(map[string]int)
-		most, abroad := 0, 0
+		busiest, otherRegion := 0, 0
 		for b.Loop() {
 			clear(owned)
-			most, abroad = 0, 0
+			busiest, otherRegion = 0, 0
 			for _, e := range snap.Engines {
 				r, _ := snap.EngineOwner(e.ID)
 				owned[r.Name]++
-				most = max(most, owned[r.Name])
+				busiest = max(busiest, owned[r.Name])
 				if regions[r.Site] != e.Region {
-					abroad++
+					otherRegion++
 				}
 			}
 		}
-		b.ReportMetric(float64(most), "engines-busiest")
-		b.ReportMetric(float64(abroad)/float64(len(snap.Engines)), "share-other-region")
+		b.ReportMetric(float64(busiest), "engines-busiest")
+		b.ReportMetric(float64(otherRegion)/float64(len(snap.Engines)), "share-other-region")
 	})
 }
--- a/internal/lab/capacity/fleet.go
+++ b/internal/lab/capacity/fleet.go
@@ -1,8 +1,8 @@
-// Package capacity builds synthetic fleets of a given size. The benchmarks
-// beside it measure how the cost of each of a router's roles grows with the
-// fleet; docs/CAPACITY.md works the two-year sizes out from their slopes.
+// Package capacity builds synthetic fleets of a given size. Its benchmarks
+// measure how the cost of each role of a router grows with the size of the
+// fleet; docs/CAPACITY.md extrapolates the two-year sizes from these slopes.
 //
-// A synthetic fleet is data only: nothing in it listens or answers.
+// A synthetic fleet is data only: it has no processes that listen or respond.
 package capacity
 
 import (
@@ -20,10 +20,10 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of fleets that can't be built.
+// Error is the class of failures to build a fleet.
 var Error = errs.Class("capacity")
 
-// Size is how large a fleet is.
+// Size is the size of a fleet.
 type Size struct {
 	Routers  int
 	Engines  int
@@ -33,18 +33,18 @@
 	Regions  int
 }
 
-// Today is the larger of the two present installations.
+// Today returns the size of the larger of the two present installations.
 func Today() Size {
 	return Size{Routers: 9, Engines: 12, Pools: 1, Accounts: 10, Sites: 3, Regions: 1}
 }
 
-// Target is the size of the two-year target.
+// Target returns the size of the two-year target.
 func Target() Size {
 	return Size{Routers: 380, Engines: 850, Pools: 11, Accounts: 410, Sites: 6, Regions: 2}
 }
 
-// Steps are sizes from Today to Target, for slopes.
-func Steps() []Size {
+// Sizes returns sizes from Today to Target, to measure slopes.
+func Sizes() []Size {
 	return []Size{
 		Today(),
 		{Routers: 36, Engines: 80, Pools: 2, Accounts: 40, Sites: 3, Regions: 1},
@@ -54,7 +54,7 @@
 	}
 }
 
-// String names the size in the names of benchmarks.
+// String returns the size as part of a benchmark name.
 func (s Size) String() string {
 	return fmt.Sprintf("routers=%d/engines=%d", s.Routers, s.Engines)
 }
@@ -68,7 +68,7 @@
 	engineIncarnation  = 1
 )
 
-// Fleet is the control state that every router of a fleet would hold.
+// Fleet is the control state that every router of a fleet holds.
 type Fleet struct {
 	Size    Size
 	Bundle  config.Bundle
@@ -77,7 +77,7 @@
 	Engines map[string]board.Engine
 }
 
-// New builds a fleet. Routers, engines and accounts are spread evenly over
+// New builds a fleet. Routers, engines and accounts are distributed evenly over
 // sites and pools. Errors: Error.
 func New(size Size) (*Fleet, error) {
 	f := &Fleet{
@@ -99,7 +99,7 @@
 	return f, nil
 }
 
-// bundle writes the base document as an operator would.
+// bundle returns the base document as an operator would write it.
 func bundle(s Size) config.Bundle {
 	var b strings.Builder
 	b.WriteString("teams: [{name: team}]\nsites:\n")
@@ -138,13 +138,13 @@
 
 func modelName(i int) string { return fmt.Sprintf("model-%d", i) }
 
-// PoolName names a pool by its number.
+// PoolName returns the name of pool number i.
 func PoolName(i int) string { return fmt.Sprintf("pool-%d", i) }
 
-// AccountName names a client account by its number.
+// AccountName returns the name of account number i.
 func AccountName(i int) string { return fmt.Sprintf("account-%03d", i) }
 
-// RouterName names a router by its number.
+// RouterName returns the name of router number i.
 func RouterName(i int) string { return fmt.Sprintf("entry-%03d", i) }
 
 func engineName(i int) string { return fmt.Sprintf("engine-%04d", i) }
@@ -182,7 +182,7 @@
 	}
 }
 
-// Status is a report of an engine that has some requests running.
+// Status returns the report of an engine with the given number of running requests.
 func (f *Fleet) Status(e board.Engine, running int) wire.EngineStatus {
 	ids := make([]string, running)
 	for i := range ids {
@@ -203,7 +203,7 @@
 	}
 }
 
-// Fill puts the fleet on a board.
+// Fill adds the fleet's configuration, routers and engines to the state of a board.
 func (f *Fleet) Fill(s *board.State) {
 	s.Config = f.Config
 	s.ConfigVersion = 1
@@ -215,7 +215,7 @@
 	}
 }
 
-// Start runs the board of one router of the fleet until ctx ends.
+// Start runs the board of the router named self until ctx ends.
 func (f *Fleet) Start(ctx context.Context, self string, subscribers ...func(*board.Snapshot)) *board.Board {
 	b := board.New(self)
 	for _, s := range subscribers {
@@ -226,7 +226,7 @@
 	return b
 }
 
-// Owned lists the engines that the snapshot's own router owns.
+// Owned returns the engines that the snapshot's own router owns.
 func Owned(snap *board.Snapshot) []board.Engine {
 	var out []board.Engine
 	for _, e := range snap.Engines {
@@ -237,7 +237,7 @@
 	return out
 }
 
-// VMs is the platform's list for the fleet.
+// VMs returns the platform's VM list of the fleet, in no particular order.
 func (f *Fleet) VMs() []platform.VM {
 	var out []platform.VM
 	for _, r := range f.Routers {
--- a/internal/lab/capacity/fleet_test.go
+++ b/internal/lab/capacity/fleet_test.go
@@ -10,11 +10,11 @@
 	"damaskrouter.example/damaskrouter/internal/store/config"
 )
 
-// Symptom: a slope is measured on a fleet that no router would accept, or that
-// is smaller than its name says.
-// Sequence: the documents' rules change, the generated one does not.
-func TestFleetIsValidAndHasItsSize(t *testing.T) {
-	for _, size := range capacity.Steps() {
+// If the rules for documents change and the generated document does not, slopes
+// would be measured on a fleet that routers reject, or that is smaller than its
+// name says.
+func TestSizesYieldValidFleets(t *testing.T) {
+	for _, size := range capacity.Sizes() {
 		f, err := capacity.New(size)
 		require.NoError(t, err)
 		assert.Empty(t, config.Validate(f.Bundle), size)
@@ -26,8 +26,8 @@
 	}
 }
 
-// Symptom: the per-router figures are means over routers that own nothing.
-// Sequence: the owners of engines are found by another rule than the board's.
+// If Owned and the board assigned owners by different rules, the figures per
+// router would include routers that own nothing.
 func TestEveryEngineHasOneOwner(t *testing.T) {
 	f, err := capacity.New(capacity.Today())
 	require.NoError(t, err)
--- a/internal/lab/capacity/gossip_test.go
+++ b/internal/lab/capacity/gossip_test.go
@@ -17,29 +17,29 @@
 	"damaskrouter.example/damaskrouter/internal/store/config"
 )
 
-// gossipFleet is routers on a simulated network under virtual time.
+// gossipFleet is a fleet of routers on a simulated network under virtual time.
 type gossipFleet struct {
 	b     *testing.B
 	net   *simnet.Network
 	nodes []*simnet.Node
 }
 
-// lan is the network between the data centres of one region.
+// lan is the network between the sites of one region.
 var lan = simnet.Conditions{MinDelay: 200 * time.Microsecond, MaxDelay: 2 * time.Millisecond}
 
 func gossipAddress(n int) string { return fmt.Sprintf("10.%d.%d.%d:7400", n%6, n/200, n%200+1) }
 
-// newGossipFleet starts n routers and lets them find each other.
+// newGossipFleet starts n routers and waits until they have discovered each other.
 func newGossipFleet(b *testing.B, n int, seed int64) *gossipFleet {
 	g := &gossipFleet{b: b, net: simnet.New(seed, lan)}
 	for i := range n {
 		g.nodes = append(g.nodes, g.start(i))
 	}
 	deadline := 2 * time.Minute
-	for g.net.Now() < deadline && !g.agree(n) {
+	for g.net.Now() < deadline && !g.converged(n) {
 		g.net.RunFor(time.Second)
 	}
-	require.True(b, g.agree(n), "the fleet finds itself")
+	require.True(b, g.converged(n), "the routers must discover each other")
 	return g
 }
 
@@ -55,8 +55,8 @@
 	return g.net.Add(addr, e)
 }
 
-// agree reports whether all routers know of n live ones.
-func (g *gossipFleet) agree(n int) bool {
+// converged reports whether all routers know n live ones.
+func (g *gossipFleet) converged(n int) bool {
 	for _, node := range g.nodes {
 		if len(node.Endpoint.Detector().Members()) != n {
 			return false
@@ -65,7 +65,7 @@
 	return true
 }
 
-// bytes sums what all routers sent and received.
+// bytes returns the total bytes that all routers received and sent.
 func (g *gossipFleet) bytes() (in, out float64) {
 	for _, node := range g.nodes {
 		c := node.Endpoint.Counters()
@@ -75,7 +75,7 @@
 	return in, out
 }
 
-// changes sums the revisions of all routers' tables of members.
+// changes returns the sum of the revisions of all routers' member tables.
 func (g *gossipFleet) changes() uint64 {
 	var sum uint64
 	for _, node := range g.nodes {
@@ -84,21 +84,21 @@
 	return sum
 }
 
-// until runs virtual time in small steps and returns how long it took.
-func (g *gossipFleet) until(limit time.Duration, done func() bool) time.Duration {
+// runUntil runs virtual time in small steps until done and returns the time it took.
+func (g *gossipFleet) runUntil(limit time.Duration, done func() bool) time.Duration {
 	const step = 50 * time.Millisecond
 	start := g.net.Now()
 	for !done() && g.net.Now()-start < limit {
 		g.net.RunFor(step)
 	}
-	require.True(g.b, done(), "not within the limit")
+	require.True(g.b, done(), "the condition must hold within the limit")
 	return g.net.Now() - start
 }
 
-// all reports whether every router but one satisfies f.
-func (g *gossipFleet) all(but int, f func(*membership.Detector) bool) bool {
+// allExcept reports whether every router except number skip satisfies f.
+func (g *gossipFleet) allExcept(skip int, f func(*membership.Detector) bool) bool {
 	for i, node := range g.nodes {
-		if i != but && !f(node.Endpoint.Detector()) {
+		if i != skip && !f(node.Endpoint.Detector()) {
 			return false
 		}
 	}
@@ -107,29 +107,30 @@
 
 var gossipSizes = []int{9, 18, 36, 72, 144, 380}
 
-// settle is how long a fleet that has just started spreads its members.
-const settle = 5 * time.Minute
+// settleTime lets the members of a newly started fleet propagate.
+const settleTime = 5 * time.Minute
 
-// BenchmarkMembership starts a fleet, lets it settle and measures, per router:
-// the traffic and the processor time at rest, the spread of a new head of the
-// configuration, the changes of the table of members that follow from it, and
-// the loss of one router. Processor time includes the simulated network's.
+// BenchmarkMembership starts a fleet, waits for settleTime and measures, per
+// router, the traffic and the processor time while idle, the propagation of a
+// new head of the configuration, the changes of the member table that follow
+// from it, and the loss of one router. The processor time includes the
+// simulated network.
 func BenchmarkMembership(b *testing.B) {
 	for _, n := range gossipSizes {
 		b.Run(fmt.Sprintf("routers=%d", n), func(b *testing.B) {
 			for b.Loop() {
 				g := newGossipFleet(b, n, int64(n))
-				g.net.RunFor(settle)
-				rest := g.measureRest()
-				g.measureHead(rest)
+				g.net.RunFor(settleTime)
+				idle := g.measureIdle()
+				g.measureHead(idle)
 				g.measureLoss()
 			}
 		})
 	}
 }
 
-// measureRest returns the bytes a second and router, in and out together.
-func (g *gossipFleet) measureRest() (rest float64) {
+// measureIdle returns the bytes per second and router, received and sent, while idle.
+func (g *gossipFleet) measureIdle() (idle float64) {
 	const span = 60 * time.Second
 	in0, out0 := g.bytes()
 	cpu := processorTime(g.b)
@@ -143,10 +144,10 @@
 	return (in1 - in0 + out1 - out0) / per
 }
 
-// measureHead is the time until half and all of the routers have heard of a
-// new head, and the bytes that each spends on it beyond those at rest. Then
-// each router says that it has the version in force.
-func (g *gossipFleet) measureHead(rest float64) {
+// measureHead measures the time until half and all of the routers have received
+// a new head, and the bytes per router beyond the idle traffic. Then each router
+// reports that the version is active.
+func (g *gossipFleet) measureHead(idle float64) {
 	const span = 10 * time.Second
 	n := float64(len(g.nodes))
 	start := g.net.Now()
@@ -156,27 +157,27 @@
 	in1, out1 := g.bytes()
 	g.b.ReportMetric(half.Seconds(), "s-head-half")
 	g.b.ReportMetric(all.Seconds(), "s-head-all")
-	g.b.ReportMetric((in1-in0+out1-out0)/n-rest*span.Seconds(), "B/head")
+	g.b.ReportMetric((in1-in0+out1-out0)/n-idle*span.Seconds(), "B/head")
 
 	before := g.changes()
 	for _, node := range g.nodes {
 		node.Endpoint.Detector().SetConfigVersion(2)
 	}
-	g.net.RunFor(settle)
+	g.net.RunFor(settleTime)
 	g.b.ReportMetric(float64(g.changes()-before)/n, "table-changes/head")
 }
 
-// spreadHead announces a new head at one router and returns when half and all
-// of the routers have heard of it.
+// spreadHead broadcasts a new head from one router and returns the times until
+// half and all of the routers have received it.
 func (g *gossipFleet) spreadHead() (half, all time.Duration) {
 	item := membership.Item{Kind: controller.ItemConfigHead, Key: "head", Version: 2, Value: make([]byte, 32)}
 	require.NoError(g.b, g.nodes[0].Endpoint.Detector().Broadcast(item))
-	half = g.until(time.Minute, func() bool { return g.heard() >= len(g.nodes)/2 })
-	all = half + g.until(time.Minute, func() bool { return g.heard() == len(g.nodes) })
+	half = g.runUntil(time.Minute, func() bool { return g.receivers() >= len(g.nodes)/2 })
+	all = half + g.runUntil(time.Minute, func() bool { return g.receivers() == len(g.nodes) })
 	return half, all
 }
 
-func (g *gossipFleet) heard() (count int) {
+func (g *gossipFleet) receivers() (count int) {
 	for _, node := range g.nodes {
 		if len(node.Endpoint.Detector().Items()) > 0 {
 			count++
@@ -186,7 +187,7 @@
 }
 
 // measureLoss removes one router and waits until the first and the last of the
-// others hold it to be dead.
+// others consider it dead.
 func (g *gossipFleet) measureLoss() {
 	in0, out0 := g.bytes()
 	first, last := g.loseOne()
@@ -199,45 +200,45 @@
 func (g *gossipFleet) loseOne() (first, last time.Duration) {
 	lost := len(g.nodes) - 1
 	id := g.nodes[lost].Endpoint.Detector().Self().ID
-	gone := func(d *membership.Detector) bool {
+	dead := func(d *membership.Detector) bool {
 		m, ok := d.Lookup(id)
 		return !ok || m.State == membership.StateDead
 	}
 	g.net.Remove(g.nodes[lost].Address)
-	first = g.until(time.Minute, func() bool {
-		return !g.all(lost, func(d *membership.Detector) bool { return !gone(d) })
+	first = g.runUntil(time.Minute, func() bool {
+		return !g.allExcept(lost, func(d *membership.Detector) bool { return !dead(d) })
 	})
-	last = first + g.until(time.Minute, func() bool { return g.all(lost, gone) })
+	last = first + g.runUntil(time.Minute, func() bool { return g.allExcept(lost, dead) })
 	return first, last
 }
 
-// BenchmarkMembershipMemory is the heap of one router's endpoint.
+// BenchmarkMembershipMemory measures the heap of one router's endpoint.
 func BenchmarkMembershipMemory(b *testing.B) {
 	for _, n := range gossipSizes {
 		b.Run(fmt.Sprintf("routers=%d", n), func(b *testing.B) {
 			for b.Loop() {
-				bytes := heapOf(func() any { return newGossipFleet(b, n, int64(n)) })
+				bytes := heapSize(func() any { return newGossipFleet(b, n, int64(n)) })
 				b.ReportMetric(bytes/float64(n), "heap-B")
 			}
 		})
 	}
 }
 
-// BenchmarkMassLoss removes a share of the routers at once, as when a data
-// centre or a region goes, and waits until all that remain agree.
+// BenchmarkMassLoss removes a share of the routers at once, as in the loss of a
+// site or a region, and waits until all remaining ones agree.
 func BenchmarkMassLoss(b *testing.B) {
-	for _, parts := range []int{20, 6, 2} {
-		b.Run(fmt.Sprintf("routers=380/lost=one-in-%d", parts), func(b *testing.B) {
+	for _, divisor := range []int{20, 6, 2} {
+		b.Run(fmt.Sprintf("routers=380/lost=one-in-%d", divisor), func(b *testing.B) {
 			for b.Loop() {
 				g := newGossipFleet(b, 380, 1)
-				g.net.RunFor(settle)
-				lost := len(g.nodes) / parts
+				g.net.RunFor(settleTime)
+				lost := len(g.nodes) / divisor
 				for _, node := range g.nodes[:lost] {
 					g.net.Remove(node.Address)
 				}
 				g.nodes = g.nodes[lost:]
 				in0, out0 := g.bytes()
-				took := g.until(3*time.Minute, func() bool { return g.agree(len(g.nodes)) })
+				took := g.runUntil(3*time.Minute, func() bool { return g.converged(len(g.nodes)) })
 				in1, out1 := g.bytes()
 				b.ReportMetric(took.Seconds(), "s-all-agree")
 				b.ReportMetric((in1-in0+out1-out0)/float64(len(g.nodes))/took.Seconds(), "B/s-meanwhile")
@@ -246,9 +247,9 @@
 	}
 }
 
-// BenchmarkDatagram is the processor time of one load digest at its sender and
-// its receiver together, over real sockets. As in a round of digests, they go
-// out in bursts.
+// BenchmarkDatagram measures the processor time of one load digest at its sender
+// and its receiver together, over real sockets. Digests are sent in bursts, as
+// in a round of digests.
 func BenchmarkDatagram(b *testing.B) {
 	const (
 		digestSize = 24
@@ -256,14 +257,14 @@
 		pause      = 20 * time.Millisecond
 	)
 	var received atomic.Int64
-	from, to := driverOf(b, 1), driverOf(b, 2, 1)
+	from, to := newDriver(b, 1), newDriver(b, 2, 1)
 	to.OnDatagram(controller.ChannelLoads, func(uint64, []byte) { received.Add(1) })
 	id := to.Self().ID
 	payload := make([]byte, digestSize)
 	require.Eventually(b, func() bool {
 		return from.SendTo(id, controller.ChannelLoads, payload) == nil && received.Load() > 0
 	}, time.Minute, 10*time.Millisecond)
-	sent, got := 0, received.Load()
+	sent, receivedBefore := 0, received.Load()
 	cpu := processorTime(b)
 	for b.Loop() {
 		for range burst {
@@ -275,11 +276,11 @@
 	}
 	cpu = processorTime(b) - cpu
 	b.ReportMetric(float64(cpu.Microseconds())/float64(max(sent, 1)), "cpu-us/datagram")
-	b.ReportMetric(float64(received.Load()-got)/float64(max(sent, 1)), "share-received")
+	b.ReportMetric(float64(received.Load()-receivedBefore)/float64(max(sent, 1)), "share-received")
 }
 
-// driverOf runs membership of one router on a loopback address of its own.
-func driverOf(b *testing.B, n int, seeds ...int) *gossip.Driver {
+// newDriver runs the membership of one router on a separate loopback address.
+func newDriver(b *testing.B, n int, seeds ...int) *gossip.Driver {
 	addr := func(i int) string { return fmt.Sprintf("127.0.0.%d:%d", 10+i, 24700) }
 	opts := membership.Options{}
 	for _, s := range seeds {
@@ -296,22 +297,22 @@
 	return d
 }
 
-// inForceWithin is how soon a change must hold everywhere, less what a router
-// needs to notice, fetch and compile it.
-const inForceWithin = config.InForceWithin - 2*time.Second
+// activeWithin is the time within which all routers must receive a change: the
+// time until it must be active, less the time to notice, fetch and compile it.
+const activeWithin = config.InForceWithin - 2*time.Second
 
-// BenchmarkHeadWorst is the time until all routers had heard of a new head,
-// and until all had heard of it or of a router that has it in force, over
-// fleets with different seeds. late is the share of the fleets that took too
-// long.
+// BenchmarkHeadWorst measures, over fleets with different seeds, the time until
+// all routers have received a new head, and until all have received it or know
+// of a router where it is active. The late metrics are the shares of the fleets
+// that exceed activeWithin.
 func BenchmarkHeadWorst(b *testing.B) {
 	for n, seeds := range map[int]int{3: 300, 6: 300, 9: 300, 18: 100, 36: 30} {
 		b.Run(fmt.Sprintf("routers=%d", n), func(b *testing.B) {
 			for b.Loop() {
-				var head, known lateness
+				var head, known delays
 				for seed := range int64(seeds) {
 					g := newGossipFleet(b, n, 1000+seed)
-					g.net.RunFor(settle)
+					g.net.RunFor(settleTime)
 					byHead, byVersion := g.spreadVersion()
 					head.add(byHead)
 					known.add(byVersion)
@@ -325,46 +326,46 @@
 	}
 }
 
-// lateness collects times of fleets.
-type lateness struct {
+// delays collects the propagation delays of several fleets.
+type delays struct {
 	worst       time.Duration
 	late, count int
 }
 
-func (l *lateness) add(d time.Duration) {
+func (l *delays) add(d time.Duration) {
 	l.worst = max(l.worst, d)
 	l.count++
-	if d > inForceWithin {
+	if d > activeWithin {
 		l.late++
 	}
 }
 
-func (l *lateness) share() float64 { return float64(l.late) / float64(l.count) }
+func (l *delays) share() float64 { return float64(l.late) / float64(l.count) }
 
-// spreadVersion announces a new head. Routers that have heard of it say that
-// they have it in force.
+// spreadVersion broadcasts a new head. Each router that has received it reports
+// that the version is active.
 func (g *gossipFleet) spreadVersion() (byHead, byVersion time.Duration) {
 	const version = 2
 	item := membership.Item{Kind: controller.ItemConfigHead, Key: "head", Version: version, Value: make([]byte, 32)}
 	require.NoError(g.b, g.nodes[0].Endpoint.Detector().Broadcast(item))
 	start := g.net.Now()
-	allHeard := func() bool {
+	allReceived := func() bool {
 		for _, node := range g.nodes {
 			if d := node.Endpoint.Detector(); len(d.Items()) > 0 {
 				d.SetConfigVersion(version)
 			}
 		}
-		if byVersion == 0 && g.all(-1, func(d *membership.Detector) bool { return knows(d, version) }) {
+		if byVersion == 0 && g.allExcept(-1, func(d *membership.Detector) bool { return knowsVersion(d, version) }) {
 			byVersion = g.net.Now() - start
 		}
-		return g.heard() == len(g.nodes)
+		return g.receivers() == len(g.nodes)
 	}
-	byHead = g.until(time.Minute, allHeard)
+	byHead = g.runUntil(time.Minute, allReceived)
 	return byHead, byVersion
 }
 
-// knows reports whether any router is known to have the version in force.
-func knows(d *membership.Detector, version uint64) bool {
+// knowsVersion reports whether the version is known to be active at any router.
+func knowsVersion(d *membership.Detector, version uint64) bool {
 	for _, m := range d.Members() {
 		if m.ConfigVersion >= version {
 			return true
--- a/internal/lab/capacity/measure_test.go
+++ b/internal/lab/capacity/measure_test.go
@@ -17,34 +17,34 @@
 	"damaskrouter.example/damaskrouter/internal/serve/board"
 )
 
-func fleetOf(b *testing.B, s capacity.Size) *capacity.Fleet {
+func newFleet(b *testing.B, s capacity.Size) *capacity.Fleet {
 	f, err := capacity.New(s)
 	require.NoError(b, err)
 	return f
 }
 
-// contextOf ends with the benchmark.
-func contextOf(b *testing.B) context.Context {
+// benchContext returns a context that ends with the benchmark.
+func benchContext(b *testing.B) context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
 	return ctx
 }
 
-// perSize runs f at each of the sizes between today's and the target's.
+// perSize runs f for each of capacity.Sizes.
 func perSize(b *testing.B, f func(*testing.B, *capacity.Fleet)) {
-	for _, s := range capacity.Steps() {
-		b.Run(s.String(), func(b *testing.B) { f(b, fleetOf(b, s)) })
+	for _, s := range capacity.Sizes() {
+		b.Run(s.String(), func(b *testing.B) { f(b, newFleet(b, s)) })
 	}
 }
 
-// processorTime is the user and system time of this process so far.
+// processorTime returns the total user and system time of this process.
 func processorTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	require.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// heapInUse is the bytes in use after a collection.
+// heapInUse returns the bytes in use after a collection.
 func heapInUse() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -52,10 +52,10 @@
 	return float64(m.HeapAlloc)
 }
 
-// heapOf is the heap that make's result keeps alive.
-func heapOf(make func() any) float64 {
+// heapSize returns the bytes of heap that the result of build keeps alive.
+func heapSize(build func() any) float64 {
 	before := heapInUse()
-	v := make()
+	v := build()
 	after := heapInUse()
 	runtime.KeepAlive(v)
 	return after - before
@@ -65,9 +65,9 @@
 	return []peer.FleetKey{{ID: 1, Secret: []byte("0123456789abcdef")}}
 }
 
-// admissionOf is the admission of one router. Its caller reaches the routers
-// whose control addresses are real.
-func admissionOf(b *testing.B, bd *board.Board, self string, cnt *peer.Counters) *admission.Admission {
+// newAdmission returns the admission of one router. Its caller can reach the
+// routers whose control addresses are real.
+func newAdmission(b *testing.B, bd *board.Board, self string, cnt *peer.Counters) *admission.Admission {
 	caller := peer.NewCaller(self, fleetKeys, cnt)
 	b.Cleanup(caller.Close)
 	r, _ := bd.Snapshot().Router(self)
@@ -78,15 +78,15 @@
 	return a
 }
 
-// reportAll gives an admission the reports of the engines that it owns.
+// reportAll passes the reports of all engines that the router owns to its admission.
 func reportAll(f *capacity.Fleet, a *admission.Admission, snap *board.Snapshot, running int) {
 	for _, e := range capacity.Owned(snap) {
 		a.EngineReport(&e, f.Status(e, running))
 	}
 }
 
-// serve puts an RPC service behind a real connection and returns what calls
-// its methods. The counters are the caller's.
+// serve serves an RPC service over a real connection and returns a function that
+// calls its methods. cnt counts the bytes of the calling side.
 func serve(b *testing.B, name string, service any, cnt *peer.Counters) (call func(method string, args, reply any)) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
--- a/internal/lab/capacity/permits_test.go
+++ b/internal/lab/capacity/permits_test.go
@@ -22,7 +22,7 @@
 	"damaskrouter.example/damaskrouter/internal/store/config"
 )
 
-// chatRequest is an ordinary turn of a chat.
+// chatRequest returns a typical turn of a chat.
 func chatRequest(f *capacity.Fleet, chat uint64) *admission.Request {
 	pool, _ := f.Config.Pool(capacity.PoolName(0))
 	account, _ := f.Config.Account(capacity.AccountName(0))
@@ -34,14 +34,14 @@
 	}
 }
 
-// BenchmarkAdmit is one decision, permit and release at the owner of all the
-// engines, by the number of engines in the pool and region.
+// BenchmarkAdmit measures one admission, with permit and release, at the owner of
+// all engines, by the number of engines in the pool and region.
 func BenchmarkAdmit(b *testing.B) {
 	for _, engines := range []int{12, 39, 77, 150, 425, 850} {
 		b.Run(fmt.Sprintf("pool-engines=%d", engines), func(b *testing.B) {
-			f := fleetOf(b, capacity.Size{Routers: 1, Engines: engines, Pools: 1, Accounts: 10, Sites: 3, Regions: 1})
-			bd := f.Start(contextOf(b), self)
-			a := admissionOf(b, bd, self, new(peer.Counters))
+			f := newFleet(b, capacity.Size{Routers: 1, Engines: engines, Pools: 1, Accounts: 10, Sites: 3, Regions: 1})
+			bd := f.Start(benchContext(b), self)
+			a := newAdmission(b, bd, self, new(peer.Counters))
 			a.Sync(bd.Snapshot())
 			reportAll(f, a, bd.Snapshot(), 0)
 			b.ReportAllocs()
@@ -56,8 +56,8 @@
 	}
 }
 
-// BenchmarkBook is one permit taken and given back in the book of an engine
-// that has some permits out, and one report of the engine on them.
+// BenchmarkBook measures one permit acquired and released in the book of an
+// engine that has granted some permits, and one report of the engine on them.
 func BenchmarkBook(b *testing.B) {
 	for _, held := range []int{0, 50, 200, 1000} {
 		now := time.Now()
@@ -91,89 +91,89 @@
 // udpOverhead is the IPv4 and UDP header of a packet, in bytes.
 const udpOverhead = 20 + 8
 
-// sealer is an endpoint that knows one other router, to weigh datagrams as
-// they go out.
-type sealer struct {
+// datagramSizer measures the size of datagrams with an endpoint that knows one
+// other router.
+type datagramSizer struct {
 	b    *testing.B
 	e    *gossip.Endpoint
 	peer uint64
 }
 
-func newSealer(b *testing.B) *sealer {
+func newDatagramSizer(b *testing.B) *datagramSizer {
 	g := newGossipFleet(b, 2, 1)
-	return &sealer{b: b, e: g.nodes[0].Endpoint, peer: g.nodes[1].Endpoint.Detector().Self().ID}
+	return &datagramSizer{b: b, e: g.nodes[0].Endpoint, peer: g.nodes[1].Endpoint.Detector().Self().ID}
 }
 
-// weigh is the bytes of the datagram on the network.
-func (s *sealer) weigh(payload []byte) int {
+// size returns the size of the datagram on the network, in bytes.
+func (s *datagramSizer) size(payload []byte) int {
 	packets, err := s.e.Datagram(s.peer, controller.ChannelLoads, payload)
 	require.NoError(s.b, err)
 	return len(packets[0].Data) + udpOverhead
 }
 
-// BenchmarkDigests is the datagrams of one round of load digests in which
-// every load has changed, as a mean over ten rounds. In groups of many owners
-// it counts the engines owned here only; BenchmarkSpreadDigest of package
-// admission has the size of a whole datagram. askers is the share of the other routers that asked
-// each owner for a permit within the last thirty seconds. The figures are the
-// means over some routers of the fleet.
+// BenchmarkDigests measures the datagrams of one round of load digests in which
+// every load has changed, as a mean over ten rounds and some routers of the
+// fleet. In groups of many owners it includes the engines owned here only;
+// BenchmarkSpreadDigest of package admission has the size of a complete
+// datagram. The parameter askers is the share of the other routers that
+// requested a permit from each owner within the last thirty seconds.
 func BenchmarkDigests(b *testing.B) {
-	for _, s := range capacity.Steps() {
-		for _, askers := range []float64{0, 0.1, 0.2, 0.5} {
-			b.Run(fmt.Sprintf("%v/pools=%d/askers=%v", s, s.Pools, askers), func(b *testing.B) {
-				benchmarkDigests(b, fleetOf(b, s), askers)
+	for _, s := range capacity.Sizes() {
+		for _, requesters := range []float64{0, 0.1, 0.2, 0.5} {
+			b.Run(fmt.Sprintf("%v/pools=%d/askers=%v", s, s.Pools, requesters), func(b *testing.B) {
+				benchmarkDigests(b, newFleet(b, s), requesters)
 			})
 		}
 	}
 }
 
-// BenchmarkDigestsOnePool is BenchmarkDigests with the target's engines in
-// fewer pools, as when a few models have most of the engines.
+// BenchmarkDigestsOnePool is BenchmarkDigests with the target's engines in fewer
+// pools, as when a few models have most of the engines.
 func BenchmarkDigestsOnePool(b *testing.B) {
 	for _, pools := range []int{1, 2, 4} {
 		s := capacity.Target()
 		s.Pools = pools
-		b.Run(fmt.Sprintf("pools=%d", pools), func(b *testing.B) { benchmarkDigests(b, fleetOf(b, s), 0) })
+		b.Run(fmt.Sprintf("pools=%d", pools), func(b *testing.B) { benchmarkDigests(b, newFleet(b, s), 0) })
 	}
 }
 
-func benchmarkDigests(b *testing.B, f *capacity.Fleet, askers float64) {
+func benchmarkDigests(b *testing.B, f *capacity.Fleet, requesters float64) {
 	const sample, rounds = 9, 10
-	seal := newSealer(b)
-	var datagrams, bytes, most int
-	var spent time.Duration
+	sizer := newDatagramSizer(b)
+	var datagrams, bytes, busiest int
+	var elapsed time.Duration
 	for b.Loop() {
-		datagrams, bytes, most, spent = 0, 0, 0, 0
+		datagrams, bytes, busiest, elapsed = 0, 0, 0, 0
 		for i := range sample {
 			name := capacity.RouterName(i)
-			bd := f.Start(contextOf(b), name)
-			a := admissionOf(b, bd, name, new(peer.Counters))
+			bd := f.Start(benchContext(b), name)
+			a := newAdmission(b, bd, name, new(peer.Counters))
 			a.Sync(bd.Snapshot())
 			reportAll(f, a, bd.Snapshot(), 25)
-			subscribe(a, f, bd.Snapshot(), askers)
+			requestPermits(a, f, bd.Snapshot(), requesters)
 			sum := 0
 			for range rounds {
 				start := time.Now()
 				digests := a.Digests(time.Now(), true)
-				spent += time.Since(start)
+				elapsed += time.Since(start)
 				for _, d := range digests {
-					sum += seal.weigh(d.Payload)
+					sum += sizer.size(d.Payload)
 				}
 				datagrams += len(digests)
 			}
 			bytes += sum
-			most = max(most, sum)
+			busiest = max(busiest, sum)
 		}
 	}
 	b.ReportMetric(float64(datagrams)/sample/rounds, "datagrams/round")
 	b.ReportMetric(float64(bytes)/sample/rounds, "B/round")
-	b.ReportMetric(float64(most)/rounds, "B/round-busiest")
-	b.ReportMetric(float64(spent.Microseconds())/sample/rounds, "us/round")
+	b.ReportMetric(float64(busiest)/rounds, "B/round-busiest")
+	b.ReportMetric(float64(elapsed.Microseconds())/sample/rounds, "us/round")
 }
 
-// subscribe lets a share of the routers ask for a permit in each pool, as
-// they do when a caller has come to them with an old address.
-func subscribe(a *admission.Admission, f *capacity.Fleet, snap *board.Snapshot, share float64) {
+// requestPermits lets a share of the routers request a permit for each engine, as
+// they do when a caller connects to them with an old address.
+func requestPermits(a *admission.Admission, f *capacity.Fleet, snap *board.Snapshot, share float64) {
 	rng := rand.New(rand.NewSource(1))
 	for _, e := range capacity.Owned(snap) {
 		for name := range f.Routers {
@@ -187,12 +187,12 @@
 	}
 }
 
-// BenchmarkTakeDigest is the reading of one digest of two engines.
+// BenchmarkTakeDigest decodes and applies one digest of two engines.
 func BenchmarkTakeDigest(b *testing.B) {
 	perSize(b, func(b *testing.B, f *capacity.Fleet) {
-		ctx := contextOf(b)
+		ctx := benchContext(b)
 		owner := f.Start(ctx, self)
-		from := admissionOf(b, owner, self, new(peer.Counters))
+		from := newAdmission(b, owner, self, new(peer.Counters))
 		from.Sync(owner.Snapshot())
 		reportAll(f, from, owner.Snapshot(), 25)
 		digests := from.Digests(time.Now(), true)
@@ -201,7 +201,7 @@
 		}
 		d := digests[0]
 		bd := f.Start(ctx, d.To.Name)
-		l := controller.Loads{Board: bd, Admission: admissionOf(b, bd, d.To.Name, new(peer.Counters))}
+		l := controller.Loads{Board: bd, Admission: newAdmission(b, bd, d.To.Name, new(peer.Counters))}
 		instance := f.Routers[self].Instance
 		for b.Loop() {
 			l.Heard(instance, d.Payload)
@@ -209,20 +209,20 @@
 	})
 }
 
-// BenchmarkRemotePermit asks the owner of an engine for a permit over a real
-// connection and gives it back, one call each. Bytes are those of the calls,
+// BenchmarkRemotePermit acquires a permit from the owner of an engine over a real
+// connection and releases it, with one call each. Bytes are those of the calls,
 // without TCP and IP headers.
 func BenchmarkRemotePermit(b *testing.B) {
-	f := fleetOf(b, capacity.Size{Routers: 1, Engines: 12, Pools: 1, Accounts: 10, Sites: 1, Regions: 1})
-	bd := f.Start(contextOf(b), self)
-	keeper := admissionOf(b, bd, self, new(peer.Counters))
-	keeper.Sync(bd.Snapshot())
-	reportAll(f, keeper, bd.Snapshot(), config.DefaultMaxBatch/2)
+	f := newFleet(b, capacity.Size{Routers: 1, Engines: 12, Pools: 1, Accounts: 10, Sites: 1, Regions: 1})
+	bd := f.Start(benchContext(b), self)
+	owner := newAdmission(b, bd, self, new(peer.Counters))
+	owner.Sync(bd.Snapshot())
+	reportAll(f, owner, bd.Snapshot(), config.DefaultMaxBatch/2)
 	var cnt peer.Counters
-	call := serve(b, admission.ServiceName, keeper.Service(), &cnt)
+	call := serve(b, admission.ServiceName, owner.Service(), &cnt)
 	const holder = "entry-123#1hlyev0kq0nl3"
 	engine := bd.Snapshot().Engines["engine-0000"].ID
-	pair := func() {
+	acquireAndRelease := func() {
 		var granted admission.AcquireReply
 		id := uuid.New()
 		call("Acquire", admission.AcquireArgs{Engine: engine, ID: id, Holder: holder, Weight: 1500}, &granted)
@@ -231,10 +231,10 @@
 		permits := []admission.ReleasedPermit{{Engine: engine, ID: id}}
 		call("Release", admission.ReleaseArgs{Holder: holder, Permits: permits}, &released)
 	}
-	pair()
+	acquireAndRelease()
 	in, out, cpu := cnt.In.Load(), cnt.Out.Load(), processorTime(b)
 	for b.Loop() {
-		pair()
+		acquireAndRelease()
 	}
 	cpu = processorTime(b) - cpu
 	b.ReportMetric(float64(cnt.Out.Load()-out)/float64(b.N), "B-out/permit")
@@ -242,19 +242,19 @@
 	b.ReportMetric(float64(cpu.Microseconds())/float64(b.N), "cpu-us/permit")
 }
 
-// BenchmarkHolderReport is one report of a holder to the owner of two engines,
-// by the permits held at one of them. It is sent every five seconds.
+// BenchmarkHolderReport sends one report of a holder to the owner of two engines,
+// by the number of permits held at one of them. Holders report every five seconds.
 func BenchmarkHolderReport(b *testing.B) {
-	f := fleetOf(b, capacity.Size{Routers: 1, Engines: 2, Pools: 1, Accounts: 10, Sites: 1, Regions: 1})
-	bd := f.Start(contextOf(b), self)
-	keeper := admissionOf(b, bd, self, new(peer.Counters))
-	keeper.Sync(bd.Snapshot())
-	reportAll(f, keeper, bd.Snapshot(), config.DefaultMaxBatch/2)
+	f := newFleet(b, capacity.Size{Routers: 1, Engines: 2, Pools: 1, Accounts: 10, Sites: 1, Regions: 1})
+	bd := f.Start(benchContext(b), self)
+	owner := newAdmission(b, bd, self, new(peer.Counters))
+	owner.Sync(bd.Snapshot())
+	reportAll(f, owner, bd.Snapshot(), config.DefaultMaxBatch/2)
 	for _, held := range []int{1, 2, 10} {
 		b.Run(fmt.Sprintf("held=%d", held), func(b *testing.B) {
 			var cnt peer.Counters
-			call := serve(b, admission.ServiceName, keeper.Service(), &cnt)
-			args := admission.ReportArgs{Holder: "entry-123#1hlyev0kq0nl3", Engines: holdings(f, held)}
+			call := serve(b, admission.ServiceName, owner.Service(), &cnt)
+			args := admission.ReportArgs{Holder: "entry-123#1hlyev0kq0nl3", Engines: heldPermits(f, held)}
 			for b.Loop() {
 				args.Seq++
 				call("Report", args, new(admission.ReportReply))
@@ -264,8 +264,8 @@
 	}
 }
 
-// holdings lists permits at one engine, and none at the others.
-func holdings(f *capacity.Fleet, held int) map[uint64][]admission.ReportedPermit {
+// heldPermits returns permits at one engine, and none at the others.
+func heldPermits(f *capacity.Fleet, held int) map[uint64][]admission.ReportedPermit {
 	out := make(map[uint64][]admission.ReportedPermit)
 	for name, e := range f.Engines {
 		out[e.ID] = nil
--- a/internal/lab/capacity/quota_test.go
+++ b/internal/lab/capacity/quota_test.go
@@ -15,17 +15,17 @@
 	"damaskrouter.example/damaskrouter/internal/serve/quota"
 )
 
-// BenchmarkAccountAsk is one ask of an account's owner over a real connection.
-// Bytes are those of the call, without TCP and IP headers.
-func BenchmarkAccountAsk(b *testing.B) {
-	f := fleetOf(b, capacity.Size{Routers: 2, Engines: 2, Pools: 1, Accounts: 10, Sites: 1, Regions: 1})
-	bd := f.Start(contextOf(b), self)
+// BenchmarkAccountRequest sends one request for leases to an account's owner over
+// a real connection. Bytes are those of the call, without TCP and IP headers.
+func BenchmarkAccountRequest(b *testing.B) {
+	f := newFleet(b, capacity.Size{Routers: 2, Engines: 2, Pools: 1, Accounts: 10, Sites: 1, Regions: 1})
+	bd := f.Start(benchContext(b), self)
 	q := quota.New(quota.Options{Board: bd, Self: self, Instance: 1, Rand: rand.New(rand.NewPCG(1, 1))})
 	var cnt peer.Counters
 	call := serve(b, quota.ServiceName, q.Service(), &cnt)
 	account := ownedAccount(q, f)
 	seq := uint64(0)
-	ask := func() {
+	request := func() {
 		seq++
 		args := quota.GrantArgs{Account: account, Ask: limit.Ask{
 			Report:     limit.Report{Router: "entry-123#1hlyev0kq0nl3", Seq: seq, Held: 3},
@@ -35,10 +35,10 @@
 		call("Grant", args, &reply)
 		require.True(b, reply.Owner)
 	}
-	ask()
+	request()
 	in, out, cpu := cnt.In.Load(), cnt.Out.Load(), processorTime(b)
 	for b.Loop() {
-		ask()
+		request()
 	}
 	cpu = processorTime(b) - cpu
 	b.ReportMetric(float64(cnt.Out.Load()-out)/float64(b.N), "B-out/ask")
@@ -46,7 +46,7 @@
 	b.ReportMetric(float64(cpu.Microseconds())/float64(b.N), "cpu-us/ask")
 }
 
-// ownedAccount finds an account that the router itself owns.
+// ownedAccount returns an account that the router owns, or "".
 func ownedAccount(q *quota.Quota, f *capacity.Fleet) string {
 	for i := range f.Size.Accounts {
 		var reply quota.GrantReply
@@ -58,18 +58,18 @@
 	return ""
 }
 
-// BenchmarkAccountAsks counts the asks a second that one account costs its
-// owner, under virtual time: requests come at random times to random routers
-// and run for as long as an answer of 300 tokens takes.
-func BenchmarkAccountAsks(b *testing.B) {
+// BenchmarkAccountRequests counts the requests for leases per second of one
+// account to its owner, under virtual time. Calls arrive as a Poisson process at
+// random routers, and each runs for the duration of an answer of 300 tokens.
+func BenchmarkAccountRequests(b *testing.B) {
 	for _, routers := range []int{9, 36, 72, 144, 380} {
 		for _, rate := range []float64{0.3, 3, 12, 40, 400} {
 			b.Run(fmt.Sprintf("routers=%d/requests=%v", routers, rate), func(b *testing.B) {
 				for b.Loop() {
-					s := newAccountRun(routers, rate)
+					s := newAccountSimulation(routers, rate)
 					s.run(accountSpan)
-					b.ReportMetric(float64(s.asks)/accountSpan.Seconds(), "asks/s")
-					b.ReportMetric(float64(s.asks)/float64(max(s.admitted, 1)), "asks/request")
+					b.ReportMetric(float64(s.requests)/accountSpan.Seconds(), "asks/s")
+					b.ReportMetric(float64(s.requests)/float64(max(s.admitted, 1)), "asks/request")
 					b.ReportMetric(float64(s.waited)/float64(max(s.admitted, 1)), "share-waited")
 					b.ReportMetric(float64(s.refused), "refused")
 				}
@@ -80,16 +80,16 @@
 
 const (
 	accountSpan = time.Minute
-	// answerTime is 300 tokens at 53 ms.
+	// answerTime is the duration of 300 tokens at 53 ms.
 	answerTime = 16 * time.Second
-	// renewPeriod is the period of quota's look at its leases.
+	// renewPeriod is the period in which package quota checks its leases.
 	renewPeriod = 500 * time.Millisecond
 	account     = "account"
 )
 
-// accountRun is one account at all its routers, with an owner that answers at
-// once.
-type accountRun struct {
+// accountSimulation simulates one account at all its routers. Its owner replies
+// without delay.
+type accountSimulation struct {
 	rng    *rand.Rand
 	now    time.Time
 	rate   float64
@@ -97,7 +97,7 @@
 	caches []*limit.Cache
 	queue  accountEvents
 
-	asks, admitted, waited, refused int
+	requests, admitted, waited, refused int
 }
 
 type accountEvent struct {
@@ -109,8 +109,8 @@
 type accountEventKind int
 
 const (
-	requestBegins accountEventKind = iota
-	requestEnds
+	callBegins accountEventKind = iota
+	callEnds
 	leasesRenewed
 )
 
@@ -136,8 +136,8 @@
 	return e
 }
 
-func newAccountRun(routers int, rate float64) *accountRun {
-	s := &accountRun{rng: rand.New(rand.NewPCG(1, 2)), now: time.Unix(1_000_000, 0), rate: rate}
+func newAccountSimulation(routers int, rate float64) *accountSimulation {
+	s := &accountSimulation{rng: rand.New(rand.NewPCG(1, 2)), now: time.Unix(1_000_000, 0), rate: rate}
 	limits := limit.Limits{Rate: 1e6, Burst: 1e6, Concurrency: 1e6}
 	s.ledger = limit.NewLedger(s.now, limits, 0, nil)
 	var live []string
@@ -147,29 +147,29 @@
 	for i, name := range live {
 		cfg := limit.CacheConfig{Self: name, Limits: func(string) limit.Limits { return limits }, Rand: s.rng}
 		s.caches = append(s.caches, limit.NewCache(cfg, live))
-		s.plan(time.Duration(s.rng.Int64N(int64(renewPeriod))), i, leasesRenewed)
+		s.schedule(time.Duration(s.rng.Int64N(int64(renewPeriod))), i, leasesRenewed)
 	}
-	s.planRequest()
+	s.scheduleCall()
 	return s
 }
 
-func (s *accountRun) plan(after time.Duration, router int, kind accountEventKind) {
+func (s *accountSimulation) schedule(after time.Duration, router int, kind accountEventKind) {
 	heap.Push(&s.queue, accountEvent{s.now.Add(after), router, kind})
 }
 
-func (s *accountRun) planRequest() {
+func (s *accountSimulation) scheduleCall() {
 	gap := time.Duration(s.rng.ExpFloat64() / s.rate * float64(time.Second))
-	s.plan(gap, s.rng.IntN(len(s.caches)), requestBegins)
+	s.schedule(gap, s.rng.IntN(len(s.caches)), callBegins)
 }
 
-// run lets the load build up and counts over the span after that.
-func (s *accountRun) run(span time.Duration) {
+// run lets the load build up, then counts over the span.
+func (s *accountSimulation) run(span time.Duration) {
 	s.runTo(s.now.Add(2 * answerTime))
-	s.asks, s.admitted, s.waited, s.refused = 0, 0, 0, 0
+	s.requests, s.admitted, s.waited, s.refused = 0, 0, 0, 0
 	s.runTo(s.now.Add(span))
 }
 
-func (s *accountRun) runTo(end time.Time) {
+func (s *accountSimulation) runTo(end time.Time) {
 	for s.queue[0].at.Before(end) {
 		e := heap.Pop(&s.queue).(accountEvent)
 		s.now = e.at
@@ -178,52 +178,53 @@
 	s.now = end
 }
 
-func (s *accountRun) step(e accountEvent) {
+func (s *accountSimulation) step(e accountEvent) {
 	c := s.caches[e.router]
 	switch e.kind {
-	case requestBegins:
-		s.planRequest()
-		s.begin(c, e.router)
-	case requestEnds:
+	case callBegins:
+		s.scheduleCall()
+		s.admit(c, e.router)
+	case callEnds:
 		c.Done(account)
 	case leasesRenewed:
-		s.plan(renewPeriod, e.router, leasesRenewed)
+		s.schedule(renewPeriod, e.router, leasesRenewed)
 		for range c.Due(s.now) {
-			s.ask(c)
+			s.requestLease(c)
 		}
 	}
 }
 
-// begin admits a request as quota does: undecided ones ask and try again.
-func (s *accountRun) begin(c *limit.Cache, router int) {
+// admit admits a call as package quota does: while undecided, it requests leases
+// and retries.
+func (s *accountSimulation) admit(c *limit.Cache, router int) {
 	const tries = 3
 	for try := range tries {
 		v := c.Take(s.now, account)
 		if !v.OK && v.Err == nil {
-			s.ask(c)
+			s.requestLease(c)
 			continue
 		}
 		if !v.OK {
 			break
 		}
 		if v.NeedRefill {
-			s.ask(c)
+			s.requestLease(c)
 		}
 		s.admitted++
 		if try > 0 {
 			s.waited++
 		}
-		s.plan(answerTime, router, requestEnds)
+		s.schedule(answerTime, router, callEnds)
 		return
 	}
 	s.refused++
 }
 
-func (s *accountRun) ask(c *limit.Cache) {
+func (s *accountSimulation) requestLease(c *limit.Cache) {
 	a, ok := c.Ask(s.now, account)
 	if !ok {
 		return
 	}
-	s.asks++
+	s.requests++
 	c.Fill(s.now, account, s.ledger.Grant(s.now, a))
 }
--- a/internal/lab/capacity/relay_test.go
+++ b/internal/lab/capacity/relay_test.go
@@ -41,8 +41,8 @@
 	answerTokens = 100
 )
 
-// relayBench is one router with its real traffic layer, admission and limits,
-// before stand-in engines.
+// relayBench is one router with its real traffic layer, admission and limits, in
+// front of stand-in engines.
 type relayBench struct {
 	router  string
 	engines []string
@@ -50,7 +50,7 @@
 }
 
 func newRelayBench(b *testing.B) *relayBench {
-	f := fleetOf(b, capacity.Size{Routers: 1, Engines: relayEngines, Pools: 1, Accounts: 10, Sites: 1, Regions: 1})
+	f := newFleet(b, capacity.Size{Routers: 1, Engines: relayEngines, Pools: 1, Accounts: 10, Sites: 1, Regions: 1})
 	r := &relayBench{key: capacity.AccountName(0)}
 	var reports []wire.EngineStatus
 	for name, e := range f.Engines {
@@ -67,20 +67,20 @@
 		r.engines = append(r.engines, srv.URL)
 		reports = append(reports, e.Status)
 	}
-	bd := f.Start(contextOf(b), self)
-	adm := admissionOf(b, bd, self, new(peer.Counters))
+	bd := f.Start(benchContext(b), self)
+	adm := newAdmission(b, bd, self, new(peer.Counters))
 	adm.Sync(bd.Snapshot())
 	for _, st := range reports {
 		e := f.Engines[st.Name]
 		adm.EngineReport(&e, st)
 	}
-	srv := httptest.NewServer(trafficOf(b, bd, adm).Handler())
+	srv := httptest.NewServer(newTraffic(b, bd, adm).Handler())
 	b.Cleanup(srv.Close)
 	r.router = srv.URL
 	return r
 }
 
-func trafficOf(b *testing.B, bd *board.Board, adm *admission.Admission) *traffic.Server {
+func newTraffic(b *testing.B, bd *board.Board, adm *admission.Admission) *traffic.Server {
 	facts, err := admission.NewFacts(admission.DefaultRecentChats, 1)
 	require.NoError(b, err)
 	codec, err := token.NewCodec(token.Key{ID: 1, Secret: []byte(strings.Repeat("s", token.MinSecret))})
@@ -95,7 +95,7 @@
 	})
 }
 
-// stream asks one URL for an answer and reads it to its end.
+// stream requests an answer from the URL and reads it completely.
 func (r *relayBench) stream(b *testing.B, url string, n int) {
 	body, err := json.Marshal(wire.ChatRequest{
 		Model: "model-0", Stream: true, MaxTokens: answerTokens,
@@ -116,13 +116,13 @@
 	defer func() { _ = resp.Body.Close() }()
 	answer, err := io.ReadAll(resp.Body)
 	if err != nil || resp.StatusCode != http.StatusOK || !bytes.Contains(answer, []byte(wire.DoneMarker)) {
-		b.Error("answer not whole", resp.StatusCode, err, len(answer))
+		b.Error("incomplete answer", resp.StatusCode, err, len(answer))
 	}
 }
 
-// BenchmarkRelay streams answers at the target's pace, straight from the
-// engines and through one router, clients and engines in the same process.
-// The difference of the two is the router's own processor time and memory.
+// BenchmarkRelay streams answers at the target's token rate, directly from the
+// engines and through one router, with clients and engines in the same process.
+// The difference is the router's own processor time and memory.
 func BenchmarkRelay(b *testing.B) {
 	for _, via := range []string{"engine", "router"} {
 		b.Run("from="+via, func(b *testing.B) {
@@ -132,7 +132,7 @@
 				urls = []string{r.router}
 			}
 			const streams = relayEngines * perEngine
-			idle := footprint()
+			idle := memoryInUse()
 			var open float64
 			cpu := processorTime(b)
 			for b.Loop() {
@@ -141,7 +141,7 @@
 					wg.Go(func() { r.stream(b, urls[n%len(urls)], n) })
 				}
 				time.Sleep(answerTokens / 2 * stepTime)
-				open = footprint()
+				open = memoryInUse()
 				wg.Wait()
 			}
 			cpu = processorTime(b) - cpu
@@ -153,8 +153,8 @@
 	}
 }
 
-// BenchmarkLocate is one locate for a chat over a kept connection, client and
-// router in the same process.
+// BenchmarkLocate sends one locate request for a chat over a reused connection,
+// with client and router in the same process.
 func BenchmarkLocate(b *testing.B) {
 	r := newRelayBench(b)
 	cpu := processorTime(b)
@@ -180,22 +180,22 @@
 	require.Equal(b, http.StatusOK, resp.StatusCode)
 }
 
-// footprint is the bytes of heap and stacks in use after a collection.
-func footprint() float64 {
+// memoryInUse returns the bytes of heap and stacks in use after a collection.
+func memoryInUse() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-// BenchmarkFactsMemory is what one router keeps of chats and of the caches of
-// the engines that it owns, all tables filled.
+// BenchmarkFactsMemory measures the memory for a router's facts about chats and
+// about the caches of the engines that it owns, with all tables full.
 func BenchmarkFactsMemory(b *testing.B) {
 	for _, owned := range []int{0, 2, 4, 8} {
 		b.Run(fmt.Sprintf("owned=%d", owned), func(b *testing.B) {
 			var total float64
 			for b.Loop() {
-				total = heapOf(func() any { return fullFacts(b, owned) })
+				total = heapSize(func() any { return fullFacts(b, owned) })
 			}
 			b.ReportMetric(total, "heap-B")
 			b.ReportMetric(0, "ns/op")
@@ -208,21 +208,21 @@
 	require.NoError(b, err)
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range admission.DefaultRecentChats {
-		facts.Served(rng.Uint64(), placeOf(rng))
+		facts.Served(rng.Uint64(), randomPlace(rng))
 	}
 	const viewPrefixes, pageSize = 20_000, 500
 	for e := range uint64(owned) {
 		_, err := facts.Follow(e + 1)
 		require.NoError(b, err)
 		for after := uint64(0); after < viewPrefixes; after += pageSize {
-			facts.Apply(e+1, page(after, pageSize))
+			facts.Apply(e+1, eventPage(after, pageSize))
 		}
 	}
 	return facts
 }
 
-// placeOf is a random chat's place at one of the target's engines.
-func placeOf(rng *rand.Rand) prefix.Place {
+// randomPlace returns the place of a random chat at one of the target's engines.
+func randomPlace(rng *rand.Rand) prefix.Place {
 	return prefix.Place{
 		Engine:      1 + rng.Uint64N(uint64(capacity.Target().Engines)),
 		Incarnation: 1,
--- a/internal/lab/capacity/store_test.go
+++ b/internal/lab/capacity/store_test.go
@@ -29,7 +29,7 @@
 	"damaskrouter.example/damaskrouter/platform/standin"
 )
 
-// fleetStub answers as controller.Fleet does, from data that is given.
+// fleetStub implements the RPC service of controller.Fleet with fixed data.
 type fleetStub struct {
 	config controller.ConfigReply
 	vms    controller.VMsReply
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// VMs returns the VM list, or that it is the same.
+// VMs returns the VM list, or that it has not changed.
 func (f *fleetStub) VMs(args controller.VMsArgs, reply *controller.VMsReply) error {
 	*reply = f.vms
 	if args.Etag == f.vms.Etag {
@@ -50,8 +50,7 @@
 	return nil
 }
 
-// BenchmarkConfigFetch fetches one version from another router and puts it in
-// force.
+// BenchmarkConfigFetch fetches one version from another router and activates it.
 func BenchmarkConfigFetch(b *testing.B) {
 	perSize(b, func(b *testing.B, f *capacity.Fleet) {
 		var cnt peer.Counters
@@ -69,8 +68,8 @@
 	})
 }
 
-// BenchmarkVMList relays the VM list over a real connection, when it is the
-// same and when it has changed, and weighs the platform's own reply.
+// BenchmarkVMList fetches the VM list over a real connection, unchanged and
+// changed, and reports the size of the platform's own response.
 func BenchmarkVMList(b *testing.B) {
 	perSize(b, func(b *testing.B, f *capacity.Fleet) {
 		vms := f.VMs()
@@ -92,11 +91,11 @@
 	})
 }
 
-// BenchmarkPlatformVMs reads the whole list over HTTP and decodes it, as each
+// BenchmarkPlatformVMs reads the complete list over HTTP and decodes it, as each
 // relay does every two seconds.
 func BenchmarkPlatformVMs(b *testing.B) {
 	perSize(b, func(b *testing.B, f *capacity.Fleet) {
-		server := standin.NewServer(standin.Options{ReadRate: anyRate})
+		server := standin.NewServer(standin.Options{ReadRate: unlimitedRate})
 		for _, vm := range f.VMs() {
 			server.Put(api.TableVMs, vm.Name, vm)
 		}
@@ -113,8 +112,8 @@
 	})
 }
 
-// anyRate is a rate that the benchmark does not reach, in reads a second.
-const anyRate = 1e6
+// unlimitedRate is a rate that the benchmark does not reach, in reads per second.
+const unlimitedRate = 1e6
 
 // countingConn counts the bytes of a connection.
 type countingConn struct {
@@ -136,9 +135,9 @@
 	return n, err
 }
 
-// BenchmarkEnginePoll asks one engine for its report and its cache events, as
-// its owner does once a second. running is the requests it has, each of which
-// the report names; events is what happened to its cache in that second.
+// BenchmarkEnginePoll polls the report and the cache events of one engine, as its
+// owner does once a second. running is the number of its requests, all of which
+// are listed in the report; events is the number of cache events in that second.
 func BenchmarkEnginePoll(b *testing.B) {
 	for _, running := range []int{0, 25, 50, 100} {
 		for _, events := range []int{0, 12} {
@@ -150,7 +149,7 @@
 }
 
 func benchmarkEnginePoll(b *testing.B, running, events int) {
-	f := fleetOf(b, capacity.Today())
+	f := newFleet(b, capacity.Today())
 	status := f.Status(f.Engines["engine-0000"], running)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
@@ -159,7 +158,7 @@
 			return
 		}
 		after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
-		_ = json.NewEncoder(w).Encode(page(after, events))
+		_ = json.NewEncoder(w).Encode(eventPage(after, events))
 	}))
 	b.Cleanup(srv.Close)
 	var bytes atomic.Int64
@@ -183,7 +182,7 @@
 	b.ReportMetric(float64(cpu.Microseconds())/float64(b.N), "cpu-us/poll")
 }
 
-func page(after uint64, n int) wire.CacheEvents {
+func eventPage(after uint64, n int) wire.CacheEvents {
 	p := wire.CacheEvents{Incarnation: 1, Next: after + uint64(n)}
 	for i := range uint64(n) {
 		seq := after + i + 1
@@ -192,7 +191,7 @@
 	return p
 }
 
-// BenchmarkConfigChange counts what one accepted change costs the store.
+// BenchmarkConfigChange counts the store operations of one accepted change.
 func BenchmarkConfigChange(b *testing.B) {
 	perSize(b, func(b *testing.B, f *capacity.Fleet) {
 		fake := platformtest.New()
@@ -209,7 +208,7 @@
 		}
 		n := float64(b.N)
 		b.ReportMetric(float64(fake.Count(platformtest.OpCommit))/n, "commits/change")
-		b.ReportMetric(float64(writesOf(fake))/n, "rows/change")
+		b.ReportMetric(float64(writtenRows(fake))/n, "rows/change")
 		b.ReportMetric(float64(fake.Count(platformtest.OpGet))/n, "reads/change")
 		b.ReportMetric(float64(fake.Count(platformtest.OpPutObject))/n, "objects/change")
 		before := fake.Count(platformtest.OpGet)
@@ -220,14 +219,14 @@
 	})
 }
 
-func writesOf(fake *platformtest.Fake) (rows int) {
+func writtenRows(fake *platformtest.Fake) (rows int) {
 	for _, c := range fake.History() {
 		rows += len(c.Writes)
 	}
 	return rows
 }
 
-// slowTable is a table service whose commits take some time and are counted.
+// slowTable is a table service that delays and counts commits.
 type slowTable struct {
 	api.Table
 	delay   time.Duration
@@ -243,8 +242,8 @@
 	return t.Table.Commit(ctx, use, writes...)
 }
 
-// BenchmarkClaims runs whole claims at one router, with commits that take
-// 5 ms, by how many requests are under way there at once.
+// BenchmarkClaims executes complete claims at one router, with commits that take
+// 5 ms, by the number of concurrent requests.
 func BenchmarkClaims(b *testing.B) {
 	const (
 		commitTime    = 5 * time.Millisecond
@@ -261,7 +260,7 @@
 				for range workers {
 					wg.Go(func() {
 						for range perWorker {
-							oneClaim(b, store)
+							runClaim(b, store)
 						}
 					})
 				}
@@ -277,11 +276,11 @@
 	}
 }
 
-func oneClaim(b *testing.B, store *claim.Store) {
+func runClaim(b *testing.B, store *claim.Store) {
 	key := claim.Key{Account: "account", IdempotencyKey: uuid.NewString(), Service: "portal"}
 	out, err := store.Begin(context.Background(), key, claim.HashBody([]byte("body")))
 	if err != nil || out.Kind != claim.Run {
-		b.Error("not claimed", err)
+		b.Error("claim was not granted", err)
 		return
 	}
 	answer := claim.Answer{Status: http.StatusOK, ContentType: "application/json", Body: []byte(`{"receipt":"1"}`)}
