--- a/internal/lab/bench/report/table.go
+++ b/internal/lab/bench/report/table.go
@@ -22,7 +22,7 @@
 const (
 	cellPadding = 2
 	fileMode    = 0o644
-	// shownSamples bounds the failures in the table; the JSON has up to 20.
+	// shownSamples bounds the failures in the table; the JSON has more.
 	shownSamples = 5
 )
 
