--- a/test/soak/faults.go
+++ b/test/soak/faults.go
@@ -10,16 +10,17 @@
 	"damaskrouter.example/damaskrouter/platform/standin"
 )
 
-// fault is one thing that goes wrong for a while.
+// fault is a temporary fault.
 type fault struct {
 	name string
-	// play makes it go wrong and puts it right after d.
-	play func(w *world, rng *rand.Rand, d time.Duration)
+	// inject starts the fault and ends it after d. Faults without a duration return at
+	// once.
+	inject func(cl *cluster, rng *rand.Rand, d time.Duration)
 }
 
-// Each list of modes and behaviours is what a proxy or an engine can do.
+// Faults of links, of the store and of engines.
 var (
-	badLinks   = []mode{delayed, resetting, deaf, silent}
+	badLinks   = []mode{delayed, resetting, droppingReplies, droppingAll}
 	badStores  = []standin.Fault{standin.Busy, standin.Limited, standin.Silent, standin.Hushed}
 	badEngines = []platformtest.Behaviour{
 		platformtest.Shed, platformtest.Broken, platformtest.Reset, platformtest.Mute,
@@ -30,79 +31,80 @@
 func pick[T any](rng *rand.Rand, list []T) T { return list[rng.IntN(len(list))] }
 
 var faults = []fault{
-	{"store link", func(w *world, rng *rand.Rand, d time.Duration) {
-		p := pick(rng, w.routers).store
+	{"store link", func(cl *cluster, rng *rand.Rand, d time.Duration) {
+		p := pick(rng, cl.routers).store
 		p.set(pick(rng, badLinks))
 		time.Sleep(d)
 		p.set(passing)
 	}},
-	{"router link", func(w *world, rng *rand.Rand, d time.Duration) {
-		l := pick(rng, w.routers).peers
+	{"router link", func(cl *cluster, rng *rand.Rand, d time.Duration) {
+		l := pick(rng, cl.routers).peers
 		l.set(pick(rng, badLinks))
 		time.Sleep(d)
 		l.set(passing)
 	}},
-	{"store", func(w *world, rng *rand.Rand, d time.Duration) {
+	{"store", func(cl *cluster, rng *rand.Rand, d time.Duration) {
 		bad := pick(rng, badStores)
-		w.store.Fail(func(string) standin.Fault { return bad })
+		cl.store.Fail(func(string) standin.Fault { return bad })
 		time.Sleep(d)
-		w.store.Fail(func(string) standin.Fault { return standin.Well })
+		cl.store.Fail(func(string) standin.Fault { return standin.Well })
 	}},
-	{"store forgets", func(w *world, _ *rand.Rand, _ time.Duration) { w.store.Compact() }},
-	{"engine link", func(w *world, rng *rand.Rand, d time.Duration) {
-		p := pick(rng, w.serving()).proxy
+	{"store history compacted", func(cl *cluster, _ *rand.Rand, _ time.Duration) { cl.store.Compact() }},
+	{"engine link", func(cl *cluster, rng *rand.Rand, d time.Duration) {
+		p := pick(rng, cl.serving()).proxy
 		p.set(pick(rng, badLinks))
 		time.Sleep(d)
 		p.set(passing)
 	}},
-	{"engine", func(w *world, rng *rand.Rand, d time.Duration) {
-		e := pick(rng, w.serving())
+	{"engine", func(cl *cluster, rng *rand.Rand, d time.Duration) {
+		e := pick(rng, cl.serving())
 		e.Behave(pick(rng, badEngines))
 		time.Sleep(d)
 		e.Behave(platformtest.Serve)
 	}},
-	{"pause", func(w *world, rng *rand.Rand, d time.Duration) {
-		r := pick(rng, w.routers)
+	{"pause", func(cl *cluster, rng *rand.Rand, d time.Duration) {
+		r := pick(rng, cl.routers)
 		r.signal(syscall.SIGSTOP)
 		time.Sleep(d)
 		r.signal(syscall.SIGCONT)
 	}},
-	{"hangup", func(w *world, rng *rand.Rand, _ time.Duration) { pick(rng, w.routers).signal(syscall.SIGHUP) }},
+	{"hangup", func(cl *cluster, rng *rand.Rand, _ time.Duration) { pick(rng, cl.routers).signal(syscall.SIGHUP) }},
 }
 
-// restart stops a router with a signal, calls whileDown and starts the router again. It reports whether the
-// process ended within its time.
-func restart(w *world, r *router, s syscall.Signal, whileDown func()) (inTime bool, err error) {
+// restart stops a router with a signal, calls whileDown and starts the router again.
+// inTime reports whether the process exited within stopTime and a second.
+func restart(cl *cluster, r *router, s syscall.Signal, whileDown func()) (inTime bool, err error) {
 	r.restartMu.Lock()
 	defer r.restartMu.Unlock()
-	r.expectEnd()
+	r.expectExit()
 	r.signal(syscall.SIGCONT)
 	r.signal(s)
 	inTime = r.wait(stopTime + time.Second)
 	whileDown()
-	return inTime, w.start(r)
+	return inTime, cl.start(r)
 }
 
-// removeWithoutDrain adds a new engine, then removes e's entry without marking it as draining first.
-// e continues to serve requests that reach it.
-func removeWithoutDrain(w *world, e *engine) {
-	w.addEngine(e.Site)
-	w.store.RemoveEngine(e.Engine)
-	w.markLeft(e)
+// removeWithoutDrain adds a new engine, then removes e's entry without marking it as
+// draining first. e continues to serve requests that reach it.
+func removeWithoutDrain(cl *cluster, e *engine) {
+	cl.addEngine(e.Site)
+	cl.store.RemoveEngine(e.Engine)
+	cl.markLeaving(e)
 }
 
-// drain announces that an engine leaves, lets a new one take its place, and
-// removes its entry later.
-func drain(w *world, e *engine) {
-	w.addEngine(e.Site)
-	w.store.PutEngine(e.Engine, e.proxy.address(), "draining")
-	w.markLeft(e)
+// drain adds a new engine, marks e as draining, and removes its entry after drainBound
+// and a second.
+func drain(cl *cluster, e *engine) {
+	cl.addEngine(e.Site)
+	cl.store.PutEngine(e.Engine, e.proxy.address(), "draining")
+	cl.markLeaving(e)
 	time.Sleep(drainBound + time.Second)
-	w.store.RemoveEngine(e.Engine)
+	cl.store.RemoveEngine(e.Engine)
 }
 
-// plague plays faults in overlapping series until stop is closed.
-func plague(w *world, rng *rand.Rand, stop <-chan struct{}, note func(string)) {
+// injectFaults injects overlapping random faults until stop is closed, and waits for
+// their end.
+func injectFaults(cl *cluster, rng *rand.Rand, stop <-chan struct{}, note func(string)) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for {
@@ -113,12 +115,12 @@
 		}
 		f := faults[rng.IntN(len(faults))]
 		d := duration(rng, 200*time.Millisecond, 2500*time.Millisecond)
-		own := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
+		childRNG := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
 		note(f.name)
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			f.play(w, own, d)
+			f.inject(cl, childRNG, d)
 		}()
 	}
 }
--- a/test/soak/peers.go
+++ b/test/soak/peers.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// peerLink is what lies between a router and the others: its calls over TCP and its
-// datagrams, under the address that the others know.
+// peerLink is the network between other routers and one router: a proxy for TCP calls
+// and one for datagrams, both at the router's advertised address.
 type peerLink struct {
 	calls     *proxy
 	datagrams *net.UDPConn
 	target    *net.UDPAddr
 
 	mu sync.Mutex
-	// back holds a socket for each sender, from which the router sees it.
-	back map[string]*net.UDPConn
+	// senders holds a socket for each sender. The router sees datagrams of the sender
+	// as coming from it.
+	senders map[string]*net.UDPConn
 }
 
 func newPeerLink(listen, target string) (*peerLink, error) {
@@ -24,25 +25,25 @@
 	if err != nil {
 		return nil, err
 	}
-	here, err := net.ResolveUDPAddr("udp4", listen)
+	listenAddr, err := net.ResolveUDPAddr("udp4", listen)
 	if err != nil {
 		return nil, err
 	}
-	there, err := net.ResolveUDPAddr("udp4", target)
+	targetAddr, err := net.ResolveUDPAddr("udp4", target)
 	if err != nil {
 		return nil, err
 	}
-	conn, err := net.ListenUDP("udp4", here)
+	conn, err := net.ListenUDP("udp4", listenAddr)
 	if err != nil {
 		return nil, err
 	}
-	l := &peerLink{calls: calls, datagrams: conn, target: there, back: make(map[string]*net.UDPConn)}
+	l := &peerLink{calls: calls, datagrams: conn, target: targetAddr, senders: make(map[string]*net.UDPConn)}
 	go l.serve()
 	return l, nil
 }
 
-// set does to datagrams what the mode does to the bytes of a connection; one that
-// resets connections lets them pass.
+// set sets the mode. Datagrams are delayed or dropped like the bytes of connections;
+// the mode that resets connections lets datagrams pass.
 func (l *peerLink) set(m mode) { l.calls.set(m) }
 
 func (l *peerLink) close() {
@@ -50,7 +51,7 @@
 	_ = l.datagrams.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, c := range l.back {
+	for _, c := range l.senders {
 		_ = c.Close()
 	}
 }
@@ -64,58 +65,58 @@
 		if err != nil {
 			return
 		}
-		if l.calls.now() == silent {
+		if l.calls.currentMode() == droppingAll {
 			continue
 		}
-		out, err := l.towards(from)
+		out, err := l.senderSocket(from)
 		if err != nil {
 			continue
 		}
-		l.pass(append([]byte(nil), buf[:n]...), func(b []byte) { _, _ = out.Write(b) })
+		l.forward(append([]byte(nil), buf[:n]...), func(datagram []byte) { _, _ = out.Write(datagram) })
 	}
 }
 
-// pass sends a datagram on, late where the link is slow.
-func (l *peerLink) pass(b []byte, send func([]byte)) {
-	if l.calls.now() == delayed {
-		time.AfterFunc(delay, func() { send(b) })
+// forward sends a datagram, with a delay if the mode says so.
+func (l *peerLink) forward(datagram []byte, send func([]byte)) {
+	if l.calls.currentMode() == delayed {
+		time.AfterFunc(delay, func() { send(datagram) })
 		return
 	}
-	send(b)
+	send(datagram)
 }
 
-// towards returns the socket that stands for a sender.
-func (l *peerLink) towards(from *net.UDPAddr) (*net.UDPConn, error) {
+// senderSocket returns the socket that represents a sender to the router.
+func (l *peerLink) senderSocket(from *net.UDPAddr) (*net.UDPConn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c := l.back[from.String()]; c != nil {
+	if c := l.senders[from.String()]; c != nil {
 		return c, nil
 	}
 	c, err := net.DialUDP("udp4", nil, l.target)
 	if err != nil {
 		return nil, err
 	}
-	l.back[from.String()] = c
-	go l.answers(c, from)
+	l.senders[from.String()] = c
+	go l.forwardReplies(c, from)
 	return c, nil
 }
 
-// answers passes what the router says to a sender back.
-func (l *peerLink) answers(c *net.UDPConn, to *net.UDPAddr) {
+// forwardReplies sends the router's datagrams for a sender back to it.
+func (l *peerLink) forwardReplies(c *net.UDPConn, to *net.UDPAddr) {
 	buf := make([]byte, maxDatagram)
 	for {
 		n, err := c.Read(buf)
 		if err != nil {
-			// A port that nobody listens on is reported here, while the router
-			// restarts; the socket stays.
+			// While the router restarts, nothing listens on its port, which the socket
+			// reports as an error. The socket stays usable.
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
 			continue
 		}
-		if m := l.calls.now(); m == silent || m == deaf {
+		if m := l.calls.currentMode(); m == droppingAll || m == droppingReplies {
 			continue
 		}
-		l.pass(append([]byte(nil), buf[:n]...), func(b []byte) { _, _ = l.datagrams.WriteToUDP(b, to) })
+		l.forward(append([]byte(nil), buf[:n]...), func(datagram []byte) { _, _ = l.datagrams.WriteToUDP(datagram, to) })
 	}
 }
--- a/test/soak/proxy.go
+++ b/test/soak/proxy.go
@@ -1,6 +1,6 @@
-// Package soak runs the real program as separate processes on one machine,
-// injects faults from outside them, and checks the promises from what callers
-// and engines see.
+// Package soak runs the real program as separate processes on one machine, injects
+// faults from outside of them, and checks the guarantees by what callers and engines
+// observe.
 package soak
 
 import (
@@ -14,21 +14,20 @@
 
 const (
 	passing mode = iota
-	// delayed bytes arrive late, in both directions.
+	// delayed: bytes are delayed in both directions.
 	delayed
-	// resetting connections, open and new ones.
+	// resetting: open and new connections are reset.
 	resetting
-	// deaf drops what comes back: the connection is cut one way.
-	deaf
-	// silent drops everything, and resets nothing.
-	silent
+	// droppingReplies: bytes from the target are dropped, as in a one-way partition.
+	droppingReplies
+	// droppingAll: all bytes are dropped and no connection is reset.
+	droppingAll
 )
 
-// delay is how late delayed bytes arrive.
+// delay is the delay of bytes in the mode delayed.
 const delay = 120 * time.Millisecond
 
-// proxy forwards TCP connections on loopback and does to them what its mode
-// says.
+// proxy forwards TCP connections on loopback and injects the fault of its mode.
 type proxy struct {
 	ln net.Listener
 
@@ -69,13 +68,13 @@
 	}
 }
 
-func (p *proxy) now() mode {
+func (p *proxy) currentMode() mode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
 }
 
-// close ends the proxy and its connections.
+// close closes the listener and all connections.
 func (p *proxy) close() {
 	_ = p.ln.Close()
 	p.mu.Lock()
@@ -98,7 +97,7 @@
 		if err != nil {
 			return
 		}
-		if p.now() == resetting {
+		if p.currentMode() == resetting {
 			reset(in)
 			continue
 		}
@@ -110,29 +109,30 @@
 		p.mu.Lock()
 		p.conns[in], p.conns[out] = true, true
 		p.mu.Unlock()
-		go p.pump(in, out, false)
-		go p.pump(out, in, true)
+		go p.forward(in, out, false)
+		go p.forward(out, in, true)
 	}
 }
 
-// pump moves bytes one way; back is the way from the target. A connection that
-// was silenced once stays so: something between its ends has forgotten it.
-func (p *proxy) pump(from, to net.Conn, back bool) {
-	defer p.drop(from, to)
+// forward copies bytes one way. Once it has dropped bytes of a connection it drops all
+// later ones too, as a device on the path does that has lost its state of the
+// connection.
+func (p *proxy) forward(from, to net.Conn, fromTarget bool) {
+	defer p.closePair(from, to)
 	buf := make([]byte, 16<<10)
-	lost := false
+	dropping := false
 	for {
 		n, err := from.Read(buf)
-		switch m := p.now(); {
-		case m == silent, m == deaf && back:
-			lost = true
+		switch m := p.currentMode(); {
+		case m == droppingAll, m == droppingReplies && fromTarget:
+			dropping = true
 		case m == delayed:
 			time.Sleep(delay)
 		}
 		if err != nil {
 			return
 		}
-		if lost {
+		if dropping {
 			continue
 		}
 		if _, err := to.Write(buf[:n]); err != nil {
@@ -141,9 +141,9 @@
 	}
 }
 
-// drop closes both ends. An end that was reset resets the other, so that a cut
-// answer does not look whole.
-func (p *proxy) drop(a, b net.Conn) {
+// closePair closes both ends of a connection. In the mode resetting, set has reset both
+// before, so that a truncated response does not look complete.
+func (p *proxy) closePair(a, b net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, a)
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -12,52 +12,56 @@
 	"damaskrouter.example/damaskrouter/platform/platformtest"
 )
 
-// Options size a run.
+// Options sets the size of a run.
 type Options struct {
 	Seed    uint64
 	Routers int
 	Engines int
 	Callers int
-	// Faulty is how long faults are injected.
-	Faulty time.Duration
-	// Dir takes the settings and logs of the routers, Binary is the program.
+	// FaultDuration is how long faults are injected.
+	FaultDuration time.Duration
+	// Dir is the directory for settings and logs of the routers, Binary the path of the
+	// program.
 	Dir, Binary string
-	// Network makes the routers' addresses differ from those of other runs.
+	// Network is the third number of the routers' addresses, to separate concurrent
+	// runs.
 	Network int
 }
 
-// Result is what a run found.
+// Result is the result of a run.
 type Result struct {
 	Requests int
 	Served   int
-	// Calm and CalmServed count the requests after the faults had ended.
-	Calm, CalmServed int
-	// Endings says which routers ended without being told to, and how.
-	Endings []string
-	Faults  []string
-	// Broken are the promises that were broken.
-	Broken []string
+	// AfterRecovery and AfterRecoveryServed count the requests after the faults and the
+	// time for recovery.
+	AfterRecovery, AfterRecoveryServed int
+	// UnexpectedExits describes the routers that exited without being told to.
+	UnexpectedExits []string
+	Faults          []string
+	// Violations describes the violated guarantees.
+	Violations []string
 }
 
 const (
-	// settle is how long the system gets to recover before it is judged.
-	settle = 5 * time.Second
-	// calm is how long it is judged for.
-	calm = 2 * time.Second
-	// callTimeout is the callers' time limit.
+	// recoveryTime is the time for the system to recover after the faults.
+	recoveryTime = 5 * time.Second
+	// measureTime is how long requests are counted after that.
+	measureTime = 2 * time.Second
+	// callTimeout is the timeout of callers.
 	callTimeout = 2500 * time.Millisecond
 )
 
-// Run plays one seed. Errors are those of the machine, not of the system.
+// Run runs one seed. An error means that the run could not be set up; violated
+// guarantees are in the result.
 func Run(o Options) (Result, error) {
-	w, err := newWorld(o.Dir, o.Binary, o.Network, o.Routers, o.Engines)
+	cl, err := newWorld(o.Dir, o.Binary, o.Network, o.Routers, o.Engines)
 	if err != nil {
 		return Result{}, err
 	}
-	defer w.close()
-	b := &books{revoked: make(map[string]time.Time)}
+	defer cl.close()
+	rec := &recorder{revokedAt: make(map[string]time.Time)}
 	rng := rand.New(rand.NewPCG(o.Seed, 0))
-	if err := w.awaitReady(); err != nil {
+	if err := cl.awaitReady(); err != nil {
 		return Result{}, err
 	}
 	stop := make(chan struct{})
@@ -66,30 +70,30 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			callers(w, b, rand.New(rand.NewPCG(o.Seed, uint64(i+1))), stop)
+			runCaller(cl, rec, rand.New(rand.NewPCG(o.Seed, uint64(i+1))), stop)
 		}()
 	}
-	disturb(w, b, rng, o.Faulty)
-	time.Sleep(settle)
-	calmFrom := time.Now()
-	time.Sleep(calm)
-	w.checkSettings(b)
+	runFaults(cl, rec, rng, o.FaultDuration)
+	time.Sleep(recoveryTime)
+	recoveredAt := time.Now()
+	time.Sleep(measureTime)
+	cl.checkSettings(rec)
 	close(stop)
 	wg.Wait()
-	return b.result(w, calmFrom), nil
+	return rec.result(cl, recoveredAt), nil
 }
 
-// awaitReady waits until each router has served a request.
-func (w *world) awaitReady() error {
+// awaitReady waits until each router has served a request, at most 20 s in all.
+func (cl *cluster) awaitReady() error {
 	deadline := time.Now().Add(20 * time.Second)
-	for _, r := range w.routers {
+	for _, r := range cl.routers {
 		for {
-			a := platformtest.Call{Address: w.address(r), Path: platformtest.PathSafe}.Do(context.Background(), http.DefaultClient)
+			a := platformtest.Call{Address: cl.address(r), Path: platformtest.PathSafe}.Do(context.Background(), http.DefaultClient)
 			if a.Status == http.StatusOK {
 				break
 			}
 			if time.Now().After(deadline) {
-				return fmt.Errorf("%s did not get ready: status %d, %w", r.name, a.Status, a.Err)
+				return fmt.Errorf("%s did not become ready within 20 s: status %d, %w", r.name, a.Status, a.Err)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -97,9 +101,9 @@
 	return nil
 }
 
-// callers is one caller: it keeps its connections open, and uses each router's
-// for as long as there is one.
-func callers(w *world, b *books, rng *rand.Rand, stop <-chan struct{}) {
+// runCaller sends requests to random routers until stop is closed. It keeps connections
+// open and reuses them.
+func runCaller(cl *cluster, rec *recorder, rng *rand.Rand, stop <-chan struct{}) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4}, Timeout: callTimeout}
 	defer client.CloseIdleConnections()
 	for {
@@ -108,35 +112,35 @@
 			return
 		case <-time.After(duration(rng, 2*time.Millisecond, 40*time.Millisecond)):
 		}
-		e := entry{path: pick(rng, platformtest.Paths), key: pick(rng, []string{platformtest.FirstKey, "key-2", "key-3"}), sent: time.Now()}
+		e := observation{path: pick(rng, platformtest.Paths), key: pick(rng, []string{platformtest.FirstKey, "key-2", "key-3"}), sent: time.Now()}
 		e.answer = platformtest.Call{
-			Address: w.address(pick(rng, w.routers)), Path: e.path, Key: e.key, Body: "body", TimeoutMS: int(callTimeout.Milliseconds()),
+			Address: cl.address(pick(rng, cl.routers)), Path: e.path, Key: e.key, Body: "body", TimeoutMS: int(callTimeout.Milliseconds()),
 		}.Do(context.Background(), client)
-		b.record(e)
+		rec.record(e)
 	}
 }
 
-// disturb injects faults, restarts, leaves and changes of the configuration, all
-// overlapping, for d.
-func disturb(w *world, b *books, rng *rand.Rand, d time.Duration) {
-	w.configure([]string{"key-2", "key-3"})
+// runFaults injects faults, restarts, drains and configuration changes for d, all of
+// them overlapping.
+func runFaults(cl *cluster, rec *recorder, rng *rand.Rand, d time.Duration) {
+	cl.configure([]string{"key-2", "key-3"})
 	end := time.Now().Add(d)
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	series := []func(*rand.Rand){
-		func(rng *rand.Rand) { plague(w, rng, stop, b.note) },
-		func(rng *rand.Rand) { restarts(w, b, rng, end) },
-		func(rng *rand.Rand) { changes(w, b, rng, end) },
-		func(rng *rand.Rand) { rewrite(w, b, rng, end) },
-		func(rng *rand.Rand) { evacuations(w, b, rng, end) },
-		func(rng *rand.Rand) { removalsDuringRestarts(w, b, rng, end) },
+		func(rng *rand.Rand) { injectFaults(cl, rng, stop, rec.noteFault) },
+		func(rng *rand.Rand) { restartRouters(cl, rec, rng, end) },
+		func(rng *rand.Rand) { changeConfig(cl, rec, rng, end) },
+		func(rng *rand.Rand) { rewriteSettings(cl, rec, rng, end) },
+		func(rng *rand.Rand) { evacuateSites(cl, rec, rng, end) },
+		func(rng *rand.Rand) { removeDuringRestarts(cl, rec, rng, end) },
 	}
-	for _, play := range series {
-		own := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
+	for _, run := range series {
+		childRNG := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			play(own)
+			run(childRNG)
 		}()
 	}
 	time.Sleep(time.Until(end))
@@ -144,84 +148,86 @@
 	wg.Wait()
 }
 
-// restarts ends routers by signals, one after the other.
-func restarts(w *world, b *books, rng *rand.Rand, end time.Time) {
+// restartRouters stops routers by signals and starts them again, one at a time.
+func restartRouters(cl *cluster, rec *recorder, rng *rand.Rand, end time.Time) {
 	for time.Now().Before(end) {
 		time.Sleep(duration(rng, 300*time.Millisecond, 2*time.Second))
 		s := pick(rng, []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL})
-		b.note("restart by " + s.String())
-		inTime, err := restart(w, pick(rng, w.routers), s, func() {})
+		rec.noteFault("restart by " + s.String())
+		inTime, err := restart(cl, pick(rng, cl.routers), s, func() {})
 		if err != nil {
-			b.fail("restart: %v", err)
+			rec.violation("restart: %v", err)
 		}
 		if !inTime {
-			b.fail("a router did not end within %v of %v", stopTime+time.Second, s)
+			rec.violation("a router did not exit within %v of %v", stopTime+time.Second, s)
 		}
 	}
 }
 
-// changes takes keys away for good, and lets engines leave.
-func changes(w *world, b *books, rng *rand.Rand, end time.Time) {
-	left := [][]string{{"key-2"}, nil}
-	gone := []string{"key-3", "key-2"}
+// changeConfig revokes keys for good and drains engines.
+func changeConfig(cl *cluster, rec *recorder, rng *rand.Rand, end time.Time) {
+	remainingKeys := [][]string{{"key-2"}, nil}
+	revokedKeys := []string{"key-3", "key-2"}
 	for time.Now().Before(end) {
 		time.Sleep(duration(rng, 500*time.Millisecond, 2*time.Second))
-		if len(left) > 0 && rng.IntN(2) == 0 {
-			w.configure(left[0])
-			b.mu.Lock()
-			b.revoked[gone[0]] = time.Now()
-			b.mu.Unlock()
-			left, gone = left[1:], gone[1:]
-			b.note("key taken away")
+		if len(remainingKeys) > 0 && rng.IntN(2) == 0 {
+			cl.configure(remainingKeys[0])
+			rec.mu.Lock()
+			rec.revokedAt[revokedKeys[0]] = time.Now()
+			rec.mu.Unlock()
+			remainingKeys, revokedKeys = remainingKeys[1:], revokedKeys[1:]
+			rec.noteFault("key revoked")
 			continue
 		}
-		b.note("engine leaves")
-		drain(w, pick(rng, w.serving()))
+		rec.noteFault("engine draining")
+		drain(cl, pick(rng, cl.serving()))
 	}
 }
 
-// removalsDuringRestarts removes engine entries that were not marked as draining, each while a router is
-// down. It guards against a restarted router, which reads the engines only after the removal, hiding the
-// removal from routers that have not received it yet and query the restarted one.
-func removalsDuringRestarts(w *world, b *books, rng *rand.Rand, end time.Time) {
+// removeDuringRestarts removes engine entries that were not marked as draining, each
+// while a router is down. It guards against a restarted router, which reads the engines
+// only after the removal, hiding the removal from routers that have not received it yet
+// and query the restarted one.
+func removeDuringRestarts(cl *cluster, rec *recorder, rng *rand.Rand, end time.Time) {
 	for time.Now().Before(end) {
 		time.Sleep(duration(rng, 300*time.Millisecond, time.Second))
-		b.note("engine entry removed during a router restart")
-		if _, err := restart(w, pick(rng, w.routers), syscall.SIGKILL, func() { removeWithoutDrain(w, pick(rng, w.serving())) }); err != nil {
-			b.fail("restart: %v", err)
+		rec.noteFault("engine entry removed during a router restart")
+		if _, err := restart(cl, pick(rng, cl.routers), syscall.SIGKILL, func() { removeWithoutDrain(cl, pick(rng, cl.serving())) }); err != nil {
+			rec.violation("restart: %v", err)
 		}
 	}
 }
 
-// evacuations evacuates a site again and again, and leaves it evacuated in half of the runs.
-func evacuations(w *world, b *books, rng *rand.Rand, end time.Time) {
+// evacuateSites repeatedly evacuates a site, and leaves it evacuated in half of the
+// runs.
+func evacuateSites(cl *cluster, rec *recorder, rng *rand.Rand, end time.Time) {
 	site := pick(rng, sites)
 	for time.Now().Before(end) {
 		time.Sleep(duration(rng, 100*time.Millisecond, time.Second))
-		b.note("evacuation of " + site)
-		w.store.Put("op", "evacuate/"+site, struct{}{})
+		rec.noteFault("evacuation of " + site)
+		cl.store.Put("op", "evacuate/"+site, struct{}{})
 		time.Sleep(duration(rng, 50*time.Millisecond, time.Second))
-		w.store.Remove("op", "evacuate/"+site)
+		cl.store.Remove("op", "evacuate/"+site)
 	}
 	if rng.IntN(2) == 0 {
-		b.note(site + " stays evacuated")
-		w.store.Put("op", "evacuate/"+site, struct{}{})
-		w.evacuated = site
+		rec.noteFault(site + " stays evacuated")
+		cl.store.Put("op", "evacuate/"+site, struct{}{})
+		cl.evacuated = site
 	}
 }
 
-// result compares the books.
-func (b *books) result(w *world, calmFrom time.Time) Result {
-	out := Result{Requests: len(b.entries), Endings: w.ended(), Faults: b.faults, Broken: b.check(w, calmFrom)}
-	for _, e := range b.entries {
+// result summarizes the run.
+func (rec *recorder) result(cl *cluster, recoveredAt time.Time) Result {
+	out := Result{Requests: len(rec.observations), UnexpectedExits: cl.exits(), Faults: rec.injected, Violations: rec.check(cl, recoveredAt)}
+	for _, e := range rec.observations {
 		served := e.answer.Status == http.StatusOK && e.answer.Err == nil
 		if served {
 			out.Served++
 		}
-		if e.sent.After(calmFrom) && e.key == platformtest.FirstKey {
-			out.Calm++
+		if e.sent.After(recoveredAt) && e.key == platformtest.FirstKey {
+			out.AfterRecovery++
 			if served {
-				out.CalmServed++
+				out.AfterRecoveryServed++
 			}
 		}
 	}
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -12,28 +12,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-// regressions are seeds that have failed, with the cause. TestSoak runs them unless a flag selects others.
+// regressions are seeds that have failed, with the cause. TestSoak runs them unless
+// flags select others.
 var regressions = []struct {
 	seed  uint64
 	cause string
 }{
-	{216, "a SIGHUP in the first milliseconds of a process, before it was caught, ended it; no one started it again"},
-	{3005, "the soak itself started a router twice, so that one of the two ended again and again"},
-	{603, "the soak's own: replacements of engines went to other sites, until all engines were in the evacuated one"},
+	{216, "a SIGHUP in the first milliseconds of a process, before it was handled, terminated it, and nothing restarted it"},
+	{3005, "fault of the test: it started a router twice, so that one of the two processes exited again and again"},
+	{603, "fault of the test: replacements of engines went to other sites, until all engines were in the evacuated one"},
 	{501, "a router that had just started hid the removal of an engine from other routers, which continued to send requests to it"},
 }
 
 var (
-	firstSeed = flag.Uint64("soak.first", 0, "the first seed; 0 is the first regression seed")
-	seeds     = flag.Int("soak.seeds", 0, "how many consecutive seeds to run; 0 runs soak.first, or all regression seeds if that is 0 too")
-	routers   = flag.Int("soak.routers", 4, "how many routers a run has")
-	network   = flag.Int("soak.network", 200, "the third number of the routers' addresses, for runs side by side")
-	faulty    = flag.Duration("soak.faulty", 4*time.Second, "how long faults are injected in a run")
+	firstSeed     = flag.Uint64("soak.first", 0, "the first seed; 0 is the first regression seed")
+	seeds         = flag.Int("soak.seeds", 0, "number of consecutive seeds to run; 0 runs soak.first, or all regression seeds if that is 0 too")
+	routers       = flag.Int("soak.routers", 4, "number of routers")
+	network       = flag.Int("soak.network", 200, "the third number of the routers' addresses, to separate concurrent runs")
+	faultDuration = flag.Duration("soak.faulty", 4*time.Second, "how long faults are injected in a run")
 )
 
-// calmShare is the part of the requests that must be served once the faults are
-// over and the system has had time to recover.
-const calmShare = 0.9
+// minServedShare is the share of requests that must be served once the faults are over
+// and the system has had time to recover.
+const minServedShare = 0.9
 
 // selectedSeeds returns the seeds selected by the flags.
 func selectedSeeds() []uint64 {
@@ -51,11 +52,11 @@
 	return out
 }
 
-// TestSoak plays seeds. A few dozen by hand:
+// TestSoak runs the selected seeds. To run more of them:
 //
 //	go test ./test/soak -run TestSoak -soak.first 100 -soak.seeds 50 -timeout 30m
 //
-// The folder with the logs of a run that failed is kept.
+// The directory with the logs of a failed run is kept.
 func TestSoak(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "damaskrouter")
 	build := exec.Command("go", "build", "-o", binary, "../../cmd/damaskrouter")
@@ -65,15 +66,15 @@
 		dir, err := os.MkdirTemp("", "soak-")
 		require.NoError(t, err)
 		result, err := Run(Options{
-			Seed: seed, Routers: *routers, Engines: 4, Callers: 8, Faulty: *faulty,
+			Seed: seed, Routers: *routers, Engines: 4, Callers: 8, FaultDuration: *faultDuration,
 			Dir: dir, Binary: binary, Network: *network,
 		})
 		require.NoError(t, err)
-		t.Logf("seed %d: %d requests, %d served, %d of %d after the faults, %d faults, ended by themselves: %v",
-			seed, result.Requests, result.Served, result.CalmServed, result.Calm, len(result.Faults), result.Endings)
-		ok := len(result.Broken) == 0 && float64(result.CalmServed) >= calmShare*float64(result.Calm) && result.Calm > 0
+		t.Logf("seed %d: %d requests, %d served, %d of %d after the faults, %d faults, unexpected exits: %v",
+			seed, result.Requests, result.Served, result.AfterRecoveryServed, result.AfterRecovery, len(result.Faults), result.UnexpectedExits)
+		ok := len(result.Violations) == 0 && float64(result.AfterRecoveryServed) >= minServedShare*float64(result.AfterRecovery) && result.AfterRecovery > 0
 		if !ok {
-			t.Errorf("seed %d broke promises; logs in %s\n%v\nfaults: %v", seed, dir, result.Broken, result.Faults)
+			t.Errorf("seed %d violated guarantees; logs in %s\n%v\nfaults: %v", seed, dir, result.Violations, result.Faults)
 			continue
 		}
 		require.NoError(t, os.RemoveAll(dir))
