--- a/internal/lab/faultkit/callers.go
+++ b/internal/lab/faultkit/callers.go
@@ -15,10 +15,11 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrNoAnswer is an attempt that got neither an answer nor a typed refusal.
-var ErrNoAnswer = errs.Class("faultkit: no answer")
+// ErrNoResponse reports an attempt that got neither a response nor a typed refusal.
+var ErrNoResponse = errs.Class("faultkit: no response")
 
-// The client accounts of the example configuration that callers use.
+// Account is the client account that requests receipts. It and the API keys are those
+// of the example configuration.
 const (
 	Account    = "applicant-portal"
 	accountKey = "example-applicant-portal-sebeke"
@@ -26,40 +27,41 @@
 )
 
 const (
-	// Caller is the name of callers on the network.
+	// Caller is the name of all callers on the network.
 	Caller = "caller"
-	// patience is how long a caller waits for an answer.
-	patience = 45 * time.Second
+	// callerTimeout bounds a whole call of a caller.
+	callerTimeout = 45 * time.Second
 )
 
-// Receipt asks one router to issue a receipt, once, and notes the outcome.
-func (w *World) Receipt(address, key string) Outcome {
-	out := w.receipt(address, key)
+// RequestReceipt sends one request for a receipt to the router at address and records
+// its outcome with the oracle. key is the idempotency key.
+func (cl *Cluster) RequestReceipt(address, key string) Outcome {
+	out := cl.sendReceipt(address, key)
 	out.Key = key
-	w.Oracle.Note(out)
+	cl.Oracle.RecordOutcome(out)
 	return out
 }
 
-func (w *World) receipt(address, key string) Outcome {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (cl *Cluster) sendReceipt(address, key string) Outcome {
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
 	url := "http://" + address + wire.PathServices + "portal/receipts"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(`{"dossier":"`+key+`"}`))
 	if err != nil {
-		return Outcome{Err: ErrNoAnswer.Wrap(err)}
+		return Outcome{Err: ErrNoResponse.Wrap(err)}
 	}
 	req.Header.Set("Authorization", "Bearer "+accountKey)
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(wire.HeaderIdempotencyKey, key)
 	req.GetBody = nil
-	resp, err := w.transport().RoundTrip(req)
+	resp, err := cl.transport().RoundTrip(req)
 	if err != nil {
-		return Outcome{Err: ErrNoAnswer.Wrap(err)}
+		return Outcome{Err: ErrNoResponse.Wrap(err)}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return Outcome{Err: ErrNoAnswer.Wrap(err)}
+		return Outcome{Err: ErrNoResponse.Wrap(err)}
 	}
 	return outcomeOf(resp, body)
 }
@@ -73,82 +75,83 @@
 		Error *apierr.Error `json:"error"`
 	}
 	if err := json.NewDecoder(bytes.NewReader(body)).Decode(&refusal); err != nil || refusal.Error == nil {
-		return Outcome{Err: ErrNoAnswer.New("status %d without a typed refusal", resp.StatusCode)}
+		return Outcome{Err: ErrNoResponse.New("status %d without a typed refusal", resp.StatusCode)}
 	}
 	return Outcome{Refusal: refusal.Error}
 }
 
-// transport opens a connection for each request, as work that must not be
-// repeated needs.
-func (w *World) transport() *http.Transport {
-	return &http.Transport{DialContext: w.Net.Dial(Caller, nil), DisableKeepAlives: true}
+// transport returns a transport that opens a connection for each request. A
+// non-idempotent request must not reuse one, since net/http may then send it again.
+func (cl *Cluster) transport() *http.Transport {
+	return &http.Transport{DialContext: cl.Net.Dial(Caller, nil), DisableKeepAlives: true}
 }
 
-// Locate asks one router which to use for a chat.
-func (w *World) Locate(address, chat string) (wire.Locate, error) {
+// Locate asks the router at address which router to use for a chat. Its errors are of
+// ErrNoResponse.
+func (cl *Cluster) Locate(address, chat string) (wire.Locate, error) {
 	var out wire.Locate
 	url := "http://" + address + wire.PathLocate + "?model=" + Model + "&chat=" + chat
 	req, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
-		return out, ErrNoAnswer.Wrap(err)
+		return out, ErrNoResponse.Wrap(err)
 	}
 	req.Header.Set("Authorization", "Bearer "+chatKey)
-	resp, err := w.transport().RoundTrip(req)
+	resp, err := cl.transport().RoundTrip(req)
 	if err != nil {
-		return out, ErrNoAnswer.Wrap(err)
+		return out, ErrNoResponse.Wrap(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return out, ErrNoAnswer.Wrap(json.NewDecoder(resp.Body).Decode(&out))
+	return out, ErrNoResponse.Wrap(json.NewDecoder(resp.Body).Decode(&out))
 }
 
-// Client returns a client library whose seeds are the routers given, in their
-// order, or all.
-func (w *World) Client(routers ...*Router) (*client.Client, error) {
+// Client returns a client whose seeds are the given routers in their order, or all
+// routers of the cluster if none is given. The caller closes it.
+func (cl *Cluster) Client(routers ...*Router) (*client.Client, error) {
 	if len(routers) == 0 {
-		routers = w.Routers
+		routers = cl.Routers
 	}
 	var seeds []string
 	for _, r := range routers {
 		seeds = append(seeds, r.Address)
 	}
 	return client.New(client.Options{
-		Seeds: seeds, Key: chatKey, Transport: &http.Transport{DialContext: w.Net.Dial(Caller, nil)},
+		Seeds: seeds, Key: chatKey, Transport: &http.Transport{DialContext: cl.Net.Dial(Caller, nil)},
 	})
 }
 
-// ChatOptions describe one turn of a chat.
+// ChatOptions describes one turn of a chat.
 type ChatOptions struct {
 	Chat, Text string
 	Tokens     int
-	// OnToken, if set, is called with the number of pieces so far.
+	// OnToken, if set, is called for each chunk with the number of chunks so far.
 	OnToken func(n int)
-	// Priority is the class; empty for the account's default.
+	// Priority is the priority class; empty selects the account's default.
 	Priority string
 	Deadline time.Duration
 }
 
-// Say runs one turn of a fresh chat through the client library and notes what
-// its caller got.
-func (w *World) Say(c *client.Client, o ChatOptions) Chat {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// SendTurn sends the first turn of a chat through the client and records what the
+// caller received with the oracle.
+func (cl *Cluster) SendTurn(c *client.Client, o ChatOptions) Chat {
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
-	v := c.Conversation(o.Chat, Model)
-	v.MaxTokens = o.Tokens
-	v.Priority = o.Priority
-	v.Deadline = o.Deadline
-	got := Chat{Request: wire.ChatRequest{
+	conversation := c.Conversation(o.Chat, Model)
+	conversation.MaxTokens = o.Tokens
+	conversation.Priority = o.Priority
+	conversation.Deadline = o.Deadline
+	result := Chat{Request: wire.ChatRequest{
 		Model: Model, MaxTokens: o.Tokens, Messages: []wire.Message{{Role: "user", Content: o.Text}},
 	}}
-	var shown strings.Builder
+	var streamed strings.Builder
 	n := 0
-	turn, err := v.Say(ctx, o.Text, func(piece string) {
-		shown.WriteString(piece)
+	turn, err := conversation.Say(ctx, o.Text, func(piece string) {
+		streamed.WriteString(piece)
 		n++
 		if o.OnToken != nil {
 			o.OnToken(n)
 		}
 	})
-	got.Shown, got.Text, got.Err = shown.String(), turn.Text, err
-	w.Oracle.NoteChat(got)
-	return got
+	result.Shown, result.Text, result.Err = streamed.String(), turn.Text, err
+	cl.Oracle.RecordChat(result)
+	return result
 }
--- a/internal/lab/faultkit/cluster.go
+++ b/internal/lab/faultkit/cluster.go
@@ -16,7 +16,7 @@
 	"damaskrouter.example/damaskrouter/internal/store/platform/platformtest"
 )
 
-// The pools and the model of the example configuration.
+// Pools and model of the example configuration.
 const (
 	PoolLanguage = "language"
 	PoolPortal   = "portal"
@@ -24,51 +24,52 @@
 	modelVersion = "2.1"
 )
 
-// Options set up a World.
+// Options configures a Cluster.
 type Options struct {
-	// Engines and Services are how many of each there are.
+	// Engines and Services are the numbers of engines and services at the start.
 	Engines, Services int
-	// StepTime is the time of an engine's step; 0 means 10 ms.
+	// StepTime is the duration of one engine step; 0 selects 10 ms.
 	StepTime time.Duration
-	// EngineVersion is the model version that engines start with; empty
-	// means the one of the example configuration.
+	// EngineVersion is the model version of engines; empty selects the one of the
+	// example configuration.
 	EngineVersion string
-	// Budget bounds each router's calls of the table service; nil means no bound.
+	// Budget limits each router's calls of the table service; nil means no limit.
 	Budget *platform.BudgetOptions
-	// Seed drives the routers' random choices.
+	// Seed seeds the routers' random choices.
 	Seed uint64
 	// Bundle is the first configuration.
 	Bundle config.Bundle
 }
 
-// World is a platform, engines, services and routers in one process, to be
-// run in a synctest bubble.
-type World struct {
-	Net       *Network
-	Platform  *platformtest.Fake
-	Routers   []*Router
-	Oracle    *Oracle
-	Seed      uint64
-	mu        sync.Mutex
-	announced func(from *Router, item membership.Item)
-
-	opts    Options
+// Cluster is a platform, engines, services and routers in one process. It runs in a
+// synctest bubble.
+type Cluster struct {
+	Net        *Network
+	Platform   *platformtest.Fake
+	Routers    []*Router
+	Oracle     *Oracle
+	Seed       uint64
+	mu         sync.Mutex
+	onAnnounce func(from *Router, item membership.Item)
+
+	options Options
 	gates   []*Gate
 	servers []*http.Server
 	wg      sync.WaitGroup
 	tokens  atomic.Int64
 }
 
-// NewWorld starts the platform and the stand-ins.
-func NewWorld(o Options) (*World, error) {
+// NewCluster starts the platform, the engines and the services. Routers are started by
+// StartRouter.
+func NewCluster(o Options) (*Cluster, error) {
 	if o.StepTime == 0 {
 		o.StepTime = 10 * time.Millisecond
 	}
 	if o.EngineVersion == "" {
 		o.EngineVersion = modelVersion
 	}
-	w := &World{Net: NewNetwork(), Platform: platformtest.New(), Oracle: newOracle(), Seed: o.Seed, opts: o}
-	chain := config.NewChain(w.Platform, w.Platform.Objects(), time.Now)
+	cl := &Cluster{Net: NewNetwork(), Platform: platformtest.New(), Oracle: newOracle(), Seed: o.Seed, options: o}
+	chain := config.NewChain(cl.Platform, cl.Platform.Objects(), time.Now)
 	_, err := chain.Accept(context.Background(), config.Change{
 		Bundle: o.Bundle, ChangeID: "first", Author: "test", Comment: "first version",
 	})
@@ -76,122 +77,126 @@
 		return nil, err
 	}
 	for i := range o.Engines {
-		w.AddEngine(fmt.Sprint("engine-", i), EngineAddress(i), 1)
+		cl.AddEngine(fmt.Sprint("engine-", i), EngineAddress(i), 1)
 	}
 	for i := range o.Services {
-		w.AddService(fmt.Sprint("portal-", i), ServiceAddress(i), 1)
+		cl.AddService(fmt.Sprint("portal-", i), ServiceAddress(i), 1)
 	}
-	return w, nil
+	return cl, nil
 }
 
-// EngineAddress is the address of the i-th engine.
+// EngineAddress returns the address of the i-th engine.
 func EngineAddress(i int) string { return fmt.Sprintf("10.1.0.%d:80", i+1) }
 
-// ServiceAddress is the address of the i-th service.
+// ServiceAddress returns the address of the i-th service.
 func ServiceAddress(i int) string { return fmt.Sprintf("10.2.0.%d:80", i+1) }
 
-// RouterAddress is the address of the i-th router.
+// RouterAddress returns the address of the i-th router.
 func RouterAddress(i int) string { return fmt.Sprintf("10.3.0.%d:80", i+1) }
 
-// AddEngine starts an engine and lists it.
-func (w *World) AddEngine(name, address string, generation uint64) *engine.Engine {
+// AddEngine starts an engine and adds its VM to the VM list.
+func (cl *Cluster) AddEngine(name, address string, generation uint64) *engine.Engine {
 	o := engine.Defaults(name, Model)
-	o.Version = w.opts.EngineVersion
+	o.Version = cl.options.EngineVersion
 	o.Adapters = []string{"grid-code", "objections"}
-	o.StepTime = w.opts.StepTime
+	o.StepTime = cl.options.StepTime
 	o.ReportLag = 0
 	e := engine.New(o)
-	w.Oracle.addEngine(name, e)
-	w.serve(name, address, e.Handler())
-	w.list(name, address, platform.KindEngine, PoolLanguage, generation)
+	cl.Oracle.addEngine(name, e)
+	cl.serveHTTP(name, address, e.Handler())
+	cl.registerVM(name, address, platform.KindEngine, PoolLanguage, generation)
 	return e
 }
 
-// ReplaceEngine lets the i-th engine's VM vanish and another engine come up at
-// its address, under another name.
-func (w *World) ReplaceEngine(i int, name string) *engine.Engine {
+// ReplaceEngine crashes the i-th engine, removes its VM, and starts another engine
+// called name at the same address.
+func (cl *Cluster) ReplaceEngine(i int, name string) *engine.Engine {
 	old := fmt.Sprint("engine-", i)
-	w.Net.Between("", old, (*Conn).Cut)
-	w.Oracle.Engine(old).Crash()
-	w.Platform.DeleteVM(old)
-	return w.AddEngine(name, EngineAddress(i), 2)
+	cl.Net.EachConn("", old, (*Conn).Cut)
+	cl.Oracle.Engine(old).Crash()
+	cl.Platform.DeleteVM(old)
+	return cl.AddEngine(name, EngineAddress(i), 2)
 }
 
-// ReplaceService is ReplaceEngine for the i-th service.
-func (w *World) ReplaceService(i int, name string) *service.Service {
+// ReplaceService removes the i-th service's VM and starts another service called name
+// at the same address.
+func (cl *Cluster) ReplaceService(i int, name string) *service.Service {
 	old := fmt.Sprint("portal-", i)
-	w.Net.Between("", old, (*Conn).Cut)
-	w.Platform.DeleteVM(old)
-	return w.AddService(name, ServiceAddress(i), 2)
+	cl.Net.EachConn("", old, (*Conn).Cut)
+	cl.Platform.DeleteVM(old)
+	return cl.AddService(name, ServiceAddress(i), 2)
 }
 
-// AddService starts a plain service and lists it.
-func (w *World) AddService(name, address string, generation uint64) *service.Service {
+// AddService starts a plain service and adds its VM to the VM list.
+func (cl *Cluster) AddService(name, address string, generation uint64) *service.Service {
 	s := service.New(service.Options{Name: name})
-	w.Oracle.addService(name, s)
-	w.serve(name, address, s.Handler())
-	w.list(name, address, platform.KindService, PoolPortal, generation)
+	cl.Oracle.addService(name, s)
+	cl.serveHTTP(name, address, s.Handler())
+	cl.registerVM(name, address, platform.KindService, PoolPortal, generation)
 	return s
 }
 
-func (w *World) list(name, address, kind, pool string, generation uint64) {
-	w.Platform.PutVM(platform.VM{
+func (cl *Cluster) registerVM(name, address, kind, pool string, generation uint64) {
+	cl.Platform.PutVM(platform.VM{
 		Name: name, Address: address, Site: site, State: platform.VMLive,
 		Generation: generation, Kind: kind, Pool: pool,
 	})
 }
 
-func (w *World) serve(name, address string, h http.Handler) {
-	ln := w.Net.Listen(name, address, nil)
-	srv := &http.Server{Handler: h, ErrorLog: quiet().StandardLog()}
-	w.servers = append(w.servers, srv)
-	w.wg.Go(func() { _ = srv.Serve(ln) })
+func (cl *Cluster) serveHTTP(name, address string, h http.Handler) {
+	ln := cl.Net.Listen(name, address, nil)
+	srv := &http.Server{Handler: h, ErrorLog: discardLogger().StandardLog()}
+	cl.servers = append(cl.servers, srv)
+	cl.wg.Go(func() { _ = srv.Serve(ln) })
 }
 
-// OnAnnounce sets what gets the configuration heads that routers announce.
-func (w *World) OnAnnounce(f func(from *Router, item membership.Item)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.announced = f
+// OnAnnounce sets the function that receives the configuration heads that routers
+// announce.
+func (cl *Cluster) OnAnnounce(f func(from *Router, item membership.Item)) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.onAnnounce = f
 }
 
-func (w *World) announce(from *Router, item membership.Item) {
-	w.mu.Lock()
-	f := w.announced
-	w.mu.Unlock()
+func (cl *Cluster) announce(from *Router, item membership.Item) {
+	cl.mu.Lock()
+	f := cl.onAnnounce
+	cl.mu.Unlock()
 	if f != nil {
 		f(from, item)
 	}
 }
 
-// table is a router's way to the table service, within its budget.
-func (w *World) table() platform.Table {
-	if w.opts.Budget == nil {
-		return w.Platform
+// tableWithBudget returns the table service as one router uses it, limited by a budget
+// of its own if Options.Budget is set.
+func (cl *Cluster) tableWithBudget() platform.Table {
+	if cl.options.Budget == nil {
+		return cl.Platform
 	}
-	return platform.Budgeted(w.Platform, platform.NewBudget(*w.opts.Budget))
+	return platform.Budgeted(cl.Platform, platform.NewBudget(*cl.options.Budget))
 }
 
-// token returns a new claim token.
-func (w *World) token() string { return fmt.Sprint("token-", w.tokens.Add(1)) }
+// newClaimToken returns a claim token that is unique in the cluster.
+func (cl *Cluster) newClaimToken() string { return fmt.Sprint("token-", cl.tokens.Add(1)) }
 
-// Close ends everything.
-func (w *World) Close() {
-	for _, g := range w.gates {
+// Close stops everything that the cluster started. Frozen processes are thawed first,
+// so that their goroutines can end.
+func (cl *Cluster) Close() {
+	for _, g := range cl.gates {
 		g.Thaw()
 	}
-	for _, r := range w.Routers {
+	for _, r := range cl.Routers {
 		r.Gate.Thaw()
 	}
-	w.Net.Close()
-	for _, r := range w.Routers {
+	cl.Net.Close()
+	for _, r := range cl.Routers {
 		r.Close()
 	}
-	for _, e := range w.Oracle.Engines() {
+	for _, e := range cl.Oracle.Engines() {
 		e.Close()
 	}
-	for _, srv := range w.servers {
+	for _, srv := range cl.servers {
 		_ = srv.Close()
 	}
-	w.wg.Wait()
+	cl.wg.Wait()
 }
--- a/internal/lab/faultkit/gate.go
+++ b/internal/lab/faultkit/gate.go
@@ -6,27 +6,27 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrKilled is what a killed process's operations return to it. Nothing of
-// what it does afterwards has an effect outside.
+// ErrKilled is returned to the operations of a killed process. Whatever the process
+// does after the kill has no effect outside of it.
 var ErrKilled = errs.Class("faultkit: process killed")
 
-// Gate stands between one process and everything outside it. While it is
-// frozen, whatever the process does or receives waits; once it is killed,
-// nothing passes any more.
+// Gate controls all input and output of one simulated process. While the gate is
+// frozen, operations block; after Kill, they fail.
 type Gate struct {
 	killed chan struct{}
 
 	mu sync.Mutex
-	// frozen is closed by Thaw; nil unless frozen.
+	// frozen is closed by Thaw and nil unless the gate is frozen.
 	frozen chan struct{}
 	dead   bool
 	onKill []func()
 }
 
-// NewGate returns an open Gate.
+// NewGate returns a Gate that lets operations pass.
 func NewGate() *Gate { return &Gate{killed: make(chan struct{})} }
 
-// Pass waits while the process is frozen. It fails once the process is killed.
+// Pass blocks while the process is frozen. It returns ErrKilled once the process is
+// killed.
 func (g *Gate) Pass() error {
 	for {
 		g.mu.Lock()
@@ -45,7 +45,7 @@
 	}
 }
 
-// Freeze stops the process until Thaw.
+// Freeze blocks the operations of the process until Thaw or Kill.
 func (g *Gate) Freeze() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// Thaw lets a frozen process go on.
+// Thaw lets the operations of a frozen process continue.
 func (g *Gate) Thaw() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -64,7 +64,8 @@
 	}
 }
 
-// Kill ends the process and everything that it holds open.
+// Kill fails all operations of the process from now on and calls the functions added by
+// OnKill.
 func (g *Gate) Kill() {
 	g.mu.Lock()
 	if g.dead {
@@ -73,14 +74,15 @@
 	}
 	g.dead = true
 	close(g.killed)
-	hooks := g.onKill
+	callbacks := g.onKill
 	g.mu.Unlock()
-	for _, f := range hooks {
+	for _, f := range callbacks {
 		f()
 	}
 }
 
-// OnKill adds a function that Kill calls; on a killed process it runs at once.
+// OnKill adds a function that Kill calls. If the process is already killed, it is
+// called at once.
 func (g *Gate) OnKill(f func()) {
 	g.mu.Lock()
 	dead := g.dead
--- a/internal/lab/faultkit/matrix.go
+++ b/internal/lab/faultkit/matrix.go
@@ -1,53 +1,53 @@
-// Package faultkit is the harness of the fault matrix: the matrix itself, an
-// in-memory network whose connections fail as told, one-process routers that
-// can be frozen and killed, and an oracle that keeps its own books at the
-// stand-ins. The tests that use it are in test/faults.
+// Package faultkit is the harness of the fault matrix: the matrix itself, an in-memory
+// network with fault injection, routers that run in one process and can be frozen and
+// killed, and an oracle that checks the guarantees by the records of the stand-ins. The
+// tests that use it are in test/faults.
 package faultkit
 
-// Fault names one thing that goes wrong, or a selected pair of them.
+// Fault names one injected fault or a selected pair of faults.
 type Fault string
 
-// The faults of the matrix.
+// Faults of the matrix.
 const (
-	Kill       Fault = "kill"
-	Freeze     Fault = "freeze and thaw"
-	CutBoth    Fault = "cut both ways"
-	CutOneWay  Fault = "cut one way"
-	Silent     Fault = "silent connection"
-	ReplyLost  Fault = "reply lost after effect"
-	ReplyLate  Fault = "reply late"
-	Duplicate  Fault = "duplicate"
-	Reorder    Fault = "reorder"
-	StoreDown  Fault = "store down"
-	StoreSlow  Fault = "store slow"
-	VMsStale   Fault = "VM list stale"
-	ViewsDiff  Fault = "views differ"
-	Flap       Fault = "flap"
-	Surge      Fault = "surge"
-	IPReused   Fault = "IP used again"
-	Race       Fault = "operator race"
-	LostDown   Fault = "reply lost + store down"
-	KillSilent Fault = "kill + silent connection"
-	RaceLost   Fault = "operator race + reply lost"
-	FreezeTake Fault = "freeze + take-over"
-	TwiceLost  Fault = "reply lost twice"
-	DupKill    Fault = "duplicate + kill"
+	Kill                  Fault = "kill"
+	Freeze                Fault = "freeze and thaw"
+	CutBoth               Fault = "cut both ways"
+	CutOneWay             Fault = "cut one way"
+	Silent                Fault = "silent connection"
+	ReplyLost             Fault = "reply lost after effect"
+	ReplyLate             Fault = "reply late"
+	Duplicate             Fault = "duplicate"
+	Reorder               Fault = "reorder"
+	StoreDown             Fault = "store down"
+	StoreSlow             Fault = "store slow"
+	StaleVMList           Fault = "VM list stale"
+	ViewsDiffer           Fault = "views differ"
+	Flap                  Fault = "flap"
+	Surge                 Fault = "surge"
+	AddressReused         Fault = "IP used again"
+	OperatorRace          Fault = "operator race"
+	ReplyLostStoreDown    Fault = "reply lost + store down"
+	KillSilent            Fault = "kill + silent connection"
+	OperatorRaceReplyLost Fault = "operator race + reply lost"
+	FreezeTakeOver        Fault = "freeze + take-over"
+	ReplyLostTwice        Fault = "reply lost twice"
+	DuplicateKill         Fault = "duplicate + kill"
 )
 
-// Singles are the single faults, in the order of the page.
-var Singles = []Fault{
+// SingleFaults lists the single faults in the order of the page.
+var SingleFaults = []Fault{
 	Kill, Freeze, CutBoth, CutOneWay, Silent, ReplyLost, ReplyLate, Duplicate, Reorder,
-	StoreDown, StoreSlow, VMsStale, ViewsDiff, Flap, Surge, IPReused, Race,
+	StoreDown, StoreSlow, StaleVMList, ViewsDiffer, Flap, Surge, AddressReused, OperatorRace,
 }
 
-// Pairs are the selected pairs. They have cells only at the steps where two
+// FaultPairs lists the selected pairs. They have cells only at the steps where two
 // faults together could do what neither does alone.
-var Pairs = []Fault{LostDown, KillSilent, RaceLost, FreezeTake, TwiceLost, DupKill}
+var FaultPairs = []Fault{ReplyLostStoreDown, KillSilent, OperatorRaceReplyLost, FreezeTakeOver, ReplyLostTwice, DuplicateKill}
 
-// Step names what the system is doing when a fault strikes.
+// Step names what the system is doing when a fault is injected.
 type Step string
 
-// The steps of the matrix.
+// Steps of the matrix.
 const (
 	Locate    Step = "locate"
 	Admit     Step = "admit"
@@ -72,63 +72,65 @@
 	TakeOver Step = "take over"
 )
 
-// StepGroup is the steps of one activity, which share a table on the page.
+// StepGroup holds the steps of one activity, which share a table on the page.
 type StepGroup struct {
 	Title string
 	Steps []Step
 }
 
-// Groups are all steps, in the order of the page.
-var Groups = []StepGroup{
+// StepGroups lists all steps in the order of the page.
+var StepGroups = []StepGroup{
 	{"Requests", []Step{Locate, Admit, Queue, Permit, Claim, Send, FirstByte, MidStream, End, Record, Answer}},
 	{"Configuration", []Step{ConfigRead, Check, Commit, Propagate, Apply}},
 	{"Membership", []Step{Join, Leave, TakeOver}},
 }
 
-// Promise is one of the seven statements that must always hold.
-type Promise int
+// Guarantee is one of the seven statements that must always hold.
+type Guarantee int
 
-// The promises.
+// The guarantees.
 const (
-	// LoadBound: no engine carries more than a set multiple of the mean load.
-	LoadBound Promise = iota + 1
-	// OwnAnswer: each caller receives the whole answer to its own request.
-	OwnAnswer
-	// DidNotRun: what was refused as not run did not run.
-	DidNotRun
-	// AtMostOnce: non-idempotent work runs at most once.
+	// LoadBound: no engine carries more than a set multiple of its pool's mean load.
+	LoadBound Guarantee = iota + 1
+	// OwnResponse: each caller receives the complete response to its own request, or a
+	// typed error.
+	OwnResponse
+	// NotExecuted: a request that was refused as not executed was not executed.
+	NotExecuted
+	// AtMostOnce: a non-idempotent request is executed at most once.
 	AtMostOnce
-	// LeavingRests: a leaving upstream gets no new work after some seconds.
-	LeavingRests
-	// NothingCut: a planned stop cuts no request in progress.
-	NothingCut
-	// ConfigHolds: an accepted configuration is in force and never reverts.
-	ConfigHolds
+	// NoWorkWhenDraining: a draining upstream gets no new work after a few seconds.
+	NoWorkWhenDraining
+	// NoRequestInterrupted: a planned stop interrupts no request in progress.
+	NoRequestInterrupted
+	// ConfigNeverReverts: an accepted configuration becomes active everywhere and never
+	// reverts.
+	ConfigNeverReverts
 )
 
-// PromiseTexts describe the promises, by number.
-var PromiseTexts = map[Promise]string{
-	LoadBound:    "no engine carries more than the set multiple of its pool's mean load",
-	OwnAnswer:    "a caller gets the whole answer to its own request, or a typed error",
-	DidNotRun:    "what is refused as not run did not run",
-	AtMostOnce:   "non-idempotent work runs at most once",
-	LeavingRests: "a leaving upstream gets no new work after a few seconds",
-	NothingCut:   "a planned stop cuts no request in progress",
-	ConfigHolds:  "an accepted configuration is in force everywhere and never reverts",
+// GuaranteeTexts describes the guarantees.
+var GuaranteeTexts = map[Guarantee]string{
+	LoadBound:            "no engine carries more than the set multiple of its pool's mean load",
+	OwnResponse:          "a caller gets the whole answer to its own request, or a typed error",
+	NotExecuted:          "what is refused as not run did not run",
+	AtMostOnce:           "non-idempotent work runs at most once",
+	NoWorkWhenDraining:   "a leaving upstream gets no new work after a few seconds",
+	NoRequestInterrupted: "a planned stop cuts no request in progress",
+	ConfigNeverReverts:   "an accepted configuration is in force everywhere and never reverts",
 }
 
-// Status is what the matrix says of a cell.
+// Status is the state of a cell.
 type Status int
 
-// The statuses of a cell.
+// Statuses of a cell.
 const (
-	// Open: the cell needs a proof and has none.
+	// Open: the cell needs a test and has none.
 	Open Status = iota
-	// NotApplicable: the fault can't strike at the step.
+	// NotApplicable: the fault can't occur at the step.
 	NotApplicable
-	// Proved: a test struck with the fault at the step and the promises held.
-	Proved
-	// Failed: the test ran and a promise did not hold.
+	// Passed: a test injected the fault at the step and the guarantees held.
+	Passed
+	// Failed: a test ran and a guarantee did not hold.
 	Failed
 )
 
@@ -137,10 +139,10 @@
 	Fault  Fault
 	Step   Step
 	Status Status
-	// Promises are those that the test asserts.
-	Promises []Promise
-	// Note is the reason of a cell that does not apply, what is missing in an
-	// open one, or what the test of a proved one does.
+	// Promises are the guarantees that the test asserts.
+	Promises []Guarantee
+	// Note says why the cell does not apply, what an open cell lacks, or what the test
+	// of a passed cell does.
 	Note string
 }
 
@@ -150,10 +152,10 @@
 	Step  Step
 }
 
-// Matrix holds cells by fault and step.
+// Matrix maps keys to cells.
 type Matrix map[Key]Cell
 
-// Counts returns how many cells have each status.
+// Counts returns the number of cells of each status.
 func (m Matrix) Counts() map[Status]int {
 	out := make(map[Status]int)
 	for _, c := range m {
--- a/internal/lab/faultkit/network.go
+++ b/internal/lab/faultkit/network.go
@@ -10,17 +10,16 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrDial means that nothing listens at an address.
+// ErrDial reports a dial to an address at which nothing listens.
 var ErrDial = errs.Class("faultkit: connection refused")
 
-// Network joins processes by in-memory connections. Faults strike when bytes
-// that a Tap waits for pass, and so at a step of the protocol and not after a
-// span of time.
+// Network connects processes by in-memory connections. Faults are injected by triggers
+// when given bytes pass, and so at a step of the protocol instead of after a time.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*Listener
 	conns     []*Conn
-	taps      []*Tap
+	triggers  []*Trigger
 }
 
 // NewNetwork returns a Network without listeners.
@@ -28,32 +27,32 @@
 	return &Network{listeners: make(map[string]*Listener)}
 }
 
-// Direction is that of bytes on a connection.
+// Direction is the direction of bytes on a connection.
 type Direction int
 
-// The directions.
+// Directions.
 const (
-	// Out is from the dialing side to the listening one.
+	// Out is from the dialing side to the listening side.
 	Out Direction = iota
-	// In is from the listening side to the dialing one.
+	// In is from the listening side to the dialing side.
 	In
 )
 
-// Tap strikes once, before the bytes that it waits for are passed on. Bytes
-// that arrive in several pieces are seen by piece, so Contains should be short.
-type Tap struct {
-	// From and To are names of processes; empty means any.
+// Trigger injects a fault once, before the matching bytes are passed on. It matches
+// against the bytes of a single read or write, so Contains should be short.
+type Trigger struct {
+	// From and To are names of processes; empty matches any.
 	From, To string
 	Dir      Direction
-	// Contains are bytes of the piece; nil means any piece.
+	// Contains must occur in the bytes; nil matches any.
 	Contains []byte
-	// Skip is how many pieces that match go by first.
+	// Skip is the number of matches to ignore first.
 	Skip int
 	// Strike is called with the connection.
 	Strike func(*Conn)
 }
 
-// Listener accepts the connections made to one address.
+// Listener accepts the connections to one address.
 type Listener struct {
 	network *Network
 	name    string
@@ -64,8 +63,8 @@
 	gate    *Gate
 }
 
-// Listen opens an address, "ip:port", for the process name. The gate, if any,
-// stands in front of the process's end of each connection.
+// Listen opens address ("ip:port") for the process called name. If gate is not nil, the
+// process's end of each connection goes through it.
 func (n *Network) Listen(name, address string, gate *Gate) *Listener {
 	l := &Listener{
 		network: n, name: name, gate: gate,
@@ -97,7 +96,8 @@
 // Addr implements net.Listener.
 func (l *Listener) Addr() net.Addr { return l.addr }
 
-// Dial opens connections as the process from, through its gate if it has one.
+// Dial returns a dial function for the process called from, which goes through gate if
+// that is not nil.
 func (n *Network) Dial(from string, gate *Gate) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		if gate != nil {
@@ -116,12 +116,12 @@
 }
 
 func (n *Network) connect(ctx context.Context, l *Listener, from string, gate *Gate) (net.Conn, error) {
-	near, far := net.Pipe()
-	c := &Conn{Conn: near, network: n, From: from, To: l.name}
+	dialed, accepted := net.Pipe()
+	c := &Conn{Conn: dialed, network: n, From: from, To: l.name}
 	select {
-	case l.conns <- gated(far, l.gate):
+	case l.conns <- gated(accepted, l.gate):
 	case <-l.closed:
-		return nil, ErrDial.New("%s is closed", l.addr)
+		return nil, ErrDial.New("listener at %s is closed", l.addr)
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -131,29 +131,29 @@
 	return gated(c, gate), nil
 }
 
-// Close closes all listeners and connections.
+// Close closes all listeners and connections and removes the triggers.
 func (n *Network) Close() {
 	n.mu.Lock()
 	listeners := n.listeners
 	n.listeners = make(map[string]*Listener)
-	n.taps = nil
+	n.triggers = nil
 	n.mu.Unlock()
 	for _, l := range listeners {
 		_ = l.Close()
 	}
-	n.Between("", "", (*Conn).Cut)
+	n.EachConn("", "", (*Conn).Cut)
 }
 
-// Tap adds a tap.
-func (n *Network) Tap(t Tap) {
+// AddTrigger adds a trigger.
+func (n *Network) AddTrigger(t Trigger) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.taps = append(n.taps, &t)
+	n.triggers = append(n.triggers, &t)
 }
 
-// Between calls f with each connection that from dialed to to, which may be
-// empty for any.
-func (n *Network) Between(from, to string, f func(*Conn)) {
+// EachConn calls f with each connection dialed by from to to. An empty name matches any
+// process.
+func (n *Network) EachConn(from, to string, f func(*Conn)) {
 	n.mu.Lock()
 	conns := append([]*Conn(nil), n.conns...)
 	n.mu.Unlock()
@@ -164,28 +164,29 @@
 	}
 }
 
-// struck returns the taps whose turn it is.
-func (n *Network) struck(c *Conn, dir Direction, p []byte) []*Tap {
+// dueTriggers removes and returns the triggers that match and have no matches left to
+// skip.
+func (n *Network) dueTriggers(c *Conn, dir Direction, p []byte) []*Trigger {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var now, rest []*Tap
-	for _, t := range n.taps {
+	var due, remaining []*Trigger
+	for _, t := range n.triggers {
 		if !t.matches(c, dir, p) {
-			rest = append(rest, t)
+			remaining = append(remaining, t)
 			continue
 		}
 		if t.Skip > 0 {
 			t.Skip--
-			rest = append(rest, t)
+			remaining = append(remaining, t)
 			continue
 		}
-		now = append(now, t)
+		due = append(due, t)
 	}
-	n.taps = rest
-	return now
+	n.triggers = remaining
+	return due
 }
 
-func (t *Tap) matches(c *Conn, dir Direction, p []byte) bool {
+func (t *Trigger) matches(c *Conn, dir Direction, p []byte) bool {
 	return t.Dir == dir && (t.From == "" || t.From == c.From) && (t.To == "" || t.To == c.To) &&
 		bytes.Contains(p, t.Contains)
 }
@@ -194,7 +195,7 @@
 type Conn struct {
 	net.Conn
 	network *Network
-	// From and To name the processes.
+	// From and To are the names of the processes.
 	From, To string
 
 	mu      sync.Mutex
@@ -206,7 +207,7 @@
 	pending []byte
 }
 
-// Cut breaks the connection; both ends notice. What was under way is lost.
+// Cut closes the connection and discards the bytes under way. Both ends get an error.
 func (c *Conn) Cut() {
 	c.mu.Lock()
 	c.cut = true
@@ -220,7 +221,7 @@
 	return c.cut
 }
 
-// Drop loses what passes in one direction from now on; neither end notices.
+// Drop discards all further bytes in one direction. Neither end gets an error.
 func (c *Conn) Drop(dir Direction) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -231,21 +232,21 @@
 	c.dropIn = true
 }
 
-// Silence loses what passes in both directions from now on.
-func (c *Conn) Silence() {
+// DropBoth discards all further bytes in both directions. Neither end gets an error.
+func (c *Conn) DropBoth() {
 	c.Drop(Out)
 	c.Drop(In)
 }
 
-// Rewrite changes the next piece that comes in, such as by repeating it.
-func (c *Conn) Rewrite(f func([]byte) []byte) {
+// RewriteNext changes the bytes of the next read, for example to repeat them.
+func (c *Conn) RewriteNext(f func([]byte) []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rewrite = f
 }
 
-// Delay calls wait before the next bytes that come in are passed on.
-func (c *Conn) Delay(wait func()) {
+// DelayNext calls wait before the bytes of the next read are passed on.
+func (c *Conn) DelayNext(wait func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.delay = wait
@@ -260,14 +261,14 @@
 	return c.dropIn
 }
 
-func (c *Conn) strike(dir Direction, p []byte) {
-	for _, t := range c.network.struck(c, dir, p) {
+func (c *Conn) runTriggers(dir Direction, p []byte) {
+	for _, t := range c.network.dueTriggers(c, dir, p) {
 		t.Strike(c)
 	}
 }
 
-// wait runs the delay of the bytes that came in, once.
-func (c *Conn) wait() {
+// applyDelay runs the pending delay, if any.
+func (c *Conn) applyDelay() {
 	c.mu.Lock()
 	wait := c.delay
 	c.delay = nil
@@ -279,15 +280,15 @@
 
 // Write implements net.Conn.
 func (c *Conn) Write(p []byte) (int, error) {
-	c.strike(Out, p)
+	c.runTriggers(Out, p)
 	if c.dropping(Out) {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-// Read implements net.Conn. What is lost is read and thrown away, so that the
-// sender goes on as if it had arrived.
+// Read implements net.Conn. Dropped bytes are read and discarded, so that the sender
+// continues as if they had arrived.
 func (c *Conn) Read(p []byte) (int, error) {
 	if n := c.takePending(p); n > 0 {
 		return n, nil
@@ -295,21 +296,21 @@
 	for {
 		n, err := c.Conn.Read(p)
 		if n > 0 {
-			c.strike(In, p[:n])
-			c.wait()
+			c.runTriggers(In, p[:n])
+			c.applyDelay()
 		}
 		if c.isCut() {
 			return 0, net.ErrClosed
 		}
 		if !c.dropping(In) || err != nil {
-			return c.rewritten(p, n), err
+			return c.applyRewrite(p, n), err
 		}
 	}
 }
 
-// rewritten changes the piece in p[:n] if it is to be, and returns how much of
-// it fits in p.
-func (c *Conn) rewritten(p []byte, n int) int {
+// applyRewrite runs the pending rewrite, if any, on p[:n] and returns the number of
+// bytes in p. What does not fit is kept for the next read.
+func (c *Conn) applyRewrite(p []byte, n int) int {
 	c.mu.Lock()
 	f := c.rewrite
 	if f == nil || n == 0 {
@@ -330,7 +331,7 @@
 	return n
 }
 
-// gatedConn is a process's end of a connection behind its gate.
+// gatedConn is a process's end of a connection, controlled by its gate.
 type gatedConn struct {
 	net.Conn
 	gate *Gate
@@ -347,8 +348,8 @@
 // Read implements net.Conn.
 func (c *gatedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if gerr := c.gate.Pass(); gerr != nil {
-		return 0, gerr
+	if gateErr := c.gate.Pass(); gateErr != nil {
+		return 0, gateErr
 	}
 	return n, err
 }
--- a/internal/lab/faultkit/operator.go
+++ b/internal/lab/faultkit/operator.go
@@ -13,15 +13,15 @@
 	store *store
 }
 
-// NewOperator returns an Operator with a way to the store of its own.
-func (w *World) NewOperator() *Operator {
+// NewOperator returns an Operator with a gate and store access of its own.
+func (cl *Cluster) NewOperator() *Operator {
 	g := NewGate()
-	s := &store{Table: w.Platform, gate: g}
-	w.mu.Lock()
-	w.gates = append(w.gates, g)
-	w.mu.Unlock()
-	return &Operator{Gate: g, store: s, Chain: config.NewChain(s, objects{w.Platform.Objects(), g}, time.Now)}
+	s := &store{Table: cl.Platform, gate: g}
+	cl.mu.Lock()
+	cl.gates = append(cl.gates, g)
+	cl.mu.Unlock()
+	return &Operator{Gate: g, store: s, Chain: config.NewChain(s, objects{cl.Platform.Objects(), g}, time.Now)}
 }
 
-// OnStore adds a tap to the operator's calls of the table service.
-func (o *Operator) OnStore(t StoreTap) { o.store.tap(t) }
+// OnStore adds a trigger to the operator's calls of the table service.
+func (o *Operator) OnStore(t StoreTrigger) { o.store.addTrigger(t) }
--- a/internal/lab/faultkit/oracle.go
+++ b/internal/lab/faultkit/oracle.go
@@ -13,47 +13,48 @@
 	"damaskrouter.example/damaskrouter/internal/serve/wire"
 )
 
-// Outcome is what a caller got for one attempt.
+// Outcome is what a caller received for one attempt.
 type Outcome struct {
-	// Key is the idempotency key of a receipt.
+	// Key is the idempotency key of the request.
 	Key string
-	// Record is the service's answer, if a whole one came.
+	// Record is the service's answer, if a complete one arrived.
 	Record *service.Record
-	// Refusal is the router's typed refusal, if one came.
+	// Refusal is the router's typed refusal, if one arrived.
 	Refusal *apierr.Error
-	// Err is set where neither came.
+	// Err is set if neither arrived.
 	Err error
 }
 
-// Answered reports whether the attempt got the service's answer.
+// Answered reports whether the attempt received the service's answer.
 func (o Outcome) Answered() bool { return o.Record != nil }
 
-// NotRun reports whether the attempt was refused as not run.
-func (o Outcome) NotRun() bool { return o.Refusal != nil && o.Refusal.Ran == apierr.RanNo }
+// NotExecuted reports whether the attempt was refused as not executed.
+func (o Outcome) NotExecuted() bool { return o.Refusal != nil && o.Refusal.Ran == apierr.RanNo }
 
-// String describes the outcome for failures.
+// String describes the outcome for failure messages.
 func (o Outcome) String() string {
 	switch {
 	case o.Answered():
 		return fmt.Sprintf("answered %+v", *o.Record)
 	case o.Refusal != nil:
-		return fmt.Sprintf("refused %s, ran %s", o.Refusal.Code, o.Refusal.Ran)
+		return fmt.Sprintf("refused with code %s, executed: %s", o.Refusal.Code, o.Refusal.Ran)
 	}
-	return fmt.Sprintf("no answer: %v", o.Err)
+	return fmt.Sprintf("no response: %v", o.Err)
 }
 
-// Chat is what a caller got for one turn of a chat.
+// Chat is what a caller received for one turn of a chat.
 type Chat struct {
 	Request wire.ChatRequest
-	// Shown is what reached the caller piece by piece.
+	// Shown is the text that was streamed to the caller.
 	Shown string
-	// Text is the answer that was given as whole; it counts if Err is nil.
+	// Text is the answer that the client returned as complete. It is valid if Err is
+	// nil.
 	Text string
 	Err  error
 }
 
-// Oracle judges the promises by the stand-ins' books and by what callers got.
-// It knows nothing of the routers' own books.
+// Oracle checks the guarantees by the records of the stand-ins and by what callers
+// received. It uses no state of the routers, which are under test.
 type Oracle struct {
 	mu       sync.Mutex
 	engines  map[string]*engine.Engine
@@ -70,14 +71,14 @@
 	}
 }
 
-// Engine returns an engine by name.
+// Engine returns the engine called name, or nil.
 func (o *Oracle) Engine(name string) *engine.Engine {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.engines[name]
 }
 
-// Engines returns all engines.
+// Engines returns all engines, in no order.
 func (o *Oracle) Engines() []*engine.Engine {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -102,46 +103,46 @@
 	o.services[name] = s
 }
 
-// Note keeps the outcome of an attempt.
-func (o *Oracle) Note(out Outcome) {
+// RecordOutcome adds the outcome of an attempt.
+func (o *Oracle) RecordOutcome(out Outcome) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.outcomes[out.Key] = append(o.outcomes[out.Key], out)
 }
 
-// NoteChat keeps what a caller got for a turn.
-func (o *Oracle) NoteChat(c Chat) {
+// RecordChat adds what a caller received for a turn.
+func (o *Oracle) RecordChat(c Chat) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.chats = append(o.chats, c)
 }
 
-// Runs is how often the services executed work of an idempotency key, which
-// the router prefixes with the client account.
-func (o *Oracle) Runs(key string) int {
+// Executions returns how often the services executed requests with an idempotency key,
+// which the router prefixes with the client account.
+func (o *Oracle) Executions(key string) int {
 	n := 0
 	for _, s := range o.allServices() {
-		for k, runs := range s.Books().Executions {
+		for k, executions := range s.Books().Executions {
 			if k == Account+"/"+key {
-				n += runs
+				n += executions
 			}
 		}
 	}
 	return n
 }
 
-// EngineRuns is how often the engines began to execute anything.
-func (o *Oracle) EngineRuns() int {
+// EngineExecutions returns how often the engines began to execute a request.
+func (o *Oracle) EngineExecutions() int {
 	n := 0
 	for _, e := range o.Engines() {
-		for _, runs := range e.Books().Runs {
-			n += runs
+		for _, executions := range e.Books().Runs {
+			n += executions
 		}
 	}
 	return n
 }
 
-// Violations lists the promises that did not hold for receipts and chats.
+// Violations lists the violated guarantees of receipts and chats.
 func (o *Oracle) Violations() []string {
 	o.mu.Lock()
 	outcomes := maps.Clone(o.outcomes)
@@ -149,34 +150,34 @@
 	o.mu.Unlock()
 	var out []string
 	for _, key := range slices.Sorted(maps.Keys(outcomes)) {
-		out = append(out, o.judgeKey(key, outcomes[key])...)
+		out = append(out, o.checkKey(key, outcomes[key])...)
 	}
 	for _, c := range chats {
-		out = append(out, judgeChat(c)...)
+		out = append(out, checkChat(c)...)
 	}
 	return out
 }
 
-func (o *Oracle) judgeKey(key string, outcomes []Outcome) []string {
+func (o *Oracle) checkKey(key string, outcomes []Outcome) []string {
 	var out []string
-	runs := o.Runs(key)
-	if runs > 1 {
-		out = append(out, fmt.Sprintf("P%d: %s ran %d times", AtMostOnce, key, runs))
+	executions := o.Executions(key)
+	if executions > 1 {
+		out = append(out, fmt.Sprintf("P%d: %s was executed %d times", AtMostOnce, key, executions))
 	}
-	allNotRun := true
+	allNotExecuted := true
 	for _, x := range outcomes {
-		allNotRun = allNotRun && x.NotRun()
+		allNotExecuted = allNotExecuted && x.NotExecuted()
 		if x.Answered() && !o.issued(key, *x.Record) {
-			out = append(out, fmt.Sprintf("P%d: %s got the foreign answer %+v", OwnAnswer, key, *x.Record))
+			out = append(out, fmt.Sprintf("P%d: %s received the answer %+v, which no service issued for it", OwnResponse, key, *x.Record))
 		}
 	}
-	if allNotRun && runs > 0 {
-		out = append(out, fmt.Sprintf("P%d: every attempt of %s was refused as not run, and it ran", DidNotRun, key))
+	if allNotExecuted && executions > 0 {
+		out = append(out, fmt.Sprintf("P%d: every attempt of %s was refused as not executed, but it was executed", NotExecuted, key))
 	}
 	return out
 }
 
-// issued reports whether a service gave this record for the key.
+// issued reports whether a service returned this record for the key.
 func (o *Oracle) issued(key string, r service.Record) bool {
 	for _, s := range o.allServices() {
 		for _, x := range s.Books().Records {
@@ -188,14 +189,14 @@
 	return false
 }
 
-func judgeChat(c Chat) []string {
+func checkChat(c Chat) []string {
 	want := engine.AnswerText(c.Request)
 	var out []string
 	if c.Err == nil && c.Text != want {
-		out = append(out, fmt.Sprintf("P%d: answer given as whole is not the caller's own: %q, not %q", OwnAnswer, c.Text, want))
+		out = append(out, fmt.Sprintf("P%d: the answer returned as complete is %q, not %q", OwnResponse, c.Text, want))
 	}
 	if len(c.Shown) > len(want) || want[:len(c.Shown)] != c.Shown {
-		out = append(out, fmt.Sprintf("P%d: shown %q is no beginning of %q", OwnAnswer, c.Shown, want))
+		out = append(out, fmt.Sprintf("P%d: the streamed text %q is not a prefix of %q", OwnResponse, c.Shown, want))
 	}
 	return out
 }
--- a/internal/lab/faultkit/page.go
+++ b/internal/lab/faultkit/page.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// marks are the statuses as the page shows them.
-var marks = map[Status]string{Open: "open", NotApplicable: "–", Proved: "P", Failed: "FAILED"}
+// statusMarks are the texts of the statuses in the tables of the page.
+var statusMarks = map[Status]string{Open: "open", NotApplicable: "–", Passed: "P", Failed: "FAILED"}
 
-// pageHead stands above the tables.
-const pageHead = `# Faults
+// pageHeader precedes the tables.
+const pageHeader = `# Faults
 
 Written by the run of the fault matrix; do not edit. A cell is one fault at one
 step. **P** means that a test struck with the fault at the step and asserted the
@@ -34,20 +34,20 @@
 
 `
 
-// Page renders the matrix as Markdown. Equal matrices give equal pages.
+// Page renders the matrix as Markdown. The same matrix always gives the same page.
 func Page(m Matrix) string {
 	var b strings.Builder
-	b.WriteString(pageHead)
-	for p := LoadBound; p <= ConfigHolds; p++ {
-		fmt.Fprintf(&b, "- **P%d**: %s\n", p, PromiseTexts[p])
+	b.WriteString(pageHeader)
+	for p := LoadBound; p <= ConfigNeverReverts; p++ {
+		fmt.Fprintf(&b, "- **P%d**: %s\n", p, GuaranteeTexts[p])
 	}
 	writeCounts(&b, m)
-	for _, g := range Groups {
+	for _, g := range StepGroups {
 		fmt.Fprintf(&b, "\n## %s\n\n", g.Title)
 		writeTable(&b, m, g.Steps)
 	}
 	writeList(&b, m, Open, "Open cells", "No cell is open.")
-	writeProved(&b, m)
+	writePassed(&b, m)
 	writeList(&b, m, NotApplicable, "Cells that do not apply", "All cells apply.")
 	return b.String()
 }
@@ -55,7 +55,7 @@
 func writeCounts(b *strings.Builder, m Matrix) {
 	n := m.Counts()
 	fmt.Fprintf(b, "\n%d cells: %d proved, %d not applicable, %d open.\n",
-		len(m), n[Proved], n[NotApplicable], n[Open])
+		len(m), n[Passed], n[NotApplicable], n[Open])
 	if n[Failed] > 0 {
 		fmt.Fprintf(b, "\n%d cells FAILED.\n", n[Failed])
 	}
@@ -67,48 +67,50 @@
 		fmt.Fprintf(b, " %s |", s)
 	}
 	b.WriteString("\n|---|" + strings.Repeat("---|", len(steps)) + "\n")
-	for _, f := range slices.Concat(Singles, Pairs) {
-		if row, any := tableRow(m, f, steps); any {
+	for _, f := range slices.Concat(SingleFaults, FaultPairs) {
+		if row, found := tableRow(m, f, steps); found {
 			b.WriteString(row)
 		}
 	}
 }
 
-// tableRow renders one fault; a pair without a cell in this table has no row.
-func tableRow(m Matrix, f Fault, steps []Step) (row string, any bool) {
+// tableRow renders the row of one fault. found is false for a pair without a cell in
+// this table, which gets no row.
+func tableRow(m Matrix, f Fault, steps []Step) (row string, found bool) {
 	row = fmt.Sprintf("| %s |", f)
 	for _, s := range steps {
 		c, ok := m[Key{f, s}]
-		any = any || ok
+		found = found || ok
 		mark := ""
 		if ok {
-			mark = marks[c.Status]
+			mark = statusMarks[c.Status]
 		}
 		row += " " + mark + " |"
 	}
-	return row + "\n", any
+	return row + "\n", found
 }
 
-// writeList lists the cells of one status, those with equal notes together.
-func writeList(b *strings.Builder, m Matrix, s Status, title, none string) {
+// writeList lists the cells of one status. Cells of a step that share a note share a
+// line.
+func writeList(b *strings.Builder, m Matrix, s Status, title, emptyText string) {
 	fmt.Fprintf(b, "\n## %s\n\n", title)
-	any := false
-	for _, g := range Groups {
+	found := false
+	for _, g := range StepGroups {
 		for _, step := range g.Steps {
 			for _, note := range notesAt(m, s, step) {
-				any = true
+				found = true
 				fmt.Fprintf(b, "- %s: %s. %s.\n", step, strings.Join(faultsWith(m, s, step, note), ", "), note)
 			}
 		}
 	}
-	if !any {
-		b.WriteString(none + "\n")
+	if !found {
+		b.WriteString(emptyText + "\n")
 	}
 }
 
 func notesAt(m Matrix, s Status, step Step) []string {
 	var notes []string
-	for _, f := range slices.Concat(Singles, Pairs) {
+	for _, f := range slices.Concat(SingleFaults, FaultPairs) {
 		c, ok := m[Key{f, step}]
 		if ok && c.Status == s && !slices.Contains(notes, c.Note) {
 			notes = append(notes, c.Note)
@@ -119,7 +121,7 @@
 
 func faultsWith(m Matrix, s Status, step Step, note string) []string {
 	var out []string
-	for _, f := range slices.Concat(Singles, Pairs) {
+	for _, f := range slices.Concat(SingleFaults, FaultPairs) {
 		if c, ok := m[Key{f, step}]; ok && c.Status == s && c.Note == note {
 			out = append(out, string(f))
 		}
@@ -127,22 +129,22 @@
 	return out
 }
 
-func writeProved(b *strings.Builder, m Matrix) {
+func writePassed(b *strings.Builder, m Matrix) {
 	b.WriteString("\n## Proved cells\n\n| step | fault | promises | what the test does |\n|---|---|---|---|\n")
-	for _, g := range Groups {
+	for _, g := range StepGroups {
 		for _, step := range g.Steps {
-			for _, f := range slices.Concat(Singles, Pairs) {
-				if c, ok := m[Key{f, step}]; ok && c.Status == Proved {
-					fmt.Fprintf(b, "| %s | %s | %s | %s |\n", step, f, promiseNames(c.Promises), c.Note)
+			for _, f := range slices.Concat(SingleFaults, FaultPairs) {
+				if c, ok := m[Key{f, step}]; ok && c.Status == Passed {
+					fmt.Fprintf(b, "| %s | %s | %s | %s |\n", step, f, guaranteeNames(c.Promises), c.Note)
 				}
 			}
 		}
 	}
 }
 
-func promiseNames(ps []Promise) string {
+func guaranteeNames(guarantees []Guarantee) string {
 	var names []string
-	for _, p := range ps {
+	for _, p := range guarantees {
 		names = append(names, fmt.Sprintf("P%d", p))
 	}
 	return strings.Join(names, " ")
--- a/internal/lab/faultkit/router.go
+++ b/internal/lab/faultkit/router.go
@@ -27,22 +27,22 @@
 )
 
 const (
-	// site is where all routers and stand-ins of a World are.
+	// site is the site of all routers and stand-ins of a Cluster.
 	site = "cankaya"
-	// unreachable is an address at which no router answers calls.
-	unreachable = "10.9.9.9:1"
+	// unreachableAddress is an address at which no router listens.
+	unreachableAddress = "10.9.9.9:1"
 	// controlPort is the port at which routers call each other.
 	controlPort = ":7400"
 	// maxClaimBatch bounds the claims in one transaction.
 	maxClaimBatch = 32
 )
 
-// tokenSecret signs the hints and resume tokens of all routers of a World.
+// tokenSecret signs the hints and resume tokens of all routers of a Cluster.
 var tokenSecret = []byte("0123456789abcdef0123456789abcdef")
 
-// Router is a router's real parts in this process, behind a gate. It knows no
-// other router until See: each one of a World sees itself as the whole fleet,
-// which is the extreme of views that differ.
+// Router is built of the parts of the real router, in this process and behind a gate.
+// Until SetView it sees itself as the whole fleet, which is the extreme of differing
+// views.
 type Router struct {
 	Name    string
 	Address string
@@ -54,58 +54,58 @@
 	Claims    *claim.Store
 	Configs   *controller.Configs
 
-	world    *World
-	store    *store
-	vms      *vmList
-	upstream *upstream.Client
-	facts    *admission.Facts
-	quota    *quota.Quota
-	server   *http.Server
-	calls    *peer.Server
-	callers  []*peer.Caller
-	// vmsFollowed answers routers that relay the VM list through this one.
-	vmsFollowed *controller.VMs
-	cancel      context.CancelFunc
-	wg          sync.WaitGroup
+	cluster     *Cluster
+	store       *store
+	vmList      *vmList
+	upstream    *upstream.Client
+	engineFacts *admission.Facts
+	quota       *quota.Quota
+	server      *http.Server
+	peerServer  *peer.Server
+	peerCallers []*peer.Caller
+	// vmController serves the VM list to routers that relay it from this one.
+	vmController *controller.VMs
+	cancel       context.CancelFunc
+	wg           sync.WaitGroup
 }
 
-// StartRouter starts a router. Its first steps read configuration and VM list.
-// Taps are in place before it makes its first call of the table service.
-func (w *World) StartRouter(name, address string, taps ...StoreTap) (*Router, error) {
-	r := &Router{Name: name, Address: address, Gate: NewGate(), world: w, Board: board.New(name)}
-	r.store = &store{Table: w.table(), gate: r.Gate}
-	for _, t := range taps {
-		r.store.tap(t)
+// StartRouter starts a router, which first reads the configuration and the VM list. The
+// triggers are in place before its first call of the table service.
+func (cl *Cluster) StartRouter(name, address string, triggers ...StoreTrigger) (*Router, error) {
+	r := &Router{Name: name, Address: address, Gate: NewGate(), cluster: cl, Board: board.New(name)}
+	r.store = &store{Table: cl.tableWithBudget(), gate: r.Gate}
+	for _, t := range triggers {
+		r.store.addTrigger(t)
 	}
-	r.vms = &vmList{VMList: w.Platform.VMList(), gate: r.Gate}
-	r.upstream = upstream.New(upstream.Options{Dial: w.Net.Dial(name, r.Gate)})
-	if err := r.assemble(); err != nil {
+	r.vmList = &vmList{VMList: cl.Platform.VMList(), gate: r.Gate}
+	r.upstream = upstream.New(upstream.Options{Dial: cl.Net.Dial(name, r.Gate)})
+	if err := r.buildParts(); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
-	r.run(ctx)
+	r.startControllers(ctx)
 	r.Board.UpdateWait(func(s *board.State) {
 		s.Routers = map[string]board.Router{name: {
 			Name: name, ID: rendezvous.ID(name), Instance: 1, Address: address, Site: site,
 		}}
 	})
-	r.serve()
-	if err := r.serveCalls(); err != nil {
+	r.serveHTTP()
+	if err := r.servePeers(); err != nil {
 		return nil, err
 	}
-	w.Routers = append(w.Routers, r)
+	cl.Routers = append(cl.Routers, r)
 	return r, nil
 }
 
-func (r *Router) assemble() error {
-	rng := rand.New(rand.NewPCG(seedOf(r.Name), r.world.Seed))
-	caller := r.newCaller()
+func (r *Router) buildParts() error {
+	rng := rand.New(rand.NewPCG(seedFromName(r.Name), r.cluster.Seed))
+	caller := r.newPeerCaller()
 	facts, err := admission.NewFacts(admission.DefaultRecentChats, rng.Uint64())
 	if err != nil {
 		return err
 	}
-	r.facts = facts
+	r.engineFacts = facts
 	r.Admission = admission.New(admission.Options{
 		Board: r.Board, Caller: caller, Self: r.Name, Instance: 1, Rand: rng,
 	})
@@ -119,29 +119,30 @@
 		return err
 	}
 	r.Claims = claim.New(claim.NewBatcher(r.store, maxClaimBatch),
-		objects{r.world.Platform.Objects(), r.Gate}, r.Name, r.world.token)
+		objects{r.cluster.Platform.Objects(), r.Gate}, r.Name, r.cluster.newClaimToken)
 	r.Traffic = traffic.New(traffic.Options{
 		Board: r.Board, Admitter: r.Admission, Facts: facts, Upstream: r.upstream, Claims: r.Claims,
-		Quota: r.quota, Tokens: tokens, Log: quiet(), Name: r.Name,
+		Quota: r.quota, Tokens: tokens, Log: discardLogger(), Name: r.Name,
 	})
 	return nil
 }
 
-// run starts the controllers that read configuration, VM list and engines.
-func (r *Router) run(ctx context.Context) {
-	caller := r.newCaller()
+// startControllers starts the controllers that follow the configuration, the VM list
+// and the engines.
+func (r *Router) startControllers(ctx context.Context) {
+	caller := r.newPeerCaller()
 	r.Configs = &controller.Configs{
-		Board: r.Board, Chain: config.NewChain(r.store, r.world.Platform.Objects(), time.Now), Caller: caller,
-		Self: r.Name, Site: site, Log: quiet(),
-		Announce: func(item membership.Item) { r.world.announce(r, item) },
+		Board: r.Board, Chain: config.NewChain(r.store, r.cluster.Platform.Objects(), time.Now), Caller: caller,
+		Self: r.Name, Site: site, Log: discardLogger(),
+		Announce: func(item membership.Item) { r.cluster.announce(r, item) },
 	}
 	r.Configs.Provision()
-	vms := &controller.VMs{Board: r.Board, List: r.vms, Caller: caller, Self: r.Name, Log: quiet()}
+	vms := &controller.VMs{Board: r.Board, List: r.vmList, Caller: caller, Self: r.Name, Log: discardLogger()}
 	engines := &controller.Engines{
-		Board: r.Board, Upstream: r.upstream, Admission: r.Admission, Facts: r.facts, Log: quiet(),
+		Board: r.Board, Upstream: r.upstream, Admission: r.Admission, Facts: r.engineFacts, Log: discardLogger(),
 	}
-	r.vmsFollowed = vms
-	handoff := &controller.Handoff{Board: r.Board, Upstream: r.upstream, Facts: r.facts, Log: quiet()}
+	r.vmController = vms
+	handoff := &controller.Handoff{Board: r.Board, Upstream: r.upstream, Facts: r.engineFacts, Log: discardLogger()}
 	for _, f := range []func(context.Context){
 		r.Board.Run, r.Configs.Run, vms.Run, engines.Run, r.quota.Run, handoff.Run,
 	} {
@@ -149,48 +150,49 @@
 	}
 }
 
-func (r *Router) serve() {
-	ln := r.world.Net.Listen(r.Name, r.Address, r.Gate)
-	r.server = &http.Server{Handler: r.Traffic.Handler(), ErrorLog: quiet().StandardLog()}
+func (r *Router) serveHTTP() {
+	ln := r.cluster.Net.Listen(r.Name, r.Address, r.Gate)
+	r.server = &http.Server{Handler: r.Traffic.Handler(), ErrorLog: discardLogger().StandardLog()}
 	r.wg.Go(func() { _ = r.server.Serve(ln) })
 	r.Gate.OnKill(func() { _ = ln.Close() })
 }
 
-// Control is where other routers call the router: its own IP number, another
-// port.
-func (r *Router) Control() string { return controlOf(r.Address) }
+// ControlAddress returns the address for calls of other routers: the router's IP
+// address with another port.
+func (r *Router) ControlAddress() string { return controlAddress(r.Address) }
 
-func controlOf(address string) string {
+func controlAddress(address string) string {
 	host, _, _ := strings.Cut(address, ":")
 	return host + controlPort
 }
 
-// newCaller returns what calls other routers over the harness's network.
-func (r *Router) newCaller() *peer.Caller {
-	c := peer.NewCaller(r.Name, fleetKeys, new(peer.Counters), peer.WithDial(r.world.Net.Dial(r.Name, r.Gate)))
-	r.callers = append(r.callers, c)
+// newPeerCaller returns a caller of other routers over the simulated network. Close
+// closes it.
+func (r *Router) newPeerCaller() *peer.Caller {
+	c := peer.NewCaller(r.Name, fleetKeys, new(peer.Counters), peer.WithDial(r.cluster.Net.Dial(r.Name, r.Gate)))
+	r.peerCallers = append(r.peerCallers, c)
 	return c
 }
 
-// serveCalls answers other routers.
-func (r *Router) serveCalls() error {
-	r.calls = peer.NewServer(r.Name, fleetKeys, new(peer.Counters))
+// servePeers serves the calls of other routers.
+func (r *Router) servePeers() error {
+	r.peerServer = peer.NewServer(r.Name, fleetKeys, new(peer.Counters))
 	err := errors.Join(
-		r.calls.Register(admission.ServiceName, r.Admission.Service()),
-		r.calls.Register(quota.ServiceName, r.quota.Service()),
-		r.calls.Register(controller.FleetService, controller.NewFleet(r.vmsFollowed, r.Configs)),
+		r.peerServer.Register(admission.ServiceName, r.Admission.Service()),
+		r.peerServer.Register(quota.ServiceName, r.quota.Service()),
+		r.peerServer.Register(controller.FleetService, controller.NewFleet(r.vmController, r.Configs)),
 	)
 	if err != nil {
 		return err
 	}
-	ln := r.world.Net.Listen(r.Name, r.Control(), r.Gate)
-	r.wg.Go(func() { r.calls.Serve(ln) })
+	ln := r.cluster.Net.Listen(r.Name, r.ControlAddress(), r.Gate)
+	r.wg.Go(func() { r.peerServer.Serve(ln) })
 	r.Gate.OnKill(func() { _ = ln.Close() })
 	return nil
 }
 
-// See sets the routers that this one takes for live, besides itself.
-func (r *Router) See(others ...board.Router) {
+// SetView sets the routers that this one considers live, besides itself.
+func (r *Router) SetView(others ...board.Router) {
 	r.Board.UpdateWait(func(s *board.State) {
 		self := s.Routers[r.Name]
 		s.Routers = map[string]board.Router{r.Name: self}
@@ -202,58 +204,59 @@
 	})
 }
 
-// Seen is the router as another one sees it.
-func (r *Router) Seen() board.Router {
+// BoardEntry returns the router's entry on the boards of other routers.
+func (r *Router) BoardEntry() board.Router {
 	return board.Router{
-		Name: r.Name, ID: rendezvous.ID(r.Name), Instance: 1, Address: r.Address, Control: r.Control(), Site: site,
+		Name: r.Name, ID: rendezvous.ID(r.Name), Instance: 1, Address: r.Address, Control: r.ControlAddress(), Site: site,
 	}
 }
 
-// OnStore adds a tap to the router's calls of the table service.
-func (r *Router) OnStore(t StoreTap) { r.store.tap(t) }
+// OnStore adds a trigger to the router's calls of the table service.
+func (r *Router) OnStore(t StoreTrigger) { r.store.addTrigger(t) }
 
-// Believe lets the router take others for live that no call reaches, as it
-// does for some seconds after they were lost. Callers who are sent to them come
-// to the router itself.
-func (r *Router) Believe(names ...string) {
+// AssumeLive adds live routers that no call reaches, as the router assumes for some
+// seconds after it has lost others. Their HTTP address is this router's own, so that
+// redirected callers come back to it.
+func (r *Router) AssumeLive(names ...string) {
 	r.Board.UpdateWait(func(s *board.State) {
 		for _, name := range names {
 			s.Routers[name] = board.Router{
 				Name: name, ID: rendezvous.ID(name), Instance: 1, Address: r.Address,
-				Control: unreachable, Site: site,
+				Control: unreachableAddress, Site: site,
 			}
 		}
 	})
 }
 
-// Reconnect ends what taps deny.
-func (r *Router) Reconnect() { r.store.undeny() }
+// AllowStore removes the triggers that deny calls of the table service.
+func (r *Router) AllowStore() { r.store.removeDenials() }
 
-// HoldVMs keeps the router's VM list as it is, or lets it go on.
-func (r *Router) HoldVMs(hold bool) { r.vms.setHold(hold) }
+// HoldVMList freezes the router's VM list at its last state, or lets it follow the
+// platform again.
+func (r *Router) HoldVMList(hold bool) { r.vmList.setHold(hold) }
 
-// Close ends the router's goroutines.
+// Close stops the router and waits for its goroutines. A frozen router is thawed first.
 func (r *Router) Close() {
 	r.Gate.Thaw()
 	r.cancel()
 	_ = r.server.Close()
-	for _, c := range r.callers {
+	for _, c := range r.peerCallers {
 		c.Close()
 	}
-	r.calls.Close()
+	r.peerServer.Close()
 	r.Traffic.Close()
 	r.Admission.Close()
 	r.upstream.Close()
 	r.wg.Wait()
 }
 
-// fleetKeys are the keys of all routers of a World.
+// fleetKeys returns the fleet keys of all routers of a Cluster.
 func fleetKeys() []peer.FleetKey { return []peer.FleetKey{{ID: 1, Secret: tokenSecret}} }
 
-func seedOf(name string) uint64 {
+func seedFromName(name string) uint64 {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, name)
 	return h.Sum64()
 }
 
-func quiet() *log.Logger { return log.New(io.Discard) }
+func discardLogger() *log.Logger { return log.New(io.Discard) }
--- a/internal/lab/faultkit/store.go
+++ b/internal/lab/faultkit/store.go
@@ -10,16 +10,17 @@
 	"damaskrouter.example/damaskrouter/internal/store/platform"
 )
 
-// StoreCall is one call of a router to the table service.
+// StoreCall is one call of the table service.
 type StoreCall struct {
 	Use platform.Use
-	// Writes are those of a commit; nil for a read.
+	// Writes are the writes of a commit; nil for a read.
 	Writes []platform.Write
-	// Table and Key are what is read.
+	// Table and Key identify the row of a read.
 	Table, Key string
 }
 
-// State is the state of the claim that is written, or empty.
+// State returns the state of the written claim, or an empty string if the call writes
+// none.
 func (c StoreCall) State() string {
 	var claim struct {
 		State string `json:"state"`
@@ -30,64 +31,64 @@
 	return claim.State
 }
 
-// StoreTap strikes once at a call of one router.
-type StoreTap struct {
-	// Deny makes each matching call fail as if the store were down, for good;
-	// Strike is not called then.
+// StoreTrigger injects a fault once at a matching call of one process.
+type StoreTrigger struct {
+	// Deny makes every matching call fail as if the store were down, until the trigger
+	// is removed. Strike is not called then.
 	Deny bool
-	// Err, if set, is returned in place of the call's own result. With After
-	// the call has taken effect by then, else it has not.
+	// Err, if set, is returned instead of the call's own result. With After the call
+	// has taken effect by then, otherwise it has not.
 	Err error
-	// Matches picks the call.
+	// Matches selects the call.
 	Matches func(StoreCall) bool
-	// After strikes when the call has taken effect and has not returned yet;
-	// the default is before the call leaves the router.
+	// After injects the fault when the call has taken effect and has not returned yet.
+	// The default is before the call leaves the process.
 	After bool
-	// Strike is called at the matching call.
+	// Strike, if set, is called at the matching call.
 	Strike func()
 }
 
-// store is one router's way to the table service, through its gate and taps.
+// store is one process's access to the table service, through its gate and triggers.
 type store struct {
 	platform.Table
-	gate *Gate
-	mu   sync.Mutex
-	taps []*StoreTap
+	gate     *Gate
+	mu       sync.Mutex
+	triggers []*StoreTrigger
 }
 
-func (s *store) tap(t StoreTap) {
+func (s *store) addTrigger(t StoreTrigger) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.taps = append(s.taps, &t)
+	s.triggers = append(s.triggers, &t)
 }
 
-// denied reports whether a tap denies the call.
+// denied reports whether a trigger denies the call.
 func (s *store) denied(c StoreCall) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.ContainsFunc(s.taps, func(t *StoreTap) bool { return t.Deny && t.Matches(c) })
+	return slices.ContainsFunc(s.triggers, func(t *StoreTrigger) bool { return t.Deny && t.Matches(c) })
 }
 
-// undeny drops the taps that deny calls.
-func (s *store) undeny() {
+// removeDenials removes the triggers that deny calls.
+func (s *store) removeDenials() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.taps = slices.DeleteFunc(s.taps, func(t *StoreTap) bool { return t.Deny })
+	s.triggers = slices.DeleteFunc(s.triggers, func(t *StoreTrigger) bool { return t.Deny })
 }
 
-// struck runs the taps whose turn it is.
-func (s *store) struck(c StoreCall, after bool) (err error) {
+// runTriggers runs and removes the matching triggers and returns their errors.
+func (s *store) runTriggers(c StoreCall, after bool) (err error) {
 	s.mu.Lock()
-	var now []*StoreTap
-	s.taps = slices.DeleteFunc(s.taps, func(t *StoreTap) bool {
+	var due []*StoreTrigger
+	s.triggers = slices.DeleteFunc(s.triggers, func(t *StoreTrigger) bool {
 		if t.Deny || t.After != after || !t.Matches(c) {
 			return false
 		}
-		now = append(now, t)
+		due = append(due, t)
 		return true
 	})
 	s.mu.Unlock()
-	for _, t := range now {
+	for _, t := range due {
 		err = errors.Join(err, t.Err)
 		if t.Strike != nil {
 			t.Strike()
@@ -96,11 +97,11 @@
 	return err
 }
 
-// Commit implements platform.Table. A process that is killed after the effect
-// never learns of it.
+// Commit implements platform.Table. A process that is killed after the effect gets
+// ErrOutcomeUnknown.
 func (s *store) Commit(ctx context.Context, use platform.Use, writes ...platform.Write) ([]platform.Row, error) {
 	c := StoreCall{Use: use, Writes: writes}
-	if err := s.struck(c, false); err != nil {
+	if err := s.runTriggers(c, false); err != nil {
 		return nil, err
 	}
 	if s.denied(c) {
@@ -110,11 +111,11 @@
 		return nil, platform.ErrUnavailable.Wrap(err)
 	}
 	rows, err := s.Table.Commit(ctx, use, writes...)
-	if lost := s.struck(c, true); lost != nil {
-		return nil, lost
+	if triggerErr := s.runTriggers(c, true); triggerErr != nil {
+		return nil, triggerErr
 	}
-	if gerr := s.gate.Pass(); gerr != nil {
-		return nil, platform.ErrOutcomeUnknown.Wrap(gerr)
+	if gateErr := s.gate.Pass(); gateErr != nil {
+		return nil, platform.ErrOutcomeUnknown.Wrap(gateErr)
 	}
 	return rows, err
 }
@@ -122,7 +123,7 @@
 // Get implements platform.Table.
 func (s *store) Get(ctx context.Context, use platform.Use, table, key string) (platform.Row, error) {
 	c := StoreCall{Use: use, Table: table, Key: key}
-	if err := s.struck(c, false); err != nil {
+	if err := s.runTriggers(c, false); err != nil {
 		return platform.Row{}, err
 	}
 	if s.denied(c) {
@@ -132,13 +133,13 @@
 		return platform.Row{}, platform.ErrUnavailable.Wrap(err)
 	}
 	row, err := s.Table.Get(ctx, use, table, key)
-	if gerr := s.gate.Pass(); gerr != nil {
-		return platform.Row{}, platform.ErrUnavailable.Wrap(gerr)
+	if gateErr := s.gate.Pass(); gateErr != nil {
+		return platform.Row{}, platform.ErrUnavailable.Wrap(gateErr)
 	}
 	return row, err
 }
 
-// objects is one router's way to the object store.
+// objects is one process's access to the object store, through its gate.
 type objects struct {
 	platform.Objects
 	gate *Gate
@@ -152,7 +153,8 @@
 	return o.Objects.Put(ctx, name, data)
 }
 
-// vmList is one router's way to the list of VMs; hold keeps it stale.
+// vmList is one router's access to the VM list. While hold is set, List returns the
+// last list.
 type vmList struct {
 	platform.VMList
 	gate *Gate
--- a/test/faults/flood_test.go
+++ b/test/faults/flood_test.go
@@ -17,26 +17,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// flood is a scenario: receipts come at one router faster than its share of
-// the store allows. A change of the configuration goes through the same share.
+// flood sends receipts to one router faster than its share of the store's budget
+// allows. A configuration change uses the same router.
 type flood struct {
-	*faultkit.World
+	*faultkit.Cluster
 	t      *testing.T
 	target *faultkit.Router
-	// answered and refused count the receipts by their end.
+	// answered and refused count receipts by outcome.
 	answered, refused atomic.Int64
 }
 
 const (
-	// floodReceipts come at floodGap, three times as many as may be claimed
-	// and recorded.
+	// floodReceipts requests arrive at intervals of floodGap, three times as many as
+	// the budget allows to claim and record.
 	floodReceipts = 2400
 	floodGap      = 15 * time.Millisecond
-	// floodChange is when the configuration is changed, with the buckets empty.
-	floodChange = 20 * time.Second
+	// floodChangeAfter is when the configuration is changed, with empty token buckets.
+	floodChangeAfter = 20 * time.Second
 )
 
-// defaultBudget is that of a router with the default settings.
+// defaultBudget returns the budget of a router with default settings.
 func defaultBudget() *platform.BudgetOptions {
 	o := &platform.BudgetOptions{PerUse: make(map[platform.Use]platform.Rates)}
 	for _, use := range []platform.Use{
@@ -50,52 +50,51 @@
 	return o
 }
 
-func floodProofs() proofs {
-	p := proofs{}
-	p.add(faultkit.Surge, faultkit.Claim, proof{
-		promises: []faultkit.Promise{faultkit.OwnAnswer, faultkit.DidNotRun, faultkit.AtMostOnce},
-		does:     "more receipts than the budget has claims for: those refused as not run did not run, the others ran once",
-		run:      func(t *testing.T) { runFlood(t, (*flood).requireClaims) },
+func floodTests() cellTests {
+	tests := cellTests{}
+	tests.add(faultkit.Surge, faultkit.Claim, cellTest{
+		guarantees:  []faultkit.Guarantee{faultkit.OwnResponse, faultkit.NotExecuted, faultkit.AtMostOnce},
+		description: "more receipts than the budget has claims for: those refused as not run did not run, the others ran once",
+		run:         func(t *testing.T) { runFlood(t, (*flood).requireClaimBudget) },
 	})
-	p.add(faultkit.Surge, faultkit.Commit, proof{
-		promises: []faultkit.Promise{faultkit.ConfigHolds},
-		does:     "configuration changed through a router in a surge of claims: accepted at once and in force everywhere",
-		run:      func(t *testing.T) { runFlood(t, (*flood).requireChange) },
+	tests.add(faultkit.Surge, faultkit.Commit, cellTest{
+		guarantees:  []faultkit.Guarantee{faultkit.ConfigNeverReverts},
+		description: "configuration changed through a router in a surge of claims: accepted at once and in force everywhere",
+		run:         func(t *testing.T) { runFlood(t, (*flood).requireConfigChange) },
 	})
-	return p
+	return tests
 }
 
-// Symptom: while one account surges, an operator can't change the configuration,
-// although the store is well.
-// Sequence: receipts use up a router's share of the store; it commits a change out
-// of the same share.
-// Cause: claims take the tokens that the configuration needs.
-func runFlood(t *testing.T, judge func(*flood)) {
+// runFlood guards against claims that use up the tokens for configuration changes:
+// while one account surges, an operator could not change the configuration although the
+// store works.
+func runFlood(t *testing.T, check func(*flood)) {
 	o := faultkit.Options{Services: 2, Engines: 1, Budget: defaultBudget()}
-	inWorld(t, 2, o, func(t *testing.T, w *faultkit.World) {
-		s := &flood{World: w, t: t, target: w.Routers[0]}
+	inCluster(t, 2, o, func(t *testing.T, cl *faultkit.Cluster) {
+		s := &flood{Cluster: cl, t: t, target: cl.Routers[0]}
 		var all sync.WaitGroup
 		defer all.Wait()
-		all.Go(func() { s.receipts(&all) })
-		time.Sleep(floodChange)
-		judge(s)
+		all.Go(func() { s.sendReceipts(&all) })
+		time.Sleep(floodChangeAfter)
+		check(s)
 		all.Wait()
-		// The oracle judges what ran; here, that each receipt has an end.
-		require.EqualValues(t, floodReceipts, s.answered.Load()+s.refused.Load(), "each is answered or refused as not run")
-		require.NotZero(t, s.refused.Load(), "the surge passes the budget")
-		require.Greater(t, s.answered.Load(), int64(floodReceipts/8), "the budget's worth is served")
+		// The oracle checks the executions; this checks that each receipt has an
+		// outcome.
+		require.EqualValues(t, floodReceipts, s.answered.Load()+s.refused.Load(), "each receipt is answered or refused as not executed")
+		require.NotZero(t, s.refused.Load(), "the surge exceeds the budget")
+		require.Greater(t, s.answered.Load(), int64(floodReceipts/8), "receipts within the budget are served")
 	})
 }
 
-// receipts sends the flood to the router.
-func (s *flood) receipts(all *sync.WaitGroup) {
+// sendReceipts sends the requests to the target router.
+func (s *flood) sendReceipts(all *sync.WaitGroup) {
 	for i := range floodReceipts {
 		all.Go(func() {
-			out := s.Receipt(s.target.Address, fmt.Sprint("flood-", i))
+			out := s.RequestReceipt(s.target.Address, fmt.Sprint("flood-", i))
 			if out.Answered() {
 				s.answered.Add(1)
 			}
-			if out.NotRun() {
+			if out.NotExecuted() {
 				s.refused.Add(1)
 			}
 		})
@@ -103,26 +102,26 @@
 	}
 }
 
-// requireClaims holds the claims that reached the store against the budget: the
-// burst, and what the rate gives until now.
-func (s *flood) requireClaims() {
+// requireClaimBudget checks that the claims that reached the store stay within the
+// budget: the burst and the rate until now.
+func (s *flood) requireClaimBudget() {
 	writes := 0
 	for _, c := range s.Platform.History() {
 		if c.Op == platformtest.OpCommit && c.Use == platform.UseClaim {
 			writes++
 		}
 	}
-	span := platform.DefaultBurst + floodChange
+	span := platform.DefaultBurst + floodChangeAfter
 	require.LessOrEqual(s.t, float64(writes), settings.DefaultBudgets.Claim.Writes*span.Seconds())
 }
 
-// requireChange changes the configuration through the router, which has used
-// up what it may spend on claims.
-func (s *flood) requireChange() {
-	change := config.Change{Bundle: numbered(s.t, 2), Expected: 1, ChangeID: ourChange, Author: ourChange, Comment: "why"}
+// requireConfigChange changes the configuration through the router, whose budget for
+// claims is used up.
+func (s *flood) requireConfigChange() {
+	change := config.Change{Bundle: numberedBundle(s.t, 2), Expected: 1, ChangeID: changeID, Author: changeID, Comment: "why"}
 	v, err := s.target.Configs.Chain.Accept(context.Background(), change)
 	require.NoError(s.t, err)
-	time.Sleep(leaveSettle)
+	time.Sleep(leavePropagationTime)
 	synctest.Wait()
 	for _, r := range s.Routers {
 		require.Equal(s.t, v.Number, r.Board.Snapshot().ConfigVersion, r.Name)
--- a/test/faults/helper_test.go
+++ b/test/faults/helper_test.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// site is where the simulated routers are.
+	// site is the site of the simulated routers.
 	site       = "cankaya"
 	exampleDir = "../../examples/sebeke"
-	// warmUp is how long routers get on the virtual clock to read the
-	// configuration, the VM list and the engines' reports.
+	// warmUp is the virtual time for routers to read the configuration, the VM list and
+	// the engines' reports.
 	warmUp = 5 * time.Second
-	// lull is a span on the virtual clock in which everything late arrives.
-	lull = 35 * time.Second
+	// lateArrivalTime is a virtual time within which all delayed messages arrive.
+	lateArrivalTime = 35 * time.Second
 )
 
 func exampleBundle(t testing.TB) config.Bundle {
@@ -30,43 +30,42 @@
 	return b
 }
 
-// wideBundle lets one account send as much as it likes, so that the engines and
-// not the account's limit are what is short.
-func wideBundle(t testing.TB) config.Bundle {
+// highRateBundle returns the example configuration with a rate limit of the account
+// that is high enough for the engines to be the bottleneck.
+func highRateBundle(t testing.TB) config.Bundle {
 	b := exampleBundle(t)
 	b.Base = bytes.Replace(b.Base, []byte("requests_per_second: 60\n"), []byte("requests_per_second: 5000\n"), 1)
 	return b
 }
 
-// inWorld runs f in a bubble with a world of its own, whose routers know their
-// configuration and their engines. At the end the oracle judges.
-func inWorld(t *testing.T, routers int, o faultkit.Options, f func(t *testing.T, w *faultkit.World)) {
+// inCluster runs f in a synctest bubble with a new cluster, whose routers have read the
+// configuration and know their engines. Afterwards it checks the oracle's guarantees.
+func inCluster(t *testing.T, routers int, o faultkit.Options, f func(t *testing.T, cl *faultkit.Cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		if o.Bundle.Base == nil {
 			o.Bundle = exampleBundle(t)
 		}
-		w, err := faultkit.NewWorld(o)
+		cl, err := faultkit.NewCluster(o)
 		require.NoError(t, err)
-		defer w.Close()
+		defer cl.Close()
 		for i := range routers {
-			_, err := w.StartRouter(routerName(i), faultkit.RouterAddress(i))
+			_, err := cl.StartRouter(routerName(i), faultkit.RouterAddress(i))
 			require.NoError(t, err)
 		}
 		time.Sleep(warmUp)
-		f(t, w)
-		time.Sleep(lull)
+		f(t, cl)
+		time.Sleep(lateArrivalTime)
 		synctest.Wait()
-		require.Empty(t, w.Oracle.Violations())
+		require.Empty(t, cl.Oracle.Violations())
 	})
 }
 
 func routerName(i int) string { return string(rune('a' + i)) }
 
-// holdNextCall holds the next call of the store up for d, or until its caller
-// gives up.
-func holdNextCall(w *faultkit.World, d time.Duration) {
-	w.Platform.Before(func(ctx context.Context, _ platformtest.Call) {
-		w.Platform.Before(nil)
+// holdNextCall delays the next call of the store by d, or until its context ends.
+func holdNextCall(cl *faultkit.Cluster, d time.Duration) {
+	cl.Platform.Before(func(ctx context.Context, _ platformtest.Call) {
+		cl.Platform.Before(nil)
 		t := time.NewTimer(d)
 		defer t.Stop()
 		select {
--- a/test/faults/matrix_test.go
+++ b/test/faults/matrix_test.go
@@ -1,5 +1,5 @@
-// Package faults runs the fault matrix: every fault at every step. Its page is
-// docs/FAULTS.md, which is written from the run.
+// Package faults runs the fault matrix: every fault at every step. The results are
+// written to docs/FAULTS.md.
 package faults
 
 import (
@@ -18,42 +18,42 @@
 
 var update = flag.Bool("update", false, "write docs/FAULTS.md from the run")
 
-// proof is the test of one cell.
-type proof struct {
-	promises []faultkit.Promise
-	// does says in one line what the test does.
-	does string
-	run  func(t *testing.T)
+// cellTest is a test of one cell.
+type cellTest struct {
+	guarantees []faultkit.Guarantee
+	// description says in one line what the test does.
+	description string
+	run         func(t *testing.T)
 }
 
-// proofs are the tests by cell. A cell may have several, for different ends of
-// a connection or kinds of request; it is proved if all pass.
-type proofs map[faultkit.Key][]proof
+// cellTests maps cells to their tests. A cell may have several, for different ends of a
+// connection or kinds of request; it passes if all of them pass.
+type cellTests map[faultkit.Key][]cellTest
 
-func (p proofs) add(f faultkit.Fault, s faultkit.Step, x proof) {
+func (t cellTests) add(f faultkit.Fault, s faultkit.Step, test cellTest) {
 	key := faultkit.Key{Fault: f, Step: s}
-	p[key] = append(p[key], x)
+	t[key] = append(t[key], test)
 }
 
-// merge takes in the proofs of one activity.
-func (p proofs) merge(more proofs) {
-	for key, list := range more {
-		p[key] = append(p[key], list...)
+// merge adds the tests of another map.
+func (t cellTests) merge(others cellTests) {
+	for key, list := range others {
+		t[key] = append(t[key], list...)
 	}
 }
 
-func allProofs() proofs {
-	all := proofs{}
-	for _, some := range []func() proofs{receiptProofs, chatProofs, changeProofs, membershipProofs, grantProofs, leavingProofs, floodProofs, viewProofs} {
-		all.merge(some())
+func allCellTests() cellTests {
+	all := cellTests{}
+	for _, activityTests := range []func() cellTests{receiptTests, chatTests, changeTests, membershipTests, permitTests, upstreamTests, floodTests, viewTests} {
+		all.merge(activityTests())
 	}
 	return all
 }
 
-// TestMatrix runs all cells, and compares the page with the run.
+// TestMatrix runs all cells and compares docs/FAULTS.md with the results.
 func TestMatrix(t *testing.T) {
-	run := newMatrixRun(allProofs())
-	for _, g := range faultkit.Groups {
+	run := newMatrixRun(allCellTests())
+	for _, g := range faultkit.StepGroups {
 		for _, step := range g.Steps {
 			t.Run(testName(string(step)), func(t *testing.T) { run.step(t, step) })
 		}
@@ -73,76 +73,77 @@
 
 // matrixRun is one run of the matrix. Cells of a step run in parallel.
 type matrixRun struct {
-	proofs proofs
+	tests cellTests
 
-	mu     sync.Mutex
-	ran    int
-	matrix faultkit.Matrix
+	mu       sync.Mutex
+	executed int
+	matrix   faultkit.Matrix
 }
 
-func newMatrixRun(p proofs) *matrixRun {
-	return &matrixRun{proofs: p, matrix: faultkit.Matrix{}}
+func newMatrixRun(p cellTests) *matrixRun {
+	return &matrixRun{tests: p, matrix: faultkit.Matrix{}}
 }
 
-// complete reports whether no proof was left out by -run.
-func (m *matrixRun) complete() bool { return m.ran == len(m.proofs) }
+// complete reports whether all cells with tests were executed. It is false if -run
+// selected some of them.
+func (m *matrixRun) complete() bool { return m.executed == len(m.tests) }
 
 func (m *matrixRun) step(t *testing.T, step faultkit.Step) {
-	for _, f := range faultkit.Singles {
+	for _, f := range faultkit.SingleFaults {
 		m.cell(t, faultkit.Key{Fault: f, Step: step})
 	}
-	for _, f := range faultkit.Pairs {
+	for _, f := range faultkit.FaultPairs {
 		key := faultkit.Key{Fault: f, Step: step}
-		if _, ok := m.proofs[key]; ok {
+		if _, ok := m.tests[key]; ok {
 			m.cell(t, key)
 		}
 	}
 }
 
 func (m *matrixRun) cell(t *testing.T, key faultkit.Key) {
-	list, ok := m.proofs[key]
+	list, ok := m.tests[key]
 	if !ok {
-		status, why := unproved(key)
-		m.note(faultkit.Cell{Fault: key.Fault, Step: key.Step, Status: status, Note: why})
+		status, note := untestedStatus(key)
+		m.record(faultkit.Cell{Fault: key.Fault, Step: key.Step, Status: status, Note: note})
 		return
 	}
-	cell := faultkit.Cell{Fault: key.Fault, Step: key.Step, Status: faultkit.Proved}
+	cell := faultkit.Cell{Fault: key.Fault, Step: key.Step, Status: faultkit.Passed}
 	cell.Promises, cell.Note = describe(list)
 	t.Run(testName(string(key.Fault)), func(t *testing.T) {
 		t.Parallel()
-		t.Cleanup(func() { m.prove(t, cell) })
+		t.Cleanup(func() { m.recordResult(t, cell) })
 		for _, p := range list {
-			t.Run(testName(p.does), p.run)
+			t.Run(testName(p.description), p.run)
 		}
 	})
 }
 
-// prove notes a cell whose tests have run.
-func (m *matrixRun) prove(t *testing.T, c faultkit.Cell) {
+// recordResult records a cell whose tests have run.
+func (m *matrixRun) recordResult(t *testing.T, c faultkit.Cell) {
 	if t.Failed() {
 		c.Status = faultkit.Failed
 	}
-	m.note(c)
+	m.record(c)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.ran++
+	m.executed++
 }
 
-func (m *matrixRun) note(c faultkit.Cell) {
+func (m *matrixRun) record(c faultkit.Cell) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.matrix[faultkit.Key{Fault: c.Fault, Step: c.Step}] = c
 }
 
-// describe sums up the proofs of one cell for the page.
-func describe(list []proof) (promises []faultkit.Promise, does string) {
+// describe summarizes the tests of one cell for the page.
+func describe(list []cellTest) (guarantees []faultkit.Guarantee, description string) {
 	var texts []string
 	for _, p := range list {
-		texts = append(texts, p.does)
-		promises = append(promises, p.promises...)
+		texts = append(texts, p.description)
+		guarantees = append(guarantees, p.guarantees...)
 	}
-	slices.Sort(promises)
-	return slices.Compact(promises), strings.Join(texts, "; ")
+	slices.Sort(guarantees)
+	return slices.Compact(guarantees), strings.Join(texts, "; ")
 }
 
 func testName(s string) string { return strings.ReplaceAll(s, " ", "_") }
--- a/test/faults/membership_test.go
+++ b/test/faults/membership_test.go
@@ -15,9 +15,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fleet is a scenario: six routers on a network under virtual time; one joins,
-// leaves or is lost while the fault strikes. In the end the others must agree
-// on who is there and on who owns each engine.
+// fleet is six routers on a simulated network under virtual time. One of them joins,
+// leaves or is lost while a fault lasts. In the end the others must agree on the
+// members and on the owner of each engine.
 type fleet struct {
 	t     *testing.T
 	net   *simnet.Network
@@ -27,14 +27,15 @@
 
 const (
 	fleetSize = 6
-	// engineCount is how many engines' owners are compared.
+	// engineCount is the number of engines whose owners are compared.
 	engineCount = 40
-	// soon is how long the fault lasts, agreed how long it may take after the
-	// fault has ended, both in virtual time.
-	soon   = 20 * time.Second
-	agreed = 2 * time.Minute
-	// leaveSettle bounds how long a leaving router still counts as an owner.
-	leaveSettle = 5 * time.Second
+	// faultDuration is how long the fault lasts, and convergenceTime the time allowed
+	// to agree after its end, both in virtual time.
+	faultDuration   = 20 * time.Second
+	convergenceTime = 2 * time.Minute
+	// leavePropagationTime bounds how long a leaving router may still count as an
+	// owner.
+	leavePropagationTime = 5 * time.Second
 )
 
 var (
@@ -49,7 +50,7 @@
 	for i := range fleetSize {
 		f.nodes = append(f.nodes, f.start(fmt.Sprint("router-", i), nodeAddress(i), 1))
 	}
-	require.True(t, f.within(agreed, f.agree), "the fleet finds itself")
+	require.True(t, f.runUntil(convergenceTime, f.ownersAgree), "the fleet converges after the start")
 	return f
 }
 
@@ -63,13 +64,13 @@
 	return f.net.Add(address, e)
 }
 
-func (f *fleet) within(d time.Duration, done func() bool) bool {
+func (f *fleet) runUntil(d time.Duration, done func() bool) bool {
 	return f.net.RunUntil(f.net.Now()+d, done)
 }
 
 func self(n *simnet.Node) membership.Member { return n.Endpoint.Detector().Self() }
 
-// owners names the owner of each engine, as one router sees it.
+// owners returns the name of the owner of each engine, as one router sees it.
 func owners(n *simnet.Node) [engineCount]string {
 	var names []string
 	var ids []uint64
@@ -89,9 +90,9 @@
 	return out
 }
 
-// agree reports whether all routers that are there see the same owners, and
-// no owner that is gone.
-func (f *fleet) agree() bool {
+// ownersAgree reports whether all present routers see the same owners, and no owner
+// that is absent.
+func (f *fleet) ownersAgree() bool {
 	want := owners(f.nodes[0])
 	present := make(map[string]bool)
 	for _, n := range f.nodes {
@@ -108,8 +109,8 @@
 	return true
 }
 
-// ownsAnything reports whether any other router takes name for an owner.
-func (f *fleet) ownsAnything(name string) bool {
+// ownsAny reports whether any other router considers name an owner.
+func (f *fleet) ownsAny(name string) bool {
 	for _, n := range f.nodes {
 		if self(n).Name == name {
 			continue
@@ -123,8 +124,8 @@
 	return false
 }
 
-// lose removes the last router, as a VM that vanishes.
-func (f *fleet) lose() *simnet.Node {
+// removeLast removes the last router without notice, as when its VM is lost.
+func (f *fleet) removeLast() *simnet.Node {
 	last := f.nodes[len(f.nodes)-1]
 	f.nodes = f.nodes[:len(f.nodes)-1]
 	f.net.Remove(last.Address)
@@ -133,8 +134,8 @@
 
 func (f *fleet) last() *simnet.Node { return f.nodes[len(f.nodes)-1] }
 
-// cutOff cuts a node from all others: towards it, from it, or both.
-func (f *fleet) cutOff(n *simnet.Node, towards, from bool, cut func(from, to string)) {
+// isolate cuts the links between a node and all others: towards it, from it, or both.
+func (f *fleet) isolate(n *simnet.Node, towards, from bool, cut func(from, to string)) {
 	for _, o := range f.nodes {
 		if o == n {
 			continue
@@ -148,8 +149,8 @@
 	}
 }
 
-// tellVMs gives all routers a VM list.
-func (f *fleet) tellVMs(state platform.VMState, nodes ...*simnet.Node) {
+// setVMList gives all routers a VM list with the given nodes.
+func (f *fleet) setVMList(state platform.VMState, nodes ...*simnet.Node) {
 	var vms []platform.VM
 	for _, n := range nodes {
 		m := self(n)
@@ -163,51 +164,52 @@
 	}
 }
 
-// weather is a fault of the network or of a router that begins and ends.
-type weather struct {
+// networkFault is a fault of the network or of a router, with a begin and an end.
+type networkFault struct {
 	begin, end func(f *fleet)
 }
 
-func networkIs(c simnet.Conditions) weather {
-	return weather{
+func withConditions(c simnet.Conditions) networkFault {
+	return networkFault{
 		begin: func(f *fleet) { f.net.Conditions = c },
 		end:   func(f *fleet) { f.net.Conditions = fleetNetwork },
 	}
 }
 
-// cutSecond cuts the second router off, which is a seed and no subject.
-func cutSecond(towards, from bool) weather {
-	return weather{
-		begin: func(f *fleet) { f.cutOff(f.nodes[1], towards, from, f.net.Cut) },
-		end:   func(f *fleet) { f.cutOff(f.nodes[1], towards, from, f.net.Heal) },
+// isolateSecond isolates the second router. It is a seed, and not the router that
+// joins, leaves or is lost.
+func isolateSecond(towards, from bool) networkFault {
+	return networkFault{
+		begin: func(f *fleet) { f.isolate(f.nodes[1], towards, from, f.net.Cut) },
+		end:   func(f *fleet) { f.isolate(f.nodes[1], towards, from, f.net.Heal) },
 	}
 }
 
 var (
-	duplicated = simnet.Conditions{Duplicate: 0.5, MinDelay: fleetNetwork.MinDelay, MaxDelay: fleetNetwork.MaxDelay}
-	lossy      = simnet.Conditions{Loss: 0.3, MinDelay: fleetNetwork.MinDelay, MaxDelay: fleetNetwork.MaxDelay}
-	tardy      = simnet.Conditions{MinDelay: 100 * time.Millisecond, MaxDelay: 250 * time.Millisecond}
-	shuffled   = simnet.Conditions{MinDelay: 0, MaxDelay: 200 * time.Millisecond}
-	killSecond = weather{begin: func(f *fleet) {
+	duplicating = simnet.Conditions{Duplicate: 0.5, MinDelay: fleetNetwork.MinDelay, MaxDelay: fleetNetwork.MaxDelay}
+	losing      = simnet.Conditions{Loss: 0.3, MinDelay: fleetNetwork.MinDelay, MaxDelay: fleetNetwork.MaxDelay}
+	delaying    = simnet.Conditions{MinDelay: 100 * time.Millisecond, MaxDelay: 250 * time.Millisecond}
+	reordering  = simnet.Conditions{MinDelay: 0, MaxDelay: 200 * time.Millisecond}
+	killSecond  = networkFault{begin: func(f *fleet) {
 		f.net.Remove(f.nodes[1].Address)
 		f.nodes = append(f.nodes[:1:1], f.nodes[2:]...)
 	}}
-	freezeSecond = weather{
+	freezeSecond = networkFault{
 		begin: func(f *fleet) { f.net.Freeze(f.nodes[1].Address) },
 		end:   func(f *fleet) { f.net.Thaw(f.nodes[1].Address) },
 	}
-	// staleVMs names a router that is gone as live and none of the others.
-	staleVMs = weather{begin: func(f *fleet) {
-		ghost := f.start("ghost", nodeAddress(20), 1)
-		f.net.Remove(ghost.Address)
-		f.tellVMs(platform.VMLive, ghost)
+	// staleVMs gives a VM list that names only a dead router, as live.
+	staleVMs = networkFault{begin: func(f *fleet) {
+		dead := f.start("ghost", nodeAddress(20), 1)
+		f.net.Remove(dead.Address)
+		f.setVMList(platform.VMLive, dead)
 	}}
-	// splitViews cuts the fleet in halves.
-	splitViews = weather{
+	// splitViews partitions the fleet into halves.
+	splitViews = networkFault{
 		begin: func(f *fleet) { f.split(f.net.Cut) },
 		end:   func(f *fleet) { f.split(f.net.Heal) },
 	}
-	flapping = weather{begin: func(f *fleet) {
+	flapping = networkFault{begin: func(f *fleet) {
 		for range 3 {
 			f.net.Remove(f.nodes[1].Address)
 			f.net.RunFor(2 * time.Second)
@@ -215,11 +217,11 @@
 			f.net.RunFor(3 * time.Second)
 		}
 	}}
-	// reusedAddress puts a router of another name at the second's address.
-	reusedAddress = weather{begin: func(f *fleet) {
+	// reusedAddress starts a router with another name at the second router's address.
+	reusedAddress = networkFault{begin: func(f *fleet) {
 		f.nodes[1] = f.start("replacement", f.nodes[1].Address, 2)
 	}}
-	storms = weather{begin: func(f *fleet) {
+	joinSurge = networkFault{begin: func(f *fleet) {
 		for i := range 4 {
 			f.nodes = append(f.nodes[:1:1], append([]*simnet.Node{f.start(fmt.Sprint("extra-", i), nodeAddress(30+i), 1)}, f.nodes[1:]...)...)
 		}
@@ -237,44 +239,44 @@
 }
 
 type fleetCell struct {
-	fault   faultkit.Fault
-	weather weather
-	does    string
+	fault       faultkit.Fault
+	disturbance networkFault
+	description string
 }
 
-// fleetCells strike at each of the three steps.
+// fleetCells are run at each of the three steps.
 var fleetCells = []fleetCell{
 	{faultkit.Kill, killSecond, "a seed killed at the same time"},
 	{faultkit.Freeze, freezeSecond, "a seed frozen and thawed later"},
-	{faultkit.CutBoth, cutSecond(true, true), "a seed cut off both ways"},
-	{faultkit.CutOneWay, cutSecond(true, false), "a seed that is not reached and still sends"},
-	{faultkit.ReplyLost, networkIs(lossy), "three packets in ten lost"},
-	{faultkit.ReplyLate, networkIs(tardy), "packets later than a direct probe waits"},
-	{faultkit.Duplicate, networkIs(duplicated), "every second packet delivered twice"},
-	{faultkit.Reorder, networkIs(shuffled), "packets out of their order"},
-	{faultkit.VMsStale, staleVMs, "VM list names only a router that is gone"},
-	{faultkit.ViewsDiff, splitViews, "fleet cut in halves that see themselves alone"},
+	{faultkit.CutBoth, isolateSecond(true, true), "a seed cut off both ways"},
+	{faultkit.CutOneWay, isolateSecond(true, false), "a seed that is not reached and still sends"},
+	{faultkit.ReplyLost, withConditions(losing), "three packets in ten lost"},
+	{faultkit.ReplyLate, withConditions(delaying), "packets later than a direct probe waits"},
+	{faultkit.Duplicate, withConditions(duplicating), "every second packet delivered twice"},
+	{faultkit.Reorder, withConditions(reordering), "packets out of their order"},
+	{faultkit.StaleVMList, staleVMs, "VM list names only a router that is gone"},
+	{faultkit.ViewsDiffer, splitViews, "fleet cut in halves that see themselves alone"},
 	{faultkit.Flap, flapping, "a seed that restarts three times"},
-	{faultkit.Surge, storms, "four more routers join at once"},
-	{faultkit.IPReused, reusedAddress, "a router of another name at a seed's address"},
+	{faultkit.Surge, joinSurge, "four more routers join at once"},
+	{faultkit.AddressReused, reusedAddress, "a router of another name at a seed's address"},
 }
 
 var fleetSeeds = []int64{1, 2, 3}
 
-func membershipProofs() proofs {
-	p := proofs{}
+func membershipTests() cellTests {
+	tests := cellTests{}
 	for _, c := range fleetCells {
-		p.add(c.fault, faultkit.Join, fleetProof("join", c, fleetJoins))
-		p.add(c.fault, faultkit.Leave, fleetProof("leave", c, fleetLeaves))
-		p.add(c.fault, faultkit.TakeOver, fleetProof("take over", c, fleetLoses))
+		tests.add(c.fault, faultkit.Join, fleetTest("join", c, runJoin))
+		tests.add(c.fault, faultkit.Leave, fleetTest("leave", c, runLeave))
+		tests.add(c.fault, faultkit.TakeOver, fleetTest("take over", c, runLoss))
 	}
-	return p
+	return tests
 }
 
-func fleetProof(verb string, c fleetCell, run func(t *testing.T, f *fleet, c fleetCell)) proof {
-	return proof{
-		promises: []faultkit.Promise{faultkit.LoadBound, faultkit.LeavingRests},
-		does:     verb + ": " + c.does,
+func fleetTest(verb string, c fleetCell, run func(t *testing.T, f *fleet, c fleetCell)) cellTest {
+	return cellTest{
+		guarantees:  []faultkit.Guarantee{faultkit.LoadBound, faultkit.NoWorkWhenDraining},
+		description: verb + ": " + c.description,
 		run: func(t *testing.T) {
 			for _, seed := range fleetSeeds {
 				run(t, newFleet(t, seed), c)
@@ -283,52 +285,48 @@
 	}
 }
 
-func (w weather) strike(f *fleet) {
-	w.begin(f)
-	f.net.RunFor(soon)
-	if w.end != nil {
-		w.end(f)
+func (cl networkFault) inject(f *fleet) {
+	cl.begin(f)
+	f.net.RunFor(faultDuration)
+	if cl.end != nil {
+		cl.end(f)
 	}
 }
 
-// Symptom: a router that joined owns nothing, or two routers own one engine for
-// good, and each grants it up to the load bound.
-// Sequence: a router starts while the fault strikes; the fault ends.
-// Cause: views that differ and never come together.
-func fleetJoins(t *testing.T, f *fleet, c fleetCell) {
+// runJoin guards against views that differ and never converge: a router that joined
+// owns nothing, or two routers own one engine for good and each grants permits up to
+// the load bound.
+func runJoin(t *testing.T, f *fleet, c fleetCell) {
 	f.nodes = append(f.nodes, f.start("newcomer", nodeAddress(10), 1))
-	c.weather.strike(f)
-	require.True(t, f.within(agreed, f.agree), "the fleet agrees")
-	require.True(t, f.ownsAnything("newcomer"))
+	c.disturbance.inject(f)
+	require.True(t, f.runUntil(convergenceTime, f.ownersAgree), "the fleet agrees on the owners")
+	require.True(t, f.ownsAny("newcomer"))
 }
 
-// Symptom: a router that leaves still owns engines, or comes back as live by a
-// late word of somebody else, and is asked for permits when it is gone.
-// Sequence: a router leaves while the fault strikes, and a stale VM list names
-// it as live all the time; the fault ends; the router stops.
-// Cause: the leaving does not outweigh older words.
-func fleetLeaves(t *testing.T, f *fleet, c fleetCell) {
+// runLeave guards against older reports that override a leave. The leaving router would
+// still own engines, or be considered live again, and get permit requests after it has
+// stopped. A stale VM list names it as live all the time.
+func runLeave(t *testing.T, f *fleet, c fleetCell) {
 	leaver := f.last()
 	name := self(leaver).Name
-	f.tellVMs(platform.VMLive, leaver)
+	f.setVMList(platform.VMLive, leaver)
 	leaver.Endpoint.Detector().Leave()
-	c.weather.strike(f)
-	f.net.RunFor(leaveSettle)
-	require.False(t, f.ownsAnything(name), "a leaving router owns nothing")
-	f.tellVMs(platform.VMLive, leaver)
-	f.net.RunFor(soon)
-	require.False(t, f.ownsAnything(name), "leaving holds against an older word")
+	c.disturbance.inject(f)
+	f.net.RunFor(leavePropagationTime)
+	require.False(t, f.ownsAny(name), "a leaving router owns no engine")
+	f.setVMList(platform.VMLive, leaver)
+	f.net.RunFor(faultDuration)
+	require.False(t, f.ownsAny(name), "an older VM list does not override a leave")
 	f.net.Send(leaver.Address, leaver.Endpoint.Depart())
-	f.lose()
-	require.True(t, f.within(agreed, f.agree), "the fleet agrees")
+	f.removeLast()
+	require.True(t, f.runUntil(convergenceTime, f.ownersAgree), "the fleet agrees on the owners")
 }
 
-// Symptom: engines of a lost router have no owner, or two.
-// Sequence: a router vanishes while the fault strikes; the fault ends.
-// Cause: its loss is not found, or not believed by all.
-func fleetLoses(t *testing.T, f *fleet, c fleetCell) {
-	lost := f.lose()
-	c.weather.strike(f)
-	require.True(t, f.within(agreed, f.agree), "the fleet agrees")
-	require.False(t, f.ownsAnything(self(lost).Name))
+// runLoss guards against a loss that is not detected, or not by all routers: engines of
+// the lost router would have no owner, or two.
+func runLoss(t *testing.T, f *fleet, c fleetCell) {
+	lost := f.removeLast()
+	c.disturbance.inject(f)
+	require.True(t, f.runUntil(convergenceTime, f.ownersAgree), "the fleet agrees on the owners")
+	require.False(t, f.ownsAny(self(lost).Name))
 }
--- a/test/faults/permits_test.go
+++ b/test/faults/permits_test.go
@@ -13,119 +13,118 @@
 	"github.com/stretchr/testify/require"
 )
 
-// grants is a scenario: three routers ask the owner of one engine for permits
-// over a network that fails, and send what they are granted. The engine counts
-// what it runs; the owner's book is judged by that count.
-type grants struct {
+// permitScenario has three routers that request permits for one engine from its owner,
+// over a faulty network, and send the engine what they are granted. The owner's book is
+// checked against the number of requests that the engine executes.
+type permitScenario struct {
 	t   *testing.T
 	rng *rand.Rand
 	now time.Duration
-	// owner is the book that holders ask; rival is that of a router which
-	// takes itself for the owner too.
-	owner, rival *permit.Book
-	holders      map[string]*grantHolder
-	mail         []letter
-	// running is the engine's own list, with the end of each request.
+	// owner is the book that the holders use. otherOwner is the book of a router that
+	// considers itself the owner too.
+	owner, otherOwner *permit.Book
+	holders           map[string]*permitHolder
+	messages          []message
+	// running maps the requests that the engine executes to the time of their end.
 	running     map[string]time.Duration
 	incarnation uint64
 	next        int
-	worst       int
+	peak        int
 	served      int
 
-	// carry decides what becomes of a message: the delays of its copies.
-	carry func(m *grants) []time.Duration
-	// load is how many requests each holder starts in a tick, on average.
+	// messageDelays returns the delays of a message's copies; none if it is lost.
+	messageDelays func(m *permitScenario) []time.Duration
+	// load is the mean number of requests that each holder starts per tick.
 	load float64
 }
 
-// grantHolder is a router that asks for permits.
-type grantHolder struct {
+// permitHolder is a router that requests permits.
+type permitHolder struct {
 	name   string
 	held   map[string]bool
 	seq    uint64
 	frozen bool
 	dead   bool
-	asks   *permit.Book
+	book   *permit.Book
 }
 
-// letter is a message under way.
-type letter struct {
-	at  time.Duration
-	run func()
+// message is a message under way.
+type message struct {
+	at      time.Duration
+	deliver func()
 }
 
 const (
-	grantTick    = 50 * time.Millisecond
+	tick         = 50 * time.Millisecond
 	maxRunning   = 20
 	requestTime  = 2 * time.Second
 	reportEvery  = time.Second
 	holdersEvery = 5 * time.Second
-	// calm is the time that every late message and every time limit of the
-	// book fit into.
-	calm = 10 * time.Minute
-	// askTimeout is how long a holder waits before it gives a permit back
-	// that it may have been granted.
-	askTimeout = 400 * time.Millisecond
-	// twoOwners is how far two books may go together: one whole bound, and
-	// half of it while the new one warms up.
-	twoOwners = maxRunning * 3 / 2
+	// settleTime exceeds the delay of every late message and every timeout of the book.
+	settleTime = 10 * time.Minute
+	// requestTimeout is how long a holder waits for a permit before it releases it, as
+	// it may have been granted.
+	requestTimeout = 400 * time.Millisecond
+	// twoOwnerBound bounds what two books may grant together: one full bound, and half
+	// of it from the new book while that warms up.
+	twoOwnerBound = maxRunning * 3 / 2
 )
 
-var grantEpoch = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+var epoch = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func newGrants(t *testing.T, seed uint64) *grants {
-	g := &grants{
-		t: t, rng: rand.New(rand.NewPCG(seed, 1)), holders: make(map[string]*grantHolder),
+func newPermitScenario(t *testing.T, seed uint64) *permitScenario {
+	g := &permitScenario{
+		t: t, rng: rand.New(rand.NewPCG(seed, 1)), holders: make(map[string]*permitHolder),
 		running: make(map[string]time.Duration), incarnation: 1, load: 0.4,
-		carry: func(*grants) []time.Duration { return []time.Duration{time.Millisecond} },
+		messageDelays: func(*permitScenario) []time.Duration { return []time.Duration{time.Millisecond} },
 	}
 	g.owner = g.newBook(nil)
 	for _, name := range []string{"x", "y", "z"} {
-		g.holders[name] = &grantHolder{name: name, held: make(map[string]bool), asks: g.owner}
+		g.holders[name] = &permitHolder{name: name, held: make(map[string]bool), book: g.owner}
 	}
 	return g
 }
 
-func (g *grants) newBook(live []string) *permit.Book {
+func (g *permitScenario) newBook(live []string) *permit.Book {
 	cfg := permit.Config{MaxBatch: maxRunning, Admit: func(int64, int64, int64, int, float64) bool { return true }}
-	return permit.NewBook(g.at(), cfg, g.incarnation, live)
+	return permit.NewBook(g.timestamp(), cfg, g.incarnation, live)
 }
 
-func (g *grants) at() time.Time { return grantEpoch.Add(g.now) }
+func (g *permitScenario) timestamp() time.Time { return epoch.Add(g.now) }
 
-// send puts a message on the network.
-func (g *grants) send(run func()) {
-	for _, d := range g.carry(g) {
-		g.mail = append(g.mail, letter{g.now + d, run})
+// send sends a message over the network.
+func (g *permitScenario) send(run func()) {
+	for _, d := range g.messageDelays(g) {
+		g.messages = append(g.messages, message{g.now + d, run})
 	}
 }
 
-// run lets virtual time pass.
-func (g *grants) run(span time.Duration) {
-	for end := g.now + span; g.now < end; g.now += grantTick {
+// runFor advances virtual time by span.
+func (g *permitScenario) runFor(span time.Duration) {
+	for end := g.now + span; g.now < end; g.now += tick {
 		g.deliver()
-		g.finish()
+		g.finishRequests()
 		for _, name := range slices.Sorted(maps.Keys(g.holders)) {
-			g.holder(g.holders[name])
+			g.stepHolder(g.holders[name])
 		}
-		g.reports()
-		g.check()
+		g.sendEngineReport()
+		g.requireBound()
 	}
 }
 
-func (g *grants) deliver() {
-	due := g.mail
-	g.mail = nil
+func (g *permitScenario) deliver() {
+	due := g.messages
+	g.messages = nil
 	for _, m := range due {
 		if m.at > g.now {
-			g.mail = append(g.mail, m)
+			g.messages = append(g.messages, m)
 			continue
 		}
-		m.run()
+		m.deliver()
 	}
 }
 
-func (g *grants) finish() {
+func (g *permitScenario) finishRequests() {
 	for _, id := range slices.Sorted(maps.Keys(g.running)) {
 		if g.running[id] > g.now {
 			continue
@@ -133,13 +132,14 @@
 		delete(g.running, id)
 		g.served++
 		for _, h := range g.holders {
-			g.giveBack(h, id)
+			g.returnPermit(h, id)
 		}
 	}
 }
 
-// giveBack repeats the release until it is received, as routers do.
-func (g *grants) giveBack(h *grantHolder, id string) {
+// returnPermit releases a permit. The release is repeated until it is received, as
+// routers do.
+func (g *permitScenario) returnPermit(h *permitHolder, id string) {
 	if !h.held[id] || h.dead {
 		return
 	}
@@ -147,23 +147,23 @@
 	g.release(h, id)
 }
 
-func (g *grants) release(h *grantHolder, id string) {
+func (g *permitScenario) release(h *permitHolder, id string) {
 	received := false
-	g.send(func() { received = true; h.asks.ReleaseBy(g.at(), id, h.name) })
-	g.mail = append(g.mail, letter{g.now + time.Second, func() {
+	g.send(func() { received = true; h.book.ReleaseBy(g.timestamp(), id, h.name) })
+	g.messages = append(g.messages, message{g.now + time.Second, func() {
 		if !received && !h.dead {
 			g.release(h, id)
 		}
 	}})
 }
 
-func (g *grants) holder(h *grantHolder) {
+func (g *permitScenario) stepHolder(h *permitHolder) {
 	if h.dead || h.frozen {
 		return
 	}
 	for n := g.load; n > 0; n-- {
 		if g.rng.Float64() < n {
-			g.ask(h)
+			g.request(h)
 		}
 	}
 	if g.now%holdersEvery == 0 {
@@ -171,140 +171,142 @@
 	}
 }
 
-// ask asks for a permit, and sends the request if the reply comes in time.
-func (g *grants) ask(h *grantHolder) {
+// request requests a permit, and sends the request to the engine if the reply arrives
+// in time.
+func (g *permitScenario) request(h *permitHolder) {
 	g.next++
 	id := fmt.Sprint(h.name, g.next)
-	book, sent := h.asks, g.now
-	settled := false
+	book, sent := h.book, g.now
+	done := false
 	g.send(func() {
-		p, err := book.Acquire(g.at(), permit.Request{ID: id, Holder: h.name, Weight: 1, PoolTotal: 1, PoolN: 1})
+		p, err := book.Acquire(g.timestamp(), permit.Request{ID: id, Holder: h.name, Weight: 1, PoolTotal: 1, PoolN: 1})
 		if err != nil {
-			g.send(func() { settled = true })
+			g.send(func() { done = true })
 			return
 		}
 		g.send(func() {
-			if settled || h.dead || h.frozen || g.now-sent > askTimeout {
+			if done || h.dead || h.frozen || g.now-sent > requestTimeout {
 				return
 			}
-			settled = true
+			done = true
 			h.held[id] = true
 			if p.Incarnation != g.incarnation {
-				// The engine refuses what is meant for its predecessor.
-				g.giveBack(h, id)
+				// The engine refuses requests for its previous incarnation.
+				g.returnPermit(h, id)
 				return
 			}
 			g.running[id] = g.now + requestTime
 		})
 	})
-	g.mail = append(g.mail, letter{sent + askTimeout + grantTick, func() {
-		if !settled && !h.dead {
-			settled = true
+	g.messages = append(g.messages, message{sent + requestTimeout + tick, func() {
+		if !done && !h.dead {
+			done = true
 			g.release(h, id)
 		}
 	}})
 }
 
-func (g *grants) reportHoldings(h *grantHolder) {
+func (g *permitScenario) reportHoldings(h *permitHolder) {
 	h.seq++
 	r := permit.HolderReport{Holder: h.name, Seq: h.seq, Incarnation: g.incarnation}
 	for id := range h.held {
 		r.Held = append(r.Held, permit.Held{ID: id, Weight: 1})
 	}
-	book := h.asks
-	g.send(func() { book.Holdings(g.at(), r) })
+	book := h.book
+	g.send(func() { book.Holdings(g.timestamp(), r) })
 }
 
-// reports brings the engine's own list to the owners.
-func (g *grants) reports() {
+// sendEngineReport reports the executing requests to the owners.
+func (g *permitScenario) sendEngineReport() {
 	if g.now%reportEvery != 0 {
 		return
 	}
 	l := permit.EngineLoad{Incarnation: g.incarnation, Count: len(g.running), Weight: int64(len(g.running))}
 	l.IDs = slices.Collect(maps.Keys(g.running))
-	g.owner.EngineReport(g.at(), l)
-	if g.rival != nil {
-		g.rival.EngineReport(g.at(), l)
+	g.owner.EngineReport(g.timestamp(), l)
+	if g.otherOwner != nil {
+		g.otherOwner.EngineReport(g.timestamp(), l)
 	}
 }
 
-func (g *grants) check() {
-	g.worst = max(g.worst, len(g.running))
+func (g *permitScenario) requireBound() {
+	g.peak = max(g.peak, len(g.running))
 	bound := maxRunning
-	if g.rival != nil {
-		bound = twoOwners
+	if g.otherOwner != nil {
+		bound = twoOwnerBound
 	}
 	require.LessOrEqual(g.t, len(g.running), bound, "at %v", g.now)
 }
 
-// restart lets the engine come back with nothing.
-func (g *grants) restart() {
+// restartEngine restarts the engine, which loses all requests.
+func (g *permitScenario) restartEngine() {
 	g.incarnation++
 	clear(g.running)
 	for _, h := range g.holders {
 		for id := range h.held {
-			g.giveBack(h, id)
+			g.returnPermit(h, id)
 		}
 	}
 }
 
-// succeed makes a new router the owner; the old one is gone if it is dead.
-func (g *grants) succeed(dead bool) {
+// changeOwner makes a new book the owner. Unless the old owner is dead, holder x still
+// uses the old book.
+func (g *permitScenario) changeOwner(dead bool) {
 	old := g.owner
 	g.owner = g.newBook(slices.Collect(maps.Keys(g.holders)))
 	for _, h := range g.holders {
-		h.asks = g.owner
+		h.book = g.owner
 	}
 	if !dead {
-		g.holders["x"].asks = old
+		g.holders["x"].book = old
 	}
-	g.rival = old
+	g.otherOwner = old
 }
 
-func after(d time.Duration) func(*grants) []time.Duration {
-	return func(*grants) []time.Duration { return []time.Duration{d} }
+func delayBy(d time.Duration) func(*permitScenario) []time.Duration {
+	return func(*permitScenario) []time.Duration { return []time.Duration{d} }
 }
 
-type grantCell struct {
-	fault  faultkit.Fault
-	step   faultkit.Step
-	strike func(g *grants)
-	heal   func(g *grants)
-	does   string
+type permitCell struct {
+	fault       faultkit.Fault
+	step        faultkit.Step
+	inject      func(g *permitScenario)
+	heal        func(g *permitScenario)
+	description string
 }
 
-var grantCells = []grantCell{
-	{faultkit.Kill, faultkit.Permit, func(g *grants) { g.holders["x"].dead = true; g.owner.RouterDead(g.at(), "x") }, nil, "holder killed; its permits end by the engine's report"},
-	{faultkit.Kill, faultkit.TakeOver, func(g *grants) { g.succeed(true) }, nil, "owner killed; the next one starts with an empty book"},
-	{faultkit.Freeze, faultkit.Permit, func(g *grants) { g.holders["x"].frozen = true }, func(g *grants) { g.holders["x"].frozen = false }, "holder frozen with its permits, later thawed"},
-	{faultkit.CutBoth, faultkit.Permit, func(g *grants) { g.carry = lostShare(1) }, nil, "no message gets through"},
-	{faultkit.CutOneWay, faultkit.Permit, func(g *grants) { g.carry = lostShare(0.5) }, nil, "half of the messages lost, whichever way"},
-	{faultkit.Silent, faultkit.Permit, func(g *grants) { g.carry = lostShare(0.9) }, nil, "nine messages in ten lost"},
-	{faultkit.ReplyLost, faultkit.Permit, func(g *grants) { g.carry = lostShare(0.3) }, nil, "replies lost after the permit was granted"},
-	{faultkit.ReplyLate, faultkit.Permit, func(g *grants) { g.carry = after(300 * time.Millisecond) }, nil, "replies later than the holder waits"},
-	{faultkit.Duplicate, faultkit.Permit, func(g *grants) {
-		g.carry = func(g *grants) []time.Duration {
+var permitCells = []permitCell{
+	{faultkit.Kill, faultkit.Permit, func(g *permitScenario) { g.holders["x"].dead = true; g.owner.RouterDead(g.timestamp(), "x") }, nil, "holder killed; its permits end by the engine's report"},
+	{faultkit.Kill, faultkit.TakeOver, func(g *permitScenario) { g.changeOwner(true) }, nil, "owner killed; the next one starts with an empty book"},
+	{faultkit.Freeze, faultkit.Permit, func(g *permitScenario) { g.holders["x"].frozen = true }, func(g *permitScenario) { g.holders["x"].frozen = false }, "holder frozen with its permits, later thawed"},
+	{faultkit.CutBoth, faultkit.Permit, func(g *permitScenario) { g.messageDelays = loseShare(1) }, nil, "no message gets through"},
+	{faultkit.CutOneWay, faultkit.Permit, func(g *permitScenario) { g.messageDelays = loseShare(0.5) }, nil, "half of the messages lost, whichever way"},
+	{faultkit.Silent, faultkit.Permit, func(g *permitScenario) { g.messageDelays = loseShare(0.9) }, nil, "nine messages in ten lost"},
+	{faultkit.ReplyLost, faultkit.Permit, func(g *permitScenario) { g.messageDelays = loseShare(0.3) }, nil, "replies lost after the permit was granted"},
+	{faultkit.ReplyLate, faultkit.Permit, func(g *permitScenario) { g.messageDelays = delayBy(300 * time.Millisecond) }, nil, "replies later than the holder waits"},
+	{faultkit.Duplicate, faultkit.Permit, func(g *permitScenario) {
+		g.messageDelays = func(g *permitScenario) []time.Duration {
 			return []time.Duration{time.Millisecond, time.Duration(g.rng.IntN(int(20 * time.Second)))}
 		}
 	}, nil, "each message delivered again within 20 s"},
-	{faultkit.Reorder, faultkit.Permit, func(g *grants) {
-		g.carry = func(g *grants) []time.Duration {
+	{faultkit.Reorder, faultkit.Permit, func(g *permitScenario) {
+		g.messageDelays = func(g *permitScenario) []time.Duration {
 			return []time.Duration{time.Duration(g.rng.IntN(int(time.Second)))}
 		}
 	}, nil, "messages out of their order"},
-	{faultkit.ViewsDiff, faultkit.Permit, func(g *grants) { g.succeed(false) }, func(g *grants) { g.holders["x"].asks = g.owner }, "two routers take themselves for the owner; together they stay within one and a half bounds"},
-	{faultkit.Flap, faultkit.Permit, (*grants).restart, nil, "engine restarts; its book starts anew"},
-	{faultkit.Surge, faultkit.Permit, func(g *grants) { g.load = 4 }, func(g *grants) { g.load = 0.4 }, "ten times the requests"},
-	{faultkit.IPReused, faultkit.Permit, (*grants).restart, nil, "another incarnation at the address"},
-	{faultkit.DupKill, faultkit.Permit, func(g *grants) {
+	{faultkit.ViewsDiffer, faultkit.Permit, func(g *permitScenario) { g.changeOwner(false) }, func(g *permitScenario) { g.holders["x"].book = g.owner }, "two routers take themselves for the owner; together they stay within one and a half bounds"},
+	{faultkit.Flap, faultkit.Permit, (*permitScenario).restartEngine, nil, "engine restarts; its book starts anew"},
+	{faultkit.Surge, faultkit.Permit, func(g *permitScenario) { g.load = 4 }, func(g *permitScenario) { g.load = 0.4 }, "ten times the requests"},
+	{faultkit.AddressReused, faultkit.Permit, (*permitScenario).restartEngine, nil, "another incarnation at the address"},
+	{faultkit.DuplicateKill, faultkit.Permit, func(g *permitScenario) {
 		g.holders["x"].dead = true
-		g.owner.RouterDead(g.at(), "x")
-		g.carry = func(g *grants) []time.Duration { return []time.Duration{time.Millisecond, 5 * time.Second} }
+		g.owner.RouterDead(g.timestamp(), "x")
+		g.messageDelays = func(g *permitScenario) []time.Duration { return []time.Duration{time.Millisecond, 5 * time.Second} }
 	}, nil, "holder killed while copies of its messages are under way"},
 }
 
-func lostShare(share float64) func(*grants) []time.Duration {
-	return func(g *grants) []time.Duration {
+func loseShare(share float64) func(*permitScenario) []time.Duration {
+	return func(g *permitScenario) []time.Duration {
 		if g.rng.Float64() < share {
 			return nil
 		}
@@ -312,45 +314,43 @@
 	}
 }
 
-func grantProofs() proofs {
-	p := proofs{}
-	for _, c := range grantCells {
-		p.add(c.fault, c.step, proof{
-			promises: []faultkit.Promise{faultkit.LoadBound},
-			does:     "permits: " + c.does,
+func permitTests() cellTests {
+	tests := cellTests{}
+	for _, c := range permitCells {
+		tests.add(c.fault, c.step, cellTest{
+			guarantees:  []faultkit.Guarantee{faultkit.LoadBound},
+			description: "permits: " + c.description,
 			run: func(t *testing.T) {
 				for seed := range uint64(5) {
-					runGrants(t, c, seed)
+					runPermits(t, c, seed)
 				}
 			},
 		})
 	}
-	return p
+	return tests
 }
 
-// Symptom: the engine runs more than its bound, or in the end takes nothing
-// although it is idle.
-// Sequence: routers ask for permits at more than the engine can take; the fault
-// strikes; it ends; the requests stop.
-// Cause: the count follows messages and not what the engine runs.
-func runGrants(t *testing.T, c grantCell, seed uint64) {
-	g := newGrants(t, seed)
-	// The fault strikes just after a report of the engine, so that the next one
-	// is as far away as can be.
-	g.run(20*time.Second + grantTick)
+// runPermits guards against a count that follows messages instead of what the engine
+// executes: the engine would exceed its bound, or would get nothing in the end although
+// it is idle.
+func runPermits(t *testing.T, c permitCell, seed uint64) {
+	g := newPermitScenario(t, seed)
+	// The fault is injected just after a report of the engine, so that the next report
+	// is as far away as possible.
+	g.runFor(20*time.Second + tick)
 	require.Positive(t, g.served)
-	c.strike(g)
-	g.run(time.Minute)
-	g.carry = after(time.Millisecond)
+	c.inject(g)
+	g.runFor(time.Minute)
+	g.messageDelays = delayBy(time.Millisecond)
 	if c.heal != nil {
 		c.heal(g)
 	}
-	g.run(time.Minute)
+	g.runFor(time.Minute)
 	g.load = 0
-	g.run(calm)
-	require.Zero(t, g.owner.Own().Count, "no permit is left behind")
+	g.runFor(settleTime)
+	require.Zero(t, g.owner.Own().Count, "all permits are released")
 	served := g.served
 	g.load = 0.4
-	g.run(20 * time.Second)
-	require.Greater(t, g.served, served, "the engine is used again")
+	g.runFor(20 * time.Second)
+	require.Greater(t, g.served, served, "the engine gets requests again")
 }
--- a/test/faults/receipts_test.go
+++ b/test/faults/receipts_test.go
@@ -13,91 +13,92 @@
 	"github.com/stretchr/testify/require"
 )
 
-// receipt is a scenario: a caller asks router a for a receipt, the fault
-// strikes, the caller comes back with the same key to router b, then to a.
-type receipt struct {
-	*faultkit.World
+// receiptScenario requests a receipt from router a, injects the fault, and retries with
+// the same key at router b, then at a.
+type receiptScenario struct {
+	*faultkit.Cluster
 	a, b *faultkit.Router
 }
 
 const receiptKey = "mill-17"
 
-// final is what the caller knows in the end.
-type final string
+// receiptResult is what the caller knows in the end.
+type receiptResult string
 
 const (
-	// answered: the caller has the receipt, and it was issued once.
-	answered final = "answered"
-	// blocked: the key is blocked and the caller is told that the outcome is
-	// not known; the receipt was issued once.
-	blocked final = "blocked, issued once"
-	// blockedUnrun: as blocked, but the receipt was never issued.
-	blockedUnrun final = "blocked, never issued"
+	// answered: the caller has the receipt, which was issued once.
+	answered receiptResult = "answered"
+	// blocked: the key is blocked and the caller is told that the outcome is unknown;
+	// the receipt was issued once.
+	blocked receiptResult = "blocked, issued once"
+	// blockedNotExecuted: like blocked, but the receipt was never issued.
+	blockedNotExecuted receiptResult = "blocked, never issued"
 )
 
-// point is where a fault strikes a receipt.
-type point struct {
+// receiptPoint is where a fault is injected into a receipt.
+type receiptPoint struct {
 	step faultkit.Step
-	// arm makes strike happen once when router a gets there. The connection
-	// is nil where the step is a call of the table service.
-	arm func(s *receipt, strike func(*faultkit.Conn))
+	// addTrigger makes strike run once when router a reaches the step. The connection
+	// is nil if the step is a call of the table service.
+	addTrigger func(s *receiptScenario, strike func(*faultkit.Conn))
 }
 
-// struck says what a fault does at a point.
-type struck func(s *receipt, c *faultkit.Conn)
+// receiptFault injects a fault at a point.
+type receiptFault func(s *receiptScenario, c *faultkit.Conn)
 
-func claimState(want claim.State) func(faultkit.StoreCall) bool {
+func isClaimState(want claim.State) func(faultkit.StoreCall) bool {
 	return func(c faultkit.StoreCall) bool { return c.State() == string(want) }
 }
 
-func atStore(state claim.State, after bool) func(*receipt, func(*faultkit.Conn)) {
-	return func(s *receipt, strike func(*faultkit.Conn)) {
-		s.a.OnStore(faultkit.StoreTap{Matches: claimState(state), After: after, Strike: func() { strike(nil) }})
+func onClaimWrite(state claim.State, after bool) func(*receiptScenario, func(*faultkit.Conn)) {
+	return func(s *receiptScenario, strike func(*faultkit.Conn)) {
+		s.a.OnStore(faultkit.StoreTrigger{Matches: isClaimState(state), After: after, Strike: func() { strike(nil) }})
 	}
 }
 
-func atConn(from, to string, dir faultkit.Direction, contains string) func(*receipt, func(*faultkit.Conn)) {
-	return func(s *receipt, strike func(*faultkit.Conn)) {
-		s.Net.Tap(faultkit.Tap{From: from, To: to, Dir: dir, Contains: []byte(contains), Strike: strike})
+func onBytes(from, to string, dir faultkit.Direction, contains string) func(*receiptScenario, func(*faultkit.Conn)) {
+	return func(s *receiptScenario, strike func(*faultkit.Conn)) {
+		s.Net.AddTrigger(faultkit.Trigger{From: from, To: to, Dir: dir, Contains: []byte(contains), Strike: strike})
 	}
 }
 
-// The points, in the order in which a receipt passes them.
+// Points at which faults are injected, in the order in which a receipt passes them.
 var (
-	claimWrite    = point{faultkit.Claim, atStore(claim.StateClaimed, false)}
-	claimWritten  = point{faultkit.Claim, atStore(claim.StateClaimed, true)}
-	requestSent   = point{faultkit.Send, atConn("a", "", faultkit.Out, "POST /receipts")}
-	replyHead     = point{faultkit.FirstByte, atConn("a", "", faultkit.In, "HTTP/1.1 201")}
-	recordWrite   = point{faultkit.Record, atStore(claim.StateDone, false)}
-	recordWritten = point{faultkit.Record, atStore(claim.StateDone, true)}
-	answerOut     = point{faultkit.Answer, atConn(faultkit.Caller, "a", faultkit.In, "HTTP/1.1 201")}
+	beforeClaim  = receiptPoint{faultkit.Claim, onClaimWrite(claim.StateClaimed, false)}
+	afterClaim   = receiptPoint{faultkit.Claim, onClaimWrite(claim.StateClaimed, true)}
+	requestSent  = receiptPoint{faultkit.Send, onBytes("a", "", faultkit.Out, "POST /receipts")}
+	replyHead    = receiptPoint{faultkit.FirstByte, onBytes("a", "", faultkit.In, "HTTP/1.1 201")}
+	beforeRecord = receiptPoint{faultkit.Record, onClaimWrite(claim.StateDone, false)}
+	afterRecord  = receiptPoint{faultkit.Record, onClaimWrite(claim.StateDone, true)}
+	answerSent   = receiptPoint{faultkit.Answer, onBytes(faultkit.Caller, "a", faultkit.In, "HTTP/1.1 201")}
 )
 
-func killRouter(s *receipt, _ *faultkit.Conn)   { s.a.Gate.Kill() }
-func freezeRouter(s *receipt, _ *faultkit.Conn) { s.a.Gate.Freeze() }
-func cutConn(_ *receipt, c *faultkit.Conn)      { c.Cut() }
-func dropReply(_ *receipt, c *faultkit.Conn)    { c.Drop(faultkit.In) }
-func silenceConn(_ *receipt, c *faultkit.Conn)  { c.Silence() }
-func storeDown(s *receipt, _ *faultkit.Conn)    { s.Platform.SetDown(true) }
-
-// lateBy delays what comes in. Beyond upstream.DefaultTransferTimeout the
-// router has given the call up by then.
-func lateBy(d time.Duration) struck {
-	return func(_ *receipt, c *faultkit.Conn) { c.Delay(func() { time.Sleep(d) }) }
+func killRouter(s *receiptScenario, _ *faultkit.Conn)   { s.a.Gate.Kill() }
+func freezeRouter(s *receiptScenario, _ *faultkit.Conn) { s.a.Gate.Freeze() }
+func cutConn(_ *receiptScenario, c *faultkit.Conn)      { c.Cut() }
+func dropReply(_ *receiptScenario, c *faultkit.Conn)    { c.Drop(faultkit.In) }
+func dropBoth(_ *receiptScenario, c *faultkit.Conn)     { c.DropBoth() }
+func storeDown(s *receiptScenario, _ *faultkit.Conn)    { s.Platform.SetDown(true) }
+
+// delayReply delays the reply. With a delay beyond upstream.DefaultTransferTimeout the
+// router has aborted the call by then.
+func delayReply(d time.Duration) receiptFault {
+	return func(_ *receiptScenario, c *faultkit.Conn) { c.DelayNext(func() { time.Sleep(d) }) }
 }
 
-// commitFault lets the next commit meet a fault of the store.
-func commitFault(faults ...platformtest.Fault) struck {
-	return func(s *receipt, _ *faultkit.Conn) { s.Platform.Script(platformtest.OpCommit, faults...) }
+// failCommit makes the next commits meet faults of the store.
+func failCommit(faults ...platformtest.Fault) receiptFault {
+	return func(s *receiptScenario, _ *faultkit.Conn) { s.Platform.Script(platformtest.OpCommit, faults...) }
 }
 
-// slowStore holds the next call up for d, or until its caller gives up.
-func slowStore(d time.Duration) struck {
-	return func(s *receipt, _ *faultkit.Conn) { holdNextCall(s.World, d) }
+// delayStore delays the next call of the store by d, or until its context ends.
+func delayStore(d time.Duration) receiptFault {
+	return func(s *receiptScenario, _ *faultkit.Conn) { holdNextCall(s.Cluster, d) }
 }
 
-// lostThenDown lets the next commit lose its reply and the store go down with it.
-func lostThenDown(s *receipt, _ *faultkit.Conn) {
+// loseReplyThenStoreDown loses the reply of the next commit and takes the store down
+// right after it.
+func loseReplyThenStoreDown(s *receiptScenario, _ *faultkit.Conn) {
 	s.Platform.Script(platformtest.OpCommit, platformtest.LoseReplyAfterEffect)
 	s.Platform.After(func(c platformtest.Call) {
 		if c.Op == platformtest.OpCommit {
@@ -107,186 +108,183 @@
 	})
 }
 
-// receiptCell is one cell of the matrix.
+// receiptCell is a test of one cell of the matrix.
 type receiptCell struct {
-	fault  faultkit.Fault
-	at     point
-	strike struck
-	want   final
-	does   string
+	fault       faultkit.Fault
+	point       receiptPoint
+	inject      receiptFault
+	want        receiptResult
+	description string
 }
 
-// ages is longer than every deadline of routers and callers.
-const ages = time.Minute
+// pastDeadlines exceeds every deadline of routers and callers.
+const pastDeadlines = time.Minute
 
 var receiptCells = []receiptCell{
-	{faultkit.Kill, claimWritten, killRouter, blockedUnrun, "router killed between the claim's effect and its reply; the key stays blocked, nothing ran"},
-	{faultkit.Freeze, claimWritten, freezeRouter, answered, "router frozen past every deadline with its claim written, then thawed; another router never takes the claim over"},
-	{faultkit.CutBoth, claimWrite, commitFault(platformtest.LoseBeforeEffect), answered, "store connection cut before the claim takes effect; the same token is written again"},
-	{faultkit.CutOneWay, claimWrite, commitFault(platformtest.LoseReplyAfterEffect), answered, "store's replies lost from the claim on; the row is read back by its token"},
-	{faultkit.Silent, claimWrite, slowStore(ages), answered, "store connection silent during the claim; the write is given up and repeated with its token"},
-	{faultkit.ReplyLost, claimWritten, commitFault(platformtest.LoseReplyAfterEffect), answered, "reply of the claim lost after its effect"},
-	{faultkit.ReplyLate, claimWrite, commitFault(platformtest.LateEffect), answered, "claim's first copy takes effect after the second and the receipt"},
-	{faultkit.Reorder, claimWrite, commitFault(platformtest.LateEffect, platformtest.LateEffect), answered, "first two copies of the claim overtaken by the third"},
-	{faultkit.Duplicate, claimWrite, commitFault(platformtest.Duplicate), answered, "claim delivered to the store twice"},
-	{faultkit.StoreDown, claimWrite, storeDown, answered, "store down at the claim: refused as not run; after the outage the same key runs once"},
-	{faultkit.StoreSlow, claimWrite, slowStore(3 * time.Second), answered, "store slower than the claim's time-out"},
-	{faultkit.LostDown, claimWrite, lostThenDown, blockedUnrun, "claim takes effect, its reply is lost and the store goes down before the read-back: refused as not run; the left-over row blocks the key elsewhere until its own router releases it"},
-	{faultkit.TwiceLost, claimWrite, commitFault(platformtest.LoseReplyAfterEffect, platformtest.LoseReplyAfterEffect), answered, "replies of the claim and of the record both lost"},
-
-	{faultkit.Kill, requestSent, killRouter, blockedUnrun, "router killed before the first byte goes out"},
+	{faultkit.Kill, afterClaim, killRouter, blockedNotExecuted, "router killed between the claim's effect and its reply; the key stays blocked, nothing ran"},
+	{faultkit.Freeze, afterClaim, freezeRouter, answered, "router frozen past every deadline with its claim written, then thawed; another router never takes the claim over"},
+	{faultkit.CutBoth, beforeClaim, failCommit(platformtest.LoseBeforeEffect), answered, "store connection cut before the claim takes effect; the same token is written again"},
+	{faultkit.CutOneWay, beforeClaim, failCommit(platformtest.LoseReplyAfterEffect), answered, "store's replies lost from the claim on; the row is read back by its token"},
+	{faultkit.Silent, beforeClaim, delayStore(pastDeadlines), answered, "store connection silent during the claim; the write is given up and repeated with its token"},
+	{faultkit.ReplyLost, afterClaim, failCommit(platformtest.LoseReplyAfterEffect), answered, "reply of the claim lost after its effect"},
+	{faultkit.ReplyLate, beforeClaim, failCommit(platformtest.LateEffect), answered, "claim's first copy takes effect after the second and the receipt"},
+	{faultkit.Reorder, beforeClaim, failCommit(platformtest.LateEffect, platformtest.LateEffect), answered, "first two copies of the claim overtaken by the third"},
+	{faultkit.Duplicate, beforeClaim, failCommit(platformtest.Duplicate), answered, "claim delivered to the store twice"},
+	{faultkit.StoreDown, beforeClaim, storeDown, answered, "store down at the claim: refused as not run; after the outage the same key runs once"},
+	{faultkit.StoreSlow, beforeClaim, delayStore(3 * time.Second), answered, "store slower than the claim's time-out"},
+	{faultkit.ReplyLostStoreDown, beforeClaim, loseReplyThenStoreDown, blockedNotExecuted, "claim takes effect, its reply is lost and the store goes down before the read-back: refused as not run; the left-over row blocks the key elsewhere until its own router releases it"},
+	{faultkit.ReplyLostTwice, beforeClaim, failCommit(platformtest.LoseReplyAfterEffect, platformtest.LoseReplyAfterEffect), answered, "replies of the claim and of the record both lost"},
+
+	{faultkit.Kill, requestSent, killRouter, blockedNotExecuted, "router killed before the first byte goes out"},
 	{faultkit.Freeze, requestSent, freezeRouter, blocked, "router frozen past every deadline as the request is written, then thawed"},
-	{faultkit.CutBoth, requestSent, cutConn, blockedUnrun, "connection to the service cut while the request is written: nothing proves that it did not run"},
+	{faultkit.CutBoth, requestSent, cutConn, blockedNotExecuted, "connection to the service cut while the request is written: nothing proves that it did not run"},
 	{faultkit.CutOneWay, requestSent, dropReply, blocked, "service executes, its reply never arrives"},
-	{faultkit.Silent, requestSent, silenceConn, blockedUnrun, "request vanishes in a silent connection: never sent a second time"},
+	{faultkit.Silent, requestSent, dropBoth, blockedNotExecuted, "request vanishes in a silent connection: never sent a second time"},
 	{faultkit.StoreDown, requestSent, storeDown, answered, "store down from the sending on: the answer reaches the caller, its record the store once that is back"},
 
 	{faultkit.Kill, replyHead, killRouter, blocked, "router killed with the service's reply unread: executed once, the key stays blocked"},
 	{faultkit.Freeze, replyHead, freezeRouter, blocked, "router frozen past every deadline before it reads the reply, then thawed"},
 	{faultkit.CutBoth, replyHead, cutConn, blocked, "connection cut after the execution, before the reply"},
 	{faultkit.CutOneWay, replyHead, dropReply, blocked, "reply lost on the way back"},
-	{faultkit.Silent, replyHead, silenceConn, blocked, "connection silent after the execution"},
+	{faultkit.Silent, replyHead, dropBoth, blocked, "connection silent after the execution"},
 	{faultkit.ReplyLost, replyHead, cutConn, blocked, "service's reply lost after it executed"},
-	{faultkit.ReplyLate, replyHead, lateBy(ages), blocked, "service's reply comes long after the call was given up"},
-
-	{faultkit.Kill, recordWrite, killRouter, blocked, "router killed before it records the answer"},
-	{faultkit.Freeze, recordWrite, freezeRouter, answered, "router frozen past every deadline before it records the answer, then thawed: it records it then"},
-	{faultkit.CutBoth, recordWrite, commitFault(platformtest.LoseBeforeEffect), answered, "store connection cut before the record takes effect"},
-	{faultkit.CutOneWay, recordWrite, commitFault(platformtest.LoseReplyAfterEffect), answered, "store's replies lost from the record on"},
-	{faultkit.Silent, recordWrite, slowStore(ages), answered, "store connection silent during the record"},
-	{faultkit.ReplyLost, recordWritten, commitFault(platformtest.LoseReplyAfterEffect), answered, "reply of the record lost after its effect"},
-	{faultkit.ReplyLate, recordWrite, commitFault(platformtest.LateEffect), answered, "record's first copy takes effect after the second"},
-	{faultkit.Reorder, recordWrite, commitFault(platformtest.LateEffect, platformtest.LateEffect), answered, "first two copies of the record overtaken by the third"},
-	{faultkit.Duplicate, recordWrite, commitFault(platformtest.Duplicate), answered, "record delivered to the store twice"},
-	{faultkit.StoreDown, recordWrite, storeDown, answered, "store down at the record: the caller has its answer, which is recorded once the store is back"},
-	{faultkit.StoreSlow, recordWrite, slowStore(3 * time.Second), answered, "store slower than the record's time-out"},
-	{faultkit.LostDown, recordWrite, lostThenDown, answered, "record takes effect, its reply is lost and the store goes down before the read-back"},
-
-	{faultkit.Kill, answerOut, killRouter, answered, "router killed before the answer reaches the caller; another router repeats it from the store"},
-	{faultkit.Freeze, answerOut, freezeRouter, answered, "router frozen past every deadline before the answer goes out"},
-	{faultkit.CutBoth, answerOut, cutConn, answered, "caller's connection cut before the answer"},
-	{faultkit.CutOneWay, answerOut, dropReply, answered, "answer lost on the way to the caller"},
-	{faultkit.Silent, answerOut, silenceConn, answered, "caller's connection silent before the answer"},
-	{faultkit.ReplyLost, answerOut, cutConn, answered, "answer lost after everything took effect"},
-	{faultkit.ReplyLate, answerOut, lateBy(ages), answered, "answer comes long after the deadline; the caller has come back meanwhile"},
-	{faultkit.StoreDown, answerOut, storeDown, answered, "store down before the answer goes out"},
+	{faultkit.ReplyLate, replyHead, delayReply(pastDeadlines), blocked, "service's reply comes long after the call was given up"},
+
+	{faultkit.Kill, beforeRecord, killRouter, blocked, "router killed before it records the answer"},
+	{faultkit.Freeze, beforeRecord, freezeRouter, answered, "router frozen past every deadline before it records the answer, then thawed: it records it then"},
+	{faultkit.CutBoth, beforeRecord, failCommit(platformtest.LoseBeforeEffect), answered, "store connection cut before the record takes effect"},
+	{faultkit.CutOneWay, beforeRecord, failCommit(platformtest.LoseReplyAfterEffect), answered, "store's replies lost from the record on"},
+	{faultkit.Silent, beforeRecord, delayStore(pastDeadlines), answered, "store connection silent during the record"},
+	{faultkit.ReplyLost, afterRecord, failCommit(platformtest.LoseReplyAfterEffect), answered, "reply of the record lost after its effect"},
+	{faultkit.ReplyLate, beforeRecord, failCommit(platformtest.LateEffect), answered, "record's first copy takes effect after the second"},
+	{faultkit.Reorder, beforeRecord, failCommit(platformtest.LateEffect, platformtest.LateEffect), answered, "first two copies of the record overtaken by the third"},
+	{faultkit.Duplicate, beforeRecord, failCommit(platformtest.Duplicate), answered, "record delivered to the store twice"},
+	{faultkit.StoreDown, beforeRecord, storeDown, answered, "store down at the record: the caller has its answer, which is recorded once the store is back"},
+	{faultkit.StoreSlow, beforeRecord, delayStore(3 * time.Second), answered, "store slower than the record's time-out"},
+	{faultkit.ReplyLostStoreDown, beforeRecord, loseReplyThenStoreDown, answered, "record takes effect, its reply is lost and the store goes down before the read-back"},
+
+	{faultkit.Kill, answerSent, killRouter, answered, "router killed before the answer reaches the caller; another router repeats it from the store"},
+	{faultkit.Freeze, answerSent, freezeRouter, answered, "router frozen past every deadline before the answer goes out"},
+	{faultkit.CutBoth, answerSent, cutConn, answered, "caller's connection cut before the answer"},
+	{faultkit.CutOneWay, answerSent, dropReply, answered, "answer lost on the way to the caller"},
+	{faultkit.Silent, answerSent, dropBoth, answered, "caller's connection silent before the answer"},
+	{faultkit.ReplyLost, answerSent, cutConn, answered, "answer lost after everything took effect"},
+	{faultkit.ReplyLate, answerSent, delayReply(pastDeadlines), answered, "answer comes long after the deadline; the caller has come back meanwhile"},
+	{faultkit.StoreDown, answerSent, storeDown, answered, "store down before the answer goes out"},
 }
 
-var receiptPromises = []faultkit.Promise{faultkit.OwnAnswer, faultkit.DidNotRun, faultkit.AtMostOnce}
+var receiptGuarantees = []faultkit.Guarantee{faultkit.OwnResponse, faultkit.NotExecuted, faultkit.AtMostOnce}
 
-func receiptProofs() proofs {
-	p := proofs{}
+func receiptTests() cellTests {
+	tests := cellTests{}
 	for _, c := range receiptCells {
-		p.add(c.fault, c.at.step, proof{receiptPromises, "receipt: " + c.does, func(t *testing.T) { runReceipt(t, c) }})
+		tests.add(c.fault, c.point.step, cellTest{receiptGuarantees, "receipt: " + c.description, func(t *testing.T) { runReceipt(t, c) }})
 	}
-	p.add(faultkit.Duplicate, faultkit.Admit, proof{receiptPromises, "receipt: the same request at two routers in the same moment", runReceiptTwice})
-	p.add(faultkit.ViewsDiff, faultkit.Claim, proof{receiptPromises, "receipt: two routers that each see themselves as the whole fleet claim one key", runReceiptTwice})
-	p.add(faultkit.IPReused, faultkit.Send, proof{receiptPromises, "receipt: another service at the address refuses what is not meant for it", runReceiptElsewhere})
-	return p
+	tests.add(faultkit.Duplicate, faultkit.Admit, cellTest{receiptGuarantees, "receipt: the same request at two routers in the same moment", runReceiptDuplicate})
+	tests.add(faultkit.ViewsDiffer, faultkit.Claim, cellTest{receiptGuarantees, "receipt: two routers that each see themselves as the whole fleet claim one key", runReceiptDuplicate})
+	tests.add(faultkit.AddressReused, faultkit.Send, cellTest{receiptGuarantees, "receipt: another service at the address refuses what is not meant for it", runReceiptAddressReused})
+	return tests
 }
 
-// Symptom: a receipt is issued twice.
-// Sequence: copies of one request reach two routers in the same moment.
-// Cause: both look for the key before either has written it.
-func runReceiptTwice(t *testing.T) {
-	inWorld(t, 2, faultkit.Options{Services: 2}, func(t *testing.T, w *faultkit.World) {
+// runReceiptDuplicate guards against a receipt that is issued twice because copies of
+// one request reach two routers at the same moment, and both look up the key before
+// either has written it.
+func runReceiptDuplicate(t *testing.T) {
+	inCluster(t, 2, faultkit.Options{Services: 2}, func(t *testing.T, cl *faultkit.Cluster) {
 		var both sync.WaitGroup
-		for _, r := range w.Routers {
-			both.Go(func() { w.Receipt(r.Address, receiptKey) })
+		for _, r := range cl.Routers {
+			both.Go(func() { cl.RequestReceipt(r.Address, receiptKey) })
 		}
 		both.Wait()
-		time.Sleep(lull)
-		require.Equal(t, answered, judgeReceipt(w.Receipt(w.Routers[0].Address, receiptKey), 1))
-		require.Equal(t, 1, w.Oracle.Runs(receiptKey))
+		time.Sleep(lateArrivalTime)
+		require.Equal(t, answered, resultOf(cl.RequestReceipt(cl.Routers[0].Address, receiptKey), 1))
+		require.Equal(t, 1, cl.Oracle.Executions(receiptKey))
 	})
 }
 
-// Symptom: a receipt is issued by a service that it was not meant for, or twice.
-// Sequence: a service's VM vanishes and another service comes up at its address
-// before the VM list says so; a receipt is sent there.
-// Cause: the address is taken for the identity.
-func runReceiptElsewhere(t *testing.T) {
-	inWorld(t, 1, faultkit.Options{Services: 1}, func(t *testing.T, w *faultkit.World) {
-		w.Routers[0].HoldVMs(true)
-		w.ReplaceService(0, "portal-9")
-		refused := w.Receipt(w.Routers[0].Address, receiptKey)
-		require.True(t, refused.NotRun(), "%v", refused)
-		require.Zero(t, w.Oracle.Runs(receiptKey))
-		w.Routers[0].HoldVMs(false)
-		time.Sleep(lull)
-		require.True(t, w.Receipt(w.Routers[0].Address, receiptKey).Answered())
+// runReceiptAddressReused guards against taking an address for an identity. A service's
+// VM is replaced by another service at its address before the VM list is updated; a
+// receipt sent there would be issued by the wrong service, or twice.
+func runReceiptAddressReused(t *testing.T) {
+	inCluster(t, 1, faultkit.Options{Services: 1}, func(t *testing.T, cl *faultkit.Cluster) {
+		cl.Routers[0].HoldVMList(true)
+		cl.ReplaceService(0, "portal-9")
+		refused := cl.RequestReceipt(cl.Routers[0].Address, receiptKey)
+		require.True(t, refused.NotExecuted(), "%v", refused)
+		require.Zero(t, cl.Oracle.Executions(receiptKey))
+		cl.Routers[0].HoldVMList(false)
+		time.Sleep(lateArrivalTime)
+		require.True(t, cl.RequestReceipt(cl.Routers[0].Address, receiptKey).Answered())
 	})
 }
 
-// Symptom: a receipt is issued twice, or a caller is told that it was not
-// issued although it was.
-// Sequence: the fault strikes router a at the step; the caller comes back with
-// the same key to router b while the fault lasts; the fault ends, router a
-// goes on if it still can, late effects arrive; the caller comes back to both.
-// Cause: whoever takes a claim over, repeats a sent request or trusts a
-// missing reply runs it a second time.
+// runReceipt guards against a receipt that is issued twice, or that is reported as not
+// issued although it was. Causes are taking over a claim, repeating a request that was
+// sent, and trusting a missing reply. The caller retries with the same key at router b
+// during the fault, and at both routers after its end.
 func runReceipt(t *testing.T, c receiptCell) {
-	inWorld(t, 2, faultkit.Options{Services: 2}, func(t *testing.T, w *faultkit.World) {
-		s := &receipt{World: w, a: w.Routers[0], b: w.Routers[1]}
-		hit := false
-		c.at.arm(s, func(conn *faultkit.Conn) {
-			hit = true
-			c.strike(s, conn)
+	inCluster(t, 2, faultkit.Options{Services: 2}, func(t *testing.T, cl *faultkit.Cluster) {
+		s := &receiptScenario{Cluster: cl, a: cl.Routers[0], b: cl.Routers[1]}
+		injected := false
+		c.point.addTrigger(s, func(conn *faultkit.Conn) {
+			injected = true
+			c.inject(s, conn)
 		})
 		first := make(chan faultkit.Outcome, 1)
-		go func() { first <- s.Receipt(s.a.Address, receiptKey) }()
+		go func() { first <- s.RequestReceipt(s.a.Address, receiptKey) }()
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
-		require.True(t, hit, "the fault strikes")
-		s.Receipt(s.b.Address, receiptKey)
-		s.heal()
+		require.True(t, injected, "the fault was injected")
+		s.RequestReceipt(s.b.Address, receiptKey)
+		s.endFault()
 		<-first
-		time.Sleep(recordedAgain)
-		runs := s.Oracle.Runs(receiptKey)
-		last := s.comeBack(t)
-		require.Equal(t, c.want, judgeReceipt(last, runs), "%v", last)
+		time.Sleep(recordRetryTime)
+		executions := s.Oracle.Executions(receiptKey)
+		last := s.retry(t)
+		require.Equal(t, c.want, resultOf(last, executions), "%v", last)
 	})
 }
 
-// recordedAgain is within which time a router that could not record an answer
-// has tried again; its longest wait is 45 s.
-const recordedAgain = time.Minute
+// recordRetryTime is within which a router retries to record an answer; its longest
+// wait is 45 s.
+const recordRetryTime = time.Minute
 
-// heal ends the fault, after a time in which everything could lapse.
-func (s *receipt) heal() {
-	time.Sleep(ages)
+// endFault ends the fault after a time in which every deadline passes, and delivers
+// late effects.
+func (s *receiptScenario) endFault() {
+	time.Sleep(pastDeadlines)
 	s.a.Gate.Thaw()
 	s.Platform.SetDown(false)
 	synctest.Wait()
 	s.Platform.DeliverLate()
 }
 
-// comeBack asks again with the same key at both routers, as the caller would.
-// What has run does not run any more, and an answer stays an answer. Router a
-// may know more than b: that a claim was given up before anything was sent.
-func (s *receipt) comeBack(t *testing.T) faultkit.Outcome {
-	atB := s.Receipt(s.b.Address, receiptKey)
-	runs := s.Oracle.Runs(receiptKey)
-	atA := s.Receipt(s.a.Address, receiptKey)
+// retry repeats the request with the same key at both routers, as the caller would, and
+// checks that it is not executed again and that an answer stays an answer. Router a may
+// know more than b: that a claim was abandoned before anything was sent.
+func (s *receiptScenario) retry(t *testing.T) faultkit.Outcome {
+	atB := s.RequestReceipt(s.b.Address, receiptKey)
+	executions := s.Oracle.Executions(receiptKey)
+	atA := s.RequestReceipt(s.a.Address, receiptKey)
 	if atB.Answered() && atA.Err == nil {
 		require.True(t, atA.Answered(), "%v, %v", atB, atA)
 	}
-	if runs == 1 {
-		require.Equal(t, runs, s.Oracle.Runs(receiptKey))
+	if executions == 1 {
+		require.Equal(t, executions, s.Oracle.Executions(receiptKey))
 	}
 	return atB
 }
 
-// judgeReceipt names what the caller knows; runs is the count before it came
-// back for the last time.
-func judgeReceipt(last faultkit.Outcome, runs int) final {
+// resultOf returns what the caller knows. executions is the count before the last
+// retry.
+func resultOf(last faultkit.Outcome, executions int) receiptResult {
 	switch {
 	case last.Answered():
 		return answered
-	case last.Refusal != nil && last.Refusal.Ran != apierr.RanNo && runs == 1:
+	case last.Refusal != nil && last.Refusal.Ran != apierr.RanNo && executions == 1:
 		return blocked
-	case last.Refusal != nil && last.Refusal.Ran != apierr.RanNo && runs == 0:
-		return blockedUnrun
+	case last.Refusal != nil && last.Refusal.Ran != apierr.RanNo && executions == 0:
+		return blockedNotExecuted
 	}
-	return final(last.String())
+	return receiptResult(last.String())
 }
--- a/test/faults/untested_test.go
+++ b/test/faults/untested_test.go
@@ -6,25 +6,26 @@
 	"damaskrouter.example/damaskrouter/internal/lab/faultkit"
 )
 
-// reason says why cells do not apply.
-type reason struct {
+// exclusion is a reason why cells have no test.
+type exclusion struct {
 	faults []faultkit.Fault
 	steps  []faultkit.Step
-	why    string
+	reason string
 }
 
 func faultList(f ...faultkit.Fault) []faultkit.Fault { return f }
 func stepList(s ...faultkit.Step) []faultkit.Step    { return s }
 
 var (
-	requestSteps = faultkit.Groups[0].Steps
-	configSteps  = faultkit.Groups[1].Steps
-	memberSteps  = faultkit.Groups[2].Steps
+	requestSteps    = faultkit.StepGroups[0].Steps
+	configSteps     = faultkit.StepGroups[1].Steps
+	membershipSteps = faultkit.StepGroups[2].Steps
 )
 
-// reasons are looked through in their order, for cells without a proof.
-var reasons = []reason{
-	{faultList(faultkit.Race), slices.Concat(requestSteps, memberSteps, stepList(faultkit.Propagate)),
+// notApplicable lists why cells do not apply. The first match counts, for cells without
+// a test.
+var notApplicable = []exclusion{
+	{faultList(faultkit.OperatorRace), slices.Concat(requestSteps, membershipSteps, stepList(faultkit.Propagate)),
 		"Operators' changes meet at the commit only; what comes after sees one chain"},
 	{faultList(faultkit.Kill, faultkit.Freeze, faultkit.CutOneWay, faultkit.Silent, faultkit.ReplyLost, faultkit.ReplyLate, faultkit.Duplicate, faultkit.Reorder), stepList(faultkit.Queue),
 		"The queue is inside one process; the loss of the process or of the caller's connection is the cell at admit"},
@@ -34,15 +35,15 @@
 		"The reply is the stream itself; see the cut and the silent connection"},
 	{faultList(faultkit.StoreDown, faultkit.StoreSlow), stepList(faultkit.Locate, faultkit.Permit, faultkit.Admit, faultkit.Send, faultkit.FirstByte, faultkit.MidStream, faultkit.End, faultkit.Answer, faultkit.Propagate, faultkit.Join, faultkit.Leave, faultkit.TakeOver),
 		"The step makes no call of the store"},
-	{faultList(faultkit.VMsStale), slices.Concat(configSteps, stepList(faultkit.Claim, faultkit.Record, faultkit.Answer, faultkit.End, faultkit.Permit)),
+	{faultList(faultkit.StaleVMList), slices.Concat(configSteps, stepList(faultkit.Claim, faultkit.Record, faultkit.Answer, faultkit.End, faultkit.Permit)),
 		"The step does not read the VM list"},
-	{faultList(faultkit.ViewsDiff), slices.Concat(configSteps, stepList(faultkit.Record, faultkit.Answer, faultkit.End, faultkit.FirstByte, faultkit.Send)),
+	{faultList(faultkit.ViewsDiffer), slices.Concat(configSteps, stepList(faultkit.Record, faultkit.Answer, faultkit.End, faultkit.FirstByte, faultkit.Send)),
 		"The step asks the store or one upstream, and does not depend on the view of the fleet"},
 	{faultList(faultkit.Flap), slices.Concat(configSteps, stepList(faultkit.Claim, faultkit.Record, faultkit.Answer, faultkit.Locate)),
 		"Engines have no part in the step; a router that restarts is the kill"},
 	{faultList(faultkit.Surge), stepList(faultkit.Send, faultkit.FirstByte, faultkit.MidStream, faultkit.End, faultkit.Record, faultkit.Answer, faultkit.ConfigRead, faultkit.Check, faultkit.Propagate, faultkit.Apply),
 		"Admission and the budgets of the store bound what gets this far; see admit, queue, claim and commit"},
-	{faultList(faultkit.IPReused), slices.Concat(configSteps, stepList(faultkit.Admit, faultkit.Queue, faultkit.Claim, faultkit.Record, faultkit.Answer)),
+	{faultList(faultkit.AddressReused), slices.Concat(configSteps, stepList(faultkit.Admit, faultkit.Queue, faultkit.Claim, faultkit.Record, faultkit.Answer)),
 		"The step reaches no upstream and no other router by address"},
 	{faultList(faultkit.Duplicate), stepList(faultkit.Locate, faultkit.ConfigRead, faultkit.Check, faultkit.Apply),
 		"The step only reads; reading twice changes nothing"},
@@ -56,24 +57,25 @@
 		"Membership uses datagrams and has no connections"},
 }
 
-// missing says what open cells lack.
-var missing = []reason{
-	{faultList(faultkit.IPReused), stepList(faultkit.Locate),
+// openCells lists what open cells lack.
+var openCells = []exclusion{
+	{faultList(faultkit.AddressReused), stepList(faultkit.Locate),
 		"No test of a locate answer with an address that another router has"},
-	{faultList(faultkit.VMsStale, faultkit.IPReused, faultkit.ViewsDiff, faultkit.Flap), stepList(faultkit.Admit, faultkit.Queue),
+	{faultList(faultkit.StaleVMList, faultkit.AddressReused, faultkit.ViewsDiffer, faultkit.Flap), stepList(faultkit.Admit, faultkit.Queue),
 		"No test with several routers that ask each other's owners in one process"},
 }
 
-// unproved says why a cell has no proof: it does not apply, or it is open.
-func unproved(key faultkit.Key) (faultkit.Status, string) {
-	for _, r := range reasons {
+// untestedStatus returns the status of a cell without a test, not applicable or open,
+// with the reason.
+func untestedStatus(key faultkit.Key) (faultkit.Status, string) {
+	for _, r := range notApplicable {
 		if slices.Contains(r.faults, key.Fault) && slices.Contains(r.steps, key.Step) {
-			return faultkit.NotApplicable, r.why
+			return faultkit.NotApplicable, r.reason
 		}
 	}
-	for _, r := range missing {
+	for _, r := range openCells {
 		if slices.Contains(r.faults, key.Fault) && slices.Contains(r.steps, key.Step) {
-			return faultkit.Open, r.why
+			return faultkit.Open, r.reason
 		}
 	}
 	return faultkit.Open, "No test yet"
--- a/test/faults/upstreams_test.go
+++ b/test/faults/upstreams_test.go
@@ -16,145 +16,148 @@
 	"github.com/stretchr/testify/require"
 )
 
-// leaving is a scenario: streams run at two engines, one of which leaves.
-type leaving struct {
-	*faultkit.World
+// drainScenario runs streams at two engines, one of which drains.
+type drainScenario struct {
+	*faultkit.Cluster
 	t *testing.T
 }
 
 const (
-	leaver = "engine-0"
-	// longAnswer is an answer that is under way while its engine leaves.
-	longAnswer = 2000
-	// streams are the chats that run when the engine leaves.
-	streams = 8
+	firstEngine = "engine-0"
+	// longAnswerTokens is the length of an answer that is still streaming while its
+	// engine drains.
+	longAnswerTokens = 2000
+	// runningChats is the number of chats that run when the engine begins to drain.
+	runningChats = 8
 )
 
-type leavingCell struct {
+type drainCell struct {
 	fault faultkit.Fault
-	// leave tells of the leaving by the witnesses that the fault leaves.
-	leave func(s *leaving)
-	does  string
+	// startDrain makes the engine drain. Routers learn of it by the sources that the
+	// fault leaves.
+	startDrain  func(s *drainScenario)
+	description string
 }
 
-func ownReport(s *leaving) { s.Oracle.Engine(leaver).Leave() }
+func drainByReport(s *drainScenario) { s.Oracle.Engine(firstEngine).Leave() }
 
-// listed lets only the VM list tell. The engine would go on taking work.
-func listed(s *leaving) { list(s, platform.VMLeaving) }
+// drainByVMList marks the engine as leaving in the VM list only. The engine itself
+// still accepts work.
+func drainByVMList(s *drainScenario) { putVMState(s, platform.VMLeaving) }
 
-// listedBack lets an older list arrive after the one that tells.
-func listedBack(s *leaving) {
-	listed(s)
-	time.Sleep(leaveSettle)
-	list(s, platform.VMLive)
+// drainThenOlderList delivers an older VM list after the one that marks the engine as
+// leaving.
+func drainThenOlderList(s *drainScenario) {
+	drainByVMList(s)
+	time.Sleep(leavePropagationTime)
+	putVMState(s, platform.VMLive)
 }
 
-func list(s *leaving, state platform.VMState) {
+func putVMState(s *drainScenario, state platform.VMState) {
 	s.Platform.PutVM(platform.VM{
-		Name: leaver, Address: faultkit.EngineAddress(0), Site: site, State: state,
+		Name: firstEngine, Address: faultkit.EngineAddress(0), Site: site, State: state,
 		Generation: 1, Kind: platform.KindEngine, Pool: faultkit.PoolLanguage,
 	})
 }
 
-func holdVMs(s *leaving) {
+func holdVMLists(s *drainScenario) {
 	for _, r := range s.Routers {
-		r.HoldVMs(true)
+		r.HoldVMList(true)
 	}
 }
 
-var leavingCells = []leavingCell{
-	{faultkit.VMsStale, func(s *leaving) { holdVMs(s); ownReport(s) }, "VM list goes on naming the engine as live; its own report counts"},
-	{faultkit.ViewsDiff, listed, "only the VM list knows; the engine's report says that it stays"},
-	{faultkit.Reorder, listedBack, "an older VM list arrives after the one that tells: leaving holds"},
-	{faultkit.StoreDown, func(s *leaving) { ownReport(s); s.Platform.SetDown(true) }, "store and VM list down as the engine leaves"},
-	{faultkit.ReplyLate, func(s *leaving) {
-		holdVMs(s)
-		ownReport(s)
+var drainCells = []drainCell{
+	{faultkit.StaleVMList, func(s *drainScenario) { holdVMLists(s); drainByReport(s) }, "VM list goes on naming the engine as live; its own report counts"},
+	{faultkit.ViewsDiffer, drainByVMList, "only the VM list knows; the engine's report says that it stays"},
+	{faultkit.Reorder, drainThenOlderList, "an older VM list arrives after the one that tells: leaving holds"},
+	{faultkit.StoreDown, func(s *drainScenario) { drainByReport(s); s.Platform.SetDown(true) }, "store and VM list down as the engine leaves"},
+	{faultkit.ReplyLate, func(s *drainScenario) {
+		holdVMLists(s)
+		drainByReport(s)
 		time.AfterFunc(2*time.Second, func() {
 			for _, r := range s.Routers {
-				r.HoldVMs(false)
+				r.HoldVMList(false)
 			}
 		})
 	}, "an older VM list arrives after the report: leaving holds"},
-	{faultkit.CutBoth, func(s *leaving) {
-		listed(s)
-		s.Net.Between("a", leaver, func(c *faultkit.Conn) { c.Cut() })
+	{faultkit.CutBoth, func(s *drainScenario) {
+		drainByVMList(s)
+		s.Net.EachConn("a", firstEngine, func(c *faultkit.Conn) { c.Cut() })
 	}, "every connection to the leaving engine cut: streams are resumed there, nothing new goes there"},
-	{faultkit.Silent, func(s *leaving) {
-		listed(s)
-		s.Net.Between("a", leaver, func(c *faultkit.Conn) { c.Silence() })
+	{faultkit.Silent, func(s *drainScenario) {
+		drainByVMList(s)
+		s.Net.EachConn("a", firstEngine, func(c *faultkit.Conn) { c.DropBoth() })
 	}, "every connection to the leaving engine silent: streams are resumed there"},
 }
 
-func leavingProofs() proofs {
-	p := proofs{}
-	for _, c := range leavingCells {
-		p.add(c.fault, faultkit.Leave, proof{
-			promises: []faultkit.Promise{faultkit.OwnAnswer, faultkit.LeavingRests, faultkit.NothingCut},
-			does:     "engine leaves: " + c.does,
-			run:      func(t *testing.T) { runLeaving(t, c) },
+func upstreamTests() cellTests {
+	tests := cellTests{}
+	for _, c := range drainCells {
+		tests.add(c.fault, faultkit.Leave, cellTest{
+			guarantees:  []faultkit.Guarantee{faultkit.OwnResponse, faultkit.NoWorkWhenDraining, faultkit.NoRequestInterrupted},
+			description: "engine leaves: " + c.description,
+			run:         func(t *testing.T) { runDrain(t, c) },
 		})
 	}
-	p.add(faultkit.Surge, faultkit.Admit, proof{
-		promises: []faultkit.Promise{faultkit.LoadBound, faultkit.OwnAnswer},
-		does:     "120 chats at once: each engine stays within the bound by its own count, all get their answers",
-		run:      runSurge,
+	tests.add(faultkit.Surge, faultkit.Admit, cellTest{
+		guarantees:  []faultkit.Guarantee{faultkit.LoadBound, faultkit.OwnResponse},
+		description: "120 chats at once: each engine stays within the bound by its own count, all get their answers",
+		run:         runSurge,
 	})
-	p.add(faultkit.Surge, faultkit.Queue, proof{
-		promises: []faultkit.Promise{faultkit.LoadBound, faultkit.OwnAnswer, faultkit.DidNotRun},
-		does:     "more chats at once than the engines hold, with deadlines: who is refused as not run did not run",
-		run:      runOverload,
+	tests.add(faultkit.Surge, faultkit.Queue, cellTest{
+		guarantees:  []faultkit.Guarantee{faultkit.LoadBound, faultkit.OwnResponse, faultkit.NotExecuted},
+		description: "more chats at once than the engines hold, with deadlines: who is refused as not run did not run",
+		run:         runOverload,
 	})
 	for _, c := range queueCells {
-		p.add(c.fault, faultkit.Queue, proof{
-			promises: []faultkit.Promise{faultkit.LoadBound, faultkit.OwnAnswer, faultkit.DidNotRun},
-			does:     "queue full: " + c.does,
-			run:      func(t *testing.T) { runQueued(t, c.strike) },
+		tests.add(c.fault, faultkit.Queue, cellTest{
+			guarantees:  []faultkit.Guarantee{faultkit.LoadBound, faultkit.OwnResponse, faultkit.NotExecuted},
+			description: "queue full: " + c.description,
+			run:         func(t *testing.T) { runQueued(t, c.inject) },
 		})
 	}
-	return p
+	return tests
 }
 
-// Symptom: an engine that leaves is given new work, or its streams are cut.
-// Sequence: streams run; the engine leaves while the fault hides it from one
-// witness; new chats come; the streams end.
-// Cause: the witness that has not heard of it, or has heard of it before, is
-// believed.
-func runLeaving(t *testing.T, c leavingCell) {
-	inWorld(t, 1, faultkit.Options{Engines: 2}, func(t *testing.T, w *faultkit.World) {
-		s := &leaving{World: w, t: t}
+// runDrain guards against new work for a draining engine and against truncated streams
+// of it. Causes are believing a source that does not know of the drain yet, or one that
+// is older.
+func runDrain(t *testing.T, c drainCell) {
+	inCluster(t, 1, faultkit.Options{Engines: 2}, func(t *testing.T, cl *faultkit.Cluster) {
+		s := &drainScenario{Cluster: cl, t: t}
 		var all sync.WaitGroup
-		running := s.say(&all, "running", streams, longAnswer)
+		running := s.startChats(&all, "running", runningChats, longAnswerTokens)
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		require.NotZero(t, s.runsAt(leaver), "the leaving engine has work")
-		c.leave(s)
-		time.Sleep(leaveSettle)
-		before := s.runsAt(leaver)
-		fresh := s.say(&all, "fresh", streams, turnTokens)
+		require.NotZero(t, s.executionsAt(firstEngine), "the draining engine has work")
+		c.startDrain(s)
+		time.Sleep(leavePropagationTime)
+		before := s.executionsAt(firstEngine)
+		started := s.startChats(&all, "fresh", runningChats, chatTokens)
 		all.Wait()
-		// With nothing running, only the leaving speaks against the engine.
-		later := s.say(&all, "later", 3*streams, turnTokens)
+		// Nothing runs any more, so that only the drain keeps chats away from the
+		// engine.
+		later := s.startChats(&all, "later", 3*runningChats, chatTokens)
 		all.Wait()
-		require.Equal(t, before, s.runsAt(leaver), "no new work")
-		for _, chat := range slices.Concat(running, fresh, later) {
+		require.Equal(t, before, s.executionsAt(firstEngine), "the draining engine gets no new work")
+		for _, chat := range slices.Concat(running, started, later) {
 			require.NoError(t, chat.Err)
 		}
 	})
 }
 
-func (s *leaving) runsAt(engine string) int {
+func (s *drainScenario) executionsAt(engine string) int {
 	return len(s.Oracle.Engine(engine).Books().Runs)
 }
 
-// say starts n chats at once.
-func (s *leaving) say(all *sync.WaitGroup, name string, n, tokens int) []*faultkit.Chat {
-	return sayAll(s.t, s.World, all, n, faultkit.ChatOptions{Chat: name, Tokens: tokens})
+// startChats starts n chats at once.
+func (s *drainScenario) startChats(all *sync.WaitGroup, name string, n, tokens int) []*faultkit.Chat {
+	return startChats(s.t, s.Cluster, all, n, faultkit.ChatOptions{Chat: name, Tokens: tokens})
 }
 
-func sayAll(t *testing.T, w *faultkit.World, all *sync.WaitGroup, n int, o faultkit.ChatOptions) []*faultkit.Chat {
+func startChats(t *testing.T, cl *faultkit.Cluster, all *sync.WaitGroup, n int, o faultkit.ChatOptions) []*faultkit.Chat {
 	var chats []*faultkit.Chat
-	c, err := w.Client()
+	c, err := cl.Client()
 	require.NoError(t, err)
 	t.Cleanup(c.Close)
 	for i := range n {
@@ -163,27 +166,27 @@
 		o := o
 		o.Chat = fmt.Sprint(o.Chat, "-", i)
 		o.Text = o.Chat
-		all.Go(func() { *got = w.Say(c, o) })
+		all.Go(func() { *got = cl.SendTurn(c, o) })
 	}
 	return chats
 }
 
-const surge = 120
+const surgeChats = 120
 
-// loadBound is that of the example configuration's language pool.
+// loadBound is the load bound of the example configuration's language pool.
 const loadBound = 1.6
 
-// Symptom: one engine has most of a surge, the others idle.
-// Sequence: 120 chats of equal weight arrive at the same moment.
-// Cause: the load is counted after the choice, or not at all.
+// runSurge guards against load that is counted after an engine is selected, or not at
+// all: one engine would get most of 120 chats that arrive at once while the others
+// idle.
 func runSurge(t *testing.T) {
-	o := faultkit.Options{Engines: 3, StepTime: 100 * time.Millisecond, Bundle: wideBundle(t)}
-	inWorld(t, 1, o, func(t *testing.T, w *faultkit.World) {
+	o := faultkit.Options{Engines: 3, StepTime: 100 * time.Millisecond, Bundle: highRateBundle(t)}
+	inCluster(t, 1, o, func(t *testing.T, cl *faultkit.Cluster) {
 		var all sync.WaitGroup
-		chats := sayAll(t, w, &all, surge, faultkit.ChatOptions{Chat: "surge", Tokens: 100})
+		chats := startChats(t, cl, &all, surgeChats, faultkit.ChatOptions{Chat: "surge", Tokens: 100})
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		requireBound(t, w)
+		requireLoadBound(t, cl)
 		all.Wait()
 		for _, chat := range chats {
 			require.NoError(t, chat.Err)
@@ -191,68 +194,68 @@
 	})
 }
 
-// requireBound judges the load bound by the engines' own count. An engine may
-// pass it by one request where it had the least load when that came.
-func requireBound(t *testing.T, w *faultkit.World) {
+// requireLoadBound checks the load bound against the engines' own counts. An engine may
+// exceed it by one request, since it may get one while it has the least load.
+func requireLoadBound(t *testing.T, cl *faultkit.Cluster) {
 	t.Helper()
-	var total, most, lump int64
-	engines := w.Oracle.Engines()
+	var total, heaviest, largestRequest int64
+	engines := cl.Oracle.Engines()
 	for _, e := range engines {
-		st := e.Status()
-		total += st.Weight
-		most = max(most, st.Weight)
-		if n := int64(st.Running + st.Queued); n > 0 {
-			lump = max(lump, st.Weight/n)
+		status := e.Status()
+		total += status.Weight
+		heaviest = max(heaviest, status.Weight)
+		if n := int64(status.Running + status.Queued); n > 0 {
+			largestRequest = max(largestRequest, status.Weight/n)
 		}
-		require.LessOrEqual(t, st.Running+st.Queued, engineSlots)
+		require.LessOrEqual(t, status.Running+status.Queued, engineSlots)
 	}
-	bound := loadBound*float64(total)/float64(len(engines)) + float64(lump)
-	require.LessOrEqual(t, float64(most), bound)
+	bound := loadBound*float64(total)/float64(len(engines)) + float64(largestRequest)
+	require.LessOrEqual(t, float64(heaviest), bound)
 }
 
 const (
-	overload = 260
-	// engineSlots is how many requests an engine runs at once.
+	overloadChats = 260
+	// engineSlots is the number of requests that an engine executes at once.
 	engineSlots = 50
 )
 
-// Symptom: a caller is told that its chat did not run, and an engine ran it;
-// or an engine is given more than it holds.
-// Sequence: more chats than the engines hold arrive at once, with deadlines
-// that only some can meet.
-// Cause: a request that waits is granted and refused at the same moment.
+// runOverload guards against a waiting request that is granted and refused at the same
+// moment: a caller would be told that its chat was not executed although an engine
+// executed it, or an engine would get more than it can hold. More chats than the
+// engines hold arrive at once, with deadlines that only some can meet.
 func runOverload(t *testing.T) {
-	o := faultkit.Options{Engines: 2, StepTime: 100 * time.Millisecond, Bundle: wideBundle(t)}
-	inWorld(t, 1, o, func(t *testing.T, w *faultkit.World) {
+	o := faultkit.Options{Engines: 2, StepTime: 100 * time.Millisecond, Bundle: highRateBundle(t)}
+	inCluster(t, 1, o, func(t *testing.T, cl *faultkit.Cluster) {
 		var all sync.WaitGroup
-		chats := sayAll(t, w, &all, overload, faultkit.ChatOptions{Chat: "over", Tokens: 50, Deadline: 12 * time.Second})
+		chats := startChats(t, cl, &all, overloadChats, faultkit.ChatOptions{Chat: "over", Tokens: 50, Deadline: 12 * time.Second})
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		requireBound(t, w)
+		requireLoadBound(t, cl)
 		all.Wait()
-		whole := requireRefusedUnrun(t, w, chats)
-		require.Less(t, whole, overload, "some can't be served in time")
-		require.GreaterOrEqual(t, whole, 2*engineSlots)
+		answered := requireAnsweredOrNotExecuted(t, cl, chats)
+		require.Less(t, answered, overloadChats, "some chats can't be served in time")
+		require.GreaterOrEqual(t, answered, 2*engineSlots)
 	})
 }
 
-// requireRefusedUnrun compares the engines' count with the answers: each chat
-// ran once if it was answered, and not at all if it was refused as not run.
-func requireRefusedUnrun(t *testing.T, w *faultkit.World, chats []*faultkit.Chat) (whole int) {
+// requireAnsweredOrNotExecuted compares the engines' counts with the results: a chat
+// was executed once if it was answered, and not at all if it was refused as not
+// executed. It returns the number of answered chats.
+func requireAnsweredOrNotExecuted(t *testing.T, cl *faultkit.Cluster, chats []*faultkit.Chat) (answered int) {
 	t.Helper()
-	unrun := 0
+	notExecuted := 0
 	for _, chat := range chats {
 		refusal, typed := chat.Err.(*apierr.Error)
 		switch {
 		case chat.Err == nil:
-			whole++
+			answered++
 		case typed && refusal.Ran == apierr.RanNo:
-			unrun++
+			notExecuted++
 		}
 	}
-	require.Equal(t, len(chats), whole+unrun, "each is answered or refused as not run: %s", outcomes(chats))
-	require.Equal(t, whole, w.Oracle.EngineRuns())
-	return whole
+	require.Equal(t, len(chats), answered+notExecuted, "each chat is answered or refused as not executed: %s", outcomes(chats))
+	require.Equal(t, answered, cl.Oracle.EngineExecutions())
+	return answered
 }
 
 func outcomes(chats []*faultkit.Chat) string {
@@ -268,42 +271,41 @@
 }
 
 type queueCell struct {
-	fault  faultkit.Fault
-	strike func(w *faultkit.World)
-	does   string
+	fault       faultkit.Fault
+	inject      func(cl *faultkit.Cluster)
+	description string
 }
 
 var queueCells = []queueCell{
-	{faultkit.StoreDown, func(w *faultkit.World) { w.Platform.SetDown(true) }, "store down while chats wait"},
-	{faultkit.StoreSlow, func(w *faultkit.World) { holdNextCall(w, 3*time.Second) }, "store slow while chats wait"},
-	{faultkit.VMsStale, func(w *faultkit.World) { w.Routers[0].HoldVMs(true) }, "VM list stale while chats wait"},
-	{faultkit.CutBoth, func(w *faultkit.World) { cutWaiting(w) }, "connections of callers cut while they wait: their places are given up"},
+	{faultkit.StoreDown, func(cl *faultkit.Cluster) { cl.Platform.SetDown(true) }, "store down while chats wait"},
+	{faultkit.StoreSlow, func(cl *faultkit.Cluster) { holdNextCall(cl, 3*time.Second) }, "store slow while chats wait"},
+	{faultkit.StaleVMList, func(cl *faultkit.Cluster) { cl.Routers[0].HoldVMList(true) }, "VM list stale while chats wait"},
+	{faultkit.CutBoth, func(cl *faultkit.Cluster) { cutWaitingCallers(cl) }, "connections of callers cut while they wait: their places are given up"},
 }
 
-// cutWaiting cuts the connections of callers.
-func cutWaiting(w *faultkit.World) {
+// cutWaitingCallers cuts every fourth connection of callers.
+func cutWaitingCallers(cl *faultkit.Cluster) {
 	n := 0
-	w.Net.Between(faultkit.Caller, "a", func(c *faultkit.Conn) {
+	cl.Net.EachConn(faultkit.Caller, "a", func(c *faultkit.Conn) {
 		if n++; n%4 == 0 {
 			c.Cut()
 		}
 	})
 }
 
-// Symptom: chats that wait are lost, or run without anybody who reads them.
-// Sequence: the engines are full and chats wait; the fault strikes.
-// Cause: a place in the queue outlives its caller, or needs the store.
-func runQueued(t *testing.T, strike func(w *faultkit.World)) {
-	o := faultkit.Options{Engines: 1, StepTime: 50 * time.Millisecond, Bundle: wideBundle(t)}
-	inWorld(t, 1, o, func(t *testing.T, w *faultkit.World) {
+// runQueued guards against waiting chats that are lost, or executed although their
+// caller has left. A queue entry must not outlive its caller or need the store.
+func runQueued(t *testing.T, inject func(cl *faultkit.Cluster)) {
+	o := faultkit.Options{Engines: 1, StepTime: 50 * time.Millisecond, Bundle: highRateBundle(t)}
+	inCluster(t, 1, o, func(t *testing.T, cl *faultkit.Cluster) {
 		var all sync.WaitGroup
-		chats := sayAll(t, w, &all, overload/2, faultkit.ChatOptions{Chat: "wait", Tokens: 40})
+		chats := startChats(t, cl, &all, overloadChats/2, faultkit.ChatOptions{Chat: "wait", Tokens: 40})
 		time.Sleep(time.Second)
 		synctest.Wait()
-		strike(w)
+		inject(cl)
 		all.Wait()
-		w.Platform.SetDown(false)
-		requireBound(t, w)
-		require.GreaterOrEqual(t, requireRefusedUnrun(t, w, chats), engineSlots, outcomes(chats))
+		cl.Platform.SetDown(false)
+		requireLoadBound(t, cl)
+		require.GreaterOrEqual(t, requireAnsweredOrNotExecuted(t, cl, chats), engineSlots, outcomes(chats))
 	})
 }
