--- a/internal/lab/faultkit/matrix.go
+++ b/internal/lab/faultkit/matrix.go
@@ -111,12 +111,12 @@
 // GuaranteeTexts describes the guarantees.
 var GuaranteeTexts = map[Guarantee]string{
 	LoadBound:            "no engine carries more than the set multiple of its pool's mean load",
-	OwnResponse:          "a caller gets the whole answer to its own request, or a typed error",
-	NotExecuted:          "what is refused as not run did not run",
-	AtMostOnce:           "non-idempotent work runs at most once",
-	NoWorkWhenDraining:   "a leaving upstream gets no new work after a few seconds",
-	NoRequestInterrupted: "a planned stop cuts no request in progress",
-	ConfigNeverReverts:   "an accepted configuration is in force everywhere and never reverts",
+	OwnResponse:          "a caller gets the complete response to its own request, or a typed error",
+	NotExecuted:          "a request refused as not executed was not executed",
+	AtMostOnce:           "a non-idempotent request is executed at most once",
+	NoWorkWhenDraining:   "a draining upstream gets no new work after a few seconds",
+	NoRequestInterrupted: "a planned stop interrupts no request in progress",
+	ConfigNeverReverts:   "an accepted configuration becomes active everywhere and never reverts",
 }
 
 // Status is the state of a cell.
--- a/internal/lab/faultkit/page.go
+++ b/internal/lab/faultkit/page.go
@@ -13,9 +13,9 @@
 const pageHeader = `# Faults
 
 Written by the run of the fault matrix; do not edit. A cell is one fault at one
-step. **P** means that a test struck with the fault at the step and asserted the
-promises named below; **–** that the fault can't strike there, with the reason
-below; **open** that the proof is missing.
+step. **P** means that a test injected the fault at the step and asserted the
+guarantees named below; **–** that the fault can't occur there, with the reason
+below; **open** that the test is missing.
 
 To run the matrix, and to write this page from the run:
 
@@ -24,13 +24,13 @@
 go test ./test/faults -run TestMatrix -args -update
 ` + "```" + `
 
-The first command fails when a promise does not hold, and when this page and the
+The first command fails if a guarantee does not hold, or if this page and the
 run differ. One cell is run by its name, such as
-` + "`-run 'TestMatrix/claim/store_down'`" + `. The tests strike at the narrow interfaces
+` + "`-run 'TestMatrix/claim/store_down'`" + `. The tests inject faults at the narrow interfaces
 (connections, table service, datagrams) in one process on a virtual clock;
-what several processes do is in ` + "`test/e2e`" + `.
+for tests with several processes see ` + "`test/e2e`" + `.
 
-The promises, judged by the stand-ins' own books and by what each caller got:
+The guarantees, checked by the records of the stand-ins and by what each caller received:
 
 `
 
@@ -54,7 +54,7 @@
 
 func writeCounts(b *strings.Builder, m Matrix) {
 	n := m.Counts()
-	fmt.Fprintf(b, "\n%d cells: %d proved, %d not applicable, %d open.\n",
+	fmt.Fprintf(b, "\n%d cells: %d passed, %d not applicable, %d open.\n",
 		len(m), n[Passed], n[NotApplicable], n[Open])
 	if n[Failed] > 0 {
 		fmt.Fprintf(b, "\n%d cells FAILED.\n", n[Failed])
@@ -130,7 +130,7 @@
 }
 
 func writePassed(b *strings.Builder, m Matrix) {
-	b.WriteString("\n## Proved cells\n\n| step | fault | promises | what the test does |\n|---|---|---|---|\n")
+	b.WriteString("\n## Passed cells\n\n| step | fault | guarantees | what the test does |\n|---|---|---|---|\n")
 	for _, g := range StepGroups {
 		for _, step := range g.Steps {
 			for _, f := range slices.Concat(SingleFaults, FaultPairs) {
--- a/test/faults/flood_test.go
+++ b/test/faults/flood_test.go
@@ -54,12 +54,12 @@
 	tests := cellTests{}
 	tests.add(faultkit.Surge, faultkit.Claim, cellTest{
 		guarantees:  []faultkit.Guarantee{faultkit.OwnResponse, faultkit.NotExecuted, faultkit.AtMostOnce},
-		description: "more receipts than the budget has claims for: those refused as not run did not run, the others ran once",
+		description: "more receipts than the budget has claims for: those refused as not executed were not executed, the others were executed once",
 		run:         func(t *testing.T) { runFlood(t, (*flood).requireClaimBudget) },
 	})
 	tests.add(faultkit.Surge, faultkit.Commit, cellTest{
 		guarantees:  []faultkit.Guarantee{faultkit.ConfigNeverReverts},
-		description: "configuration changed through a router in a surge of claims: accepted at once and in force everywhere",
+		description: "configuration changed through a router in a surge of claims: accepted at once and active everywhere",
 		run:         func(t *testing.T) { runFlood(t, (*flood).requireConfigChange) },
 	})
 	return tests
--- a/test/faults/permits_test.go
+++ b/test/faults/permits_test.go
@@ -276,14 +276,14 @@
 }
 
 var permitCells = []permitCell{
-	{faultkit.Kill, faultkit.Permit, func(g *permitScenario) { g.holders["x"].dead = true; g.owner.RouterDead(g.timestamp(), "x") }, nil, "holder killed; its permits end by the engine's report"},
+	{faultkit.Kill, faultkit.Permit, func(g *permitScenario) { g.holders["x"].dead = true; g.owner.RouterDead(g.timestamp(), "x") }, nil, "holder killed; its permits are released by the engine's report"},
 	{faultkit.Kill, faultkit.TakeOver, func(g *permitScenario) { g.changeOwner(true) }, nil, "owner killed; the next one starts with an empty book"},
 	{faultkit.Freeze, faultkit.Permit, func(g *permitScenario) { g.holders["x"].frozen = true }, func(g *permitScenario) { g.holders["x"].frozen = false }, "holder frozen with its permits, later thawed"},
-	{faultkit.CutBoth, faultkit.Permit, func(g *permitScenario) { g.messageDelays = loseShare(1) }, nil, "no message gets through"},
-	{faultkit.CutOneWay, faultkit.Permit, func(g *permitScenario) { g.messageDelays = loseShare(0.5) }, nil, "half of the messages lost, whichever way"},
-	{faultkit.Silent, faultkit.Permit, func(g *permitScenario) { g.messageDelays = loseShare(0.9) }, nil, "nine messages in ten lost"},
+	{faultkit.CutBoth, faultkit.Permit, func(g *permitScenario) { g.messageDelays = loseShare(1) }, nil, "all messages lost"},
+	{faultkit.CutOneWay, faultkit.Permit, func(g *permitScenario) { g.messageDelays = loseShare(0.5) }, nil, "half of the messages lost, in both directions"},
+	{faultkit.Silent, faultkit.Permit, func(g *permitScenario) { g.messageDelays = loseShare(0.9) }, nil, "nine in ten messages lost"},
 	{faultkit.ReplyLost, faultkit.Permit, func(g *permitScenario) { g.messageDelays = loseShare(0.3) }, nil, "replies lost after the permit was granted"},
-	{faultkit.ReplyLate, faultkit.Permit, func(g *permitScenario) { g.messageDelays = delayBy(300 * time.Millisecond) }, nil, "replies later than the holder waits"},
+	{faultkit.ReplyLate, faultkit.Permit, func(g *permitScenario) { g.messageDelays = delayBy(300 * time.Millisecond) }, nil, "replies later than the holder's timeout"},
 	{faultkit.Duplicate, faultkit.Permit, func(g *permitScenario) {
 		g.messageDelays = func(g *permitScenario) []time.Duration {
 			return []time.Duration{time.Millisecond, time.Duration(g.rng.IntN(int(20 * time.Second)))}
@@ -293,9 +293,9 @@
 		g.messageDelays = func(g *permitScenario) []time.Duration {
 			return []time.Duration{time.Duration(g.rng.IntN(int(time.Second)))}
 		}
-	}, nil, "messages out of their order"},
-	{faultkit.ViewsDiffer, faultkit.Permit, func(g *permitScenario) { g.changeOwner(false) }, func(g *permitScenario) { g.holders["x"].book = g.owner }, "two routers take themselves for the owner; together they stay within one and a half bounds"},
-	{faultkit.Flap, faultkit.Permit, (*permitScenario).restartEngine, nil, "engine restarts; its book starts anew"},
+	}, nil, "messages out of order"},
+	{faultkit.ViewsDiffer, faultkit.Permit, func(g *permitScenario) { g.changeOwner(false) }, func(g *permitScenario) { g.holders["x"].book = g.owner }, "two routers consider themselves the owner; together they stay within one and a half bounds"},
+	{faultkit.Flap, faultkit.Permit, (*permitScenario).restartEngine, nil, "engine restarts; its book starts empty"},
 	{faultkit.Surge, faultkit.Permit, func(g *permitScenario) { g.load = 4 }, func(g *permitScenario) { g.load = 0.4 }, "ten times the requests"},
 	{faultkit.AddressReused, faultkit.Permit, (*permitScenario).restartEngine, nil, "another incarnation at the address"},
 	{faultkit.DuplicateKill, faultkit.Permit, func(g *permitScenario) {
--- a/test/faults/receipts_test.go
+++ b/test/faults/receipts_test.go
@@ -121,26 +121,26 @@
 const pastDeadlines = time.Minute
 
 var receiptCells = []receiptCell{
-	{faultkit.Kill, afterClaim, killRouter, blockedNotExecuted, "router killed between the claim's effect and its reply; the key stays blocked, nothing ran"},
+	{faultkit.Kill, afterClaim, killRouter, blockedNotExecuted, "router killed between the claim's effect and its reply; the key stays blocked, nothing was executed"},
 	{faultkit.Freeze, afterClaim, freezeRouter, answered, "router frozen past every deadline with its claim written, then thawed; another router never takes the claim over"},
 	{faultkit.CutBoth, beforeClaim, failCommit(platformtest.LoseBeforeEffect), answered, "store connection cut before the claim takes effect; the same token is written again"},
 	{faultkit.CutOneWay, beforeClaim, failCommit(platformtest.LoseReplyAfterEffect), answered, "store's replies lost from the claim on; the row is read back by its token"},
-	{faultkit.Silent, beforeClaim, delayStore(pastDeadlines), answered, "store connection silent during the claim; the write is given up and repeated with its token"},
+	{faultkit.Silent, beforeClaim, delayStore(pastDeadlines), answered, "store connection silent during the claim; the write times out and is repeated with its token"},
 	{faultkit.ReplyLost, afterClaim, failCommit(platformtest.LoseReplyAfterEffect), answered, "reply of the claim lost after its effect"},
 	{faultkit.ReplyLate, beforeClaim, failCommit(platformtest.LateEffect), answered, "claim's first copy takes effect after the second and the receipt"},
 	{faultkit.Reorder, beforeClaim, failCommit(platformtest.LateEffect, platformtest.LateEffect), answered, "first two copies of the claim overtaken by the third"},
 	{faultkit.Duplicate, beforeClaim, failCommit(platformtest.Duplicate), answered, "claim delivered to the store twice"},
-	{faultkit.StoreDown, beforeClaim, storeDown, answered, "store down at the claim: refused as not run; after the outage the same key runs once"},
-	{faultkit.StoreSlow, beforeClaim, delayStore(3 * time.Second), answered, "store slower than the claim's time-out"},
-	{faultkit.ReplyLostStoreDown, beforeClaim, loseReplyThenStoreDown, blockedNotExecuted, "claim takes effect, its reply is lost and the store goes down before the read-back: refused as not run; the left-over row blocks the key elsewhere until its own router releases it"},
+	{faultkit.StoreDown, beforeClaim, storeDown, answered, "store down at the claim: refused as not executed; after the outage the same key is executed once"},
+	{faultkit.StoreSlow, beforeClaim, delayStore(3 * time.Second), answered, "store slower than the claim's timeout"},
+	{faultkit.ReplyLostStoreDown, beforeClaim, loseReplyThenStoreDown, blockedNotExecuted, "claim takes effect, its reply is lost and the store goes down before the read-back: refused as not executed; the remaining row blocks the key elsewhere until its own router releases it"},
 	{faultkit.ReplyLostTwice, beforeClaim, failCommit(platformtest.LoseReplyAfterEffect, platformtest.LoseReplyAfterEffect), answered, "replies of the claim and of the record both lost"},
 
-	{faultkit.Kill, requestSent, killRouter, blockedNotExecuted, "router killed before the first byte goes out"},
+	{faultkit.Kill, requestSent, killRouter, blockedNotExecuted, "router killed before the first byte is sent"},
 	{faultkit.Freeze, requestSent, freezeRouter, blocked, "router frozen past every deadline as the request is written, then thawed"},
-	{faultkit.CutBoth, requestSent, cutConn, blockedNotExecuted, "connection to the service cut while the request is written: nothing proves that it did not run"},
+	{faultkit.CutBoth, requestSent, cutConn, blockedNotExecuted, "connection to the service cut while the request is written: nothing proves that it was not executed"},
 	{faultkit.CutOneWay, requestSent, dropReply, blocked, "service executes, its reply never arrives"},
-	{faultkit.Silent, requestSent, dropBoth, blockedNotExecuted, "request vanishes in a silent connection: never sent a second time"},
-	{faultkit.StoreDown, requestSent, storeDown, answered, "store down from the sending on: the answer reaches the caller, its record the store once that is back"},
+	{faultkit.Silent, requestSent, dropBoth, blockedNotExecuted, "request lost in a silent connection: never sent a second time"},
+	{faultkit.StoreDown, requestSent, storeDown, answered, "store down after the request is sent: the answer reaches the caller and is recorded once the store is back"},
 
 	{faultkit.Kill, replyHead, killRouter, blocked, "router killed with the service's reply unread: executed once, the key stays blocked"},
 	{faultkit.Freeze, replyHead, freezeRouter, blocked, "router frozen past every deadline before it reads the reply, then thawed"},
@@ -148,10 +148,10 @@
 	{faultkit.CutOneWay, replyHead, dropReply, blocked, "reply lost on the way back"},
 	{faultkit.Silent, replyHead, dropBoth, blocked, "connection silent after the execution"},
 	{faultkit.ReplyLost, replyHead, cutConn, blocked, "service's reply lost after it executed"},
-	{faultkit.ReplyLate, replyHead, delayReply(pastDeadlines), blocked, "service's reply comes long after the call was given up"},
+	{faultkit.ReplyLate, replyHead, delayReply(pastDeadlines), blocked, "service's reply arrives long after the call was aborted"},
 
 	{faultkit.Kill, beforeRecord, killRouter, blocked, "router killed before it records the answer"},
-	{faultkit.Freeze, beforeRecord, freezeRouter, answered, "router frozen past every deadline before it records the answer, then thawed: it records it then"},
+	{faultkit.Freeze, beforeRecord, freezeRouter, answered, "router frozen past every deadline before it records the answer, then thawed: it still records the answer"},
 	{faultkit.CutBoth, beforeRecord, failCommit(platformtest.LoseBeforeEffect), answered, "store connection cut before the record takes effect"},
 	{faultkit.CutOneWay, beforeRecord, failCommit(platformtest.LoseReplyAfterEffect), answered, "store's replies lost from the record on"},
 	{faultkit.Silent, beforeRecord, delayStore(pastDeadlines), answered, "store connection silent during the record"},
@@ -160,17 +160,17 @@
 	{faultkit.Reorder, beforeRecord, failCommit(platformtest.LateEffect, platformtest.LateEffect), answered, "first two copies of the record overtaken by the third"},
 	{faultkit.Duplicate, beforeRecord, failCommit(platformtest.Duplicate), answered, "record delivered to the store twice"},
 	{faultkit.StoreDown, beforeRecord, storeDown, answered, "store down at the record: the caller has its answer, which is recorded once the store is back"},
-	{faultkit.StoreSlow, beforeRecord, delayStore(3 * time.Second), answered, "store slower than the record's time-out"},
+	{faultkit.StoreSlow, beforeRecord, delayStore(3 * time.Second), answered, "store slower than the record's timeout"},
 	{faultkit.ReplyLostStoreDown, beforeRecord, loseReplyThenStoreDown, answered, "record takes effect, its reply is lost and the store goes down before the read-back"},
 
-	{faultkit.Kill, answerSent, killRouter, answered, "router killed before the answer reaches the caller; another router repeats it from the store"},
-	{faultkit.Freeze, answerSent, freezeRouter, answered, "router frozen past every deadline before the answer goes out"},
+	{faultkit.Kill, answerSent, killRouter, answered, "router killed before the answer reaches the caller; another router answers from the store"},
+	{faultkit.Freeze, answerSent, freezeRouter, answered, "router frozen past every deadline before the answer is sent"},
 	{faultkit.CutBoth, answerSent, cutConn, answered, "caller's connection cut before the answer"},
 	{faultkit.CutOneWay, answerSent, dropReply, answered, "answer lost on the way to the caller"},
 	{faultkit.Silent, answerSent, dropBoth, answered, "caller's connection silent before the answer"},
 	{faultkit.ReplyLost, answerSent, cutConn, answered, "answer lost after everything took effect"},
-	{faultkit.ReplyLate, answerSent, delayReply(pastDeadlines), answered, "answer comes long after the deadline; the caller has come back meanwhile"},
-	{faultkit.StoreDown, answerSent, storeDown, answered, "store down before the answer goes out"},
+	{faultkit.ReplyLate, answerSent, delayReply(pastDeadlines), answered, "answer arrives long after the deadline; the caller has retried meanwhile"},
+	{faultkit.StoreDown, answerSent, storeDown, answered, "store down before the answer is sent"},
 }
 
 var receiptGuarantees = []faultkit.Guarantee{faultkit.OwnResponse, faultkit.NotExecuted, faultkit.AtMostOnce}
@@ -180,9 +180,9 @@
 	for _, c := range receiptCells {
 		tests.add(c.fault, c.point.step, cellTest{receiptGuarantees, "receipt: " + c.description, func(t *testing.T) { runReceipt(t, c) }})
 	}
-	tests.add(faultkit.Duplicate, faultkit.Admit, cellTest{receiptGuarantees, "receipt: the same request at two routers in the same moment", runReceiptDuplicate})
-	tests.add(faultkit.ViewsDiffer, faultkit.Claim, cellTest{receiptGuarantees, "receipt: two routers that each see themselves as the whole fleet claim one key", runReceiptDuplicate})
-	tests.add(faultkit.AddressReused, faultkit.Send, cellTest{receiptGuarantees, "receipt: another service at the address refuses what is not meant for it", runReceiptAddressReused})
+	tests.add(faultkit.Duplicate, faultkit.Admit, cellTest{receiptGuarantees, "receipt: the same request at two routers at the same moment", runReceiptDuplicate})
+	tests.add(faultkit.ViewsDiffer, faultkit.Claim, cellTest{receiptGuarantees, "receipt: two routers that each see themselves as the whole fleet claim the same key", runReceiptDuplicate})
+	tests.add(faultkit.AddressReused, faultkit.Send, cellTest{receiptGuarantees, "receipt: another service at the address refuses a request for its predecessor", runReceiptAddressReused})
 	return tests
 }
 
--- a/test/faults/upstreams_test.go
+++ b/test/faults/upstreams_test.go
@@ -67,9 +67,9 @@
 }
 
 var drainCells = []drainCell{
-	{faultkit.StaleVMList, func(s *drainScenario) { holdVMLists(s); drainByReport(s) }, "VM list goes on naming the engine as live; its own report counts"},
-	{faultkit.ViewsDiffer, drainByVMList, "only the VM list knows; the engine's report says that it stays"},
-	{faultkit.Reorder, drainThenOlderList, "an older VM list arrives after the one that tells: leaving holds"},
+	{faultkit.StaleVMList, func(s *drainScenario) { holdVMLists(s); drainByReport(s) }, "VM list still names the engine as live; its own report prevails"},
+	{faultkit.ViewsDiffer, drainByVMList, "only the VM list marks the engine as leaving; the engine's report does not"},
+	{faultkit.Reorder, drainThenOlderList, "an older VM list arrives after the one that marks the engine as leaving: the engine stays leaving"},
 	{faultkit.StoreDown, func(s *drainScenario) { drainByReport(s); s.Platform.SetDown(true) }, "store and VM list down as the engine leaves"},
 	{faultkit.ReplyLate, func(s *drainScenario) {
 		holdVMLists(s)
@@ -79,11 +79,11 @@
 				r.HoldVMList(false)
 			}
 		})
-	}, "an older VM list arrives after the report: leaving holds"},
+	}, "an older VM list arrives after the report: the engine stays leaving"},
 	{faultkit.CutBoth, func(s *drainScenario) {
 		drainByVMList(s)
 		s.Net.EachConn("a", firstEngine, func(c *faultkit.Conn) { c.Cut() })
-	}, "every connection to the leaving engine cut: streams are resumed there, nothing new goes there"},
+	}, "every connection to the leaving engine cut: streams are resumed there, no new work is sent there"},
 	{faultkit.Silent, func(s *drainScenario) {
 		drainByVMList(s)
 		s.Net.EachConn("a", firstEngine, func(c *faultkit.Conn) { c.DropBoth() })
@@ -101,12 +101,12 @@
 	}
 	tests.add(faultkit.Surge, faultkit.Admit, cellTest{
 		guarantees:  []faultkit.Guarantee{faultkit.LoadBound, faultkit.OwnResponse},
-		description: "120 chats at once: each engine stays within the bound by its own count, all get their answers",
+		description: "120 chats at once: each engine stays within the bound by its own count, all chats are answered",
 		run:         runSurge,
 	})
 	tests.add(faultkit.Surge, faultkit.Queue, cellTest{
 		guarantees:  []faultkit.Guarantee{faultkit.LoadBound, faultkit.OwnResponse, faultkit.NotExecuted},
-		description: "more chats at once than the engines hold, with deadlines: who is refused as not run did not run",
+		description: "more chats at once than the engines hold, with deadlines: chats refused as not executed were not executed",
 		run:         runOverload,
 	})
 	for _, c := range queueCells {
@@ -280,7 +280,7 @@
 	{faultkit.StoreDown, func(cl *faultkit.Cluster) { cl.Platform.SetDown(true) }, "store down while chats wait"},
 	{faultkit.StoreSlow, func(cl *faultkit.Cluster) { holdNextCall(cl, 3*time.Second) }, "store slow while chats wait"},
 	{faultkit.StaleVMList, func(cl *faultkit.Cluster) { cl.Routers[0].HoldVMList(true) }, "VM list stale while chats wait"},
-	{faultkit.CutBoth, func(cl *faultkit.Cluster) { cutWaitingCallers(cl) }, "connections of callers cut while they wait: their places are given up"},
+	{faultkit.CutBoth, func(cl *faultkit.Cluster) { cutWaitingCallers(cl) }, "connections of callers cut while they wait: their queue entries are removed"},
 }
 
 // cutWaitingCallers cuts every fourth connection of callers.
--- a/test/faults/views_test.go
+++ b/test/faults/views_test.go
@@ -102,8 +102,8 @@
 }
 
 var locateCells = []viewCell{
-	{faultkit.StaleVMList, func(s *viewScenario) { s.killRouter(); s.crashEngine() }, "answers name a router and an engine that are gone: the caller goes on to the alternates"},
-	{faultkit.ViewsDiffer, (*viewScenario).setDifferentViews, "each router misses another one: answers name routers that are not the owners"},
+	{faultkit.StaleVMList, func(s *viewScenario) { s.killRouter(); s.crashEngine() }, "replies name a dead router and a crashed engine: the caller uses the alternates"},
+	{faultkit.ViewsDiffer, (*viewScenario).setDifferentViews, "each router misses another one: replies name routers that are not the owners"},
 }
 
 func viewTests() cellTests {
@@ -117,7 +117,7 @@
 	}
 	tests.add(faultkit.Surge, faultkit.Locate, cellTest{
 		guarantees:  []faultkit.Guarantee{faultkit.OwnResponse},
-		description: "200 locate calls at once: no call of the store, and times to live that spread",
+		description: "200 locate calls at once: no call of the store, and varying times to live",
 		run:         runLocateSurge,
 	})
 	return tests
