--- a/test/faults/config_test.go
+++ b/test/faults/config_test.go
@@ -266,7 +266,8 @@
 	{faultkit.OperatorRace, faultkit.Apply, onRouterCalls(isVersionRead, nil, func(s *changeScenario, _ *faultkit.Router) { acceptNextChange(s) }), "a further change accepted while the version is fetched: routers end with the last version"},
 }
 
-// acceptNextChange accepts a change on top of the version that is being fetched.
+// acceptNextChange accepts a change on top of the version that is being fetched. Only the
+// first call takes effect; later ones conflict with it.
 func acceptNextChange(s *changeScenario) {
 	next := s.request(conflictingChangeID, 4)
 	next.Expected = 2
