--- a/internal/serve/apierr/apierr.go
+++ b/internal/serve/apierr/apierr.go
@@ -1,8 +1,9 @@
-// Package apierr defines the errors that leave the router: each one says what
-// went wrong, whether the request ran, and when the caller may come back.
+// Package apierr defines the errors that the router returns to callers and
+// operators. Each one says what went wrong, whether the request ran, and when
+// the caller may retry.
 //
-// Internal packages return their own typed errors; the HTTP layers translate
-// them into an *Error exactly once, at the edge.
+// Internal packages return their own typed errors. The HTTP layers translate
+// them into an *Error exactly once, at the boundary.
 package apierr
 
 import (
@@ -11,22 +12,23 @@
 	"time"
 )
 
-// Ran states what the system knows about the execution of a refused request.
+// Ran states what is known about the execution of a refused request.
 type Ran string
 
 const (
-	// RanNo is a promise: no upstream executed any part of the request.
+	// RanNo guarantees that no upstream executed any part of the request.
 	RanNo Ran = "no"
 	// RanUnknown means that an upstream may have executed the request.
 	RanUnknown Ran = "unknown"
-	// RanYes means that the request executed, wholly or in part.
+	// RanYes means that the request was executed, fully or in part.
 	RanYes Ran = "yes"
 )
 
-// Code names an error for programs. The table in docs/API.md lists them all.
+// Code identifies an error for programs. The table in docs/API.md lists all
+// codes.
 type Code string
 
-// The codes that callers can receive.
+// Codes that callers and operators can receive.
 const (
 	CodeBadRequest      Code = "bad_request"
 	CodeTooLarge        Code = "too_large"
@@ -57,66 +59,66 @@
 	CodeInternal        Code = "internal"
 )
 
-// Error is the one error shape that callers and operators see.
+// Error is the error that callers and operators receive as JSON.
 type Error struct {
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
-	// Ran says whether the request executed.
+	// Ran says whether the request was executed.
 	Ran Ran `json:"ran"`
-	// RetryAfter is how long the caller should wait before it asks again;
-	// zero means that asking again is pointless or needs no wait.
+	// RetryAfter is how long the caller should wait before it retries. Zero
+	// means that a retry is pointless or needs no wait.
 	RetryAfter time.Duration `json:"-"`
 	// RetryAfterMS is RetryAfter in milliseconds, for the JSON body.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 	// Status is the HTTP status code.
 	Status int `json:"-"`
-	// RequestID repeats the id of the refused request.
+	// RequestID is the id of the refused request.
 	RequestID string `json:"request_id,omitempty"`
 
 	cause error
 }
 
-// New returns an Error that promises that nothing ran.
+// New returns an Error that guarantees that nothing was executed.
 func New(code Code, status int, message string) *Error {
 	return &Error{Code: code, Status: status, Message: message, Ran: RanNo}
 }
 
-// Error implements error.
+// Error returns the code, the message and the cause, for logs.
 func (e *Error) Error() string {
-	s := string(e.Code) + ": " + e.Message
+	text := string(e.Code) + ": " + e.Message
 	if e.cause != nil {
-		s += ": " + e.cause.Error()
+		text += ": " + e.cause.Error()
 	}
-	return s
+	return text
 }
 
 // Unwrap returns the internal cause, which is never shown to a caller.
 func (e *Error) Unwrap() error { return e.cause }
 
-// WithCause returns a copy that wraps cause for the logs.
+// WithCause returns a copy of e that wraps cause for the logs.
 func (e *Error) WithCause(cause error) *Error {
-	c := *e
-	c.cause = cause
-	return &c
+	copied := *e
+	copied.cause = cause
+	return &copied
 }
 
-// WithRan returns a copy with another statement about execution.
+// WithRan returns a copy of e with r as its statement about execution.
 func (e *Error) WithRan(r Ran) *Error {
-	c := *e
-	c.Ran = r
-	return &c
+	copied := *e
+	copied.Ran = r
+	return &copied
 }
 
-// WithRetryAfter returns a copy that tells the caller when to come back.
+// WithRetryAfter returns a copy of e that tells the caller to retry after d.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
-	c := *e
-	c.RetryAfter = d
-	c.RetryAfterMS = d.Milliseconds()
-	return &c
+	copied := *e
+	copied.RetryAfter = d
+	copied.RetryAfterMS = d.Milliseconds()
+	return &copied
 }
 
-// From finds the *Error in err's chain. Anything else becomes an internal
-// error whose outcome is unknown: an unforeseen failure must never be reported
+// From returns the *Error in err's chain. Any other error becomes an internal
+// error with RanUnknown, because an unforeseen failure must never be reported
 // as "did not run".
 func From(err error) *Error {
 	var e *Error
--- a/internal/serve/chat/chat.go
+++ b/internal/serve/chat/chat.go
@@ -1,5 +1,6 @@
-// Package chat derives from a chat request what placement needs: the chain of
-// prefix hashes at message boundaries and estimates of tokens. It is pure.
+// Package chat derives from a chat request what engine selection needs: the
+// hashes of its prefixes at message boundaries and estimates of tokens. It has
+// no state.
 package chat
 
 import (
@@ -9,46 +10,48 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BytesPerToken is the usual length of a token in bytes, for estimates.
+// BytesPerToken is the usual length of a token in bytes, used for estimates.
 const BytesPerToken = 4
 
-// DefaultMaxTokens is assumed where a request names no bound for its answer.
+// DefaultMaxTokens is the assumed length of a response, in tokens, if the
+// request sets no limit.
 const DefaultMaxTokens = 256
 
 // Boundary is the prefix of a conversation up to and including one message.
 type Boundary struct {
-	// Hash identifies model, adapter and all messages so far.
+	// Hash identifies the model, the adapter and all messages so far.
 	Hash uint64
-	// Tokens estimates the length of the prefix.
+	// Tokens is the estimated length of the prefix, in tokens.
 	Tokens int
 }
 
 // Boundaries returns the prefixes of messages, shortest first. Two requests
-// share Boundaries exactly as far as they share model, adapter and messages.
+// have equal boundaries exactly as far as they share model, adapter and
+// messages.
 func Boundaries(model, adapter string, messages []wire.Message) []Boundary {
-	bs := make([]Boundary, 0, len(messages))
-	h := hashField(hashField(0, model), adapter)
+	boundaries := make([]Boundary, 0, len(messages))
+	hash := hashField(hashField(0, model), adapter)
 	tokens := 0
 	for _, m := range messages {
-		h = hashField(hashField(h, m.Role), m.Content)
+		hash = hashField(hashField(hash, m.Role), m.Content)
 		tokens += Tokens(m.Content)
-		bs = append(bs, Boundary{Hash: h, Tokens: tokens})
+		boundaries = append(boundaries, Boundary{Hash: hash, Tokens: tokens})
 	}
-	return bs
+	return boundaries
 }
 
-// Tokens estimates the length of a text in tokens.
+// Tokens returns the estimated length of text in tokens.
 func Tokens(text string) int {
 	return len(text)/BytesPerToken + 1
 }
 
 func hashField(prev uint64, field string) uint64 {
-	var d xxhash.Digest
-	d.Reset()
-	var n [16]byte
-	binary.LittleEndian.PutUint64(n[:8], prev)
-	binary.LittleEndian.PutUint64(n[8:], uint64(len(field)))
-	_, _ = d.Write(n[:])
-	_, _ = d.WriteString(field)
-	return d.Sum64()
+	var digest xxhash.Digest
+	digest.Reset()
+	var header [16]byte
+	binary.LittleEndian.PutUint64(header[:8], prev)
+	binary.LittleEndian.PutUint64(header[8:], uint64(len(field)))
+	_, _ = digest.Write(header[:])
+	_, _ = digest.WriteString(field)
+	return digest.Sum64()
 }
--- a/internal/serve/httperr/httperr.go
+++ b/internal/serve/httperr/httperr.go
@@ -1,5 +1,5 @@
-// Package httperr holds what the callers' interface and the administration API
-// have in common when they refuse a request over HTTP.
+// Package httperr holds what the traffic API and the administration API share
+// when they refuse a request over HTTP.
 package httperr
 
 import (
@@ -14,41 +14,42 @@
 	"github.com/labstack/echo/v4"
 )
 
-// From returns the *apierr.Error in err's chain. It turns echo's own errors,
-// which arise before any handler ran, into typed ones that say "did not run".
-// Anything else is an internal error whose outcome is unknown.
+// From returns the *apierr.Error in err's chain. Errors of echo that arise
+// before a handler runs become typed ones that say that the request did not
+// run. Any other error becomes an internal error with unknown execution.
 func From(err error) *apierr.Error {
-	var he *echo.HTTPError
-	if !errors.As(err, &he) {
+	var httpErr *echo.HTTPError
+	if !errors.As(err, &httpErr) {
 		return apierr.From(err)
 	}
-	switch he.Code {
+	switch httpErr.Code {
 	case http.StatusNotFound:
-		return apierr.New(apierr.CodeNotFound, he.Code, "no such path")
+		return apierr.New(apierr.CodeNotFound, httpErr.Code, "no such path")
 	case http.StatusMethodNotAllowed:
-		return apierr.New(apierr.CodeMethod, he.Code, "method not allowed here")
+		return apierr.New(apierr.CodeMethod, httpErr.Code, "method not allowed here")
 	case http.StatusRequestEntityTooLarge:
 		return TooLarge()
 	}
-	if he.Code < http.StatusInternalServerError {
-		return apierr.New(apierr.CodeBadRequest, he.Code, "malformed request")
+	if httpErr.Code < http.StatusInternalServerError {
+		return apierr.New(apierr.CodeBadRequest, httpErr.Code, "malformed request")
 	}
 	return apierr.From(err)
 }
 
-// BadRequest refuses a request that its sender must mend.
+// BadRequest returns the refusal of a request that its sender must correct.
 func BadRequest(message string) *apierr.Error {
 	return apierr.New(apierr.CodeBadRequest, http.StatusBadRequest, message)
 }
 
-// TooLarge refuses a body beyond its bound.
+// TooLarge returns the refusal of a body beyond its limit.
 func TooLarge() *apierr.Error {
 	return apierr.New(apierr.CodeTooLarge, http.StatusRequestEntityTooLarge, "body too large")
 }
 
 // SetHeaders sets the headers of a refusal: what is known of execution and,
-// unless retryAfter is zero, when to come back. Retry-After counts in whole
-// seconds; rounded down, it would send callers back too early.
+// unless retryAfter is zero, when to retry. Retry-After counts whole seconds
+// and is rounded up, because rounded down it would make callers retry too
+// early.
 func SetHeaders(h http.Header, ran apierr.Ran, retryAfter time.Duration) {
 	h.Set(wire.HeaderRan, string(ran))
 	if retryAfter > 0 {
--- a/internal/serve/httperr/httperr_test.go
+++ b/internal/serve/httperr/httperr_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: a caller repeats a request that ran.
-// Sequence: a handler fails in an unforeseen way; the answer says "did not run".
-// Cause: an error that proves nothing is translated like a refusal.
-func TestFromPromisesOnlyWhatIsProved(t *testing.T) {
+// A handler that fails in an unforeseen way proves nothing about execution.
+// Reported as "did not run", the failure would make callers repeat a request
+// that ran.
+func TestFromReportsNotRunOnlyIfProven(t *testing.T) {
 	for _, c := range []struct {
 		err  error
 		code apierr.Code
--- a/internal/serve/sse/reader.go
+++ b/internal/serve/sse/reader.go
@@ -11,24 +11,25 @@
 const DefaultLimit = 1 << 20
 
 // bufferSize is the size of a stream's read buffer, in bytes. It is far below
-// the limit, since a process reads many streams and few events are long.
+// DefaultLimit because a process reads many streams at once and few events are
+// long.
 const bufferSize = 4 << 10
 
 // Event is one event. Its slices are valid until the next call of Next.
 type Event struct {
-	// ID is the field as it was sent; ParseID reads a number from it.
+	// ID is the id field as sent; ParseID reads a number from it.
 	ID []byte
-	// Data is the event's data; several data lines are joined by newlines.
+	// Data is the event's data. Several data lines are joined by newlines.
 	Data []byte
 }
 
-// Reader splits a stream into events. It reuses its buffers, so that an event
-// costs no allocation. It is not safe for concurrent use.
+// Reader splits a stream into events. It reuses its buffers, so reading an
+// event allocates nothing. It is not safe for concurrent use.
 type Reader struct {
 	// OnComment, if set, is called for each comment line.
 	OnComment func()
 
-	r       *bufio.Reader
+	src     *bufio.Reader
 	limit   int
 	line    []byte
 	id      []byte
@@ -36,19 +37,20 @@
 	hasData bool
 }
 
-// NewReader returns a Reader whose lines and events are bounded to limit bytes;
-// zero means DefaultLimit.
+// NewReader returns a Reader that rejects lines and events longer than limit
+// bytes. Zero or less means DefaultLimit.
 func NewReader(r io.Reader, limit int) *Reader {
 	if limit <= 0 {
 		limit = DefaultLimit
 	}
-	return &Reader{r: bufio.NewReaderSize(r, bufferSize), limit: limit}
+	return &Reader{src: bufio.NewReaderSize(r, bufferSize), limit: limit}
 }
 
-// Next returns the next event that has data. At the end of the stream it
-// returns io.EOF; an event cut off before its blank line is dropped, as the
-// specification demands, so half an event never reaches a caller. Whether the
-// answer is whole, only its end marker tells.
+// Next returns the next event that has data. It returns io.EOF at the end of
+// the stream and ErrTooLong for a line or an event beyond the limit. An event
+// truncated before its blank line is dropped, as the specification demands, so
+// a partial event never reaches a caller. Whether a response is complete is
+// known only from its end marker.
 func (r *Reader) Next() (Event, error) {
 	r.id = r.id[:0]
 	r.data = r.data[:0]
@@ -61,27 +63,27 @@
 		if len(line) == 0 && r.hasData {
 			return Event{ID: r.id, Data: r.data}, nil
 		}
-		if err := r.field(line); err != nil {
+		if err := r.addLine(line); err != nil {
 			return Event{}, err
 		}
 	}
 }
 
-// readLine returns a line without its ending; the slice is valid until the
-// next read.
+// readLine returns a line without its ending. The slice is valid until the next
+// read.
 func (r *Reader) readLine() ([]byte, error) {
 	r.line = r.line[:0]
 	for {
-		part, err := r.r.ReadSlice('\n')
-		if len(r.line)+len(part) > r.limit {
-			return nil, ErrTooLong.New("line beyond %d bytes", r.limit)
+		chunk, err := r.src.ReadSlice('\n')
+		if len(r.line)+len(chunk) > r.limit {
+			return nil, ErrTooLong.New("line exceeds %d bytes", r.limit)
 		}
 		if err == nil && len(r.line) == 0 {
-			return trimEnd(part), nil
+			return trimLineEnd(chunk), nil
 		}
-		r.line = append(r.line, part...)
+		r.line = append(r.line, chunk...)
 		if err == nil {
-			return trimEnd(r.line), nil
+			return trimLineEnd(r.line), nil
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return nil, err
@@ -89,13 +91,13 @@
 	}
 }
 
-func trimEnd(line []byte) []byte {
+func trimLineEnd(line []byte) []byte {
 	line = line[:len(line)-1]
 	return bytes.TrimSuffix(line, []byte{'\r'})
 }
 
-// field takes in one line. Unknown fields are skipped.
-func (r *Reader) field(line []byte) error {
+// addLine adds one line to the current event. Unknown fields are skipped.
+func (r *Reader) addLine(line []byte) error {
 	name, value, hasColon := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimPrefix(value, []byte{' '})
 	switch string(name) {
@@ -117,7 +119,7 @@
 	}
 	r.hasData = true
 	if len(r.data)+len(value) > r.limit {
-		return ErrTooLong.New("event beyond %d bytes", r.limit)
+		return ErrTooLong.New("event exceeds %d bytes", r.limit)
 	}
 	r.data = append(r.data, value...)
 	return nil
--- a/internal/serve/sse/sse.go
+++ b/internal/serve/sse/sse.go
@@ -1,5 +1,5 @@
-// Package sse reads and writes server-sent events, as far as streamed chat
-// answers need them: the fields id and data, and comments as heartbeats.
+// Package sse reads and writes the subset of server-sent events that streamed
+// chat responses use: the fields id and data, and comments as heartbeats.
 package sse
 
 import (
@@ -9,25 +9,28 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrTooLong is returned for a line or an event beyond the reader's bound.
+// ErrTooLong is the class of errors for a line or an event beyond the reader's
+// limit.
 var ErrTooLong = errs.Class("sse: too long")
 
-// NoID is the id of an event that carries none.
+// NoID is the id of an event that has none.
 const NoID = -1
 
-// Heartbeat is a comment: readers skip it, but it shows that the connection lives.
+// Heartbeat is a comment. Readers skip it, but it shows that the connection is
+// alive.
 const Heartbeat = ": heartbeat\n\n"
 
-// AppendEvent appends one event to dst. An id of NoID is left out. Data must
-// be one line.
+// AppendEvent appends one event to dst and returns the extended slice. An id of
+// NoID is left out. Data that contains newlines is written as several data
+// lines.
 func AppendEvent(dst []byte, id int, data []byte) []byte {
 	if id != NoID {
 		dst = append(dst, "id: "...)
 		dst = strconv.AppendInt(dst, int64(id), 10)
 		dst = append(dst, '\n')
 	}
-	// A line break within the data would end the event early, and the rest of
-	// it would be read as fields that nobody knows.
+	// A raw newline within the data would end the event early, and readers
+	// would skip the rest as unknown fields.
 	for line := range bytes.SplitSeq(data, newline) {
 		dst = append(dst, "data: "...)
 		dst = append(dst, line...)
@@ -38,18 +41,19 @@
 
 var newline = []byte{'\n'}
 
-// ParseID reads the id of an event that AppendEvent wrote; ok is false where it
-// is missing or not a number of at most nine digits. It allocates nothing.
-func ParseID(b []byte) (id int, ok bool) {
+// ParseID reads the id of an event that AppendEvent wrote. It returns ok false
+// if the id is missing or is not a decimal number of at most nine digits. It
+// allocates nothing.
+func ParseID(text []byte) (id int, ok bool) {
 	const maxDigits = 9
-	if len(b) == 0 || len(b) > maxDigits {
+	if len(text) == 0 || len(text) > maxDigits {
 		return 0, false
 	}
-	for _, d := range b {
-		if d < '0' || d > '9' {
+	for _, digit := range text {
+		if digit < '0' || digit > '9' {
 			return 0, false
 		}
-		id = id*10 + int(d-'0')
+		id = id*10 + int(digit-'0')
 	}
 	return id, true
 }
--- a/internal/serve/sse/sse_test.go
+++ b/internal/serve/sse/sse_test.go
@@ -11,12 +11,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// readEvents returns the events of r as strings, and the final error.
+// readEvents returns the events of r as strings, and the error that ended the
+// stream.
 func readEvents(r io.Reader, limit int) ([]string, error) {
-	s := NewReader(r, limit)
+	reader := NewReader(r, limit)
 	events := []string{}
 	for {
-		ev, err := s.Next()
+		ev, err := reader.Next()
 		if err != nil {
 			return events, err
 		}
@@ -24,44 +25,43 @@
 	}
 }
 
-// FuzzReader checks that events don't depend on how the bytes arrive, stay within
-// their bound, and that a cut body yields a prefix of the whole one's events.
+// FuzzReader checks that events don't depend on how the bytes arrive, stay
+// within the limit, and that a truncated body yields a prefix of the events of
+// the full one.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("id: 0\ndata: {}\n\ndata: [DONE]\n\n"), uint16(5))
 	f.Add([]byte(": c\r\nid:1\r\ndata: a\r\ndata: b\r\n\r\n"), uint16(20))
 	f.Add([]byte("data\n\n\n\nid\ndata:\n\n"), uint16(0))
 	f.Add([]byte("data: "+strings.Repeat("x", 5000)+"\n\n"), uint16(4999))
-	f.Fuzz(func(t *testing.T, body []byte, cut uint16) {
+	f.Fuzz(func(t *testing.T, body []byte, length uint16) {
 		const limit = 4500
-		whole, err := readEvents(bytes.NewReader(body), limit)
+		full, err := readEvents(bytes.NewReader(body), limit)
 		require.True(t, errors.Is(err, io.EOF) || ErrTooLong.Has(err), "%v", err)
-		for _, ev := range whole {
+		for _, ev := range full {
 			require.LessOrEqual(t, len(ev), 2*limit+1)
 		}
-		bytewise, _ := readEvents(iotest.OneByteReader(bytes.NewReader(body)), limit)
-		require.Equal(t, whole, bytewise)
-		part, _ := readEvents(bytes.NewReader(body[:min(int(cut), len(body))]), limit)
-		require.LessOrEqual(t, len(part), len(whole))
-		require.Equal(t, part, whole[:len(part):len(part)])
+		byByte, _ := readEvents(iotest.OneByteReader(bytes.NewReader(body)), limit)
+		require.Equal(t, full, byByte)
+		truncated, _ := readEvents(bytes.NewReader(body[:min(int(length), len(body))]), limit)
+		require.LessOrEqual(t, len(truncated), len(full))
+		require.Equal(t, truncated, full[:len(truncated):len(truncated)])
 	})
 }
 
-// Symptom: a caller waits for an answer on a connection that is dead.
-// Sequence: the router sends heartbeats between two events; the caller's timer
-// for silence is reset by them, and only by them, until the next event.
-// Cause: a reader that skips comments without a word hides the heartbeats; one
-// that takes other lines for them hides the silence.
-func TestReaderReportsHeartbeatsOnly(t *testing.T) {
+// A caller's silence timeout is reset by heartbeats between events, and only by
+// them. A reader that hides comments makes a live connection look dead; one
+// that reports other lines as comments hides a dead one.
+func TestReaderReportsOnlyComments(t *testing.T) {
 	r := NewReader(strings.NewReader("\nretry: 1\nother\n"+Heartbeat+Heartbeat+"data: x\n\n"), 0)
-	heard := 0
-	r.OnComment = func() { heard++ }
+	comments := 0
+	r.OnComment = func() { comments++ }
 	ev, err := r.Next()
 	require.NoError(t, err)
 	require.Equal(t, "x", string(ev.Data))
-	require.Equal(t, 2, heard)
+	require.Equal(t, 2, comments)
 }
 
-func TestReaderReadsWhatAppendEventWrote(t *testing.T) {
+func TestAppendedEventsAreReadBack(t *testing.T) {
 	stream := AppendEvent(AppendEvent(nil, 12, []byte("a")), NoID, []byte("b"))
 	r := NewReader(bytes.NewReader(stream), 0)
 	ev, err := r.Next()
@@ -78,14 +78,14 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-func TestParseIDRefuses(t *testing.T) {
+func TestParseIDRejectsMalformedIDs(t *testing.T) {
 	for _, id := range []string{"", "-1", "+1", "1a", " 1", "1234567890"} {
 		_, ok := ParseID([]byte(id))
 		require.False(t, ok, "%q", id)
 	}
 }
 
-// BenchmarkOpen reads a stream of one event, to show what a stream costs.
+// BenchmarkOpen reads a stream of one event, to measure the cost of a stream.
 func BenchmarkOpen(b *testing.B) {
 	stream := AppendEvent(nil, 0, []byte("{}"))
 	b.ReportAllocs()
@@ -96,10 +96,10 @@
 	}
 }
 
-// Symptom: a caller's event is cut, and its stream fails.
-// Sequence: an engine sends an event in several data lines; the reader joins
-// them with line breaks, and the writer writes them raw.
-func TestDataWithLineBreaksRoundTrips(t *testing.T) {
+// An engine may send an event in several data lines, which the reader joins
+// with newlines. Written raw, the newlines would truncate the event and fail
+// the caller's stream.
+func TestDataWithNewlinesRoundTrips(t *testing.T) {
 	for _, data := range []string{"one", "one\ntwo", "one\n\nthree", "ends\n"} {
 		r := NewReader(bytes.NewReader(AppendEvent(nil, 7, []byte(data))), 0)
 		ev, err := r.Next()
