--- a/internal/serve/traffic/chat.go
+++ b/internal/serve/traffic/chat.go
@@ -23,9 +23,10 @@
 	"github.com/labstack/echo/v4"
 )
 
-// chatBody is a chat request with the sampling fields that usual clients
-// send. Any other field is refused rather than silently dropped, and what goes
-// upstream is encoded anew, so that the engine reads what the router read.
+// chatBody is a chat request with the sampling fields that clients usually
+// send. Any other field is refused rather than silently dropped. The body is
+// encoded again for the upstream, so that the engine reads what the router has
+// read.
 type chatBody struct {
 	wire.ChatRequest
 	Temperature      json.RawMessage `json:"temperature,omitempty"`
@@ -43,75 +44,76 @@
 }
 
 const (
-	maxMessages  = 4096
-	maxMaxTokens = 1 << 20
+	maxMessages     = 4096
+	maxOutputTokens = 1 << 20
 )
 
-// turn is one chat request on its way through the router.
-type turn struct {
-	s     *Server
-	who   *caller
-	id    string
-	body  chatBody
-	bytes []byte
-	// prefixes are the message boundaries of the prompt.
-	prefixes []chat.Boundary
-	pools    []*config.Pool
-	place    placement.Request
-	avoid    []uint64
-	arrived  time.Time
+// chatRequest is one chat request on its way through the router.
+type chatRequest struct {
+	s       *Server
+	caller  *callerInfo
+	id      string
+	body    chatBody
+	encoded []byte
+	// prefixes are the prefixes of the prompt at its message boundaries,
+	// shortest first.
+	prefixes  []chat.Boundary
+	pools     []*config.Pool
+	placement placement.Request
+	excluded  []uint64
+	arrivedAt time.Time
 }
 
 // chat serves POST /v1/chat/completions.
 func (s *Server) chat(c echo.Context) error {
-	arrived := time.Now()
-	who, err := s.authenticate(c)
+	arrivedAt := time.Now()
+	caller, err := s.authenticate(c)
 	if err != nil {
 		return err
 	}
 	if c.Request().Header.Get(wire.HeaderIdempotencyKey) != "" {
 		return httperr.BadRequest(wire.HeaderIdempotencyKey + " has no meaning for chats: an unfinished answer is resumed, not run again")
 	}
-	t := &turn{s: s, who: who, id: requestID(c), arrived: arrived}
-	if err := t.read(c); err != nil {
+	r := &chatRequest{s: s, caller: caller, id: requestID(c), arrivedAt: arrivedAt}
+	if err := r.read(c); err != nil {
 		return err
 	}
-	if err := t.prepare(c.Request().Header.Get(wire.HeaderPrefixHint)); err != nil {
+	if err := r.prepare(c.Request().Header.Get(wire.HeaderPrefixHint)); err != nil {
 		return err
 	}
-	done, err := s.Quota.Take(c.Request().Context(), who.account)
+	release, err := s.Quota.Take(c.Request().Context(), caller.account)
 	if err != nil {
 		return err
 	}
-	defer done()
-	st, err := t.open(c.Request().Context())
+	defer release()
+	resp, err := r.open(c.Request().Context())
 	if err != nil {
 		return err
 	}
-	if t.body.Stream {
-		return s.relay(c, st)
+	if r.body.Stream {
+		return s.relay(c, resp)
 	}
-	return s.collect(c, st)
+	return s.collect(c, resp)
 }
 
-func (t *turn) read(c echo.Context) error {
-	raw, err := readBody(c, t.s.MaxBody)
+func (r *chatRequest) read(c echo.Context) error {
+	raw, err := readBody(c, r.s.MaxBody)
 	if err != nil {
 		return err
 	}
-	d := json.NewDecoder(bytes.NewReader(raw))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&t.body); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&r.body); err != nil {
 		return httperr.BadRequest("body is not a chat request: " + err.Error())
 	}
-	if _, err := d.Token(); err != io.EOF {
+	if _, err := decoder.Token(); err != io.EOF {
 		return httperr.BadRequest("data after the end of the body")
 	}
-	return t.check()
+	return r.validate()
 }
 
-func (t *turn) check() error {
-	b := &t.body
+func (r *chatRequest) validate() error {
+	b := &r.body
 	switch {
 	case b.Model == "":
 		return httperr.BadRequest("model is missing")
@@ -119,7 +121,7 @@
 		return httperr.BadRequest("messages are missing")
 	case len(b.Messages) > maxMessages:
 		return httperr.BadRequest("too many messages")
-	case b.MaxTokens < 0 || b.MaxTokens > maxMaxTokens:
+	case b.MaxTokens < 0 || b.MaxTokens > maxOutputTokens:
 		return httperr.BadRequest("max_tokens is out of range")
 	}
 	for _, m := range b.Messages {
@@ -130,7 +132,7 @@
 	return nil
 }
 
-// readBody reads a body of at most limit bytes.
+// readBody reads a body of at most limit bytes. Its errors are *apierr.Error.
 func readBody(c echo.Context, limit int64) ([]byte, error) {
 	r := http.MaxBytesReader(c.Response(), c.Request().Body, limit)
 	raw, err := io.ReadAll(r)
@@ -144,134 +146,137 @@
 	return raw, nil
 }
 
-// prepare finds the pools and what is known about the chat's prefix.
-func (t *turn) prepare(hint string) error {
-	unknown := apierr.New(apierr.CodeUnknownModel, http.StatusNotFound, "no such model here")
-	if !t.who.account.MayUse(t.body.Model) {
-		return unknown
+// prepare finds the pools for the request and the evidence of where its prefix
+// is cached, and encodes the body for the upstream.
+func (r *chatRequest) prepare(hint string) error {
+	unknownModel := apierr.New(apierr.CodeUnknownModel, http.StatusNotFound, "no such model here")
+	if !r.caller.account.MayUse(r.body.Model) {
+		return unknownModel
 	}
-	t.pools = t.who.config.PoolsFor(t.body.Model, t.body.Adapter)
-	if len(t.pools) == 0 {
-		return unknown
+	r.pools = r.caller.config.PoolsFor(r.body.Model, r.body.Adapter)
+	if len(r.pools) == 0 {
+		return unknownModel
 	}
-	t.prefixes = chat.Boundaries(t.body.Model, t.body.Adapter, t.body.Messages)
-	if err := t.describe(hint); err != nil {
+	r.prefixes = chat.Boundaries(r.body.Model, r.body.Adapter, r.body.Messages)
+	if err := r.setPlacement(hint); err != nil {
 		return err
 	}
-	// Streaming towards the engine is used for whole answers as well: only a
+	// Complete responses are streamed from the engine as well, since only a
 	// stream can be resumed when its connection breaks.
-	out := t.body
-	out.Stream = true
-	raw, err := json.Marshal(out)
+	upstreamBody := r.body
+	upstreamBody.Stream = true
+	raw, err := json.Marshal(upstreamBody)
 	if err != nil {
 		return httperr.BadRequest("body could not be encoded").WithCause(err)
 	}
-	t.bytes = raw
+	r.encoded = raw
 	return nil
 }
 
-func (t *turn) describe(hint string) error {
-	output := t.body.MaxTokens
-	if output == 0 {
-		output = chat.DefaultMaxTokens
+func (r *chatRequest) setPlacement(hint string) error {
+	outputTokens := r.body.MaxTokens
+	if outputTokens == 0 {
+		outputTokens = chat.DefaultMaxTokens
 	}
-	n := len(t.prefixes)
-	t.place = placement.Request{
-		Chat:         t.who.chat,
-		PromptTokens: t.prefixes[n-1].Tokens,
-		OutputTokens: output,
+	n := len(r.prefixes)
+	r.placement = placement.Request{
+		Chat:         r.caller.affinityKey,
+		PromptTokens: r.prefixes[n-1].Tokens,
+		OutputTokens: outputTokens,
 	}
-	if n > 1 && t.who.chat != 0 {
-		t.place.EarlierTokens = t.prefixes[n-2].Tokens
+	if n > 1 && r.caller.affinityKey != 0 {
+		r.placement.EarlierTokens = r.prefixes[n-2].Tokens
 	}
-	q := prefix.Query{Chat: t.who.chat, Boundaries: t.prefixes, Model: prefix.ModelID(t.body.Model)}
+	query := prefix.Query{Chat: r.caller.affinityKey, Boundaries: r.prefixes, Model: prefix.ModelID(r.body.Model)}
 	if hint != "" {
-		h, err := t.s.Tokens.OpenHint(t.who.account.Name, hint)
+		h, err := r.s.Tokens.OpenHint(r.caller.account.Name, hint)
 		if err != nil {
 			return apierr.New(apierr.CodeBadHint, http.StatusBadRequest, "prefix hint is not valid").WithCause(err)
 		}
-		q.Hint = &h
+		query.Hint = &h
 	}
-	t.place.Evidence = t.s.Facts.Evidence(q)
+	r.placement.Evidence = r.s.Facts.Evidence(query)
 	return nil
 }
 
-// open gets a grant and a stream whose first chunk has arrived. Until then
-// nothing has reached the caller, so the request may go to another engine.
-func (t *turn) open(ctx context.Context) (*answer, error) {
-	tries := t.s.newAttempts(true, t.who.deadline)
+// open returns a response whose first chunk has arrived. Until then nothing has
+// reached the caller, so the request may be sent to another engine.
+func (r *chatRequest) open(ctx context.Context) (*chatResponse, error) {
+	attempts := r.s.newAttemptTracker(true, r.caller.deadline)
 	for {
-		// Each attempt has an id of its own at the engine, which no caller can
-		// choose: two requests with one id would get each other's answers.
-		grant, err := t.s.Admitter.Admit(ctx, t.request(uuid.NewString()))
+		// Each attempt has its own id at the engine, which callers cannot
+		// choose: two requests with one id would receive each other's
+		// responses.
+		grant, err := r.s.Admitter.Admit(ctx, r.admissionRequest(uuid.NewString()))
 		if err != nil {
-			return nil, tries.after(ctx, err)
+			return nil, attempts.handleFailure(ctx, err)
 		}
-		st, err := t.start(ctx, grant)
+		resp, err := r.start(ctx, grant)
 		if err == nil {
-			return st, nil
+			return resp, nil
 		}
-		t.failedAt(grant, err)
-		if final := tries.after(ctx, err); final != nil {
-			return nil, final
+		r.attemptFailed(grant, err)
+		if refusal := attempts.handleFailure(ctx, err); refusal != nil {
+			return nil, refusal
 		}
 	}
 }
 
-// failedAt ends an attempt that gave no chunk. The engine may be working on
-// it: a chat can be repeated, but the first copy must not go on using the engine.
-func (t *turn) failedAt(g *admission.Grant, err error) {
+// attemptFailed ends an attempt that gave no chunk. The engine may be executing
+// it: a chat can be repeated, but the first copy must not keep using the
+// engine.
+func (r *chatRequest) attemptFailed(grant *admission.Grant, err error) {
 	if !upstream.SentOf(err).DidNotRun() {
-		t.s.cancelLater(t.call(g))
+		r.s.cancelInBackground(r.upstreamCall(grant))
 	}
-	g.Release()
-	t.s.Admitter.Observe(g.Engine.Name, admission.Observation{Kind: outlier.Failure})
-	t.avoid = append(t.avoid, g.Engine.ID)
+	grant.Release()
+	r.s.Admitter.Observe(grant.Engine.Name, admission.Observation{Kind: outlier.Failure})
+	r.excluded = append(r.excluded, grant.Engine.ID)
 }
 
-func (t *turn) request(attempt string) *admission.Request {
+func (r *chatRequest) admissionRequest(attempt string) *admission.Request {
 	return &admission.Request{
 		ID:       attempt,
-		Account:  t.who.account,
-		Class:    t.who.class,
-		Pools:    t.pools,
-		Adapter:  t.body.Adapter != "",
-		Deadline: t.who.deadline,
-		Place:    t.place,
-		Avoid:    t.avoid,
+		Account:  r.caller.account,
+		Class:    r.caller.class,
+		Pools:    r.pools,
+		Adapter:  r.body.Adapter != "",
+		Deadline: r.caller.deadline,
+		Place:    r.placement,
+		Avoid:    r.excluded,
 	}
 }
 
-func (t *turn) start(ctx context.Context, g *admission.Grant) (*answer, error) {
-	// The stream outlives the caller's connection for the resume grace, so it
-	// hangs on a context of its own that the answer cancels.
-	sctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+func (r *chatRequest) start(ctx context.Context, grant *admission.Grant) (*chatResponse, error) {
+	// The stream outlives the caller's connection by the resume grace, so it
+	// has its own context, which the response cancels.
+	streamCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, cancel)
-	call := t.call(g)
-	st, err := t.s.Upstream.Stream(sctx, call)
+	call := r.upstreamCall(grant)
+	stream, err := r.s.Upstream.Stream(streamCtx, call)
 	if err != nil {
 		stop()
 		cancel()
 		return nil, err
 	}
-	a := &answer{s: t.s, turn: t, grant: g, call: call, stream: st, ctx: sctx, cancel: cancel, sent: time.Now()}
-	if err := a.first(); err != nil {
+	resp := &chatResponse{s: r.s, request: r, grant: grant, call: call, stream: stream, ctx: streamCtx, cancel: cancel, sentAt: time.Now()}
+	if err := resp.readFirstChunk(); err != nil {
 		stop()
-		st.Close()
+		stream.Close()
 		cancel()
 		return nil, err
 	}
 	stop()
-	return a, nil
+	return resp, nil
 }
 
-func (t *turn) call(g *admission.Grant) upstream.Call {
+func (r *chatRequest) upstreamCall(grant *admission.Grant) upstream.Call {
 	return upstream.Call{
-		Address:     g.Engine.Address,
-		Name:        g.Engine.Name,
-		Incarnation: g.Incarnation,
-		RequestID:   g.ID,
-		Priority:    t.who.class.String(),
-		Body:        t.bytes,
+		Address:     grant.Engine.Address,
+		Name:        grant.Engine.Name,
+		Incarnation: grant.Incarnation,
+		RequestID:   grant.ID,
+		Priority:    r.caller.class.String(),
+		Body:        r.encoded,
 	}
 }
--- a/internal/serve/traffic/harness_test.go
+++ b/internal/serve/traffic/harness_test.go
@@ -31,26 +31,26 @@
 )
 
 const (
-	chatKey   = "example-review-office-sebeke"
-	otherKey  = "example-objections-office-sebeke"
-	portalKey = "example-applicant-portal-sebeke"
-	site      = "cankaya"
-	region    = "ankara"
+	chatAPIKey   = "example-review-office-sebeke"
+	otherAPIKey  = "example-objections-office-sebeke"
+	portalAPIKey = "example-applicant-portal-sebeke"
+	site         = "cankaya"
+	region       = "ankara"
 )
 
-// harness is one router's traffic layer before stand-in upstreams.
+// harness is the traffic server of one router with stand-in upstreams.
 type harness struct {
-	t       *testing.T
-	server  *Server
-	http    *httptest.Server
-	board   *board.Board
-	adm     *admission.Admission
-	store   *platformtest.Fake
-	engines map[string]*engine.Engine
-	portal  *service.Service
+	t         *testing.T
+	server    *Server
+	http      *httptest.Server
+	board     *board.Board
+	admission *admission.Admission
+	store     *platformtest.Fake
+	engines   map[string]*engine.Engine
+	portal    *service.Service
 }
 
-// unlimited lets every request through.
+// unlimited is a Limiter that admits every request.
 type unlimited struct{}
 
 func (unlimited) Take(context.Context, *config.Account) (func(), error) { return func() {}, nil }
@@ -62,12 +62,12 @@
 	go h.board.Run(ctx)
 	facts, err := admission.NewFacts(1000, 1)
 	require.NoError(t, err)
-	h.adm = admission.New(admission.Options{Board: h.board, Self: "r1", Instance: 1, Rand: rand.New(rand.NewPCG(1, 1))})
-	t.Cleanup(h.adm.Close)
+	h.admission = admission.New(admission.Options{Board: h.board, Self: "r1", Instance: 1, Rand: rand.New(rand.NewPCG(1, 1))})
+	t.Cleanup(h.admission.Close)
 	codec, err := token.NewCodec(token.Key{ID: 1, Secret: []byte(strings.Repeat("s", token.MinSecret))})
 	require.NoError(t, err)
 	h.server = New(Options{
-		Board: h.board, Admitter: h.adm, Facts: facts, Quota: unlimited{}, Name: "r1",
+		Board: h.board, Admitter: h.admission, Facts: facts, Quota: unlimited{}, Name: "r1",
 		Upstream:  upstream.New(upstream.Options{IdleGap: 200 * time.Millisecond}),
 		Claims:    claim.New(h.store, h.store.Objects(), "r1", uuid.NewString),
 		Tokens:    codec,
@@ -91,10 +91,10 @@
 	require.NoError(h.t, err)
 	parsed, err := b.Parse()
 	require.NoError(h.t, err)
-	eff, err := config.NewEffective(parsed.Document, parsed.Overlays, site)
+	effective, err := config.NewEffective(parsed.Document, parsed.Overlays, site)
 	require.NoError(h.t, err)
 	h.board.UpdateWait(func(s *board.State) {
-		s.Config, s.ConfigVersion = eff, 1
+		s.Config, s.ConfigVersion = effective, 1
 		s.Routers["r1"] = board.Router{Name: "r1", ID: rendezvous.ID("r1"), Instance: 1, Address: "127.0.0.1:1", Site: site}
 	})
 }
@@ -109,7 +109,7 @@
 	h.addUpstream(name, platform.KindEngine, "language", e.Handler(), e.Status())
 }
 
-func (h *harness) addUpstream(name, kind, pool string, handler http.Handler, st wire.EngineStatus) {
+func (h *harness) addUpstream(name, kind, pool string, handler http.Handler, status wire.EngineStatus) {
 	srv := httptest.NewServer(handler)
 	h.t.Cleanup(srv.Close)
 	e := board.Engine{
@@ -117,11 +117,11 @@
 		Site: site, Region: region, Pool: pool, Kind: kind,
 	}
 	h.board.UpdateWait(func(s *board.State) { s.Engines[name] = e })
-	h.adm.Sync(h.board.Snapshot())
-	h.adm.EngineReport(&e, st)
+	h.admission.Sync(h.board.Snapshot())
+	h.admission.EngineReport(&e, status)
 }
 
-// request is one call to the router.
+// request is one HTTP request to the router.
 type request struct {
 	method, path, body string
 	key                string
@@ -151,7 +151,7 @@
 	return resp, string(body)
 }
 
-func refusalIn(t *testing.T, body string) *apierr.Error {
+func decodeRefusal(t *testing.T, body string) *apierr.Error {
 	t.Helper()
 	var b errorBody
 	require.NoError(t, json.Unmarshal([]byte(body), &b), body)
@@ -159,8 +159,9 @@
 	return b.Error
 }
 
-// ask is a chat request and the answer that it must get.
-func ask(text string, stream bool) (body, want string) {
+// newChat returns the body of a chat request and the text of the response that
+// it must get.
+func newChat(text string, stream bool) (body, want string) {
 	req := wire.ChatRequest{Model: "dossier", Messages: []wire.Message{{Role: "user", Content: text}}, Stream: stream, MaxTokens: 12}
 	data, err := json.Marshal(req)
 	if err != nil {
@@ -169,9 +170,9 @@
 	return string(data), engine.AnswerText(req)
 }
 
-// events reads a streamed body: its text, whether the end marker came, and a
-// typed error event if one did.
-func events(t *testing.T, body string) (text string, whole bool, failed *apierr.Error) {
+// readEvents reads a streamed body. It returns the text, whether the end marker
+// was received, and the error event if one was received.
+func readEvents(t *testing.T, body string) (text string, complete bool, refusal *apierr.Error) {
 	t.Helper()
 	lines := bufio.NewScanner(strings.NewReader(body))
 	for lines.Scan() {
@@ -180,24 +181,24 @@
 			continue
 		}
 		if data == wire.DoneMarker {
-			whole = true
+			complete = true
 			continue
 		}
-		var ch struct {
+		var chunk struct {
 			wire.Chunk
 			Error *apierr.Error `json:"error"`
 		}
-		require.NoError(t, json.Unmarshal([]byte(data), &ch))
-		if ch.Error != nil {
-			failed = ch.Error
+		require.NoError(t, json.Unmarshal([]byte(data), &chunk))
+		if chunk.Error != nil {
+			refusal = chunk.Error
 			continue
 		}
-		text += ch.Choices[0].Delta.Content
+		text += chunk.Choices[0].Delta.Content
 	}
-	return text, whole, failed
+	return text, complete, refusal
 }
 
-func runs(engines map[string]*engine.Engine) int {
+func executions(engines map[string]*engine.Engine) int {
 	n := 0
 	for _, e := range engines {
 		for _, times := range e.Books().Runs {
--- a/internal/serve/traffic/record.go
+++ b/internal/serve/traffic/record.go
@@ -10,68 +10,68 @@
 )
 
 const (
-	// maxLateRecords bounds the records that wait for the store.
-	maxLateRecords = 1000
-	// lateRecordMin and lateRecordMax bound the waits between attempts.
-	lateRecordMin = time.Second
-	lateRecordMax = 30 * time.Second
-	// lateRecordFor is how long a record is tried again. The key stays blocked
-	// afterwards, for an operator to resolve.
-	lateRecordFor = time.Hour
+	// maxDelayedRecords bounds the records that wait for the store.
+	maxDelayedRecords = 1000
+	// minRecordBackoff and maxRecordBackoff bound the backoff between attempts.
+	minRecordBackoff = time.Second
+	maxRecordBackoff = 30 * time.Second
+	// recordRetryTimeout is how long a record is retried. Afterwards the key
+	// stays blocked until an operator resolves it.
+	recordRetryTimeout = time.Hour
 )
 
-// record notes in the store how a claimed call ended, and goes on trying where
-// the store does not take it.
+// record stores how a claimed call ended. If the store does not accept the
+// record, it is retried in the background.
 //
-// What goes wrong otherwise: the store is down for the seconds in which a
-// receipt's answer comes. The caller has the answer, or has lost it on the way;
-// whoever asks again with the key is told "outcome unknown" until an operator
-// looks, although this router knows the answer.
-func (k *call) record(ctx context.Context, write func(context.Context) error) {
-	rctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
+// The store may be down for the seconds in which a service responds. Without
+// retries, a caller that asks again with the key would get "outcome unknown"
+// until an operator resolves the claim, although this router knows the
+// response.
+func (sc *serviceCall) record(ctx context.Context, write func(context.Context) error) {
+	recordCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
 	defer cancel()
-	err := write(rctx)
+	err := write(recordCtx)
 	if err == nil {
 		return
 	}
-	k.s.log.Warn("claim not recorded", "request", k.id, "service", k.service.Name, "cause", err)
+	sc.s.log.Warn("claim not recorded", "request", sc.id, "service", sc.service.Name, "cause", err)
 	if claim.ErrNotRecorded.Has(err) {
-		k.s.recordLater(write)
+		sc.s.recordInBackground(write)
 	}
 }
 
-// recordLater tries again in the background. A drain waits for it.
-func (s *Server) recordLater(write func(context.Context) error) {
+// recordInBackground retries write in the background. A drain waits for it.
+func (s *Server) recordInBackground(write func(context.Context) error) {
 	select {
-	case s.lateRecords <- struct{}{}:
+	case s.delayedRecords <- struct{}{}:
 	default:
 		s.metrics.recordsDropped.Add(1)
 		return
 	}
-	s.inflight.Add(1)
+	s.inFlight.Add(1)
 	go func() {
-		defer s.inflight.Done()
-		defer func() { <-s.lateRecords }()
-		s.keepRecording(write)
+		defer s.inFlight.Done()
+		defer func() { <-s.delayedRecords }()
+		s.retryRecord(write)
 	}()
 }
 
-func (s *Server) keepRecording(write func(context.Context) error) {
-	ctx, cancel := context.WithTimeout(s.cut, lateRecordFor)
+func (s *Server) retryRecord(write func(context.Context) error) {
+	ctx, cancel := context.WithTimeout(s.shutdownCtx, recordRetryTimeout)
 	defer cancel()
-	wait := lateRecordMin
-	for pause.For(ctx, wait/2+rand.N(wait)) {
-		wctx, cancel := context.WithTimeout(ctx, recordTimeout)
-		err := write(wctx)
+	backoff := minRecordBackoff
+	for pause.For(ctx, backoff/2+rand.N(backoff)) {
+		writeCtx, cancel := context.WithTimeout(ctx, recordTimeout)
+		err := write(writeCtx)
 		cancel()
 		if err == nil {
-			s.metrics.recordedLate.Add(1)
+			s.metrics.recordsDelayed.Add(1)
 			return
 		}
 		if !claim.ErrNotRecorded.Has(err) {
 			break
 		}
-		wait = min(2*wait, lateRecordMax)
+		backoff = min(2*backoff, maxRecordBackoff)
 	}
 	s.metrics.recordsDropped.Add(1)
 }
--- a/internal/serve/traffic/relay.go
+++ b/internal/serve/traffic/relay.go
@@ -14,101 +14,102 @@
 	"github.com/labstack/echo/v4"
 )
 
-// relay streams an answer to its caller.
-func (s *Server) relay(c echo.Context, a *answer) error {
-	if a.turn != nil {
-		tok, err := a.resumeToken()
+// relay streams a response to its caller.
+func (s *Server) relay(c echo.Context, resp *chatResponse) error {
+	if resp.request != nil {
+		token, err := resp.resumeToken()
 		if err != nil {
-			a.abandon()
+			resp.abort()
 			return err
 		}
-		c.Response().Header().Set(wire.HeaderResumeToken, tok)
+		c.Response().Header().Set(wire.HeaderResumeToken, token)
 	}
-	if h := a.hint(); h != "" {
+	if h := resp.prefixHint(); h != "" {
 		c.Response().Header().Set(wire.HeaderPrefixHint, h)
 	}
-	c.Response().Header().Set(wire.HeaderStreamID, a.call.RequestID)
+	c.Response().Header().Set(wire.HeaderStreamID, resp.call.RequestID)
 	out := newEventWriter(c.Response(), s.Heartbeat)
 	defer out.close()
 	s.metrics.streamsOpen.Add(1)
 	defer s.metrics.streamsOpen.Add(-1)
-	stop := context.AfterFunc(c.Request().Context(), a.cancel)
+	stop := context.AfterFunc(c.Request().Context(), resp.cancel)
 	defer stop()
-	stopCut := context.AfterFunc(s.cut, a.cancel)
-	defer stopCut()
+	stopShutdown := context.AfterFunc(s.shutdownCtx, resp.cancel)
+	defer stopShutdown()
 	for {
-		ev, err := a.next()
+		ev, err := resp.next()
 		if err != nil {
-			return s.broken(c, a, out, err)
+			return s.streamFailed(c, resp, out, err)
 		}
 		if ev.Done {
-			a.finish()
+			resp.finish()
 			out.event(sse.NoID, []byte(wire.DoneMarker))
 			return nil
 		}
 		s.metrics.chunks.Add(1)
 		if !out.event(ev.Offset, ev.Data) {
-			s.linger(a)
+			s.detach(resp)
 			return nil
 		}
 	}
 }
 
-// broken ends a relay whose stream could not be continued.
-func (s *Server) broken(c echo.Context, a *answer, out *eventWriter, err error) error {
-	if s.cut.Err() != nil {
-		// The caller resumes at another router, which takes the permit over;
-		// the engine must not be stopped.
-		a.stream.Close()
+// streamFailed ends a relay whose stream could not be continued.
+func (s *Server) streamFailed(c echo.Context, resp *chatResponse, out *eventWriter, err error) error {
+	if s.shutdownCtx.Err() != nil {
+		// The caller resumes at another router, which adopts the permit; the
+		// engine must not be stopped.
+		resp.stream.Close()
 		return nil
 	}
 	if c.Request().Context().Err() != nil {
-		s.linger(a)
+		s.detach(resp)
 		return nil
 	}
-	a.abandon()
-	s.metrics.incomplete.Add(1)
-	s.log.Warn("stream broken", "request", a.call.RequestID, "engine", a.call.Name, "cause", err)
-	e := incomplete(err)
-	e.RequestID = a.call.RequestID
-	// The status line is gone already. The error goes out as an event and the
-	// end marker is left out, so that half an answer is never taken for whole.
-	data, merr := json.Marshal(errorBody{Error: e})
-	if merr == nil {
+	resp.abort()
+	s.metrics.incompleteResponses.Add(1)
+	s.log.Warn("stream broken", "request", resp.call.RequestID, "engine", resp.call.Name, "cause", err)
+	e := incompleteError(err)
+	e.RequestID = resp.call.RequestID
+	// The status line has been sent already. The error is sent as an event
+	// without an end marker, so that a partial response is never taken for a
+	// complete one.
+	data, marshalErr := json.Marshal(errorBody{Error: e})
+	if marshalErr == nil {
 		out.event(sse.NoID, data)
 	}
 	return nil
 }
 
-func incomplete(err error) *apierr.Error {
+func incompleteError(err error) *apierr.Error {
 	return apierr.New(apierr.CodeIncomplete, http.StatusBadGateway, "the engine did not finish its answer").
 		WithRan(apierr.RanYes).WithRetryAfter(time.Second).WithCause(err)
 }
 
 // eventWriter writes events to one caller and keeps the connection alive with
-// comments. A caller's connection may be forgotten on the way while it is
-// silent; heartbeats keep it known, and show a caller that it is not.
+// comments. A middlebox may drop the state of an idle connection; heartbeats
+// prevent that, and show the caller that the connection is alive.
 type eventWriter struct {
-	mu     sync.Mutex
-	w      *echo.Response
-	buf    []byte
-	every  time.Duration
-	timer  *time.Timer
-	failed bool
-	closed bool
+	mu       sync.Mutex
+	w        *echo.Response
+	buf      []byte
+	interval time.Duration
+	timer    *time.Timer
+	failed   bool
+	closed   bool
 }
 
-func newEventWriter(w *echo.Response, every time.Duration) *eventWriter {
+func newEventWriter(w *echo.Response, interval time.Duration) *eventWriter {
 	h := w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
 	w.WriteHeader(http.StatusOK)
-	e := &eventWriter{w: w, every: every}
-	e.timer = time.AfterFunc(every, e.heartbeat)
+	e := &eventWriter{w: w, interval: interval}
+	e.timer = time.AfterFunc(interval, e.heartbeat)
 	return e
 }
 
-// event writes one event; it reports whether the caller still reads.
+// event writes one event. It reports whether the caller still reads.
 func (e *eventWriter) event(id int, data []byte) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -135,7 +136,7 @@
 		return
 	}
 	e.w.Flush()
-	e.timer.Reset(e.every)
+	e.timer.Reset(e.interval)
 }
 
 func (e *eventWriter) close() {
@@ -145,52 +146,52 @@
 	e.timer.Stop()
 }
 
-// collect gathers a whole answer for a caller that did not ask for a stream.
-func (s *Server) collect(c echo.Context, a *answer) error {
-	stop := context.AfterFunc(c.Request().Context(), a.cancel)
+// collect sends a complete response to a caller that did not request a stream.
+func (s *Server) collect(c echo.Context, resp *chatResponse) error {
+	stop := context.AfterFunc(c.Request().Context(), resp.cancel)
 	defer stop()
 	var text strings.Builder
 	var last wire.Chunk
-	finish := ""
+	finishReason := ""
 	for {
-		ev, err := a.next()
+		ev, err := resp.next()
 		if err != nil {
-			a.abandon()
-			return incomplete(err)
+			resp.abort()
+			return incompleteError(err)
 		}
 		if ev.Done {
 			break
 		}
-		var ch wire.Chunk
-		if err := json.Unmarshal(ev.Data, &ch); err != nil {
-			a.abandon()
-			return incomplete(err)
+		var chunk wire.Chunk
+		if err := json.Unmarshal(ev.Data, &chunk); err != nil {
+			resp.abort()
+			return incompleteError(err)
 		}
-		for _, choice := range ch.Choices {
+		for _, choice := range chunk.Choices {
 			text.WriteString(choice.Delta.Content)
 			if choice.FinishReason != nil {
-				finish = *choice.FinishReason
+				finishReason = *choice.FinishReason
 			}
 		}
-		if ch.Usage != nil {
-			last.Usage = ch.Usage
+		if chunk.Usage != nil {
+			last.Usage = chunk.Usage
 		}
 	}
-	a.finish()
-	if h := a.hint(); h != "" {
+	resp.finish()
+	if h := resp.prefixHint(); h != "" {
 		c.Response().Header().Set(wire.HeaderPrefixHint, h)
 	}
-	return c.JSON(http.StatusOK, completion(a, text.String(), finish, last.Usage))
+	return c.JSON(http.StatusOK, completion(resp, text.String(), finishReason, last.Usage))
 }
 
-func completion(a *answer, text, finish string, usage *wire.Usage) wire.Completion {
+func completion(resp *chatResponse, text, finishReason string, usage *wire.Usage) wire.Completion {
 	out := wire.Completion{
-		ID:     a.call.RequestID,
+		ID:     resp.call.RequestID,
 		Object: "chat.completion",
-		Model:  a.turn.body.Model,
+		Model:  resp.request.body.Model,
 		Choices: []wire.CompletionChoice{{
 			Message:      wire.Message{Role: "assistant", Content: text},
-			FinishReason: finish,
+			FinishReason: finishReason,
 		}},
 	}
 	if usage != nil {
--- a/internal/serve/traffic/server.go
+++ b/internal/serve/traffic/server.go
@@ -1,6 +1,6 @@
-// Package traffic is the callers' interface: locating, chats, resuming and
-// plain services over HTTP. Its handlers read the board's snapshots and never
-// write control state.
+// Package traffic serves callers over HTTP: it locates routers, relays and
+// resumes chats, and calls plain services. Its handlers read the snapshots of
+// the board and never write control state.
 package traffic
 
 import (
@@ -25,37 +25,40 @@
 	"github.com/labstack/echo/v4"
 )
 
-// Admitter grants engines to requests; *admission.Admission is one.
+// Admitter grants engines to requests. *admission.Admission implements it.
 type Admitter interface {
 	// Admit waits for a grant. Its errors are *apierr.Error.
 	Admit(ctx context.Context, req *admission.Request) (*admission.Grant, error)
-	// Home is the owner of the engine that a chat without evidence goes to.
+	// Home returns the owner of the engine that a chat without evidence is sent
+	// to.
 	Home(p *config.Pool, chat uint64) (board.Router, bool)
-	// Adopt takes over the permit of a stream that is resumed here. It
-	// fails when the engine is gone or was restarted.
+	// Adopt takes over the permit of a stream that is resumed here. It fails if
+	// the engine is gone or was restarted.
 	Adopt(ctx context.Context, requestID, engine string, incarnation uint64) (*admission.Grant, error)
-	// Observe reports how an engine did, for outlier detection.
+	// Observe reports the outcome of a request at an engine, for outlier
+	// detection.
 	Observe(engine string, o admission.Observation)
 }
 
-// Limiter holds client accounts to their limits; *quota.Quota is one.
+// Limiter enforces the limits of client accounts. *quota.Quota implements it.
 type Limiter interface {
-	// Take admits one request; done must be called when it ends. Its errors
-	// are *apierr.Error.
-	Take(ctx context.Context, a *config.Account) (done func(), err error)
+	// Take admits one request. The caller must call release when the request
+	// ends. Its errors are *apierr.Error.
+	Take(ctx context.Context, a *config.Account) (release func(), err error)
 }
 
-// Tokens seals and opens what callers carry for the fleet; *token.Codec is
-// one. It may change its keys at any time.
+// Tokens seals and opens the tokens that callers store for the routers.
+// *token.Codec implements it. It may change its keys at any time.
 type Tokens interface {
-	// SealHint says, for the account alone, where a chat's prefix is cached.
+	// SealHint returns a token that only the account can use and that says
+	// where a chat's prefix is cached.
 	SealHint(account string, h token.Hint) string
-	// OpenHint reads what SealHint made for the same account.
+	// OpenHint reads a token that SealHint returned for the same account.
 	OpenHint(account, text string) (token.Hint, error)
-	// SealResume gives the account the right to resume one stream.
+	// SealResume returns a token with which the account may resume one stream.
 	SealResume(account string, r token.Resume) (string, error)
-	// OpenResume reads what SealResume made for the same account, unless it
-	// has expired at now.
+	// OpenResume reads a token that SealResume returned for the same account.
+	// It fails if the token has expired at now.
 	OpenResume(account, text string, now time.Time) (token.Resume, error)
 }
 
@@ -63,26 +66,28 @@
 type Options struct {
 	Board    *board.Board
 	Admitter Admitter
-	// Facts tells where prefixes are cached.
+	// Facts knows where prefixes are cached.
 	Facts *admission.Facts
 	Quota Limiter
-	// Upstream carries the requests to engines and plain services.
+	// Upstream sends the requests to engines and plain services.
 	Upstream *upstream.Client
-	// Claims keeps non-idempotent calls from running twice.
+	// Claims prevents non-idempotent calls from running twice.
 	Claims *claim.Store
 	Tokens Tokens
 	Log    *log.Logger
-	// Name is this router's name.
+	// Name is the name of this router.
 	Name string
-	// LocateTTL is how long callers may keep a locate answer.
+	// LocateTTL is how long callers may cache a locate response.
 	LocateTTL time.Duration
-	// Heartbeat is the longest silence towards a caller of a stream.
+	// Heartbeat is the longest time without an event or a heartbeat on a stream
+	// to a caller.
 	Heartbeat time.Duration
 	// IdleGap is the longest silence of an engine within a stream.
 	IdleGap time.Duration
-	// ResumeGrace is how long a broken caller's stream waits to be resumed.
+	// ResumeGrace is how long the stream of a disconnected caller waits to be
+	// resumed.
 	ResumeGrace time.Duration
-	// MaxBody bounds a request's body, in bytes.
+	// MaxBody bounds the body of a request, in bytes.
 	MaxBody int64
 }
 
@@ -100,36 +105,38 @@
 	maxIDLength    = 128
 )
 
-// Server serves callers.
+// Server serves callers. It is safe for concurrent use.
 type Server struct {
 	Options
-	log      *log.Logger
-	metrics  *metrics
-	retries  *retries
-	echo     *echo.Echo
-	lingerMu sync.Mutex
-	lingers  map[string]*linger
-	inflight busy
-	// lateRecords has an entry for each record that waits for the store.
-	lateRecords chan struct{}
-	// refusing is set once newcomers are sent elsewhere.
-	refusing atomic.Bool
-	// cut ends all streams to callers, at the deadline of a drain.
-	cut    context.Context
-	cutNow context.CancelFunc
+	log        *log.Logger
+	metrics    *metrics
+	retrier    *retrier
+	echo       *echo.Echo
+	detachedMu sync.Mutex
+	detached   map[string]*detachedStream
+	inFlight   waitGroup
+	// delayedRecords has an entry for each record that waits for the store.
+	delayedRecords chan struct{}
+	// refusingNew is set once new requests are sent to other routers.
+	refusingNew atomic.Bool
+	// shutdownCtx ends all streams to callers and all background work, at the
+	// deadline of a drain.
+	shutdownCtx context.Context
+	shutdown    context.CancelFunc
 }
 
-// New returns a Server.
+// New returns a Server. Zero values of LocateTTL, Heartbeat, ResumeGrace and
+// MaxBody mean their defaults.
 func New(o Options) *Server {
-	o.fillDefaults()
-	s := &Server{Options: o, log: o.Log, metrics: newMetrics(), retries: newRetries(), lingers: make(map[string]*linger)}
-	s.cut, s.cutNow = context.WithCancel(context.Background())
-	s.lateRecords = make(chan struct{}, maxLateRecords)
+	o.setDefaults()
+	s := &Server{Options: o, log: o.Log, metrics: newMetrics(), retrier: newRetrier(), detached: make(map[string]*detachedStream)}
+	s.shutdownCtx, s.shutdown = context.WithCancel(context.Background())
+	s.delayedRecords = make(chan struct{}, maxDelayedRecords)
 	s.echo = s.routes()
 	return s
 }
 
-func (o *Options) fillDefaults() {
+func (o *Options) setDefaults() {
 	if o.LocateTTL <= 0 {
 		o.LocateTTL = DefaultLocateTTL
 	}
@@ -144,10 +151,11 @@
 	}
 }
 
-// Handler returns the HTTP interface for callers.
+// Handler returns the HTTP handler for callers.
 func (s *Server) Handler() http.Handler { return s.echo }
 
-// MaxHeaderBytes is what an http.Server in front of Handler should allow.
+// MaxHeaderBytes returns the header limit, in bytes, for an http.Server that
+// serves Handler.
 func MaxHeaderBytes() int { return maxHeaderBytes }
 
 func (s *Server) routes() *echo.Echo {
@@ -155,7 +163,7 @@
 	e.HideBanner = true
 	e.HidePort = true
 	e.HTTPErrorHandler = s.handleError
-	e.Use(s.identify)
+	e.Use(s.withRequestID)
 	e.GET(wire.PathLocate, s.locate)
 	e.POST(wire.PathChat, s.chat)
 	e.GET(wire.PathResume, s.resume)
@@ -163,11 +171,11 @@
 	return e
 }
 
-// identify gives each request its id and names the router in the answer.
-func (s *Server) identify(next echo.HandlerFunc) echo.HandlerFunc {
+// withRequestID gives each request its id and names the router in the response.
+func (s *Server) withRequestID(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		s.inflight.Add(1)
-		defer s.inflight.Done()
+		s.inFlight.Add(1)
+		defer s.inFlight.Done()
 		h := c.Response().Header()
 		h.Set(wire.HeaderRouter, s.Name)
 		id := c.Request().Header.Get(wire.HeaderRequestID)
@@ -181,35 +189,38 @@
 		if s.Board.Snapshot().Draining {
 			h.Set(wire.HeaderMoved, "1")
 		}
-		if s.refusing.Load() {
-			return leaving()
+		if s.refusingNew.Load() {
+			return drainingError()
 		}
 		return next(c)
 	}
 }
 
-func leaving() *apierr.Error {
+func drainingError() *apierr.Error {
 	return apierr.New(apierr.CodeLeaving, http.StatusServiceUnavailable, "this router is leaving; locate again").
-		WithRetryAfter(leavingRetry)
+		WithRetryAfter(drainingRetryAfter)
 }
 
-// leavingRetry is short: another router can take the request at once.
-const leavingRetry = 50 * time.Millisecond
+// drainingRetryAfter is short because another router can take the request at
+// once.
+const drainingRetryAfter = 50 * time.Millisecond
 
-// RefuseNew sends newcomers elsewhere from now on; what runs goes on.
-func (s *Server) RefuseNew() { s.refusing.Store(true) }
+// RefuseNew refuses new requests from now on, so that they are sent to other
+// routers. Requests in progress continue.
+func (s *Server) RefuseNew() { s.refusingNew.Store(true) }
 
-// CutStreams breaks the streams to callers, who resume at another router. The
-// engines' streams go on.
-func (s *Server) CutStreams() { s.cutNow() }
+// CutStreams closes the streams to callers, who resume at another router. The
+// engines' streams continue.
+func (s *Server) CutStreams() { s.shutdown() }
 
-// Close ends streams and what goes on in the background, at once.
-func (s *Server) Close() { s.cutNow() }
+// Close ends streams and background work immediately.
+func (s *Server) Close() { s.shutdown() }
 
-// Wait returns once all requests in progress have ended, or ctx has.
-func (s *Server) Wait(ctx context.Context) error { return s.inflight.Wait(ctx) }
+// Wait returns nil once no request is in progress, or the error of ctx if that
+// ends first.
+func (s *Server) Wait(ctx context.Context) error { return s.inFlight.Wait(ctx) }
 
-// validID accepts what may safely stand in a header, a log line and a row key.
+// validID reports whether id is safe in a header, a log line and a row key.
 func validID(id string) bool {
 	if id == "" || len(id) > maxIDLength {
 		return false
--- a/internal/serve/traffic/services.go
+++ b/internal/serve/traffic/services.go
@@ -24,98 +24,100 @@
 const (
 	maxServiceBody = 1 << 20
 	maxKeyLength   = 256
-	// recordTimeout bounds the recording of an answer, which goes on after a
-	// caller has left: the work ran, and its answer must be found again.
+	// recordTimeout bounds one write of a record, which continues after the
+	// caller has disconnected: the call ran, and its response must be found
+	// again.
 	recordTimeout = 5 * time.Second
-	// onceTimeout bounds a non-idempotent call at the service.
-	onceTimeout = 30 * time.Second
-	// storeRetryAfter is suggested to callers while the table service is down.
+	// nonIdempotentTimeout bounds a non-idempotent call at the service.
+	nonIdempotentTimeout = 30 * time.Second
+	// storeRetryAfter is suggested to callers while the table service is
+	// unavailable.
 	storeRetryAfter = 2 * time.Second
 )
 
-// call is one request to a plain service.
-type call struct {
-	s       *Server
-	who     *caller
-	id      string
-	service *config.Service
-	route   config.RouteMatch
-	query   string
-	typ     string
-	accept  string
-	key     string
-	body    []byte
-	avoid   []uint64
+// serviceCall is one request to a plain service.
+type serviceCall struct {
+	s              *Server
+	caller         *callerInfo
+	id             string
+	service        *config.Service
+	route          config.RouteMatch
+	query          string
+	contentType    string
+	accept         string
+	idempotencyKey string
+	body           []byte
+	excluded       []uint64
 }
 
 // service serves /v1/services/{service}/{path}.
 func (s *Server) service(c echo.Context) error {
-	who, err := s.authenticate(c)
+	caller, err := s.authenticate(c)
 	if err != nil {
 		return err
 	}
-	k := &call{s: s, who: who, id: requestID(c)}
-	if err := k.read(c); err != nil {
+	sc := &serviceCall{s: s, caller: caller, id: requestID(c)}
+	if err := sc.read(c); err != nil {
 		return err
 	}
-	done, err := s.Quota.Take(c.Request().Context(), who.account)
+	release, err := s.Quota.Take(c.Request().Context(), caller.account)
 	if err != nil {
 		return err
 	}
-	defer done()
-	resp, err := k.serve(c.Request().Context())
+	defer release()
+	resp, err := sc.serve(c.Request().Context())
 	if err != nil {
 		return err
 	}
 	return c.Blob(resp.Status, resp.ContentType, resp.Body)
 }
 
-func (k *call) serve(ctx context.Context) (upstream.Response, error) {
-	if !k.route.Idempotent {
-		return k.once(ctx)
+func (sc *serviceCall) serve(ctx context.Context) (upstream.Response, error) {
+	if !sc.route.Idempotent {
+		return sc.sendOnce(ctx)
 	}
-	resp, refused := k.send(ctx, true)
-	if refused != nil {
-		return resp, refused
+	resp, refusal := sc.send(ctx, true)
+	if refusal != nil {
+		return resp, refusal
 	}
 	// Returned as an error, a nil *apierr.Error would not equal nil.
 	return resp, nil
 }
 
-func (k *call) read(c echo.Context) error {
+func (sc *serviceCall) read(c echo.Context) error {
 	r := c.Request()
-	if err := k.match(r); err != nil {
+	if err := sc.match(r); err != nil {
 		return err
 	}
 	body, err := readBody(c, maxServiceBody)
 	if err != nil {
 		return err
 	}
-	k.body = body
-	k.query = r.URL.RawQuery
-	k.typ = r.Header.Get("Content-Type")
-	k.accept = r.Header.Get("Accept")
-	k.key = r.Header.Get(wire.HeaderIdempotencyKey)
-	if len(k.key) > maxKeyLength {
+	sc.body = body
+	sc.query = r.URL.RawQuery
+	sc.contentType = r.Header.Get("Content-Type")
+	sc.accept = r.Header.Get("Accept")
+	sc.idempotencyKey = r.Header.Get(wire.HeaderIdempotencyKey)
+	if len(sc.idempotencyKey) > maxKeyLength {
 		return httperr.BadRequest(wire.HeaderIdempotencyKey + " is too long")
 	}
-	if !k.route.Idempotent && k.key == "" {
+	if !sc.route.Idempotent && sc.idempotencyKey == "" {
 		return apierr.New(apierr.CodeKeyMissing, http.StatusBadRequest,
 			"this call is not idempotent and needs "+wire.HeaderIdempotencyKey)
 	}
 	if r.Header.Get(wire.HeaderPriority) == "" {
-		return k.defaultClass()
+		return sc.setRouteClass()
 	}
 	return nil
 }
 
-// match finds the declared route. Only its own encoding of the path goes
-// upstream, never the caller's.
-func (k *call) match(r *http.Request) error {
+// match finds the declared route. Only the route's own encoding of the path is
+// sent upstream, never the caller's.
+func (sc *serviceCall) match(r *http.Request) error {
 	rest := strings.TrimPrefix(r.URL.EscapedPath(), wire.PathServices)
 	name, path, _ := strings.Cut(rest, "/")
-	svc, ok := k.who.config.Service(name)
-	if !ok || !k.who.account.MayCall(name) {
+	svc, ok := sc.caller.config.Service(name)
+	if !ok || !sc.caller.account.MayCall(name) {
 		return apierr.New(apierr.CodeNotFound, http.StatusNotFound, "no such service")
 	}
 	route, err := svc.Match(r.Method, "/"+path)
@@ -127,165 +129,166 @@
 	case err != nil:
 		return apierr.New(apierr.CodeNotFound, http.StatusNotFound, "no such route").WithCause(err)
 	}
-	k.service = svc
-	k.route = route
+	sc.service = svc
+	sc.route = route
 	return nil
 }
 
-func (k *call) defaultClass() error {
-	class, err := queue.ParseClass(k.route.Priority)
+func (sc *serviceCall) setRouteClass() error {
+	class, err := queue.ParseClass(sc.route.Priority)
 	if err != nil {
 		return nil
 	}
-	highest, err := queue.ParseClass(k.who.account.MaxPriority)
+	highest, err := queue.ParseClass(sc.caller.account.MaxPriority)
 	if err != nil {
 		highest = queue.Normal
 	}
-	k.who.class = max(class, highest)
+	sc.caller.class = max(class, highest)
 	return nil
 }
 
-// send sends the call, again to another VM where that is allowed and helps.
-// The error is final: it says what is known of all attempts.
-func (k *call) send(ctx context.Context, idempotent bool) (upstream.Response, *apierr.Error) {
-	tries := k.s.newAttempts(idempotent, k.who.deadline)
+// send sends the call, and retries it at another VM where that is allowed and
+// useful. Its error is final: it says what is known of all attempts.
+func (sc *serviceCall) send(ctx context.Context, idempotent bool) (upstream.Response, *apierr.Error) {
+	attempts := sc.s.newAttemptTracker(idempotent, sc.caller.deadline)
 	for {
-		resp, err := k.attempt(ctx)
+		resp, err := sc.attempt(ctx)
 		if err == nil {
 			return resp, nil
 		}
-		if final := tries.after(ctx, err); final != nil {
-			return resp, final
+		if refusal := attempts.handleFailure(ctx, err); refusal != nil {
+			return resp, refusal
 		}
 	}
 }
 
-// once sends a non-idempotent call under a claim: the claim is in the table
-// service before the first byte leaves, and nobody else ever takes it over.
-func (k *call) once(ctx context.Context) (upstream.Response, error) {
-	out, err := k.s.Claims.Begin(ctx, claim.Key{
-		Account:        k.who.account.Name,
-		IdempotencyKey: k.key,
-		Service:        k.service.Name,
-		Deduplicates:   k.service.Deduplicates,
-	}, claim.HashBody(k.fingerprint()))
+// sendOnce sends a non-idempotent call under a claim. The claim is in the table
+// service before the first byte is sent, and nobody else ever takes it over.
+func (sc *serviceCall) sendOnce(ctx context.Context) (upstream.Response, error) {
+	outcome, err := sc.s.Claims.Begin(ctx, claim.Key{
+		Account:        sc.caller.account.Name,
+		IdempotencyKey: sc.idempotencyKey,
+		Service:        sc.service.Name,
+		Deduplicates:   sc.service.Deduplicates,
+	}, claim.HashBody(sc.fingerprint()))
 	if err != nil {
-		return upstream.Response{}, claimRefusal(err)
+		return upstream.Response{}, claimError(err)
 	}
-	if out.Kind == claim.Answered {
-		k.s.metrics.repeated.Add(1)
-		return upstream.Response(out.Answer), nil
+	if outcome.Kind == claim.Answered {
+		sc.s.metrics.responsesRepeated.Add(1)
+		return upstream.Response(outcome.Answer), nil
 	}
-	if err := out.Err(); err != nil {
-		return upstream.Response{}, claimRefusal(err)
+	if err := outcome.Err(); err != nil {
+		return upstream.Response{}, claimError(err)
 	}
-	k.s.metrics.claimsRun.Add(1)
-	return k.run(ctx, out.Claim)
+	sc.s.metrics.claimsExecuted.Add(1)
+	return sc.executeClaimed(ctx, outcome.Claim)
 }
 
-// fingerprint is what must be equal when a key is used again: method, path,
-// query and body.
-func (k *call) fingerprint() []byte {
-	head := k.route.Route.Method + " " + k.service.Name + k.route.Path + "?" + k.query + "\n"
-	return append([]byte(head), k.body...)
+// fingerprint returns what must be equal when a key is used again: method,
+// service, path, query and body.
+func (sc *serviceCall) fingerprint() []byte {
+	requestLine := sc.route.Route.Method + " " + sc.service.Name + sc.route.Path + "?" + sc.query + "\n"
+	return append([]byte(requestLine), sc.body...)
 }
 
-// run executes a claimed call and records how it ended. It is sent again only
-// where an attempt provably did not run, or the service recognises repetitions.
-func (k *call) run(ctx context.Context, c *claim.Claim) (upstream.Response, error) {
-	resp, refused := k.send(ctx, k.service.Deduplicates)
+// executeClaimed executes a claimed call and records how it ended. The call is
+// sent again only if an attempt provably did not run, or if the service
+// recognises repetitions.
+func (sc *serviceCall) executeClaimed(ctx context.Context, c *claim.Claim) (upstream.Response, error) {
+	resp, refusal := sc.send(ctx, sc.service.Deduplicates)
 	switch {
-	case refused == nil:
-		k.record(ctx, func(ctx context.Context) error { return k.s.Claims.Finish(ctx, c, claim.Answer(resp)) })
+	case refusal == nil:
+		sc.record(ctx, func(ctx context.Context) error { return sc.s.Claims.Finish(ctx, c, claim.Answer(resp)) })
 		return resp, nil
-	case refused.Ran == apierr.RanNo:
-		k.record(ctx, func(ctx context.Context) error { return k.s.Claims.Refused(ctx, c) })
-		return resp, refused
+	case refusal.Ran == apierr.RanNo:
+		sc.record(ctx, func(ctx context.Context) error { return sc.s.Claims.Refused(ctx, c) })
+		return resp, refusal
 	}
-	k.record(ctx, func(ctx context.Context) error { return k.s.Claims.MarkUnknown(ctx, c) })
-	return resp, outcomeUnknown(refused)
+	sc.record(ctx, func(ctx context.Context) error { return sc.s.Claims.MarkUnknown(ctx, c) })
+	return resp, outcomeUnknownError(refusal)
 }
 
-// attempt asks for a grant and sends the call once.
-func (k *call) attempt(ctx context.Context) (upstream.Response, error) {
-	g, err := k.admit(ctx)
+// attempt acquires a grant and sends the call once.
+func (sc *serviceCall) attempt(ctx context.Context) (upstream.Response, error) {
+	grant, err := sc.admit(ctx)
 	if err != nil {
 		return upstream.Response{}, err
 	}
-	defer g.Release()
-	if !k.route.Idempotent {
-		// Once it is sent, the call runs to its end although the caller may be
-		// gone: cutting it would leave the outcome unknown, while its recorded
-		// answer is there when the caller comes back with the key.
+	defer grant.Release()
+	if !sc.route.Idempotent {
+		// Once sent, the call continues although the caller may have
+		// disconnected. Aborting it would leave the outcome unknown, while its
+		// recorded response is there when the caller retries with the key.
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(context.WithoutCancel(ctx), onceTimeout)
+		ctx, cancel = context.WithTimeout(context.WithoutCancel(ctx), nonIdempotentTimeout)
 		defer cancel()
 	}
-	resp, err := k.s.Upstream.Do(ctx, k.upstreamCall(g))
+	resp, err := sc.s.Upstream.Do(ctx, sc.upstreamCall(grant))
 	if err != nil && ctx.Err() == nil {
-		k.avoid = append(k.avoid, g.Engine.ID)
-		k.s.Admitter.Observe(g.Engine.Name, admission.Observation{Kind: outlier.Failure})
+		sc.excluded = append(sc.excluded, grant.Engine.ID)
+		sc.s.Admitter.Observe(grant.Engine.Name, admission.Observation{Kind: outlier.Failure})
 	}
 	return resp, err
 }
 
-// admit waits for the right to send one attempt to one VM of the service.
-func (k *call) admit(ctx context.Context) (*admission.Grant, error) {
-	pool, ok := k.who.config.Pool(k.service.Pool)
+// admit waits for a grant to send one attempt to one VM of the service.
+func (sc *serviceCall) admit(ctx context.Context) (*admission.Grant, error) {
+	pool, ok := sc.caller.config.Pool(sc.service.Pool)
 	if !ok {
 		return nil, apierr.New(apierr.CodeNoUpstream, http.StatusServiceUnavailable, "the service has no pool here").
 			WithRetryAfter(time.Second)
 	}
-	return k.s.Admitter.Admit(ctx, &admission.Request{
+	return sc.s.Admitter.Admit(ctx, &admission.Request{
 		ID:       uuid.NewString(),
-		Account:  k.who.account,
-		Class:    k.who.class,
+		Account:  sc.caller.account,
+		Class:    sc.caller.class,
 		Pools:    []*config.Pool{pool},
-		Deadline: k.who.deadline,
+		Deadline: sc.caller.deadline,
 		Place:    placement.Request{OutputTokens: 1},
-		Avoid:    k.avoid,
+		Avoid:    sc.excluded,
 	})
 }
 
-// upstreamCall is the attempt that g allows.
-func (k *call) upstreamCall(g *admission.Grant) upstream.Call {
+// upstreamCall returns the call that grant allows.
+func (sc *serviceCall) upstreamCall(grant *admission.Grant) upstream.Call {
 	return upstream.Call{
-		Address:        g.Engine.Address,
-		Name:           g.Engine.Name,
-		Incarnation:    g.Incarnation,
-		RequestID:      g.ID,
-		Method:         k.route.Route.Method,
-		Path:           k.route.Path,
-		Query:          k.query,
-		ContentType:    k.typ,
-		Accept:         k.accept,
-		IdempotencyKey: k.upstreamKey(),
-		Idempotent:     k.route.Idempotent,
-		Body:           k.body,
+		Address:        grant.Engine.Address,
+		Name:           grant.Engine.Name,
+		Incarnation:    grant.Incarnation,
+		RequestID:      grant.ID,
+		Method:         sc.route.Route.Method,
+		Path:           sc.route.Path,
+		Query:          sc.query,
+		ContentType:    sc.contentType,
+		Accept:         sc.accept,
+		IdempotencyKey: sc.upstreamKey(),
+		Idempotent:     sc.route.Idempotent,
+		Body:           sc.body,
 	}
 }
 
-// upstreamKey is the idempotency key as the service sees it. The account is
-// part of it: a service that recognises repeated keys would otherwise give one
-// account the answer of another that chose the same key.
-func (k *call) upstreamKey() string {
-	if k.key == "" {
+// upstreamKey returns the idempotency key for the service. It includes the
+// account: a service that recognises repeated keys would otherwise give one
+// account the response of another that chose the same key.
+func (sc *serviceCall) upstreamKey() string {
+	if sc.idempotencyKey == "" {
 		return ""
 	}
-	return k.who.account.Name + "/" + k.key
+	return sc.caller.account.Name + "/" + sc.idempotencyKey
 }
 
-func outcomeUnknown(cause error) *apierr.Error {
+func outcomeUnknownError(cause error) *apierr.Error {
 	return apierr.New(apierr.CodeOutcomeUnknown, http.StatusBadGateway,
 		"the request was sent and its outcome is not known; do not repeat it under another key").
 		WithRan(apierr.RanUnknown).WithCause(cause)
 }
 
-// claimRefusal translates a claim's errors.
-func claimRefusal(err error) error {
-	var notRun *claim.NotRunError
+// claimError translates the errors of a claim.
+func claimError(err error) error {
+	var notExecuted *claim.NotRunError
 	switch {
-	case errors.As(err, &notRun):
+	case errors.As(err, &notExecuted):
 		return apierr.New(apierr.CodeStoreDown, http.StatusServiceUnavailable,
 			"the claim could not be recorded; come back with the same key").
 			WithRetryAfter(storeRetryAfter).WithCause(err)
