--- a/internal/serve/board/board.go
+++ b/internal/serve/board/board.go
@@ -1,9 +1,8 @@
-// Package board is the blackboard that controllers read and write.
+// Package board holds the control state of one router: what its controllers know of the fleet.
 //
-// One goroutine owns the control state. Controllers send it changes; after
-// each batch of changes it publishes an immutable Snapshot, which traffic
-// goroutines read without locks. Nothing reachable from a published Snapshot
-// is ever written again.
+// One goroutine owns the control state. Controllers send it changes; after each batch of changes it
+// publishes an immutable Snapshot, which request goroutines read without locks. Nothing reachable
+// from a published Snapshot may be written again.
 package board
 
 import (
@@ -17,105 +16,109 @@
 	"damaskrouter.example/damaskrouter/internal/store/config"
 )
 
-// Router is one router as this one sees it.
+// Router is another router, or this one, as this router knows it.
 type Router struct {
 	Name string
 	// ID is the rendezvous identity of Name.
 	ID uint64
-	// Instance is random and tells a router's restarts apart.
+	// Instance is a random number that differs after a restart of the router.
 	Instance uint64
-	// Address is where callers connect, Control where routers do.
+	// Address is the host and port that callers connect to, Control the one that routers connect
+	// to.
 	Address string
 	Control string
 	Site    string
-	// Region is that of Site, by the configuration in force; snapshots have it.
+	// Region is the region of Site in the active configuration. It is only set in snapshots.
 	Region  string
 	Leaving bool
-	// ConfigVersion is the configuration the router last said it has in force.
+	// ConfigVersion is the version of the active configuration that the router last reported.
 	ConfigVersion uint64
 }
 
-// Engine is one engine or one VM of a plain service.
+// Engine is an engine, or a VM of a service without a model.
 type Engine struct {
 	Name string
 	// ID is the rendezvous identity of Name.
 	ID uint64
-	// Generation is the platform's count of uses of the name and the address.
+	// Generation is the platform's count of reuses of the name and the address.
 	Generation uint64
 	Address    string
 	Site       string
-	// Region is the region of Site, by the configuration in force.
+	// Region is the region of Site in the active configuration.
 	Region string
 	Pool   string
 	Kind   string
-	// Leaving holds once any witness said so, for this generation.
+	// Leaving is set once any source reported that this generation is draining, and is never reset.
 	Leaving bool
-	// Status is the engine's last report, as its owner passed it on.
+	// Status is the report that last changed the incarnation, model, version or draining state,
+	// without request IDs.
 	Status wire.EngineStatus
-	// Known is set once a report of this generation has arrived.
+	// Known is set once a report of this generation was received.
 	Known bool
-	// Since is when this router first saw this incarnation, for the ramp.
-	Since time.Time
-	// Joined is set for an engine that came after this router had a complete view.
+	// FirstSeen is the time when this router first saw this generation.
+	FirstSeen time.Time
+	// Joined is set for an engine that appeared after this router had read the first complete list.
 	Joined bool
 }
 
-// State is the control state. Only the board's goroutine touches it.
+// State is the control state. Only the board's goroutine may access it.
 type State struct {
-	// Config is what is in force; nil until the first version has arrived.
+	// Config is the active configuration, or nil until the first version was received.
 	Config *config.Effective
 	// ConfigVersion is the version of Config.
 	ConfigVersion uint64
-	// Routers are the live and leaving routers, by name.
+	// Routers are the live and draining routers by name.
 	Routers map[string]Router
-	// Engines are the engines and service VMs, by name.
+	// Engines are the engines and service VMs by name.
 	Engines map[string]Engine
-	// Draining is set once this router is to stop.
+	// Draining is set once this router is shutting down.
 	Draining bool
 }
 
-// Group is the members of one pool in one region, in the order of their
-// names. The load bound holds within a group: the sites of a region are half a
-// millisecond apart, regions may lose each other.
+// Group is the engines of one pool in one region, sorted by name. The load bound applies within a
+// group, because sites of a region are half a millisecond apart, while the network between regions
+// can fail.
 type Group struct {
 	Pool    string
 	Region  string
 	Engines []Engine
-	// IDs are the engines' rendezvous identities, index for index.
+	// IDs are the rendezvous identities of Engines, index for index.
 	IDs []uint64
-	// Owners are the indexes in Snapshot.Routers of the engines' owners, or -1.
+	// Owners are the indexes in Snapshot.Routers of the engines' owners, or -1 for an engine
+	// without an owner.
 	Owners []int
 }
 
 // Snapshot is an immutable view of the control state.
 type Snapshot struct {
-	// Revision counts published snapshots.
+	// Revision counts the published snapshots.
 	Revision      uint64
 	Self          string
 	Config        *config.Effective
 	ConfigVersion uint64
-	// Routers are in the order of their names; RouterIDs match them.
+	// Routers are sorted by name.
 	Routers []Router
-	// Live are the routers that may own something: not leaving.
+	// Live are the routers that may own accounts, engines and duties: those that are not draining.
+	// LiveIDs are their rendezvous identities, index for index.
 	Live     []Router
 	LiveIDs  []uint64
 	Engines  map[string]Engine
 	Draining bool
 
-	groups    map[groupKey]*Group
-	byName    map[string]int
-	engineID  map[uint64]string
-	ownership *ownership
+	groups        map[groupKey]*Group
+	routerIndexes map[string]int
+	engineNames   map[uint64]string
+	ownership     *ownership
 }
 
 type groupKey struct{ pool, region string }
 
-// Group returns the members of pool in region, or nil.
+// Group returns the engines of a pool in a region, or nil.
 func (s *Snapshot) Group(pool, region string) *Group {
 	return s.groups[groupKey{pool, region}]
 }
 
-// Groups returns all groups in a stable order.
+// Groups returns all groups, sorted by pool and region.
 func (s *Snapshot) Groups() []*Group {
 	out := make([]*Group, 0, len(s.groups))
 	for _, g := range s.groups {
@@ -130,27 +133,27 @@
 	return out
 }
 
-// Router finds a router by name.
+// Router returns the router with the given name.
 func (s *Snapshot) Router(name string) (Router, bool) {
-	i, ok := s.byName[name]
+	i, ok := s.routerIndexes[name]
 	if !ok {
 		return Router{}, false
 	}
 	return s.Routers[i], true
 }
 
-// EngineByID finds an engine by its rendezvous identity.
+// EngineByID returns the engine with the given rendezvous identity.
 func (s *Snapshot) EngineByID(id uint64) (Engine, bool) {
-	name, ok := s.engineID[id]
+	name, ok := s.engineNames[id]
 	if !ok {
 		return Engine{}, false
 	}
 	return s.Engines[name], true
 }
 
-// EngineOwner returns the live router that owns an engine. Engines are few and
-// carry the traffic, so they are spread evenly; see ownership. An engine that is
-// not in the snapshot has no owner.
+// EngineOwner returns the live router that owns an engine, or false for an engine that is not in
+// the snapshot. Engines are few and carry the traffic, so that ownership spreads them evenly
+// instead of by plain rendezvous hashing.
 func (s *Snapshot) EngineOwner(id uint64) (Router, bool) {
 	i, ok := s.ownership.owners[id]
 	if !ok || i == rendezvous.NoOwner {
@@ -159,8 +162,8 @@
 	return s.Live[i], true
 }
 
-// Owner returns the live router that owns an account or a duty, by plain
-// rendezvous hashing; for engines see EngineOwner.
+// Owner returns the live router that owns an account or a duty, by plain rendezvous hashing. For
+// engines see EngineOwner.
 func (s *Snapshot) Owner(key uint64) (Router, bool) {
 	i := rendezvous.Owner(key, s.LiveIDs)
 	if i < 0 {
@@ -169,8 +172,8 @@
 	return s.Live[i], true
 }
 
-// Rank returns the place of this router in the rendezvous order for a duty,
-// 0 for the first, or -1 for a router that may not own anything.
+// Rank returns the position of this router in the rendezvous order for a duty, with 0 for the
+// first, or -1 if this router may not own anything.
 func (s *Snapshot) Rank(duty uint64) int {
 	order := rendezvous.Order(nil, duty, s.LiveIDs)
 	for rank, i := range order {
@@ -183,70 +186,70 @@
 
 // Board owns the control state of one router.
 type Board struct {
-	self    string
-	changes chan change
-	current atomic.Pointer[Snapshot]
-	stopped chan struct{}
-	subs    atomic.Pointer[[]func(*Snapshot)]
+	self        string
+	changes     chan change
+	current     atomic.Pointer[Snapshot]
+	stopped     chan struct{}
+	subscribers atomic.Pointer[[]func(*Snapshot)]
 }
 
-// changeBacklog is how many changes may wait; a controller that is faster
-// than the board waits, it does not lose changes.
+// changeBacklog bounds the queued changes. A controller that sends changes faster than the board
+// applies them blocks; no change is lost.
 const changeBacklog = 256
 
-// change is one controller's write; done, if set, is closed once the write
-// is part of a published snapshot.
+// change is a change by a controller. done, if set, is closed once the change is part of a
+// published snapshot.
 type change struct {
 	apply func(*State)
 	done  chan struct{}
 }
 
-// New returns a Board; Run must be called before Update has an effect.
+// New returns a Board. Updates are applied only while Run executes.
 func New(self string) *Board {
 	b := &Board{self: self, changes: make(chan change, changeBacklog), stopped: make(chan struct{})}
-	b.current.Store(snapshot(self, &State{}, 0, nil))
+	b.current.Store(newSnapshot(self, &State{}, 0, nil))
 	return b
 }
 
-// Snapshot returns the newest published view.
+// Snapshot returns the last published snapshot.
 func (b *Board) Snapshot() *Snapshot { return b.current.Load() }
 
-// Subscribe adds f, which is called from the board's goroutine after each
-// published snapshot; it must not block. Subscribe before Run.
+// Subscribe adds a function that is called on the board's goroutine after each published snapshot.
+// It must not block, and must be added before Run is called.
 func (b *Board) Subscribe(f func(*Snapshot)) {
-	var fs []func(*Snapshot)
-	if old := b.subs.Load(); old != nil {
-		fs = append(fs, *old...)
+	var added []func(*Snapshot)
+	if current := b.subscribers.Load(); current != nil {
+		added = append(added, *current...)
 	}
-	fs = append(fs, f)
-	b.subs.Store(&fs)
+	added = append(added, f)
+	b.subscribers.Store(&added)
 }
 
-// Update hands a change to the board's goroutine. It returns once the change
-// is queued, or when the board has stopped.
+// Update queues a change for the board's goroutine. It returns once the change is queued, or when
+// the board has stopped.
 func (b *Board) Update(apply func(*State)) {
-	b.send(change{apply: apply})
+	b.enqueue(change{apply: apply})
 }
 
-// UpdateWait is Update, but returns only after the change is in a published
-// snapshot, or when the board has stopped.
+// UpdateWait queues a change and returns once it is part of a published snapshot, or when the board
+// has stopped.
 func (b *Board) UpdateWait(apply func(*State)) {
 	c := change{apply: apply, done: make(chan struct{})}
-	b.send(c)
+	b.enqueue(c)
 	select {
 	case <-c.done:
 	case <-b.stopped:
 	}
 }
 
-func (b *Board) send(c change) {
+func (b *Board) enqueue(c change) {
 	select {
 	case b.changes <- c:
 	case <-b.stopped:
 	}
 }
 
-// Run owns the state until ctx ends.
+// Run applies changes and publishes snapshots until ctx ends.
 func (b *Board) Run(ctx context.Context) {
 	defer close(b.stopped)
 	st := &State{Routers: make(map[string]Router), Engines: make(map[string]Engine)}
@@ -256,32 +259,33 @@
 		case <-ctx.Done():
 			return
 		case c := <-b.changes:
-			batch := b.batch(c)
+			batch := b.collectBatch(c)
 			for _, c := range batch {
 				c.apply(st)
 			}
 			revision++
-			b.publish(snapshot(b.self, st, revision, b.Snapshot()))
-			release(batch)
+			b.publish(newSnapshot(b.self, st, revision, b.Snapshot()))
+			closeDone(batch)
 		}
 	}
 }
 
-// batch takes what else is waiting, so that a burst costs one snapshot.
-func (b *Board) batch(first change) []change {
-	all := []change{first}
-	for len(all) < changeBacklog {
+// collectBatch returns the first change and all that are queued after it, so that a burst of
+// changes costs one snapshot.
+func (b *Board) collectBatch(first change) []change {
+	batch := []change{first}
+	for len(batch) < changeBacklog {
 		select {
 		case c := <-b.changes:
-			all = append(all, c)
+			batch = append(batch, c)
 		default:
-			return all
+			return batch
 		}
 	}
-	return all
+	return batch
 }
 
-func release(batch []change) {
+func closeDone(batch []change) {
 	for _, c := range batch {
 		if c.done != nil {
 			close(c.done)
@@ -291,11 +295,11 @@
 
 func (b *Board) publish(s *Snapshot) {
 	b.current.Store(s)
-	subs := b.subs.Load()
-	if subs == nil {
+	subscribers := b.subscribers.Load()
+	if subscribers == nil {
 		return
 	}
-	for _, f := range *subs {
+	for _, f := range *subscribers {
 		f(s)
 	}
 }
--- a/internal/serve/board/holder.go
+++ b/internal/serve/board/holder.go
@@ -5,21 +5,21 @@
 	"strings"
 )
 
-// holderMark stands between a router's name and its instance.
-const holderMark = "#"
+// holderSeparator separates a router's name from its instance.
+const holderSeparator = "#"
 
-// HolderName names a router as a holder of permits and of shares of accounts'
-// limits. A restarted router has another name: it holds nothing of what its
+// HolderName returns the name of a router instance as a holder of permits and of shares of
+// accounts' limits. A restarted router has another name, because it holds nothing of what its
 // former process held.
 func HolderName(router string, instance uint64) string {
-	return router + holderMark + strconv.FormatUint(instance, 36)
+	return router + holderSeparator + strconv.FormatUint(instance, 36)
 }
 
-// HolderName is the router's name as a holder.
+// HolderName returns the router's name as a holder.
 func (r *Router) HolderName() string { return HolderName(r.Name, r.Instance) }
 
-// RouterOfHolder returns the name of the router behind a holder's name.
+// RouterOfHolder returns the name of the router that a holder's name belongs to.
 func RouterOfHolder(holder string) string {
-	name, _, _ := strings.Cut(holder, holderMark)
+	name, _, _ := strings.Cut(holder, holderSeparator)
 	return name
 }
--- a/internal/serve/board/ownership.go
+++ b/internal/serve/board/ownership.go
@@ -7,23 +7,23 @@
 	"damaskrouter.example/damaskrouter/internal/decide/rendezvous"
 )
 
-// ownerLoadFactor bounds the engines of one router as a multiple of the mean.
-// With many small pools it keeps their left-over engines from meeting at the
-// same routers; a tighter bound moves more engines when one comes or goes.
+// ownerLoadFactor bounds the engines of one router as a multiple of the mean. It keeps the
+// remainders of many small pools from accumulating at the same routers. A tighter bound moves more
+// engines when a router or an engine is added or removed.
 const ownerLoadFactor = 1.5
 
-// ownership says which live router owns each engine. It is computed by every
-// router for itself from the live routers and the engines of each group, so
-// routers whose views differ may disagree; the permit books allow for that.
+// ownership is the mapping of engines to the live routers that own them. Each router computes it
+// from the live routers and the engines of each group. Routers with different views of the fleet
+// may disagree; the permit books allow for that.
 //
-// It is computed anew only when one of the two changed: most snapshots are
-// published for other reasons, and it costs milliseconds in a large fleet.
+// It is computed again only if one of these inputs has changed, because most snapshots are
+// published for other reasons and the computation takes milliseconds in a large fleet.
 type ownership struct {
 	live []uint64
-	// regions are those of the live routers, index for index.
+	// regions are the regions of the live routers, index for index.
 	regions []string
 	groups  []ownedGroup
-	// owners are indexes in live by the engine's identity.
+	// owners are indexes in live by the engine's rendezvous identity.
 	owners map[uint64]int
 }
 
@@ -37,9 +37,9 @@
 	return g.region == o.region && slices.Equal(g.ids, o.ids)
 }
 
-// ownersOf returns the ownership for a snapshot, which is old itself where
-// nothing that it depends on has changed. old may be nil.
-func ownersOf(s *Snapshot, old *ownership) *ownership {
+// computeOwnership returns the ownership for a snapshot. It returns previous, which may be nil, if
+// nothing that ownership depends on has changed.
+func computeOwnership(s *Snapshot, previous *ownership) *ownership {
 	o := &ownership{live: s.LiveIDs}
 	for _, r := range s.Live {
 		o.regions = append(o.regions, r.Region)
@@ -47,8 +47,8 @@
 	for _, g := range s.Groups() {
 		o.groups = append(o.groups, ownedGroup{region: g.Region, ids: g.IDs})
 	}
-	if old != nil && old.sameInput(o) {
-		return old
+	if previous != nil && previous.sameInput(o) {
+		return previous
 	}
 	o.assign()
 	return o
@@ -59,8 +59,8 @@
 		slices.EqualFunc(o.groups, other.groups, ownedGroup.equal)
 }
 
-// assign spreads each group over the live routers of its region. A pool's
-// engines go to different routers first, since their traffic rises together.
+// assign spreads each group over the live routers of its region. The engines of a pool go to
+// different routers as far as possible, because their traffic rises together.
 func (o *ownership) assign() {
 	o.owners = make(map[uint64]int)
 	byRegion := make(map[string]*candidates)
@@ -72,7 +72,7 @@
 		}
 		for i, owner := range rendezvous.Spread(nil, g.ids, c.ids, c.load, c.limit) {
 			if owner >= 0 {
-				o.owners[g.ids[i]] = c.at[owner]
+				o.owners[g.ids[i]] = c.indexes[owner]
 			}
 		}
 	}
@@ -81,19 +81,18 @@
 // candidates are the routers that may own the engines of one region.
 type candidates struct {
 	ids []uint64
-	// at are the routers' indexes in ownership.live.
-	at []int
-	// load is the number of engines that each has been given.
+	// indexes are the routers' indexes in ownership.live.
+	indexes []int
+	// load is the number of engines that each router has been assigned.
 	load []int
-	// limit is the number of engines from which a router gets no left-over ones.
+	// limit is the number of engines from which on a router is assigned none of a pool's remainder.
 	limit int
 }
 
-// candidates lists the live routers of a region, or all where it has none.
+// candidates returns the live routers of a region, or all live routers if the region has none.
 //
-// An engine's owner in another region would be a message across regions for
-// each permit, and none at all while the regions have lost each other: one
-// would notice that half of a region's engines get no work then.
+// With an owner in another region, each permit would cost a message between regions. While the
+// network between regions fails, half of a region's engines would get no requests at all.
 func (o *ownership) candidates(region string) *candidates {
 	c := &candidates{}
 	for i, id := range o.live {
@@ -111,9 +110,9 @@
 	return c
 }
 
-func (c *candidates) add(id uint64, at int) {
+func (c *candidates) add(id uint64, index int) {
 	c.ids = append(c.ids, id)
-	c.at = append(c.at, at)
+	c.indexes = append(c.indexes, index)
 }
 
 func (o *ownership) limit(region string, routers int) int {
--- a/internal/serve/board/ownership_test.go
+++ b/internal/serve/board/ownership_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOwnershipIsKeptAcrossUnrelatedUpdates checks that only a change of the
-// live routers or of the engines costs a new assignment.
-func TestOwnershipIsKeptAcrossUnrelatedUpdates(t *testing.T) {
+// Guards against a new assignment for each published snapshot: only a change of the live routers or
+// of the engines may cause one.
+func TestUnrelatedUpdatesDoNotRecomputeOwnership(t *testing.T) {
 	b := New("r0")
 	go b.Run(t.Context())
 	_, ok := b.Snapshot().EngineOwner(rendezvous.ID("e0"))
@@ -53,11 +53,9 @@
 	}
 }
 
-// Symptom: while two regions have lost each other, half of the engines of each
-// get no work.
-// Sequence: the regions are cut; routers ask for permits.
-// Cause: an engine's owner was any live router, in whichever region.
-func TestEnginesAreOwnedInTheirRegion(t *testing.T) {
+// Guards against engines that get no requests while the network between two regions fails: their
+// owners must be routers of their own region, so that permits need no messages between regions.
+func TestEngineOwnerIsInRegionOfEngine(t *testing.T) {
 	b := New("a0")
 	go b.Run(t.Context())
 	doc := &config.Document{Sites: []config.Site{{Name: "sa", Region: "a"}, {Name: "sb", Region: "b"}, {Name: "sc", Region: "c"}}}
@@ -75,7 +73,7 @@
 	})
 	for _, e := range b.Snapshot().Engines {
 		owner, ok := b.Snapshot().EngineOwner(e.ID)
-		require.True(t, ok, "an engine in a region without routers is owned all the same")
+		require.True(t, ok, "engine in a region without routers has no owner")
 		if e.Name != "far" {
 			require.Equal(t, e.Region, owner.Region)
 		}
@@ -88,7 +86,7 @@
 	live   []uint64
 }
 
-func idsFrom(rng *rand.Rand, n int) []uint64 {
+func randomIDs(rng *rand.Rand, n int) []uint64 {
 	ids := make([]uint64, n)
 	for i := range ids {
 		ids[i] = rng.Uint64()
@@ -96,12 +94,12 @@
 	return ids
 }
 
-// withFirst is the fleet with other engines in its first group.
-func (f fleet) withFirst(ids []uint64) fleet {
+// withFirstGroup returns the fleet with other engines in its first group.
+func (f fleet) withFirstGroup(ids []uint64) fleet {
 	return fleet{append([][]uint64{ids}, f.groups[1:]...), f.live}
 }
 
-// owners maps each engine to its owner's identity.
+// owners returns each engine's owner by rendezvous identity.
 func (f fleet) owners() map[uint64]uint64 {
 	o := &ownership{live: f.live, regions: make([]string, len(f.live))}
 	for _, ids := range f.groups {
@@ -115,7 +113,7 @@
 	return out
 }
 
-// movedShare is the share of the engines in both views whose owner differs.
+// movedShare returns the share of the engines in both mappings whose owner differs.
 func movedShare(a, b map[uint64]uint64) float64 {
 	both, moved := 0, 0
 	for engine, owner := range a {
@@ -130,14 +128,14 @@
 	return float64(moved) / float64(both)
 }
 
-// TestOwnershipMovesLittle bounds what one change moves by the measured means,
-// rounded up. docs/DECISIONS.md has what it logs.
-func TestOwnershipMovesLittle(t *testing.T) {
+// Guards against a change of one router or engine that moves many engines to other owners. The
+// bounds are measured means, rounded up; docs/DECISIONS.md lists the logged values.
+func TestChangeOfOneNodeMovesFewEngines(t *testing.T) {
 	manySmall := append(slices.Repeat([]int{39}, 14), slices.Repeat([]int{38}, 8)...)
 	for _, c := range []struct {
-		sizes                    []int
-		routers, seeds, most     int
-		routerMoves, engineMoves float64
+		sizes                      []int
+		routers, seeds, maxEngines int
+		routerMoves, engineMoves   float64
 	}{
 		{[]int{9}, 6, 500, 2, 0.24, 0.11},
 		{[]int{9, 3}, 6, 500, 3, 0.23, 0.08},
@@ -149,22 +147,22 @@
 		var routerLeft, routerJoined, engineLeft, engineJoined float64
 		for seed := range c.seeds {
 			rng := rand.New(rand.NewPCG(uint64(seed), 1))
-			f := fleet{live: idsFrom(rng, c.routers)}
+			f := fleet{live: randomIDs(rng, c.routers)}
 			for _, n := range c.sizes {
-				f.groups = append(f.groups, idsFrom(rng, n))
+				f.groups = append(f.groups, randomIDs(rng, n))
 			}
 			base := f.owners()
 			count := make(map[uint64]int)
 			for _, owner := range base {
 				count[owner]++
-				require.LessOrEqual(t, count[owner], c.most)
+				require.LessOrEqual(t, count[owner], c.maxEngines)
 			}
-			require.Len(t, count, c.routers, "a router owns nothing")
+			require.Len(t, count, c.routers, "router without engines")
 			moved := func(now fleet) float64 { return movedShare(base, now.owners()) / float64(c.seeds) }
 			routerLeft += moved(fleet{f.groups, f.live[1:]})
-			routerJoined += moved(fleet{f.groups, append(idsFrom(rng, 1), f.live...)})
-			engineLeft += moved(f.withFirst(f.groups[0][1:]))
-			engineJoined += moved(f.withFirst(append(idsFrom(rng, 1), f.groups[0]...)))
+			routerJoined += moved(fleet{f.groups, append(randomIDs(rng, 1), f.live...)})
+			engineLeft += moved(f.withFirstGroup(f.groups[0][1:]))
+			engineJoined += moved(f.withFirstGroup(append(randomIDs(rng, 1), f.groups[0]...)))
 		}
 		t.Logf("%d/%d moved: router left %.4f joined %.4f, engine left %.4f joined %.4f",
 			c.sizes, c.routers, routerLeft, routerJoined, engineLeft, engineJoined)
--- a/internal/serve/board/snapshot.go
+++ b/internal/serve/board/snapshot.go
@@ -5,9 +5,9 @@
 	"sort"
 )
 
-// snapshot copies the state into an immutable view with its indexes. It takes
-// over what it can of last, the view before, which may be nil.
-func snapshot(self string, st *State, revision uint64, last *Snapshot) *Snapshot {
+// newSnapshot copies the state into an immutable snapshot with its indexes. It reuses what has not
+// changed of the previous snapshot, which may be nil.
+func newSnapshot(self string, st *State, revision uint64, previous *Snapshot) *Snapshot {
 	s := &Snapshot{
 		Revision:      revision,
 		Self:          self,
@@ -15,11 +15,11 @@
 		ConfigVersion: st.ConfigVersion,
 		Engines:       maps.Clone(st.Engines),
 		Draining:      st.Draining,
-		byName:        make(map[string]int, len(st.Routers)),
+		routerIndexes: make(map[string]int, len(st.Routers)),
 	}
 	s.addRouters(st.Routers)
 	s.addGroups()
-	s.addOwners(last)
+	s.addOwners(previous)
 	return s
 }
 
@@ -30,7 +30,7 @@
 	}
 	sort.Slice(s.Routers, func(i, j int) bool { return s.Routers[i].Name < s.Routers[j].Name })
 	for i, r := range s.Routers {
-		s.byName[r.Name] = i
+		s.routerIndexes[r.Name] = i
 		if r.Leaving {
 			continue
 		}
@@ -39,7 +39,7 @@
 	}
 }
 
-// regionOf is the region of a site by the configuration in force, or "".
+// regionOf returns the region of a site in the active configuration, or an empty string.
 func (s *Snapshot) regionOf(site string) string {
 	if s.Config == nil {
 		return ""
@@ -54,7 +54,7 @@
 
 func (s *Snapshot) addGroups() {
 	s.groups = make(map[groupKey]*Group)
-	s.engineID = make(map[uint64]string, len(s.Engines))
+	s.engineNames = make(map[uint64]string, len(s.Engines))
 	names := make([]string, 0, len(s.Engines))
 	for n := range s.Engines {
 		names = append(names, n)
@@ -66,7 +66,7 @@
 }
 
 func (s *Snapshot) addEngine(e Engine) {
-	s.engineID[e.ID] = e.Name
+	s.engineNames[e.ID] = e.Name
 	k := groupKey{e.Pool, e.Region}
 	g := s.groups[k]
 	if g == nil {
@@ -77,13 +77,13 @@
 	g.IDs = append(g.IDs, e.ID)
 }
 
-// addOwners finds the owners of the engines.
-func (s *Snapshot) addOwners(last *Snapshot) {
-	var old *ownership
-	if last != nil {
-		old = last.ownership
+// addOwners sets the owners of the engines.
+func (s *Snapshot) addOwners(previous *Snapshot) {
+	var known *ownership
+	if previous != nil {
+		known = previous.ownership
 	}
-	s.ownership = ownersOf(s, old)
+	s.ownership = computeOwnership(s, known)
 	for _, g := range s.groups {
 		for _, id := range g.IDs {
 			g.Owners = append(g.Owners, s.ownerIndex(id))
@@ -91,11 +91,11 @@
 	}
 }
 
-// ownerIndex is the index in Routers of an engine's owner, or -1.
+// ownerIndex returns the index in Routers of an engine's owner, or -1.
 func (s *Snapshot) ownerIndex(id uint64) int {
 	r, ok := s.EngineOwner(id)
 	if !ok {
 		return -1
 	}
-	return s.byName[r.Name]
+	return s.routerIndexes[r.Name]
 }
--- a/internal/serve/controller/vms.go
+++ b/internal/serve/controller/vms.go
@@ -162,7 +162,7 @@
 	if !known || e.Generation != vm.Generation {
 		// A name or an address that is used again is another engine: nothing
 		// that was known of the old one holds, its leaving included.
-		e = board.Engine{Name: vm.Name, ID: rendezvous.ID(vm.Name), Generation: vm.Generation, Since: time.Now(), Joined: joined}
+		e = board.Engine{Name: vm.Name, ID: rendezvous.ID(vm.Name), Generation: vm.Generation, FirstSeen: time.Now(), Joined: joined}
 	}
 	e.Address = vm.Address
 	e.Site = vm.Site
