--- a/internal/serve/controller/configs.go
+++ b/internal/serve/controller/configs.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	// headPeriod is how often a router whose duty it is reads the head.
-	headPeriod = time.Second
-	// headReaders is how many routers read the head; the others hear of it.
+	// headPollPeriod is the time between two reads of the head by a router that has this duty.
+	headPollPeriod = time.Second
+	// headReaders is the number of routers that read the head. The others receive it by gossip.
 	headReaders = 2
-	// coldPeriod is how often a router without any configuration tries.
-	coldPeriod     = 500 * time.Millisecond
-	configTimeout  = 2 * time.Second
-	peersPerFetch  = 2
-	fetchJitterMax = 200 * time.Millisecond
+	// initialPollPeriod replaces headPollPeriod at a router without any configuration.
+	initialPollPeriod = 500 * time.Millisecond
+	configTimeout     = 2 * time.Second
+	peersPerFetch     = 2
+	maxFetchDelay     = 200 * time.Millisecond
 )
 
-// ItemConfigHead is the kind of the broadcast that tells of a new head.
+// ItemConfigHead is the kind of the broadcast that announces a head.
 const ItemConfigHead uint8 = 1
 
-// headKey is the one key of that kind.
+// headKey is the only key of items of the kind ItemConfigHead.
 const headKey = "head"
 
-// Configs follows the configuration chain. Two routers read its head from the
-// table service, the others hear of a new one by gossip and fetch it from a
-// router that has it. A version that is in force is never taken back.
+// Configs follows the configuration chain. Two routers read its head from the table service. The
+// others receive a new head by gossip and fetch its version from a router where it is active. The
+// active version is only ever replaced by a newer one.
 type Configs struct {
 	Board  *board.Board
 	Chain  *config.Chain
@@ -43,19 +43,19 @@
 	Self string
 	Site string
 	Log  *log.Logger
-	// Announce spreads the head to the other routers.
+	// Announce broadcasts the head to the other routers.
 	Announce func(membership.Item)
-	// InForce is told of each version put in force here.
+	// InForce is called with each version that becomes active at this router. It may be nil.
 	InForce func(version uint64)
 
 	mu       sync.Mutex
 	follower *config.Follower
-	// newest is the highest head heard of, in force here or not.
+	// newest is the head with the highest version that this router knows of, active here or not.
 	newest config.Head
 	wake   chan struct{}
 }
 
-// Provision makes the controller ready to run.
+// Provision prepares the controller. It must be called once, before all other methods.
 func (c *Configs) Provision() {
 	c.follower = config.NewFollower(c.Site)
 	c.wake = make(chan struct{}, 1)
@@ -65,9 +65,9 @@
 func (c *Configs) Run(ctx context.Context) {
 	for {
 		c.step(ctx)
-		period := headPeriod
+		period := headPollPeriod
 		if c.InForceNow() == nil {
-			period = coldPeriod
+			period = initialPollPeriod
 		}
 		t := time.NewTimer(jitter(period))
 		select {
@@ -81,18 +81,18 @@
 	}
 }
 
-// Heard takes in a broadcast head.
+// Heard handles a broadcast head. Items of other kinds are ignored.
 func (c *Configs) Heard(item membership.Item) {
 	var hash config.Hash
 	if item.Kind != ItemConfigHead || len(item.Value) != len(hash) {
 		return
 	}
 	copy(hash[:], item.Value)
-	c.notice(config.Head{Version: item.Version, Hash: hash})
+	c.recordHead(config.Head{Version: item.Version, Hash: hash})
 }
 
-// notice remembers the newest head heard of and wakes the controller.
-func (c *Configs) notice(h config.Head) {
+// recordHead stores the head if it is the newest known one, and wakes Run.
+func (c *Configs) recordHead(h config.Head) {
 	c.mu.Lock()
 	newer := h.Version > c.newest.Version
 	if newer {
@@ -108,10 +108,10 @@
 	}
 }
 
-// Accepted is called by the administration API after it accepted a version
-// here, so that the fleet hears of it before the next reading of the head.
-func (c *Configs) Accepted(h config.Head) {
-	c.notice(h)
+// AnnounceAccepted announces a version that the administration API has accepted at this router, so
+// that the fleet receives it before the next read of the head.
+func (c *Configs) AnnounceAccepted(h config.Head) {
+	c.recordHead(h)
 	c.announce(h)
 }
 
@@ -129,16 +129,16 @@
 	}
 	want := c.wanted()
 	if want.Version == 0 {
-		c.learnFromPeers(ctx)
+		c.fetchUnannounced(ctx)
 		return
 	}
-	if !c.fromPeers(ctx, want) {
-		c.fromStore(ctx, want)
+	if !c.fetchFromPeers(ctx, want) {
+		c.fetchFromStore(ctx, want)
 	}
 }
 
-// readsHead says whether reading the head is this router's duty. A router
-// without any configuration reads it too: it may be alone.
+// readsHead reports whether this router reads the head. A router without any configuration reads it
+// too, because it may be the only one.
 func (c *Configs) readsHead() bool {
 	rank := c.Board.Snapshot().Rank(dutyConfig)
 	return rank < headReaders || c.InForceNow() == nil
@@ -150,11 +150,11 @@
 		c.Log.Debug("configuration head not read", "cause", err)
 		return
 	}
-	c.notice(h)
+	c.recordHead(h)
 	c.announce(h)
 }
 
-// wanted is the newest head heard of, if it is newer than what is in force.
+// wanted returns the newest known head if its version is worth fetching, or a zero head.
 func (c *Configs) wanted() config.Head {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -164,47 +164,48 @@
 	return c.newest
 }
 
-// learnFromPeers takes a version of which this router has not heard from a peer
-// that says it has it in force. A fresh router in a store outage gets its first
-// one so; it serves nothing until then. Any other router may have been missed by
-// the broadcast of a head, and would wait for a digest for ten seconds or more.
-func (c *Configs) learnFromPeers(ctx context.Context) {
-	c.fromPeers(ctx, config.Head{Version: c.unheard()})
+// fetchUnannounced fetches a version whose head was not announced to this router from a peer that
+// reports it as active. A new router gets its first version this way during an outage of the store;
+// it serves no requests until then. Any other router may have missed the broadcast of a head and
+// would otherwise wait ten seconds or more for a digest.
+func (c *Configs) fetchUnannounced(ctx context.Context) {
+	c.fetchFromPeers(ctx, config.Head{Version: c.firstUnknownVersion()})
 }
 
-// unheard is the least version that this router can't know of.
-func (c *Configs) unheard() uint64 {
+// firstUnknownVersion returns the lowest version that this router doesn't know of.
+func (c *Configs) firstUnknownVersion() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	now := c.follower.InForce()
-	if now == nil {
+	active := c.follower.InForce()
+	if active == nil {
 		return 1
 	}
-	return max(now.Version, c.newest.Version) + 1
+	return max(active.Version, c.newest.Version) + 1
 }
 
-// fromPeers asks routers that say they have the version.
-func (c *Configs) fromPeers(ctx context.Context, want config.Head) bool {
+// fetchFromPeers fetches the version or a newer one from routers that report it as active, and
+// reports whether one was offered without an error.
+func (c *Configs) fetchFromPeers(ctx context.Context, want config.Head) bool {
 	snap := c.Board.Snapshot()
-	var having []board.Router
+	var peers []board.Router
 	for _, r := range snap.Routers {
 		if r.Name != c.Self && r.ConfigVersion >= want.Version {
-			having = append(having, r)
+			peers = append(peers, r)
 		}
 	}
-	rand.Shuffle(len(having), func(i, j int) { having[i], having[j] = having[j], having[i] })
-	for _, r := range having[:min(len(having), peersPerFetch)] {
+	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
+	for _, r := range peers[:min(len(peers), peersPerFetch)] {
 		var reply ConfigReply
 		t := peer.Target{Name: r.Name, Address: r.Control}
 		err := c.Caller.Call(ctx, t, FleetService+".Config", ConfigArgs{AtLeast: want.Version}, &reply)
 		if err != nil || reply.Version < want.Version {
 			continue
 		}
-		// Noted, so that a version that is refused here is not fetched again.
-		c.notice(config.Head{Version: reply.Version, Hash: reply.Hash})
+		// The head is recorded so that a version that is rejected here is not fetched again.
+		c.recordHead(config.Head{Version: reply.Version, Hash: reply.Hash})
 		b, err := config.DecodeBundle(reply.Bundle)
 		if err != nil {
-			c.Log.Warn("configuration from peer can't be decoded", "peer", r.Name, "cause", err)
+			c.Log.Warn("configuration from peer not decoded", "peer", r.Name, "cause", err)
 			continue
 		}
 		if c.offer(reply.Version, reply.Hash, b) {
@@ -214,10 +215,10 @@
 	return false
 }
 
-// fromStore reads the version from the table service. Routers that hear of a
-// head at the same moment come a little apart, and most find a peer first.
-func (c *Configs) fromStore(ctx context.Context, want config.Head) {
-	if !c.readsHead() && !pause.For(ctx, rand.N(fetchJitterMax)) {
+// fetchFromStore reads the version from the table service. A random delay separates routers that
+// receive a head at the same time, so that most of them find a peer first.
+func (c *Configs) fetchFromStore(ctx context.Context, want config.Head) {
+	if !c.readsHead() && !pause.For(ctx, rand.N(maxFetchDelay)) {
 		return
 	}
 	v, err := c.Chain.Load(ctx, want.Version)
@@ -228,48 +229,50 @@
 	c.offer(v.Number, v.Hash, v.Bundle)
 }
 
-// offer puts a version in force if it is newer than the present one.
+// offer activates a version if it is newer than the active one. It returns false only if the
+// version was rejected.
 func (c *Configs) offer(version uint64, hash config.Hash, b config.Bundle) bool {
 	c.mu.Lock()
 	applied, err := c.follower.Offer(version, hash, b)
-	now := c.follower.InForce()
+	active := c.follower.InForce()
 	c.mu.Unlock()
 	if err != nil {
-		c.Log.Error("configuration refused", "version", version, "cause", err)
+		c.Log.Error("configuration rejected", "version", version, "cause", err)
 		return false
 	}
 	if !applied {
 		return true
 	}
 	c.Board.UpdateWait(func(s *board.State) {
-		if now.Version <= s.ConfigVersion {
+		if active.Version <= s.ConfigVersion {
 			return
 		}
-		s.Config = now.Effective
-		s.ConfigVersion = now.Version
-		SetRegions(s)
+		s.Config = active.Effective
+		s.ConfigVersion = active.Version
+		setRegions(s)
 	})
-	c.Log.Info("configuration in force", "version", now.Version, "hash", now.Hash.String())
+	c.Log.Info("configuration activated", "version", active.Version, "hash", active.Hash.String())
 	if c.InForce != nil {
-		c.InForce(now.Version)
+		c.InForce(active.Version)
 	}
 	return true
 }
 
-// InForceNow is the configuration in force here, or nil.
+// InForceNow returns the configuration that is active at this router, or nil.
 func (c *Configs) InForceNow() *config.InForce {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.follower.InForce()
 }
 
-// Current answers a router that asks for the configuration in force here.
+// Current returns the reply to a router that requests the active configuration of this one. It is
+// empty if none is active whose version is at least atLeast.
 func (c *Configs) Current(atLeast uint64) ConfigReply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f := c.follower.InForce()
-	if f == nil || f.Version < atLeast {
+	active := c.follower.InForce()
+	if active == nil || active.Version < atLeast {
 		return ConfigReply{}
 	}
-	return ConfigReply{Version: f.Version, Hash: f.Hash, Bundle: f.Bundle.Encode()}
+	return ConfigReply{Version: active.Version, Hash: active.Hash, Bundle: active.Bundle.Encode()}
 }
--- a/internal/serve/controller/configs_test.go
+++ b/internal/serve/controller/configs_test.go
@@ -21,19 +21,19 @@
 const (
 	firstBase  = "teams: [{name: t}]\nsites: [{name: s, region: r}]\n"
 	secondBase = firstBase + "models: [{name: m, versions: [v1]}]\n"
-	// unusableBase lacks the router's own site.
+	// unusableBase lacks the site of the tested router.
 	unusableBase = "teams: [{name: t}]\nsites: [{name: other, region: r}]\n"
 )
 
-// ahead is a router that has a version in force and counts who asks for it.
-type ahead struct {
-	reply ConfigReply
-	asked int
+// aheadPeer is a router with an active version that counts the requests for it.
+type aheadPeer struct {
+	reply    ConfigReply
+	requests int
 }
 
-// Config answers as Fleet does.
-func (a *ahead) Config(_ ConfigArgs, reply *ConfigReply) error {
-	a.asked++
+// Config implements the RPC method Fleet.Config.
+func (a *aheadPeer) Config(_ ConfigArgs, reply *ConfigReply) error {
+	a.requests++
 	*reply = a.reply
 	return nil
 }
@@ -43,9 +43,9 @@
 	return ConfigReply{Version: version, Hash: b.Hash(), Bundle: b.Encode()}
 }
 
-// missed is a router with version 1 in force which has not heard that another
-// one has a later version.
-func missed(t *testing.T, other *ahead) *Configs {
+// newLaggingConfigs returns the controller of a router where version 1 is active, and which has
+// received no announcement of the later version of the other router.
+func newLaggingConfigs(t *testing.T, other *aheadPeer) *Configs {
 	keys := func() []peer.FleetKey { return []peer.FleetKey{{ID: 1, Secret: []byte("0123456789abcdef")}} }
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -70,8 +70,8 @@
 		}
 	})
 	store := platformtest.New()
-	// Both are among the few routers that read the head; the store is down, so
-	// that it is not learned there.
+	// Both routers are among the few that read the head. The store is down so that this router does
+	// not learn the head from it.
 	store.SetDown(true)
 	c := &Configs{
 		Board: b, Chain: config.NewChain(store, store.Objects(), time.Now), Caller: caller,
@@ -83,28 +83,25 @@
 	return c
 }
 
-// Symptom: an accepted change is in force everywhere but at one router, for
-// ten seconds and more.
-// Sequence: the routers that spread the new head have sent it as often as they
-// may before it reached this one; its next digest is far off.
-// Cause: only a head that was heard of led to a fetch, although every packet
-// says which version its sender has in force.
-func TestRouterThatMissedTheHeadFollowsItsPeers(t *testing.T) {
-	other := &ahead{reply: replyOf(2, secondBase)}
-	c := missed(t, other)
+// Guards against an accepted change that becomes active at one router ten seconds or more after all
+// others. This happens if the broadcast of the head, which is sent a limited number of times,
+// doesn't reach the router, and its next digest is far off. The version that each packet reports
+// for its sender must be enough to start a fetch.
+func TestRouterWithoutAnnouncementFetchesFromPeers(t *testing.T) {
+	other := &aheadPeer{reply: replyOf(2, secondBase)}
+	c := newLaggingConfigs(t, other)
 	c.step(t.Context())
 	require.Equal(t, uint64(2), c.Current(0).Version)
 }
 
-// Symptom: a router fetches the same version once a second, for ever.
-// Sequence: its peers have a version that it can't use; it has not heard of
-// the head, asks for it, refuses it and asks again.
-func TestVersionThatIsRefusedIsNotFetchedAgain(t *testing.T) {
-	other := &ahead{reply: replyOf(2, unusableBase)}
-	c := missed(t, other)
+// Guards against fetching the same version once a second without end: the peers have a version that
+// this router rejects, and their head was not announced to it.
+func TestRejectedVersionIsNotFetchedAgain(t *testing.T) {
+	other := &aheadPeer{reply: replyOf(2, unusableBase)}
+	c := newLaggingConfigs(t, other)
 	for range 5 {
 		c.step(t.Context())
 	}
 	require.Equal(t, uint64(1), c.Current(0).Version)
-	require.Equal(t, 1, other.asked)
+	require.Equal(t, 1, other.requests)
 }
--- a/internal/serve/controller/engines.go
+++ b/internal/serve/controller/engines.go
@@ -14,47 +14,47 @@
 )
 
 const (
-	// statusPeriod is how often the owner asks an engine for its report.
+	// statusPeriod is the time between two requests for an engine's report.
 	statusPeriod  = time.Second
 	statusTimeout = 2 * time.Second
-	// idsEvery is how many reports pass between two that name the requests.
-	idsEvery = 3
+	// requestIDsEvery is the number of reports of which one lists the IDs of the engine's requests.
+	requestIDsEvery = 3
 )
 
-// Engines watches the engines that this router owns.
+// Engines polls the engines that this router owns for reports and cache events.
 type Engines struct {
 	Board    *board.Board
 	Upstream *upstream.Client
-	// Admission is told of the engines' loads, Facts of their caches.
+	// Admission receives the engines' loads, Facts the contents of their caches.
 	Admission *admission.Admission
 	Facts     *admission.Facts
 	Log       *log.Logger
 
 	mu sync.Mutex
-	// watching ends the watchers, by the engine's id.
-	watching map[uint64]context.CancelFunc
-	// reports are the last ones, by the engine's name.
-	reports map[string]heardReport
+	// watchers are the functions that stop the watchers, by engine ID.
+	watchers map[uint64]context.CancelFunc
+	// reports are the last reports by engine name.
+	reports map[string]receivedReport
 }
 
-// heardReport is an engine's last report and when it came.
-type heardReport struct {
+// receivedReport is an engine's last report and the time when it was received.
+type receivedReport struct {
 	status wire.EngineStatus
 	at     time.Time
-	// polls counts the reports since this router began to watch.
+	// polls is the number of reports received since this router began to watch the engine.
 	polls int
 }
 
-// Run watches until ctx ends.
+// Run polls the owned engines until ctx ends.
 func (g *Engines) Run(ctx context.Context) {
 	g.mu.Lock()
-	g.watching = make(map[uint64]context.CancelFunc)
-	g.reports = make(map[string]heardReport)
+	g.watchers = make(map[uint64]context.CancelFunc)
+	g.reports = make(map[string]receivedReport)
 	g.mu.Unlock()
-	every(ctx, statusPeriod/2, g.step)
+	runPeriodically(ctx, statusPeriod/2, g.step)
 }
 
-// step starts and ends watchers as ownership moves.
+// step starts and stops watchers when the ownership of engines changes.
 func (g *Engines) step(ctx context.Context) {
 	snap := g.Board.Snapshot()
 	owned := make(map[uint64]board.Engine)
@@ -65,26 +65,27 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for id, stop := range g.watching {
+	for id, cancel := range g.watchers {
 		if _, ok := owned[id]; !ok {
-			stop()
-			delete(g.watching, id)
-			g.forget(snap, id)
+			cancel()
+			delete(g.watchers, id)
+			g.deleteReport(snap, id)
 			g.Facts.Unfollow(id)
 		}
 	}
 	for id, e := range owned {
-		if g.watching[id] == nil {
-			wctx, stop := context.WithCancel(ctx)
-			g.watching[id] = stop
-			go every(wctx, statusPeriod, func(ctx context.Context) { g.watch(ctx, e.Name) })
+		if g.watchers[id] == nil {
+			wctx, cancel := context.WithCancel(ctx)
+			g.watchers[id] = cancel
+			go runPeriodically(wctx, statusPeriod, func(ctx context.Context) { g.watch(ctx, e.Name) })
 		}
 	}
 	g.Facts.Prune(snap)
 }
 
-// forget drops the report of an engine that is not watched any more.
-func (g *Engines) forget(snap *board.Snapshot, id uint64) {
+// deleteReport deletes the report of an engine that is no longer watched, and those of engines that
+// are not in the snapshot.
+func (g *Engines) deleteReport(snap *board.Snapshot, id uint64) {
 	for name := range g.reports {
 		if e, ok := snap.Engines[name]; !ok || e.ID == id {
 			delete(g.reports, name)
@@ -92,7 +93,7 @@
 	}
 }
 
-// watch asks one engine for its report and its cache events.
+// watch requests one engine's report and its cache events.
 func (g *Engines) watch(ctx context.Context, name string) {
 	e, ok := g.Board.Snapshot().Engines[name]
 	if !ok {
@@ -103,63 +104,64 @@
 	call := upstream.Call{Address: e.Address, Name: e.Name, Brief: g.brief(name)}
 	st, err := g.Upstream.Status(ctx, call)
 	if err != nil {
-		g.Log.Debug("no report", "engine", name, "cause", err)
+		g.Log.Debug("engine report not received", "engine", name, "cause", err)
 		return
 	}
-	restarted := g.remember(st)
+	restarted := g.storeReport(st)
 	if call.Brief && !restarted {
 		g.Admission.EngineState(&e, st)
 	} else {
 		g.Admission.EngineReport(&e, st)
 	}
 	g.Facts.Current(e.ID, st.Incarnation)
-	g.note(e, st)
+	g.updateBoard(e, st)
 	if e.Kind == platform.KindEngine {
-		g.follow(ctx, e, st.Incarnation)
+		g.fetchEvents(ctx, e, st.Incarnation)
 	}
 }
 
-// brief says whether the next report may do without the requests' ids. They
-// are most of it, and are needed only to find what the books don't know.
+// brief reports whether the next report may omit the request IDs. They are most of a report and are
+// needed only to find requests that the permit books don't contain.
 func (g *Engines) brief(name string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.reports[name].polls%idsEvery != 0
+	return g.reports[name].polls%requestIDsEvery != 0
 }
 
-// remember keeps a report and says whether it is of another incarnation than
-// the one before.
-func (g *Engines) remember(st wire.EngineStatus) (restarted bool) {
+// storeReport stores a report and reports whether the engine's incarnation differs from that of its
+// previous report.
+func (g *Engines) storeReport(st wire.EngineStatus) (restarted bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	st.RequestIDs = nil
-	last, known := g.reports[st.Name]
-	g.reports[st.Name] = heardReport{status: st, at: time.Now(), polls: last.polls + 1}
-	return known && last.status.Incarnation != st.Incarnation
+	previous, known := g.reports[st.Name]
+	g.reports[st.Name] = receivedReport{status: st, at: time.Now(), polls: previous.polls + 1}
+	return known && previous.status.Incarnation != st.Incarnation
 }
 
-// note puts the report on the board where it says something new.
-func (g *Engines) note(e board.Engine, st wire.EngineStatus) {
+// updateBoard writes the report to the board if it changes the engine's incarnation, model, version
+// or draining state.
+func (g *Engines) updateBoard(e board.Engine, st wire.EngineStatus) {
 	generation := e.Generation
-	known := e.Known && e.Status.Incarnation == st.Incarnation && e.Leaving == (e.Leaving || st.Leaving) &&
+	unchanged := e.Known && e.Status.Incarnation == st.Incarnation && e.Leaving == (e.Leaving || st.Leaving) &&
 		e.Status.Model == st.Model && e.Status.Version == st.Version
-	if known {
+	if unchanged {
 		return
 	}
 	g.Board.Update(func(s *board.State) {
-		now, ok := s.Engines[e.Name]
-		if !ok || now.Generation != generation {
+		current, ok := s.Engines[e.Name]
+		if !ok || current.Generation != generation {
 			return
 		}
-		now.Known = true
-		now.Status = st
-		now.Status.RequestIDs = nil
-		now.Leaving = now.Leaving || st.Leaving
-		s.Engines[e.Name] = now
+		current.Known = true
+		current.Status = st
+		current.Status.RequestIDs = nil
+		current.Leaving = current.Leaving || st.Leaving
+		s.Engines[e.Name] = current
 	})
 }
 
-func (g *Engines) follow(ctx context.Context, e board.Engine, incarnation uint64) {
+func (g *Engines) fetchEvents(ctx context.Context, e board.Engine, incarnation uint64) {
 	next, err := g.Facts.Follow(e.ID)
 	if err != nil {
 		return
@@ -167,7 +169,7 @@
 	call := upstream.Call{Address: e.Address, Name: e.Name, Incarnation: incarnation}
 	page, err := g.Upstream.Events(ctx, call, next)
 	if err != nil {
-		g.Log.Debug("no cache events", "engine", e.Name, "cause", err)
+		g.Log.Debug("cache events not received", "engine", e.Name, "cause", err)
 		return
 	}
 	g.Facts.Apply(e.ID, page.CacheEvents)
--- a/internal/serve/controller/fleet.go
+++ b/internal/serve/controller/fleet.go
@@ -8,50 +8,51 @@
 // FleetService is the RPC name under which Fleet is registered.
 const FleetService = "Fleet"
 
-// VMsArgs asks for the VM list, unless it is the one with Etag.
+// VMsArgs requests the VM list unless the requester's list, with Etag as its hash, is up to date.
 type VMsArgs struct{ Etag uint64 }
 
-// VMsReply is the VM list as a relay knows it.
+// VMsReply is the VM list that a relay holds.
 type VMsReply struct {
-	// Known is false where the relay has no fresh list.
+	// Known is false if the relay has no recent list.
 	Known bool
-	// Same says that the asker's list is still right; VMs is then empty.
+	// Same is set if the requester's list is up to date. VMs is empty then.
 	Same bool
 	// Etag is a hash of the list.
 	Etag uint64
 	VMs  []platform.VM
 }
 
-// ConfigArgs asks for the configuration, if it is at least the given version.
+// ConfigArgs requests the active configuration if its version is at least AtLeast.
 type ConfigArgs struct{ AtLeast uint64 }
 
-// ConfigReply is the configuration in force at the asked router.
+// ConfigReply is the active configuration of the router that replies.
 type ConfigReply struct {
-	// Version is 0 where the router has none, or none that is new enough.
+	// Version is 0 if no configuration is active, or only one that is too old.
 	Version uint64
-	// Hash is the hash of Bundle, which the asker checks.
+	// Hash is the hash of Bundle, which the requester verifies.
 	Hash   config.Hash
 	Bundle []byte
 }
 
-// Fleet is the RPC service by which routers share what one of them has read.
+// Fleet is the RPC service through which routers get the VM list and the configuration from each
+// other instead of from the platform.
 type Fleet struct {
 	vms     *VMs
 	configs *Configs
 }
 
-// NewFleet returns the service.
+// NewFleet returns a Fleet that replies with the state of the given controllers.
 func NewFleet(vms *VMs, configs *Configs) *Fleet {
 	return &Fleet{vms: vms, configs: configs}
 }
 
-// VMs returns the VM list.
+// VMs replies with the VM list of this router.
 func (f *Fleet) VMs(args VMsArgs, reply *VMsReply) error {
 	*reply = f.vms.Current(args.Etag)
 	return nil
 }
 
-// Config returns the configuration in force here.
+// Config replies with the active configuration of this router.
 func (f *Fleet) Config(args ConfigArgs, reply *ConfigReply) error {
 	*reply = f.configs.Current(args.AtLeast)
 	return nil
--- a/internal/serve/controller/handoff.go
+++ b/internal/serve/controller/handoff.go
@@ -18,38 +18,40 @@
 
 const (
 	handoffPeriod = 500 * time.Millisecond
-	// maxHandoff bounds the chats whose cache is moved when an engine leaves.
-	maxHandoff = 500
-	// handoffBytesPerSecond bounds the copying, so that it does not slow the
-	// engines' own work down.
+	// maxHandoffChats bounds the chats whose cache is transferred when an engine drains.
+	maxHandoffChats = 500
+	// handoffBytesPerSecond bounds the transfer rate so that transfers don't slow down the engines'
+	// requests.
 	handoffBytesPerSecond = 64 << 20
-	// handoffBurst is at least the largest cache that is moved in one piece.
+	// handoffBurst is the size above which a single cache is charged as handoffBurst bytes. It is
+	// meant to be at least the largest cache.
 	handoffBurst   = 64 << 20
 	handoffTimeout = 10 * time.Second
 )
 
-// Handoff moves the KV cache of the chats of an engine that leaves to the
-// engines that will serve them. Without it every chat of that engine is
-// prefilled anew, and the pool slows down just when it is one engine short.
+// Handoff transfers the KV cache of the chats of a draining engine to the engines that will serve
+// them. Without the transfer each of these chats is prefilled again, which slows down the pool
+// while it already lacks an engine.
 type Handoff struct {
 	Board    *board.Board
 	Upstream *upstream.Client
 	Facts    *admission.Facts
 	Log      *log.Logger
 
-	// Moved counts the prefixes moved, Failed those that could not be.
+	// Moved counts the prefixes transferred, and those of pools without another engine; Failed
+	// counts the failed transfers.
 	Moved, Failed atomic.Int64
 
-	// started are the incarnations already taken care of, by engine.
+	// started are the incarnations whose transfer was started, by engine name.
 	started map[string]uint64
 	limiter *rate.Limiter
 }
 
-// Run watches for owned engines that leave until ctx ends.
+// Run transfers the caches of owned engines that are draining, until ctx ends.
 func (h *Handoff) Run(ctx context.Context) {
 	h.started = make(map[string]uint64)
 	h.limiter = rate.NewLimiter(handoffBytesPerSecond, handoffBurst)
-	every(ctx, handoffPeriod, h.step)
+	runPeriodically(ctx, handoffPeriod, h.step)
 }
 
 func (h *Handoff) step(ctx context.Context) {
@@ -70,30 +72,30 @@
 			continue
 		}
 		h.started[e.Name] = e.Status.Incarnation
-		go h.move(ctx, e)
+		go h.moveChats(ctx, e)
 	}
 }
 
-// move copies the hot chats of e, the most recent first.
-func (h *Handoff) move(ctx context.Context, e board.Engine) {
-	hot := h.Facts.Hot(e.ID, e.Status.Incarnation, maxHandoff)
-	sort.Slice(hot, func(i, j int) bool { return hot[i].Age < hot[j].Age })
-	for _, c := range hot {
+// moveChats transfers the chats cached at e, the most recent first.
+func (h *Handoff) moveChats(ctx context.Context, e board.Engine) {
+	chats := h.Facts.Hot(e.ID, e.Status.Incarnation, maxHandoffChats)
+	sort.Slice(chats, func(i, j int) bool { return chats[i].Age < chats[j].Age })
+	for _, c := range chats {
 		if ctx.Err() != nil {
 			return
 		}
-		if err := h.moveOne(ctx, e, c); err != nil {
+		if err := h.moveChat(ctx, e, c); err != nil {
 			h.Failed.Add(1)
-			h.Log.Debug("prefix not moved", "from", e.Name, "cause", err)
+			h.Log.Debug("cached prefix not transferred", "from", e.Name, "cause", err)
 			continue
 		}
 		h.Moved.Add(1)
 	}
-	h.Log.Info("cache handed off", "from", e.Name, "chats", len(hot))
+	h.Log.Info("cache transfer finished", "from", e.Name, "chats", len(chats))
 }
 
-func (h *Handoff) moveOne(ctx context.Context, from board.Engine, c admission.HotChat) error {
-	to, ok := h.next(from, c.Chat)
+func (h *Handoff) moveChat(ctx context.Context, from board.Engine, c admission.HotChat) error {
+	to, ok := h.nextEngine(from, c.Chat)
 	if !ok {
 		return nil
 	}
@@ -118,9 +120,9 @@
 	return nil
 }
 
-// next is the engine that the chat's rendezvous order names once from is gone:
-// the one that every router falls back to without being told.
-func (h *Handoff) next(from board.Engine, chat uint64) (board.Engine, bool) {
+// nextEngine returns the engine that is first in the chat's rendezvous order without from. All
+// routers select it without a message once from has left.
+func (h *Handoff) nextEngine(from board.Engine, chat uint64) (board.Engine, bool) {
 	g := h.Board.Snapshot().Group(from.Pool, from.Region)
 	if g == nil {
 		return board.Engine{}, false
--- a/internal/serve/controller/loads.go
+++ b/internal/serve/controller/loads.go
@@ -11,37 +11,37 @@
 )
 
 const (
-	// digestPeriod is how often changed loads are told to other routers.
+	// digestPeriod is the time between two digests of changed loads.
 	digestPeriod = 500 * time.Millisecond
-	// fullEvery is how many periods pass between digests of all loads, which
-	// make up for lost datagrams.
-	fullEvery = 10
-	// reportPeriod is how often holders report their unfinished requests.
+	// fullDigestEvery is the number of periods of which one sends a digest of all loads, to
+	// compensate for lost datagrams.
+	fullDigestEvery = 10
+	// reportPeriod is the time between two reports of a holder's unfinished requests.
 	reportPeriod = 5 * time.Second
-	// moveSettle is the wait between a move of owners and the report of it.
-	moveSettle = 300 * time.Millisecond
+	// ownerSettleDelay is the time between a change of engine owners and the report to them.
+	ownerSettleDelay = 300 * time.Millisecond
 )
 
 // ChannelLoads is the datagram channel of load digests.
 const ChannelLoads uint8 = 1
 
-// Loads tells other routers the loads of the engines owned here.
+// Loads sends the loads of the engines that this router owns to the other routers.
 type Loads struct {
 	Board     *board.Board
 	Admission *admission.Admission
-	// Send sends a datagram to a router's instance.
+	// Send sends a datagram to the instance of a router.
 	Send func(instance uint64, channel uint8, payload []byte) error
 	Log  *log.Logger
 
 	round int
 }
 
-// Run tells loads until ctx ends.
-func (l *Loads) Run(ctx context.Context) { every(ctx, digestPeriod, l.step) }
+// Run sends digests until ctx ends.
+func (l *Loads) Run(ctx context.Context) { runPeriodically(ctx, digestPeriod, l.step) }
 
 func (l *Loads) step(context.Context) {
 	l.round++
-	for _, d := range l.Admission.Digests(time.Now(), l.round%fullEvery == 0) {
+	for _, d := range l.Admission.Digests(time.Now(), l.round%fullDigestEvery == 0) {
 		if err := l.Send(d.To.Instance, ChannelLoads, d.Payload); err != nil {
 			l.Log.Debug("load digest not sent", "to", d.To.Name, "cause", err)
 		}
@@ -51,8 +51,8 @@
 	}
 }
 
-// RunReports sends holders' reports until ctx ends: regularly, and shortly
-// after engines got other owners.
+// RunReports sends this router's reports as a holder until ctx ends: once a period, and shortly
+// after engine owners changed.
 func (l *Loads) RunReports(ctx context.Context) {
 	for {
 		l.Admission.SendReports(ctx)
@@ -64,20 +64,20 @@
 		case <-t.C:
 		case <-l.Admission.OwnersMoved():
 			t.Stop()
-			// The new owner needs a moment to see that it is one.
-			pause.For(ctx, moveSettle)
+			// The new owner may not know yet that it owns the engines.
+			pause.For(ctx, ownerSettleDelay)
 		}
 	}
 }
 
-// Heard takes in a digest from a router's instance.
+// Heard handles a digest from the instance of a router. Digests of unknown instances are ignored.
 func (l *Loads) Heard(instance uint64, payload []byte) {
 	for _, r := range l.Board.Snapshot().Routers {
 		if r.Instance != instance {
 			continue
 		}
 		if err := l.Admission.TakeDigest(payload); err != nil {
-			l.Log.Warn("load digest refused", "from", r.Name, "cause", err)
+			l.Log.Warn("load digest rejected", "from", r.Name, "cause", err)
 		}
 		return
 	}
--- a/internal/serve/controller/members.go
+++ b/internal/serve/controller/members.go
@@ -6,44 +6,44 @@
 	"damaskrouter.example/damaskrouter/internal/serve/board"
 )
 
-// Members copies what membership knows to the board.
+// Members writes the list of members to the board.
 type Members struct {
 	Board *board.Board
-	// Self is this router's name, and ID the number that membership gave to
-	// this run of it: the Instance of board.Router.
+	// Self is this router's name. ID is the number that membership assigned to this process; it is
+	// the Instance of board.Router.
 	Self string
 	ID   uint64
 }
 
-// Change takes in a new list of members.
-func (m *Members) Change(members []membership.Member) {
+// Update replaces the routers on the board with the members that are not dead.
+func (m *Members) Update(members []membership.Member) {
 	routers := make(map[string]board.Router, len(members))
-	for _, x := range members {
-		if x.State == membership.StateDead {
+	for _, member := range members {
+		if member.State == membership.StateDead {
 			continue
 		}
 		r := board.Router{
-			Name:          x.Name,
-			ID:            rendezvous.ID(x.Name),
-			Instance:      x.ID,
-			Address:       x.HTTP,
-			Control:       x.Address,
-			Site:          x.Site,
-			Leaving:       x.State == membership.StateLeaving,
-			ConfigVersion: x.ConfigVersion,
+			Name:          member.Name,
+			ID:            rendezvous.ID(member.Name),
+			Instance:      member.ID,
+			Address:       member.HTTP,
+			Control:       member.Address,
+			Site:          member.Site,
+			Leaving:       member.State == membership.StateLeaving,
+			ConfigVersion: member.ConfigVersion,
 		}
-		if old, ok := routers[x.Name]; ok && !m.newer(r, old) {
+		if old, ok := routers[member.Name]; ok && !m.supersedes(r, old) {
 			continue
 		}
-		routers[x.Name] = r
+		routers[member.Name] = r
 	}
 	m.Board.Update(func(s *board.State) { s.Routers = routers })
 }
 
-// newer decides between two instances of one name, as a restarted router has
-// while its predecessor is not yet known to be dead. This router knows itself;
-// of the others the one that is not leaving counts.
-func (m *Members) newer(r, old board.Router) bool {
+// supersedes reports whether r replaces old, which has the same name: a restarted router has two
+// instances until its predecessor is known to be dead. For its own name this router selects its own
+// instance, for other names the instance that is not draining.
+func (m *Members) supersedes(r, old board.Router) bool {
 	if r.Name == m.Self {
 		return r.Instance == m.ID
 	}
--- a/internal/serve/controller/sweeper.go
+++ b/internal/serve/controller/sweeper.go
@@ -12,61 +12,61 @@
 )
 
 const (
-	// sweepPeriod is the time between two steps: with 49 claims a step, about
-	// a million claims in a round of nine hours, an eighth of three days.
+	// sweepPeriod is the time between two steps. With 49 claims a step, a round over a million
+	// claims takes about nine hours, an eighth of three days.
 	sweepPeriod = 1500 * time.Millisecond
-	// sweepPause replaces sweepPeriod after a step that failed: the store is
-	// down, or claims need what it can take.
-	sweepPause = 30 * time.Second
+	// failureDelay replaces sweepPeriod after a failed step: the store is down, or requests need
+	// its capacity for their claims.
+	failureDelay = 30 * time.Second
 	// sweepTimeout bounds one step.
 	sweepTimeout = 5 * time.Second
 )
 
-// SweepCounts are the figures of retention at one router, since it started.
+// SweepCounts are the counters of claim retention at one router since its start.
 type SweepCounts struct {
-	// Steps counts pages read and looks at a round that was not due; Failures
-	// those that the table service, or the budget, refused.
+	// Steps counts the pages read and the checks whether a round is due. Failures counts the steps
+	// that the table service or the budget rejected.
 	Steps    int64 `json:"steps"`
 	Failures int64 `json:"failures"`
-	// Deleted counts the rows that are known to be deleted. A step whose reply
-	// was lost counts as a failure, even if its rows are gone.
+	// Deleted counts the rows that are known to be deleted. A step whose reply was lost counts as a
+	// failure, even if its rows were deleted.
 	Deleted int64 `json:"deleted"`
 }
 
-// Sweeper deletes old finished claims on the router that has this duty.
+// Sweeper deletes old finished claims while this router has that duty.
 //
-// Routers whose views differ may have the duty at once. That costs the store a
-// few calls and deletes nothing early: each step is conditional on the shared
+// Routers with different views of the fleet may have the duty at the same time. That costs a few
+// more calls to the store and deletes nothing too early: each step is conditional on the shared
 // progress row, and claim.Sweeper counts the age of a claim in rounds.
 type Sweeper struct {
 	Board  *board.Board
 	Claims *claim.Sweeper
-	// Clock is the monotonic time since some fixed moment.
+	// Clock returns the monotonic time since a fixed moment.
 	Clock func() time.Duration
 	Log   *log.Logger
 
 	steps, failures, deleted atomic.Int64
-	// failing is whether the last step failed.
+	// failing is set if the last step failed.
 	failing bool
 }
 
-// Run sweeps whenever this router has the duty, until ctx ends.
+// Run deletes old claims while this router has the duty, until ctx ends.
 func (s *Sweeper) Run(ctx context.Context) {
-	for pause.For(ctx, jitter(s.pause())) {
+	for pause.For(ctx, jitter(s.delay())) {
 		if s.Board.Snapshot().Rank(dutySweep) == 0 {
 			s.step(ctx)
 		}
 	}
 }
 
-// Counts returns the figures so far.
+// Counts returns the current counters.
 func (s *Sweeper) Counts() SweepCounts {
 	return SweepCounts{Steps: s.steps.Load(), Failures: s.failures.Load(), Deleted: s.deleted.Load()}
 }
 
-func (s *Sweeper) pause() time.Duration {
+func (s *Sweeper) delay() time.Duration {
 	if s.failing {
-		return sweepPause
+		return failureDelay
 	}
 	return sweepPeriod
 }
@@ -81,7 +81,7 @@
 		s.failures.Add(1)
 	}
 	if err != nil && !s.failing {
-		s.Log.Info("old claims stay for now", "cause", err)
+		s.Log.Info("claim sweep failed; retrying later", "cause", err)
 	}
 	s.failing = err != nil
 }
--- a/internal/serve/controller/sweeper_test.go
+++ b/internal/serve/controller/sweeper_test.go
@@ -20,15 +20,15 @@
 
 const testRetention = 24 * time.Hour
 
-// keeper is a router with the duty of retention, on a virtual clock.
-type keeper struct {
+// sweepingRouter is a router with the duty of claim retention, on a virtual clock.
+type sweepingRouter struct {
 	*Sweeper
 	store  *platformtest.Fake
 	claims *claim.Store
 	ctx    context.Context
 }
 
-func newKeeper(t *testing.T) *keeper {
+func newSweepingRouter(t *testing.T) *sweepingRouter {
 	store := platformtest.New()
 	tokens := 0
 	token := func() string { tokens++; return fmt.Sprint(tokens) }
@@ -40,31 +40,31 @@
 		s.Routers["self"] = board.Router{Name: "self", ID: rendezvous.ID("self")}
 	})
 	start := time.Now()
-	k := &keeper{store: store, claims: claim.New(store, store.Objects(), "self", token), ctx: ctx}
-	k.Sweeper = &Sweeper{
+	r := &sweepingRouter{store: store, claims: claim.New(store, store.Objects(), "self", token), ctx: ctx}
+	r.Sweeper = &Sweeper{
 		Board: b, Claims: claim.NewSweeper(store, testRetention),
 		Clock: func() time.Duration { return time.Since(start) }, Log: log.New(io.Discard),
 	}
-	go k.Run(ctx)
-	return k
+	go r.Run(ctx)
+	return r
 }
 
-func (k *keeper) begin(t *testing.T, name string) *claim.Claim {
+func (r *sweepingRouter) begin(t *testing.T, name string) *claim.Claim {
 	key := claim.Key{Account: "a", IdempotencyKey: name}
-	out, err := k.claims.Begin(k.ctx, key, claim.HashBody(nil))
+	out, err := r.claims.Begin(r.ctx, key, claim.HashBody(nil))
 	require.NoError(t, err)
 	require.Equal(t, claim.Run, out.Kind)
 	return out.Claim
 }
 
-// finished reports whether the table service still has the finished claim.
-func (k *keeper) finished(t *testing.T) bool {
-	return k.state(t, "done") == claim.StateDone
+// hasFinishedClaim reports whether the table service still has the finished claim.
+func (r *sweepingRouter) hasFinishedClaim(t *testing.T) bool {
+	return r.state(t, "done") == claim.StateDone
 }
 
-func (k *keeper) state(t *testing.T, name string) claim.State {
+func (r *sweepingRouter) state(t *testing.T, name string) claim.State {
 	key := claim.Key{Account: "a", IdempotencyKey: name}
-	v, err := k.claims.Show(k.ctx, key)
+	v, err := r.claims.Show(r.ctx, key)
 	if platform.ErrNotFound.Has(err) {
 		return ""
 	}
@@ -72,63 +72,62 @@
 	return v.State
 }
 
-// Symptom: a receipt is issued twice for one key, or the table of claims grows
-// for ever. Sequence: requests end in each of the ways they can, and days pass.
-// Cause: retention deletes what may still run, or runs on no router.
-func TestSweeperKeepsOpenClaims(t *testing.T) {
+// Guards against requests that are executed twice for one key, and against a table of claims that
+// grows without bound: retention must delete finished claims after their period, and never those
+// whose request may still be executing.
+func TestSweeperDeletesOnlyFinishedClaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := newKeeper(t)
-		require.NoError(t, k.claims.Finish(k.ctx, k.begin(t, "done"), claim.Answer{Status: 201}))
-		require.NoError(t, k.claims.Refused(k.ctx, k.begin(t, "refused")))
-		require.NoError(t, k.claims.MarkUnknown(k.ctx, k.begin(t, "unknown")))
-		k.begin(t, "claimed")
+		r := newSweepingRouter(t)
+		require.NoError(t, r.claims.Finish(r.ctx, r.begin(t, "done"), claim.Answer{Status: 201}))
+		require.NoError(t, r.claims.Refused(r.ctx, r.begin(t, "refused")))
+		require.NoError(t, r.claims.MarkUnknown(r.ctx, r.begin(t, "unknown")))
+		r.begin(t, "claimed")
 		time.Sleep(testRetention)
-		require.True(t, k.finished(t), "kept for at least the retention period")
+		require.True(t, r.hasFinishedClaim(t), "claim deleted before the end of the retention period")
 		time.Sleep(testRetention)
-		require.Empty(t, k.state(t, "done"))
-		require.Empty(t, k.state(t, "refused"))
+		require.Empty(t, r.state(t, "done"))
+		require.Empty(t, r.state(t, "refused"))
 		time.Sleep(10 * testRetention)
-		require.Equal(t, claim.StateUnknown, k.state(t, "unknown"))
-		require.Equal(t, claim.StateClaimed, k.state(t, "claimed"))
-		require.Equal(t, int64(2), k.Counts().Deleted)
-		require.Zero(t, k.Counts().Failures)
+		require.Equal(t, claim.StateUnknown, r.state(t, "unknown"))
+		require.Equal(t, claim.StateClaimed, r.state(t, "claimed"))
+		require.Equal(t, int64(2), r.Counts().Deleted)
+		require.Zero(t, r.Counts().Failures)
 	})
 }
 
-// Symptom: old claims stay for good, or go too early. Sequence: the table
-// service is down for longer than the retention period, then back. Cause: a
-// sweeper that gives up, or one that counts the outage as rounds.
-func TestSweeperOutage(t *testing.T) {
+// Guards against claims that are never deleted, or deleted too early, after the table service was
+// down for longer than the retention period: the sweeper must continue after the outage and must
+// not count it as rounds.
+func TestSweeperContinuesAfterStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := newKeeper(t)
-		require.NoError(t, k.claims.Finish(k.ctx, k.begin(t, "done"), claim.Answer{Status: 201}))
+		r := newSweepingRouter(t)
+		require.NoError(t, r.claims.Finish(r.ctx, r.begin(t, "done"), claim.Answer{Status: 201}))
 		time.Sleep(testRetention / 2)
-		k.store.SetDown(true)
+		r.store.SetDown(true)
 		time.Sleep(2 * testRetention)
-		k.store.SetDown(false)
-		require.True(t, k.finished(t))
-		require.Positive(t, k.Counts().Failures)
+		r.store.SetDown(false)
+		require.True(t, r.hasFinishedClaim(t))
+		require.Positive(t, r.Counts().Failures)
 		time.Sleep(testRetention)
-		require.False(t, k.finished(t))
+		require.False(t, r.hasFinishedClaim(t))
 	})
 }
 
-// Symptom: the store's calls grow with the fleet. Sequence: a router that has
-// not the duty runs for a day. Cause: each router sweeps.
-func TestSweeperDuty(t *testing.T) {
+// Guards against store calls that grow with the fleet: a router without the duty must not sweep.
+func TestOnlyRouterWithDutySweeps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := newKeeper(t)
-		first := rival(t, dutySweep)
-		k.Board.UpdateWait(func(s *board.State) {
+		r := newSweepingRouter(t)
+		first := higherRankedRouter(t, dutySweep)
+		r.Board.UpdateWait(func(s *board.State) {
 			s.Routers[first] = board.Router{Name: first, ID: rendezvous.ID(first)}
 		})
 		time.Sleep(24 * time.Hour)
-		require.Zero(t, k.Counts())
+		require.Zero(t, r.Counts())
 	})
 }
 
-// rival returns the name of a router that goes before "self" in a duty.
-func rival(t *testing.T, duty uint64) string {
+// higherRankedRouter returns the name of a router that precedes "self" in the order for a duty.
+func higherRankedRouter(t *testing.T, duty uint64) string {
 	for i := range 100 {
 		name := fmt.Sprint("rival-", i)
 		ids := []uint64{rendezvous.ID("self"), rendezvous.ID(name)}
@@ -136,6 +135,6 @@
 			return name
 		}
 	}
-	require.FailNow(t, "no router goes first")
+	require.FailNow(t, "no name precedes self in the order")
 	return ""
 }
--- a/internal/serve/controller/vms.go
+++ b/internal/serve/controller/vms.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// vmPeriod is how often the VM list is looked at.
-	vmPeriod = 2 * time.Second
-	// routersPerRelay is how many routers share one reader of the platform's
-	// VM list, so that the reads grow with a twentieth of the fleet.
+	// vmPollPeriod is the time between two reads of the VM list.
+	vmPollPeriod = 2 * time.Second
+	// routersPerRelay is the number of routers that share one reader of the platform's VM list. It
+	// limits the reads to one for each twenty routers of the fleet.
 	routersPerRelay = 20
 	vmTimeout       = 2 * time.Second
 )
@@ -31,41 +31,41 @@
 	Caller *peer.Caller
 	Self   string
 	Log    *log.Logger
-	// Witness hands the list to membership.
+	// Witness passes the list to membership. It may be nil.
 	Witness func([]platform.VM)
 
 	mu sync.Mutex
-	// last is the newest list, etag its hash, and at when it came; seen is
-	// set once there has been one.
-	last []platform.VM
-	etag uint64
-	at   time.Time
-	seen bool
+	// last is the last list received, etag its hash, and receivedAt the time of its receipt.
+	// received is set once a list was received.
+	last       []platform.VM
+	etag       uint64
+	receivedAt time.Time
+	received   bool
 }
 
 // Run follows the list until ctx ends.
-func (v *VMs) Run(ctx context.Context) { every(ctx, vmPeriod, v.step) }
+func (v *VMs) Run(ctx context.Context) { runPeriodically(ctx, vmPollPeriod, v.step) }
 
 func (v *VMs) step(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, vmTimeout)
 	defer cancel()
 	snap := v.Board.Snapshot()
 	if relay, ok := v.relay(snap); ok {
-		if v.fromRelay(ctx, relay) {
+		if v.fetchFromRelay(ctx, relay) {
 			return
 		}
 	}
 	vms, err := v.List.List(ctx)
 	if err != nil {
-		// The list is down: the last one stays, and with it the engines. That
-		// one leaves is still learned from its own report.
+		// While the list can't be read, the last one and its engines stay in use. An engine that
+		// starts to drain is still detected by its own report.
 		v.Log.Debug("VM list not read", "cause", err)
 		return
 	}
-	v.take(vms, etagOf(vms))
+	v.apply(vms, etagOf(vms))
 }
 
-// relay is the router that this one gets the list from; none if it reads the
+// relay returns the router that this one gets the list from, or false if this router reads the
 // platform's list itself.
 func (v *VMs) relay(snap *board.Snapshot) (board.Router, bool) {
 	n := (len(snap.Live) + routersPerRelay - 1) / routersPerRelay
@@ -78,11 +78,11 @@
 			return board.Router{}, false
 		}
 	}
-	pick := rendezvous.ID(v.Self) % uint64(len(relays))
-	return snap.Live[relays[pick]], true
+	index := rendezvous.ID(v.Self) % uint64(len(relays))
+	return snap.Live[relays[index]], true
 }
 
-func (v *VMs) fromRelay(ctx context.Context, relay board.Router) bool {
+func (v *VMs) fetchFromRelay(ctx context.Context, relay board.Router) bool {
 	args := VMsArgs{Etag: v.currentEtag()}
 	var reply VMsReply
 	t := peer.Target{Name: relay.Name, Address: relay.Control}
@@ -90,7 +90,7 @@
 		return false
 	}
 	if !reply.Same {
-		v.take(reply.VMs, reply.Etag)
+		v.apply(reply.VMs, reply.Etag)
 	}
 	return true
 }
@@ -101,14 +101,15 @@
 	return v.etag
 }
 
-// maxRelayAge is how old a list may be that is passed on.
+// maxRelayAge is the age up to which a list is sent to other routers.
 const maxRelayAge = 10 * time.Second
 
-// Current answers a router that relays through this one.
+// Current returns the reply to a router that uses this one as its relay and has the list with the
+// given hash.
 func (v *VMs) Current(etag uint64) VMsReply {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.seen || time.Since(v.at) > maxRelayAge {
+	if !v.received || time.Since(v.receivedAt) > maxRelayAge {
 		return VMsReply{}
 	}
 	if etag == v.etag {
@@ -125,11 +126,11 @@
 	return xxh3.Hash(data)
 }
 
-func (v *VMs) take(vms []platform.VM, etag uint64) {
+func (v *VMs) apply(vms []platform.VM, etag uint64) {
 	v.mu.Lock()
-	first := !v.seen
-	same := v.seen && etag == v.etag
-	v.last, v.etag, v.at, v.seen = vms, etag, time.Now(), true
+	first := !v.received
+	same := v.received && etag == v.etag
+	v.last, v.etag, v.receivedAt, v.received = vms, etag, time.Now(), true
 	v.mu.Unlock()
 	if v.Witness != nil {
 		v.Witness(vms)
@@ -140,7 +141,8 @@
 	v.Board.Update(func(s *board.State) { mergeVMs(s, vms, !first) })
 }
 
-// mergeVMs brings the engines on the board in line with the list.
+// mergeVMs updates the engines on the board from the list. joined is set if the list is not the
+// first one.
 func mergeVMs(s *board.State, vms []platform.VM, joined bool) {
 	present := make(map[string]bool, len(vms))
 	for _, vm := range vms {
@@ -160,8 +162,8 @@
 func mergeVM(s *board.State, vm platform.VM, joined bool) board.Engine {
 	e, known := s.Engines[vm.Name]
 	if !known || e.Generation != vm.Generation {
-		// A name or an address that is used again is another engine: nothing
-		// that was known of the old one holds, its leaving included.
+		// A reused name or address belongs to another engine: nothing that is known of the previous
+		// one applies, including that it was draining.
 		e = board.Engine{Name: vm.Name, ID: rendezvous.ID(vm.Name), Generation: vm.Generation, FirstSeen: time.Now(), Joined: joined}
 	}
 	e.Address = vm.Address
@@ -169,8 +171,8 @@
 	e.Region = regionOf(s.Config, vm.Site)
 	e.Pool = vm.Pool
 	e.Kind = vm.Kind
-	// Leaving is sticky within a generation: the list lags, and a stale entry
-	// must not bring work back to an engine that has said that it leaves.
+	// Leaving is not reset within a generation: the list lags, and an outdated entry must not send
+	// requests to an engine that has reported that it is draining.
 	e.Leaving = e.Leaving || vm.State == platform.VMLeaving
 	return e
 }
@@ -187,8 +189,8 @@
 	return ""
 }
 
-// SetRegions fills in the regions once a configuration is known.
-func SetRegions(s *board.State) {
+// setRegions sets the regions of the engines after a change of the configuration.
+func setRegions(s *board.State) {
 	for name, e := range s.Engines {
 		e.Region = regionOf(s.Config, e.Site)
 		s.Engines[name] = e
--- a/internal/serve/router/admin.go
+++ b/internal/serve/router/admin.go
@@ -90,7 +90,7 @@
 		Claims:        r.claims,
 		Table:         r.table,
 		InForce:       r.inForce,
-		Accepted:      r.configs.Accepted,
+		Accepted:      r.configs.AnnounceAccepted,
 		BootstrapHash: r.set.AdminTokenHash,
 		Log:           r.log,
 		Now:           time.Now,
--- a/internal/serve/router/provision.go
+++ b/internal/serve/router/provision.go
@@ -188,7 +188,7 @@
 			r.log.Debug("configuration version not announced", "cause", err)
 		}
 	}
-	if err := r.gossip.OnChange(members.Change); err != nil {
+	if err := r.gossip.OnChange(members.Update); err != nil {
 		return err
 	}
 	if err := r.gossip.OnItem(r.configs.Heard); err != nil {
