--- a/internal/serve/settings/keys.go
+++ b/internal/serve/settings/keys.go
@@ -9,45 +9,44 @@
 	"github.com/zeebo/errs"
 )
 
-// MinKeyBytes is the length of the shortest key that is accepted, in bytes.
+// MinKeyBytes is the minimum length of a key in bytes.
 const MinKeyBytes = 32
 
-// Redacted is printed in place of a secret.
+// Redacted replaces secrets in output.
 const Redacted = "[redacted]"
 
-// ErrKey means that a key is not base64.
+// ErrKey means that a key is not valid base64, or that a settings file belongs to another process.
 var ErrKey = errs.Class("settings: key")
 
-// Secret is a text that must not reach logs. Settings get printed when a
-// process starts badly; a key in that output would be valid for the fleet.
+// Secret is a string that must not be written to logs. A process that fails to start may print its
+// settings, and a key in that output would be valid for the whole fleet.
 type Secret string
 
-// String hides the secret.
+// String returns Redacted.
 func (s Secret) String() string { return Redacted }
 
-// GoString hides the secret from %#v.
+// GoString returns Redacted, for %#v.
 func (s Secret) GoString() string { return Redacted }
 
-// MarshalText hides the secret from encoders.
+// MarshalText returns Redacted, for encoders.
 func (s Secret) MarshalText() ([]byte, error) { return []byte(Redacted), nil }
 
-// Key is a secret key with the id that signatures carry.
+// Key is a secret key and its ID.
 type Key struct {
-	// ID names the key in what it has signed. It has no default.
+	// ID identifies the key in signatures made with it. It has no default.
 	ID string `yaml:"id" validate:"required,name"`
 	// Key is the key in standard base64. Either Key or File is required.
 	Key Secret `yaml:"key"`
-	// File is a file that holds the key in standard base64.
+	// File is the path of a file that contains the key in standard base64.
 	File string `yaml:"file"`
 
 	secret []byte
 }
 
-// Bytes returns the key itself. It is empty before Provision.
+// Bytes returns the decoded key. It is empty before Provision.
 func (k Key) Bytes() []byte { return k.secret }
 
-// provision reads and decodes the key. A key without any text is left for
-// Validate to report.
+// provision reads and decodes the key. Validate reports a key that is empty.
 func (k *Key) provision() error {
 	text := string(k.Key)
 	if k.File != "" {
@@ -59,24 +58,22 @@
 	}
 	secret, err := base64.StdEncoding.DecodeString(strings.TrimSpace(text))
 	if err != nil {
-		// The decoder's own error quotes no more than an offset.
+		// The decoder's error contains only an offset, no part of the key.
 		return ErrKey.New("key %s: %w", k.ID, err)
 	}
 	k.secret = secret
 	return nil
 }
 
-// KeySet is what of the settings may change while the process runs.
+// KeySet contains the settings that may change while the process runs.
 type KeySet struct {
-	// Fleet and Hint are the keys that sign first and those that are only
-	// accepted, as in Settings.
+	// Fleet and Hint are FleetKeys and HintKeys of Settings. The first key signs, all are accepted.
 	Fleet, Hint []Key
 }
 
-// ReadKeys reads the keys again: from the settings file, if the settings came
-// from one, and from the key files that it names. Everything else stays as it
-// was at the start. The file must be valid as a whole, so that a torn copy
-// changes nothing. Errors: those of Load, ErrKey.
+// ReadKeys reads the keys again from the settings file, if the settings were loaded from one, and
+// from the key files that it names. All other settings keep their values from the start. The whole
+// file must be valid, so that an incomplete copy changes nothing. Errors: those of Load, ErrKey.
 func (s *Settings) ReadKeys() (KeySet, error) {
 	if s.file == "" {
 		return s.rereadKeyFiles()
--- a/internal/serve/settings/provision.go
+++ b/internal/serve/settings/provision.go
@@ -7,7 +7,7 @@
 	"damaskrouter.example/damaskrouter/internal/store/config/strictyaml"
 )
 
-// Defaults of the settings.
+// Default values of the settings.
 const (
 	DefaultLogLevel        = "info"
 	DefaultUpstreamConnect = time.Second
@@ -18,8 +18,8 @@
 	DefaultClaimRetention  = 72 * time.Hour
 )
 
-// DefaultBudgets is a process's share of a table service that takes several
-// hundred writes and two thousand reads a second, with nine routers.
+// DefaultBudgets is one process's share of a table service that allows several hundred writes and
+// two thousand reads a second, in a fleet of nine routers.
 var DefaultBudgets = Budgets{
 	Claim:  Budget{Reads: 80, Writes: 40},
 	Config: Budget{Reads: 5, Writes: 2},
@@ -27,7 +27,7 @@
 	Admin:  Budget{Reads: 10, Writes: 5},
 }
 
-// Provision fills the defaults and reads the keys.
+// Provision sets the defaults and reads the keys. Errors: strictyaml.Problems.
 func (s *Settings) Provision() error {
 	fill(&s.LogLevel, DefaultLogLevel)
 	fill(&s.ClaimRetention, DefaultClaimRetention)
@@ -40,13 +40,13 @@
 	return problems.Err()
 }
 
-// provisionAddresses advertises the listening address where it is one that
-// others can connect to. A wildcard is not: callers would be sent nowhere.
+// provisionAddresses makes the listening addresses the default of the advertised ones, except for
+// wildcard addresses, to which callers cannot connect.
 func (s *Settings) provisionAddresses() {
-	if single(s.Listen) {
+	if isReachable(s.Listen) {
 		fill(&s.Advertise, s.Listen)
 	}
-	if single(s.ControlListen) {
+	if isReachable(s.ControlListen) {
 		fill(&s.ControlAdvertise, s.ControlListen)
 	}
 }
@@ -81,7 +81,7 @@
 	fill(&b.Writes, defaults.Writes)
 }
 
-// fill sets a field that was left out.
+// fill sets a field that has its zero value.
 func fill[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
--- a/internal/serve/settings/settings_test.go
+++ b/internal/serve/settings/settings_test.go
@@ -38,7 +38,7 @@
 `, testKey, testKey)
 }
 
-func TestDefaults(t *testing.T) {
+func TestMissingSettingsGetDefaults(t *testing.T) {
 	s, err := LoadBytes("s.yaml", []byte(insecureText+"timeouts: {idle_gap: 5s}\nbudgets: {config: {reads: 1}}\n"))
 	require.NoError(t, err)
 	assert.Equal(t, "127.0.0.1:8080", s.Advertise)
@@ -54,7 +54,7 @@
 	assert.Equal(t, 72*time.Hour, s.ClaimRetention)
 }
 
-func TestRefused(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	edit := func(old, new string) string { return strings.Replace(insecureText, old, new, 1) }
 	cases := map[string]struct {
 		text string
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestKeys(t *testing.T) {
+func TestKeysAreReadFromFileOrSettings(t *testing.T) {
 	dir := t.TempDir()
 	keyFile, path := filepath.Join(dir, "key"), filepath.Join(dir, "s.yaml")
 	require.NoError(t, os.WriteFile(keyFile, []byte(testKey+"\n"), 0o600))
@@ -109,9 +109,9 @@
 	assert.True(t, ErrRead.Has(err))
 }
 
-// Symptom: the fleet's key stands in the log. Sequence: a process starts badly
-// and prints its settings. Cause: a key that is a plain string prints itself.
-func TestSecretsAreNotPrinted(t *testing.T) {
+// Guards against keys in logs: a process that fails to start prints its settings, and a plain
+// string would be printed as it is.
+func TestSecretsAreRedacted(t *testing.T) {
 	s, err := LoadBytes("s.yaml", []byte(secureText()))
 	require.NoError(t, err)
 	encoded, err := json.Marshal(s)
@@ -120,10 +120,9 @@
 	assert.NotContains(t, printed, testKey)
 }
 
-// Symptom: a fleet refuses its own routers after a key was rotated. Sequence:
-// the settings file is copied in pieces, or to the wrong VM, while the process
-// reads it again. Cause: keys taken from a file that is not valid as a whole.
-func TestReadKeys(t *testing.T) {
+// Guards against routers that reject each other after a key rotation, because one of them read keys
+// from a settings file that was incomplete or that belongs to another VM.
+func TestReadKeysRejectsInvalidFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.yaml")
 	write := func(text string) { require.NoError(t, os.WriteFile(path, []byte(text), 0o600)) }
 	write(secureText())
@@ -141,7 +140,7 @@
 	}
 }
 
-func TestPlainPeersAllowed(t *testing.T) {
+func TestAllowPlainPeersNeedsNoPeerTLS(t *testing.T) {
 	text := strings.Replace(secureText(), "peer_tls: {cert: p.pem, key: pk.pem, ca: ca.pem}", "allow_plain_peers: true", 1)
 	_, err := LoadBytes("s.yaml", []byte(text))
 	assert.NoError(t, err)
--- a/internal/serve/settings/validate.go
+++ b/internal/serve/settings/validate.go
@@ -8,22 +8,23 @@
 	"damaskrouter.example/damaskrouter/internal/store/config/strictyaml"
 )
 
-// Constraints on addresses, beside those of strictyaml.
+// Constraints on addresses, in addition to those of strictyaml.
 const (
 	constraintHostPort  = "hostport"
 	constraintReachable = "reachable"
 )
 
-// builtInCode names settings in problems that were not read from a file.
-const builtInCode = "settings"
+// noFileName replaces the file name in problems of settings that were not read from a file.
+const noFileName = "settings"
 
-// fieldValidator is built on first use: it compiles the struct tags.
+// fieldValidator returns the validator of the struct tags. It is built on first use because it
+// compiles the tags.
 var fieldValidator = sync.OnceValue(newFieldValidator)
 
 func newFieldValidator() *strictyaml.Validator {
 	v := strictyaml.NewValidator()
 	v.Add(constraintHostPort, isAddrPort, "must be an IP address and a port")
-	v.Add(constraintReachable, single, "must be an IP address that others can connect to, and a port")
+	v.Add(constraintReachable, isReachable, "must be an IP address that others can connect to, and a port")
 	return v
 }
 
@@ -32,18 +33,17 @@
 	return err == nil
 }
 
-// single reports whether the address names one host and port that others can
-// connect to.
-func single(address string) bool {
+// isReachable reports whether the address is one IP address and port that others can connect to.
+func isReachable(address string) bool {
 	parsed, err := netip.ParseAddrPort(address)
 	return err == nil && !parsed.Addr().IsUnspecified() && parsed.Port() != 0
 }
 
-// Validate checks settings that have been provisioned. The error is of type
-// strictyaml.Problems and lists everything that is wrong.
+// Validate checks settings whose defaults are set and whose keys are read. The error is of type
+// strictyaml.Problems and lists all problems.
 func (s *Settings) Validate() error {
 	if s.source == nil {
-		s.source = strictyaml.NewSource(builtInCode)
+		s.source = strictyaml.NewSource(noFileName)
 	}
 	problems := s.source.Fields(fieldValidator(), s)
 	problems = append(problems, s.checkKeys("fleet_keys", s.FleetKeys)...)
@@ -51,14 +51,14 @@
 	problems = append(problems, s.checkDrain()...)
 	problems = append(problems, s.checkPeerTLS()...)
 	if !s.AllowInsecure {
-		problems = append(problems, s.checkSecure()...)
+		problems = append(problems, s.checkRequiredSecurity()...)
 	}
 	return problems.Err()
 }
 
 func (s *Settings) at(path, format string, args ...any) strictyaml.Problem {
 	if s.source == nil {
-		s.source = strictyaml.NewSource(builtInCode)
+		s.source = strictyaml.NewSource(noFileName)
 	}
 	return s.source.At(path, format, args...)
 }
@@ -66,20 +66,19 @@
 func (s *Settings) checkKeys(path string, keys []Key) strictyaml.Problems {
 	var problems strictyaml.Problems
 	for i, k := range keys {
-		at := fmt.Sprintf("%s[%d]", path, i)
+		keyPath := fmt.Sprintf("%s[%d]", path, i)
 		switch {
 		case k.Key != "" && k.File != "":
-			problems = append(problems, s.at(at, "has both key and file"))
+			problems = append(problems, s.at(keyPath, "has both key and file"))
 		case len(k.secret) < MinKeyBytes:
-			problems = append(problems, s.at(at, "must hold at least %d bytes in base64", MinKeyBytes))
+			problems = append(problems, s.at(keyPath, "must hold at least %d bytes in base64", MinKeyBytes))
 		}
 	}
 	return problems
 }
 
-// checkDrain makes sure that a graceful shutdown outlasts the addresses that
-// callers keep. Otherwise they connect to a process that has gone, and see
-// refused connections on every planned restart.
+// checkDrain checks that a graceful shutdown lasts longer than callers cache addresses. Otherwise
+// they connect to a process that has stopped, and each planned restart causes refused connections.
 func (s *Settings) checkDrain() strictyaml.Problems {
 	if s.Timeouts.Drain > s.Timeouts.LocateTTL {
 		return nil
@@ -87,8 +86,8 @@
 	return strictyaml.Problems{s.at("timeouts.drain", "must be longer than locate_ttl, %v", s.Timeouts.LocateTTL)}
 }
 
-// checkPeerTLS refuses a part of an identity. Taken as none, one left-out line
-// would turn TLS off without anybody being told.
+// checkPeerTLS rejects an incomplete identity. If it were ignored, one missing line would silently
+// turn off TLS.
 func (s *Settings) checkPeerTLS() strictyaml.Problems {
 	if s.PeerTLS == (PeerTLS{}) {
 		return nil
@@ -102,7 +101,7 @@
 	return problems
 }
 
-func (s *Settings) checkSecure() strictyaml.Problems {
+func (s *Settings) checkRequiredSecurity() strictyaml.Problems {
 	var problems strictyaml.Problems
 	require := func(path string, present bool) {
 		if !present {
