--- a/internal/serve/router/admin.go
+++ b/internal/serve/router/admin.go
@@ -15,8 +15,8 @@
 	"damaskrouter.example/damaskrouter/internal/store/platform"
 )
 
-// publish collects the metrics of the parts.
-func (r *Router) publish() {
+// registerMetrics adds the metrics of the router's components to its variables.
+func (r *Router) registerMetrics() {
 	r.vars.Set("traffic", r.traffic.Vars())
 	r.vars.Set("admission", r.admission.Vars())
 	r.vars.Set("claim_sweep", expvar.Func(func() any { return r.sweeper.Counts() }))
@@ -31,7 +31,7 @@
 	r.vars.Set("routers_live", expvar.Func(func() any { return len(r.board.Snapshot().Live) }))
 }
 
-// serveAdmin listens for operators, if the settings name an address.
+// serveAdmin serves the administration API if the settings contain an address for it.
 func (r *Router) serveAdmin() error {
 	if r.set.AdminListen == "" {
 		return nil
@@ -44,8 +44,8 @@
 	if err != nil {
 		return err
 	}
-	r.admin = ln.Addr().String()
-	r.log.Info("serving operators", "admin", r.admin, "tls", r.set.TLS.Cert != "")
+	r.adminAddress = ln.Addr().String()
+	r.log.Info("serving administration API", "admin", r.adminAddress, "tls", r.set.TLS.Cert != "")
 	srv := &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: readHeaderTimeout,
@@ -57,18 +57,18 @@
 		stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
 		defer stop()
 		if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-			r.log.Error("operators' listener failed", "cause", err)
+			r.log.Error("administration listener failed", "cause", err)
 		}
 	})
 	return nil
 }
 
-// adminReadTimeout bounds how slowly a call's body may come.
+// adminReadTimeout bounds the time to read a request of an operator, including its body.
 const adminReadTimeout = 30 * time.Second
 
-// listenAdmin listens with TLS if the settings name a certificate: operators'
-// tokens must not cross a network in clear. The certificate is the callers' own
-// and follows its reloads.
+// listenAdmin opens the listener of the administration API. It uses TLS if the settings contain a
+// certificate, because operators' tokens must not be sent over a network in clear text. The
+// certificate is the one for callers and is reloaded with it.
 func (r *Router) listenAdmin() (net.Listener, error) {
 	ln, err := net.Listen("tcp", r.set.AdminListen)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return tls.NewListener(ln, config), nil
 }
 
-// adminHandler serves the metrics and the administration API.
+// adminHandler returns the handler of the metrics and the administration API.
 func (r *Router) adminHandler() (http.Handler, error) {
 	server, err := admin.New(admin.Options{
 		Board:         r.board,
@@ -89,7 +89,7 @@
 		Chain:         config.NewChain(admin.Charged(r.table, platform.UseAdmin), r.objects, time.Now),
 		Claims:        r.claims,
 		Table:         r.table,
-		InForce:       r.inForce,
+		InForce:       r.activeConfig,
 		Accepted:      r.configs.AnnounceAccepted,
 		BootstrapHash: r.set.AdminTokenHash,
 		Log:           r.log,
@@ -108,8 +108,9 @@
 	return mux, nil
 }
 
-// inForce is the configuration in force here, with its text.
-func (r *Router) inForce() (uint64, config.Bundle, error) {
+// activeConfig returns the version and the text of the active configuration, or version 0 without
+// one.
+func (r *Router) activeConfig() (uint64, config.Bundle, error) {
 	current := r.configs.InForceNow()
 	if current == nil {
 		return 0, config.Bundle{}, nil
@@ -117,5 +118,6 @@
 	return current.Version, current.Bundle, nil
 }
 
-// Admin is where operators connect; empty if this router serves none.
-func (r *Router) Admin() string { return r.admin }
+// Admin returns the address of the administration API. It is empty if this router does not serve
+// it.
+func (r *Router) Admin() string { return r.adminAddress }
--- a/internal/serve/router/budget.go
+++ b/internal/serve/router/budget.go
@@ -6,17 +6,17 @@
 	"damaskrouter.example/damaskrouter/internal/store/platform"
 )
 
-// budgetRouters is the size of the fleet that the budgets in the settings are
-// for. They hold for each process: without a share, a larger fleet could ask
-// more of the store than it takes, and one would see claims refused by it.
+// budgetRouters is the number of routers that the budgets in the settings are meant for. The
+// budgets apply to each process: without a smaller share for each, a larger fleet could exceed the
+// capacity of the store, which would then reject claims.
 const budgetRouters = 9
 
-// storeUses are the uses that have a budget.
+// storeUses are the uses of the table service that have a budget.
 var storeUses = []platform.Use{
 	platform.UseClaim, platform.UseConfig, platform.UseAudit, platform.UseAdmin,
 }
 
-// storeBudget is the router's share of the table service.
+// storeBudget is this router's share of the table service.
 type storeBudget struct {
 	*platform.Budget
 	total platform.Rates
@@ -27,18 +27,18 @@
 	b := &storeBudget{live: budgetRouters}
 	rates := make(map[platform.Use]platform.Rates)
 	for _, use := range storeUses {
-		share := budgets.For(use)
-		rates[use] = platform.Rates{Reads: share.Reads, Writes: share.Writes}
-		b.total.Reads += share.Reads
-		b.total.Writes += share.Writes
+		budget := budgets.For(use)
+		rates[use] = platform.Rates{Reads: budget.Reads, Writes: budget.Writes}
+		b.total.Reads += budget.Reads
+		b.total.Writes += budget.Writes
 	}
 	b.Budget = platform.NewBudget(platform.BudgetOptions{Total: b.total, PerUse: rates})
 	return b
 }
 
-// share lowers the total in a fleet larger than the budgets are for. It is
-// called from the board's goroutine only.
-func (b *storeBudget) share(snap *board.Snapshot) {
+// updateShare lowers the total if the fleet is larger than the budgets are meant for. It must only
+// be called on the board's goroutine.
+func (b *storeBudget) updateShare(snap *board.Snapshot) {
 	live := max(len(snap.Live), budgetRouters)
 	if live == b.live {
 		return
@@ -48,6 +48,6 @@
 }
 
 func shareOf(total platform.Rates, live int) platform.Rates {
-	part := float64(budgetRouters) / float64(max(live, budgetRouters))
-	return platform.Rates{Reads: total.Reads * part, Writes: total.Writes * part}
+	fraction := float64(budgetRouters) / float64(max(live, budgetRouters))
+	return platform.Rates{Reads: total.Reads * fraction, Writes: total.Writes * fraction}
 }
--- a/internal/serve/router/budget_test.go
+++ b/internal/serve/router/budget_test.go
@@ -7,10 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: the store refuses claims although each router keeps to its budget.
-// Sequence: the fleet grows from nine routers to 380.
-// Cause: the budget of a process does not know how many processes there are.
-func TestFleetKeepsToTheBudgetOfNineRouters(t *testing.T) {
+// Guards against a store that rejects claims although each router observes its own budget: the sum
+// of the budgets must not grow with the fleet, here from nine to 380 routers.
+func TestLargeFleetDoesNotExceedStoreBudget(t *testing.T) {
 	total := platform.Rates{Reads: 110, Writes: 54}
 	for _, live := range []int{0, 1, 9, 10, 72, 380} {
 		share := shareOf(total, live)
@@ -18,5 +17,5 @@
 		require.LessOrEqual(t, share.Reads*float64(live), 9*total.Reads+1e-9)
 		require.LessOrEqual(t, share.Writes, total.Writes)
 	}
-	require.Equal(t, total, shareOf(total, 6), "a smaller fleet has no more for each than the settings say")
+	require.Equal(t, total, shareOf(total, 6), "a router of a small fleet must not exceed the settings")
 }
--- a/internal/serve/router/provision.go
+++ b/internal/serve/router/provision.go
@@ -19,7 +19,8 @@
 	"damaskrouter.example/damaskrouter/platform"
 )
 
-// provision builds the parts, from the platform towards the callers.
+// provision creates the router's components in the order of their dependencies, from the platform
+// to the callers.
 func (r *Router) provision() error {
 	if err := r.openSecrets(); err != nil {
 		return err
@@ -37,17 +38,17 @@
 		return err
 	}
 	r.provisionTraffic()
-	if err := r.registerCalls(); err != nil {
+	if err := r.registerServices(); err != nil {
 		return err
 	}
-	r.publish()
+	r.registerMetrics()
 	return nil
 }
 
 func (r *Router) provisionPeers() {
-	secure := r.secrets.PeerOptions()
-	r.caller = peer.NewCaller(r.set.Name, r.secrets.Fleet, &r.counters, secure...)
-	r.calls = peer.NewServer(r.set.Name, r.secrets.Fleet, &r.counters, secure...)
+	options := r.secrets.PeerOptions()
+	r.peerCaller = peer.NewCaller(r.set.Name, r.secrets.Fleet, &r.counters, options...)
+	r.peerServer = peer.NewServer(r.set.Name, r.secrets.Fleet, &r.counters, options...)
 	r.upstream = upstream.New(upstream.Options{
 		Clock:       bootclock.Now,
 		DialTimeout: r.set.Timeouts.UpstreamConnect,
@@ -62,14 +63,14 @@
 	}
 	r.quota = quota.New(quota.Options{
 		Board:    r.board,
-		Caller:   r.caller,
+		Caller:   r.peerCaller,
 		Self:     r.set.Name,
 		Instance: instance,
 		Rand:     rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64())),
 	})
 	r.admission = admission.New(admission.Options{
 		Board:       r.board,
-		Caller:      r.caller,
+		Caller:      r.peerCaller,
 		Self:        r.set.Name,
 		Instance:    instance,
 		Policy:      r.opts.Policy,
@@ -97,15 +98,15 @@
 	})
 }
 
-// registerCalls publishes what other routers may call here.
-func (r *Router) registerCalls() error {
+// registerServices registers the RPC services for other routers.
+func (r *Router) registerServices() error {
 	services := map[string]any{
 		admission.ServiceName:   r.admission.Service(),
 		quota.ServiceName:       r.quota.Service(),
 		controller.FleetService: controller.NewFleet(r.vms, r.configs),
 	}
 	for name, service := range services {
-		if err := r.calls.Register(name, service); err != nil {
+		if err := r.peerServer.Register(name, service); err != nil {
 			return err
 		}
 	}
@@ -114,7 +115,7 @@
 
 func (r *Router) openPlatform() {
 	budget := newStoreBudget(r.set.Budgets)
-	r.board.Subscribe(budget.share)
+	r.board.Subscribe(budget.updateShare)
 	store := platform.NewStore(r.set.Platform.Store, platform.Options{})
 	var vms api.VMList
 	r.table, r.objects, vms, r.stats = api.Open(api.OpenOptions{
@@ -122,12 +123,12 @@
 	})
 	r.chain = config.NewChain(r.table, r.objects, time.Now)
 	r.claims = claim.New(claim.NewBatcher(r.table, maxClaimBatch), r.objects, r.set.Name, newToken)
-	r.vms = &controller.VMs{Board: r.board, List: vms, Caller: r.caller, Self: r.set.Name, Log: r.log}
+	r.vms = &controller.VMs{Board: r.board, List: vms, Caller: r.peerCaller, Self: r.set.Name, Log: r.log}
 }
 
 func (r *Router) provisionControllers() {
 	r.configs = &controller.Configs{
-		Board: r.board, Chain: r.chain, Caller: r.caller,
+		Board: r.board, Chain: r.chain, Caller: r.peerCaller,
 		Self: r.set.Name, Site: r.set.Site, Log: r.log,
 	}
 	r.configs.Provision()
@@ -150,7 +151,7 @@
 	opts.Seeds = append(opts.Seeds, r.set.Seeds...)
 	control := r.set.ControlAdvertise
 	if control == r.set.ControlListen {
-		control = r.control
+		control = r.controlAddress
 	}
 	address := r.set.Advertise
 	if address == r.set.Listen {
@@ -158,7 +159,7 @@
 	}
 	var err error
 	r.gossip, err = gossip.Listen(gossip.Config{
-		Listen: r.control,
+		Listen: r.controlAddress,
 		Self: membership.Member{
 			Name: r.set.Name, ID: instance, Address: control, HTTP: address, Site: r.set.Site,
 		},
@@ -169,8 +170,8 @@
 	return err
 }
 
-// join connects the controllers to membership.
-func (r *Router) join() error {
+// connectMembership connects the controllers to membership.
+func (r *Router) connectMembership() error {
 	members := &controller.Members{Board: r.board, Self: r.set.Name, ID: r.gossip.Self().ID}
 	r.loads.Send = r.gossip.SendTo
 	r.vms.Witness = func(vms []api.VM) {
--- a/internal/serve/router/router.go
+++ b/internal/serve/router/router.go
@@ -1,5 +1,5 @@
-// Package router assembles one router from its parts and runs its life cycle:
-// provision, start, serve, drain, stop.
+// Package router assembles a router from its components and runs its life cycle: provision, start,
+// serve, drain, stop.
 package router
 
 import (
@@ -33,55 +33,55 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of failures to start.
+// Error is the class of errors of Start.
 var Error = errs.Class("router")
 
 const (
-	// maxClaimBatch bounds the claims in one transaction.
+	// maxClaimBatch is the maximum number of claims in one transaction.
 	maxClaimBatch = 32
-	// readHeaderTimeout bounds how slowly a request's headers may come.
+	// readHeaderTimeout bounds the time to read the headers of a request.
 	readHeaderTimeout = 5 * time.Second
-	// idleTimeout closes callers' idle connections before something on the
-	// way forgets them.
+	// idleTimeout closes idle connections of callers before a device in the network drops their
+	// state.
 	idleTimeout = 30 * time.Second
-	// cutGrace is how long streams that are cut at the deadline get to end.
-	cutGrace = 2 * time.Second
+	// streamCloseTimeout bounds the wait for streams that are closed at the drain deadline.
+	streamCloseTimeout = 2 * time.Second
 )
 
-// Options changes parts of a router for tests and experiments.
+// Options replaces components of a router in tests and experiments.
 type Options struct {
 	// NewStrategy replaces the placement strategy.
 	NewStrategy func(*rand.Rand) placement.Strategy
 	// Policy replaces the placement policy.
 	Policy placement.Policy
-	// Gossip replaces the membership options; Seeds are added.
+	// Gossip replaces the membership options. The seeds of the settings are added to its Seeds.
 	Gossip membership.Options
-	// Seed makes the router's random choices repeatable; 0 draws one.
+	// Seed makes the router's random decisions repeatable. If it is 0, a random seed is used.
 	Seed uint64
 }
 
-// Router is one running router.
+// Router is a router of the fleet.
 type Router struct {
 	set  *settings.Settings
 	opts Options
 	log  *log.Logger
 
-	board     *board.Board
-	gossip    *gossip.Driver
-	caller    *peer.Caller
-	calls     *peer.Server
-	counters  peer.Counters
-	secrets   *secret.Store
-	upstream  *upstream.Client
-	admission *admission.Admission
-	facts     *admission.Facts
-	quota     *quota.Quota
-	traffic   *traffic.Server
-	chain     *config.Chain
-	claims    *claim.Store
-	table     platform.Table
-	objects   platform.Objects
-	stats     *platform.Stats
+	board      *board.Board
+	gossip     *gossip.Driver
+	peerCaller *peer.Caller
+	peerServer *peer.Server
+	counters   peer.Counters
+	secrets    *secret.Store
+	upstream   *upstream.Client
+	admission  *admission.Admission
+	facts      *admission.Facts
+	quota      *quota.Quota
+	traffic    *traffic.Server
+	chain      *config.Chain
+	claims     *claim.Store
+	table      platform.Table
+	objects    platform.Objects
+	stats      *platform.Stats
 
 	vms     *controller.VMs
 	configs *controller.Configs
@@ -90,17 +90,17 @@
 	handoff *controller.Handoff
 	sweeper *controller.Sweeper
 
-	http    *http.Server
-	vars    *expvar.Map
-	ctx     context.Context
-	cancel  context.CancelFunc
-	wg      sync.WaitGroup
-	address string
-	control string
-	admin   string
+	http           *http.Server
+	vars           *expvar.Map
+	ctx            context.Context
+	cancel         context.CancelFunc
+	wg             sync.WaitGroup
+	address        string
+	controlAddress string
+	adminAddress   string
 }
 
-// New provisions a router; Start makes it serve.
+// New returns a router that does not serve until Start is called.
 func New(set *settings.Settings, logger *log.Logger, o Options) (*Router, error) {
 	if o.Seed == 0 {
 		o.Seed = rand.Uint64()
@@ -111,14 +111,14 @@
 	return r, nil
 }
 
-// Start listens and begins to serve. A router without a configuration
-// answers with a typed refusal until it has one.
+// Start opens the listeners and begins to serve. Until a configuration is active, requests are
+// refused with a typed error. After an error the router is closed. Errors: Error.
 func (r *Router) Start() error {
 	if err := r.start(); err != nil {
 		r.Close()
 		return Error.Wrap(err)
 	}
-	r.log.Info("serving", "address", r.address, "control", r.control)
+	r.log.Info("serving", "address", r.address, "control", r.controlAddress)
 	return nil
 }
 
@@ -127,7 +127,7 @@
 	if err != nil {
 		return err
 	}
-	r.control = control.Addr().String()
+	r.controlAddress = control.Addr().String()
 	callers, err := net.Listen("tcp", r.set.Listen)
 	if err != nil {
 		return errors.Join(err, control.Close())
@@ -137,12 +137,12 @@
 		return errors.Join(err, control.Close(), callers.Close())
 	}
 	r.goRun(r.board.Run)
-	r.goRun(func(context.Context) { r.calls.Serve(control) })
-	if err := r.join(); err != nil {
+	r.goRun(func(context.Context) { r.peerServer.Serve(control) })
+	if err := r.connectMembership(); err != nil {
 		return errors.Join(err, control.Close(), callers.Close())
 	}
 	context.AfterFunc(r.ctx, func() { _ = control.Close() })
-	r.goRun(r.watchSecrets)
+	r.goRun(r.pollSecrets)
 	r.goRun(r.vms.Run)
 	r.goRun(r.configs.Run)
 	r.goRun(r.engines.Run)
@@ -173,20 +173,21 @@
 	}
 	r.goRun(func(context.Context) {
 		if err := r.http.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-			r.log.Error("callers' listener failed", "cause", err)
+			r.log.Error("caller listener failed", "cause", err)
 		}
 	})
 }
 
-// Drain leaves the fleet without cutting a request. Callers keep the address
-// for the time to live of their locate answer, so the router leaves the
-// answers first and serves on; then it sends newcomers elsewhere and lets what
-// runs finish. At the deadline the rest is cut, and callers resume elsewhere.
+// Drain removes the router from the fleet without interrupting requests. Callers may cache the
+// router's address for the time to live of a locate response. Therefore the router first leaves the
+// locate responses but still serves new requests for that time. Then it refuses new requests, which
+// callers send to other routers, and waits for those in progress. At the drain deadline it closes
+// the remaining streams, which callers resume at other routers.
 func (r *Router) Drain(ctx context.Context) {
 	r.log.Info("draining")
 	r.board.UpdateWait(func(s *board.State) { s.Draining = true })
 	if err := r.gossip.Leave(); err != nil {
-		r.log.Warn("leaving not announced", "cause", err)
+		r.log.Warn("failed to announce leaving", "cause", err)
 	}
 	deadline := time.Now().Add(r.set.Timeouts.Drain)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
@@ -194,16 +195,16 @@
 	pause.For(ctx, r.set.Timeouts.LocateTTL)
 	r.traffic.RefuseNew()
 	if err := r.traffic.Wait(ctx); err != nil {
-		r.log.Warn("drain deadline met; streams are handed on", "cause", err)
+		r.log.Warn("drain deadline reached; closing open streams", "cause", err)
 		r.traffic.CutStreams()
-		wait, cancel := context.WithTimeout(context.WithoutCancel(ctx), cutGrace)
+		wait, cancel := context.WithTimeout(context.WithoutCancel(ctx), streamCloseTimeout)
 		defer cancel()
 		_ = r.traffic.Wait(wait)
 	}
 	r.log.Info("drained")
 }
 
-// Close stops at once; Drain comes first in a graceful shutdown.
+// Close stops the router at once. Call Drain first for a graceful shutdown.
 func (r *Router) Close() {
 	r.cancel()
 	if r.http != nil {
@@ -218,11 +219,11 @@
 	if r.admission != nil {
 		r.admission.Close()
 	}
-	if r.calls != nil {
-		r.calls.Close()
+	if r.peerServer != nil {
+		r.peerServer.Close()
 	}
-	if r.caller != nil {
-		r.caller.Close()
+	if r.peerCaller != nil {
+		r.peerCaller.Close()
 	}
 	if r.upstream != nil {
 		r.upstream.Close()
@@ -230,20 +231,20 @@
 	r.wg.Wait()
 }
 
-// Address is where callers connect.
+// Address returns the address that callers connect to.
 func (r *Router) Address() string { return r.address }
 
-// Control is the UDP and RPC address.
-func (r *Router) Control() string { return r.control }
+// Control returns the UDP and RPC address for other routers.
+func (r *Router) Control() string { return r.controlAddress }
 
-// Snapshot is the router's view of the fleet.
+// Snapshot returns this router's view of the fleet.
 func (r *Router) Snapshot() *board.Snapshot { return r.board.Snapshot() }
 
-// Vars are the router's metrics.
+// Vars returns the router's metrics.
 func (r *Router) Vars() *expvar.Map { return r.vars }
 
-// ControlBytes is the control traffic so far, in bytes sent and received,
-// by membership and load digests over UDP and by calls over TCP.
+// ControlBytes returns the number of bytes of control traffic sent and received since the start:
+// membership and load digests over UDP, and calls over TCP.
 func (r *Router) ControlBytes() (udp, tcp int64) {
 	c := r.gossip.Counters()
 	udp = int64(gossip.Total(c.In).Bytes + gossip.Total(c.Out).Bytes)
--- a/internal/serve/router/secrets.go
+++ b/internal/serve/router/secrets.go
@@ -11,9 +11,9 @@
 	"damaskrouter.example/damaskrouter/internal/secure/secret"
 )
 
-// secretInterval is how often the files of keys and certificates are looked
-// at. Each step of a rotation is in force after this time.
-const secretInterval = 5 * time.Second
+// secretPollPeriod is the time between two checks of the key and certificate files. Each step of a
+// rotation takes effect within this time.
+const secretPollPeriod = 5 * time.Second
 
 func (r *Router) openSecrets() (err error) {
 	r.secrets, err = secret.Open(secret.Options{
@@ -28,33 +28,33 @@
 	return nil
 }
 
-// watchSecrets looks at the files until ctx ends.
-func (r *Router) watchSecrets(ctx context.Context) {
+// pollSecrets checks the key and certificate files until ctx ends.
+func (r *Router) pollSecrets(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause.For(ctx, secretInterval)
+		pause.For(ctx, secretPollPeriod)
 		_ = r.ReloadSecrets()
 	}
 }
 
-// ReloadSecrets takes over changed keys and certificates without cutting a
-// connection of this fleet. After an error, which is logged and counted, the
-// old ones stay in use.
+// ReloadSecrets applies changed keys and certificates without closing connections between routers
+// that share a fleet key. After an error, which is logged and counted, the previous ones stay in
+// use.
 func (r *Router) ReloadSecrets() error {
 	err := r.secrets.Check()
-	// The keys are handed over at each check, changed or not: the queue to
-	// gossip may have been full the last time.
+	// The keys are passed on at each check, changed or not, because the queue to gossip may have
+	// been full the last time.
 	if setErr := r.gossip.SetKeys(r.secrets.Gossip()); setErr != nil {
-		r.log.Warn("fleet keys not passed to membership; tried again", "cause", setErr)
+		r.log.Warn("fleet keys not passed to membership; retrying later", "cause", setErr)
 	}
-	r.calls.Sweep()
+	r.peerServer.Sweep()
 	return err
 }
 
-// callerListener puts TLS on the callers' listener if there is a certificate.
+// callerListener adds TLS to the listener for callers if there is a certificate.
 func (r *Router) callerListener(ln net.Listener) net.Listener {
 	config := r.secrets.CallerTLS()
 	if config == nil {
-		r.log.Warn("callers are served without TLS")
+		r.log.Warn("serving callers without TLS")
 		return ln
 	}
 	return tls.NewListener(ln, config)
--- a/internal/serve/router/secrets_test.go
+++ b/internal/serve/router/secrets_test.go
@@ -25,7 +25,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The platform's addresses lead nowhere: keys must work in an outage too.
+// The platform's address is unreachable, because key rotation must also work during an outage.
 const secureSettings = `name: %[1]s
 site: north
 region: r
@@ -56,7 +56,8 @@
 func startSecure(t *testing.T, dir, name, key string, seeds ...string) *Router {
 	set, err := settings.Load(writeSecure(t, dir, name, secureKey(key)))
 	require.NoError(t, err)
-	// The ports are known only once they are bound, and then advertised.
+	// The ports are chosen when the listeners are opened, and the chosen ones are advertised if the
+	// settings don't differ from the listening addresses.
 	set.ControlAdvertise, set.Advertise = set.ControlListen, set.Listen
 	set.Seeds = seeds
 	r, err := New(set, log.New(io.Discard), Options{})
@@ -66,19 +67,18 @@
 	return r
 }
 
-// ask calls to's configuration service, as a router that lags does.
-func ask(from, to *Router) error {
+// callUnknownMethod calls a method of the configuration service that does not exist.
+func callUnknownMethod(from, to *Router) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	t := peer.Target{Name: to.set.Name, Address: to.Control()}
-	return from.caller.Call(ctx, t, controller.FleetService+".NoSuchMethod", 0, new(int))
+	return from.peerCaller.Call(ctx, t, controller.FleetService+".NoSuchMethod", 0, new(int))
 }
 
-// Symptom: routers stop calling each other, or callers' connections break,
-// when an operator rotates keys. Sequence: fleet key and certificates are
-// replaced on two running routers, one after the other, while a caller's
-// connection is open. Cause: secrets that are read only at the start.
-func TestSecretsAreReplacedInTheRunningRouter(t *testing.T) {
+// Guards against routers that stop calling each other, and against closed connections of callers,
+// during a key rotation: the fleet key and the certificates are replaced on two running routers,
+// one after the other, while a caller's connection is open.
+func TestKeyRotationDoesNotInterruptCalls(t *testing.T) {
 	dir := t.TempDir()
 	certify := func() {
 		require.NoError(t, keys.Generate(dir, keys.GenerateOptions{
@@ -89,13 +89,13 @@
 	first := startSecure(t, dir, "r1", "k1")
 	fleet := []*Router{first, startSecure(t, dir, "r2", "k1", first.Control())}
 	callEachOther := func() {
-		// The method is unknown, which only a router that was let in hears.
-		assert.True(t, peer.ErrRemote.Has(ask(fleet[0], fleet[1])))
-		assert.True(t, peer.ErrRemote.Has(ask(fleet[1], fleet[0])))
+		// Only a router that was authenticated gets the error that the method is unknown.
+		assert.True(t, peer.ErrRemote.Has(callUnknownMethod(fleet[0], fleet[1])))
+		assert.True(t, peer.ErrRemote.Has(callUnknownMethod(fleet[1], fleet[0])))
 	}
 	callEachOther()
 	caller := dialCaller(t, dir, fleet[0].Address())
-	askLocate(t, caller)
+	requestLocate(t, caller)
 	certify()
 	for _, step := range [][]string{{secureKey("k1"), secureKey("k2")}, {secureKey("k2"), secureKey("k1")}, {secureKey("k2")}} {
 		for _, r := range fleet {
@@ -104,12 +104,12 @@
 			callEachOther()
 		}
 	}
-	askLocate(t, caller)
+	requestLocate(t, caller)
 	fresh := dialCaller(t, dir, fleet[0].Address())
 	serial := func(c *tls.Conn) string { return c.ConnectionState().PeerCertificates[0].SerialNumber.String() }
 	assert.NotEqual(t, serial(caller), serial(fresh))
 	operator := dialCaller(t, dir, fleet[0].Admin())
-	assert.Equal(t, serial(fresh), serial(operator), "one reload serves both listeners")
+	assert.Equal(t, serial(fresh), serial(operator), "both listeners must use the reloaded certificate")
 	assert.Contains(t, fleet[0].Vars().String(), `"fleet_keys":["k2"]`)
 	for _, r := range fleet {
 		got := r.counters.Snapshot()
@@ -117,7 +117,7 @@
 	}
 	startSecure(t, dir, "r3", "k2", first.Control())
 	assert.Eventually(t, func() bool { return len(first.Snapshot().Live) == 3 }, time.Minute, 10*time.Millisecond,
-		"membership takes the new key too")
+		"membership must use the new key")
 }
 
 func dialCaller(t *testing.T, dir, address string) *tls.Conn {
@@ -131,8 +131,8 @@
 	return c
 }
 
-// askLocate sends a request without a key on c and wants a typed refusal.
-func askLocate(t *testing.T, c *tls.Conn) {
+// requestLocate sends a locate request without an API key and checks that it gets a typed refusal.
+func requestLocate(t *testing.T, c *tls.Conn) {
 	req, err := http.NewRequest(http.MethodGet, "https://"+c.RemoteAddr().String()+wire.PathLocate, nil)
 	require.NoError(t, err)
 	require.NoError(t, req.Write(c))
