--- a/client/client.go
+++ b/client/client.go
@@ -195,7 +195,7 @@
 	return k.addresses, true
 }
 
-func (c *Client) cacheLocation(key string, loc wire.Locate) []string {
+func (c *Client) cacheLocation(key string, loc wire.LocateResponse) []string {
 	addrs := append([]string{loc.Address}, loc.Alternates...)
 	ttl := time.Duration(loc.TTLMS) * time.Millisecond
 	c.mu.Lock()
@@ -234,7 +234,7 @@
 	return out
 }
 
-func (c *Client) locateAt(ctx context.Context, addr string, q locateQuery) (wire.Locate, error) {
+func (c *Client) locateAt(ctx context.Context, addr string, q locateQuery) (wire.LocateResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ConnectTimeout)
 	defer cancel()
 	values := url.Values{}
@@ -243,24 +243,24 @@
 	setParam(values, "service", q.service)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url(addr, wire.PathLocate)+"?"+values.Encode(), nil)
 	if err != nil {
-		return wire.Locate{}, ErrProtocol.Wrap(err)
+		return wire.LocateResponse{}, ErrProtocol.Wrap(err)
 	}
 	c.authorize(req)
 	setHeader(req.Header, wire.HeaderPrefixHint, q.hint)
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return wire.Locate{}, ErrNoRouter.Wrap(err)
+		return wire.LocateResponse{}, ErrNoRouter.Wrap(err)
 	}
 	defer drainAndClose(resp.Body)
 	if resp.StatusCode != http.StatusOK {
-		return wire.Locate{}, decodeRefusal(resp)
+		return wire.LocateResponse{}, decodeRefusal(resp)
 	}
-	var loc wire.Locate
+	var loc wire.LocateResponse
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxBodyBytes)).Decode(&loc); err != nil {
-		return wire.Locate{}, ErrProtocol.Wrap(err)
+		return wire.LocateResponse{}, ErrProtocol.Wrap(err)
 	}
 	if loc.Address == "" {
-		return wire.Locate{}, ErrProtocol.New("locate answer without an address")
+		return wire.LocateResponse{}, ErrProtocol.New("locate answer without an address")
 	}
 	return loc, nil
 }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -34,7 +34,7 @@
 			return
 		}
 		f.locates.Add(1)
-		_ = json.NewEncoder(w).Encode(wire.Locate{Address: f.addresses[0], Alternates: f.addresses[1:], TTLMS: f.ttlMS})
+		_ = json.NewEncoder(w).Encode(wire.LocateResponse{Address: f.addresses[0], Alternates: f.addresses[1:], TTLMS: f.ttlMS})
 	}))
 	t.Cleanup(f.Close)
 	f.addresses = []string{f.address()}
--- a/client/stream.go
+++ b/client/stream.go
@@ -132,7 +132,7 @@
 	if t := h.Get(wire.HeaderPrefixHint); t != "" {
 		s.hint = t
 	}
-	if h.Get(wire.HeaderMoved) != "" {
+	if h.Get(wire.HeaderLocateAgain) != "" {
 		s.conv.c.Forget(s.conv.id, s.conv.model)
 	}
 }
--- a/internal/decide/permit/ledger.go
+++ b/internal/decide/permit/ledger.go
@@ -92,8 +92,8 @@
 	receivedAt time.Time
 }
 
-// Book counts the permits of one engine. Use NewBook to create one.
-type Book struct {
+// Ledger counts the permits of one engine. Use NewBook to create one.
+type Ledger struct {
 	cfg         Config
 	incarnation uint64
 	permits     map[string]*record
@@ -106,11 +106,11 @@
 	awaited map[string]struct{}
 }
 
-// NewBook returns a Book without permits for the engine. A router that becomes the owner of an
+// NewLedger returns a Book without permits for the engine. A router that becomes the owner of an
 // engine passes the other live routers: until all of them have reported, or the warm-up time has
 // passed, only half of each bound is granted.
-func NewBook(now time.Time, cfg Config, incarnation uint64, live []string) *Book {
-	b := &Book{
+func NewLedger(now time.Time, cfg Config, incarnation uint64, live []string) *Ledger {
+	b := &Ledger{
 		cfg:         cfg.withDefaults(),
 		incarnation: incarnation,
 		permits:     map[string]*record{},
@@ -126,20 +126,20 @@
 
 // WarmingUp reports whether only half of each bound is granted, because some permits of the
 // previous owner may still be unknown.
-func (b *Book) WarmingUp(now time.Time) bool {
+func (b *Ledger) WarmingUp(now time.Time) bool {
 	return len(b.awaited) > 0 && now.Before(b.warmUpEnd)
 }
 
 // Incarnation returns the current incarnation of the engine.
-func (b *Book) Incarnation() uint64 { return b.incarnation }
+func (b *Ledger) Incarnation() uint64 { return b.incarnation }
 
-// Own returns the number and the total weight of the permits, without what only the engine reports.
-func (b *Book) Own() Load {
+// Granted returns the number and the total weight of the permits, without what only the engine reports.
+func (b *Ledger) Granted() Load {
 	return Load{Count: len(b.permits), Weight: b.weight}
 }
 
 // Permits returns all permits ordered by ID, to show operators what occupies an engine.
-func (b *Book) Permits() []Permit {
+func (b *Ledger) Permits() []Permit {
 	list := make([]Permit, 0, len(b.permits))
 	for _, rec := range b.permits {
 		list = append(list, rec.permit)
@@ -149,7 +149,7 @@
 }
 
 // Orphans returns the number of permits whose holder is dead or silent.
-func (b *Book) Orphans() int {
+func (b *Ledger) Orphans() int {
 	n := 0
 	for _, rec := range b.permits {
 		if !rec.orphanedAt.IsZero() {
@@ -161,7 +161,7 @@
 
 // Acquire grants a permit. A repeated request gets the permit of the first one. It returns a
 // *FullError, *IncarnationError, *ReleasedError or *HolderError if it grants none.
-func (b *Book) Acquire(now time.Time, r Request) (Permit, error) {
+func (b *Ledger) Acquire(now time.Time, r Request) (Permit, error) {
 	if err := b.checkIncarnation(r.Incarnation); err != nil {
 		return Permit{}, err
 	}
@@ -182,7 +182,7 @@
 }
 
 // Release ends a permit. Only the first release of an ID changes the count.
-func (b *Book) Release(now time.Time, id string) Outcome {
+func (b *Ledger) Release(now time.Time, id string) Outcome {
 	if rec, ok := b.permits[id]; ok {
 		b.remove(rec)
 		b.released.add(now, id, rec.permit.Weight)
@@ -201,7 +201,7 @@
 // another one. A router that lost its caller aborts late, when the stream may long have resumed at
 // the router to which the caller retried; ending the permit then would hide a running request from
 // the count.
-func (b *Book) ReleaseBy(now time.Time, id, holder string) Outcome {
+func (b *Ledger) ReleaseBy(now time.Time, id, holder string) Outcome {
 	if rec, ok := b.permits[id]; ok && rec.permit.Holder != holder {
 		return Moved
 	}
@@ -210,7 +210,7 @@
 
 // Transfer moves a permit to the router that resumes the stream. It adopts an unknown permit, since
 // the owner may be new. It returns an *IncarnationError or a *ReleasedError if it moves none.
-func (b *Book) Transfer(now time.Time, r Request) (Permit, error) {
+func (b *Ledger) Transfer(now time.Time, r Request) (Permit, error) {
 	if err := b.checkIncarnation(r.Incarnation); err != nil {
 		return Permit{}, err
 	}
@@ -228,8 +228,8 @@
 }
 
 // Load returns the load of the engine: the permits and whatever the engine reports beyond them.
-func (b *Book) Load(now time.Time) Load {
-	own := b.Own()
+func (b *Ledger) Load(now time.Time) Load {
+	own := b.Granted()
 	if b.engine.receivedAt.IsZero() || now.Sub(b.engine.receivedAt) > b.cfg.ReportTTL {
 		return own
 	}
@@ -245,7 +245,7 @@
 
 // unaccounted returns the part of the engine's report that has no permit here: requests granted by
 // another owner, and requests that were released here and still run.
-func (b *Book) unaccounted() Load {
+func (b *Ledger) unaccounted() Load {
 	known := int64(0)
 	unknown := 0
 	for _, id := range b.engine.IDs {
@@ -264,7 +264,7 @@
 }
 
 // admit checks the bounds for r, which must not be counted yet.
-func (b *Book) admit(now time.Time, r Request) error {
+func (b *Ledger) admit(now time.Time, r Request) error {
 	load := b.Load(now)
 	warming := b.WarmingUp(now)
 	bound := b.cfg.Bound
@@ -279,14 +279,14 @@
 		return &FullError{Reason: ReasonBatch, Load: load, WarmingUp: warming}
 	}
 	total := max(r.PoolTotal, load.Weight)
-	if r.LeastLoaded || b.cfg.Admit(load.Weight, r.Weight, total, r.PoolN, bound) {
+	if r.LeastLoaded || b.cfg.Admit(load.Weight, r.Weight, total, r.PoolEngines, bound) {
 		return nil
 	}
 	return &FullError{Reason: ReasonBound, Load: load, WarmingUp: warming}
 }
 
 // repeatAcquire handles a repeated request for a granted permit.
-func (b *Book) repeatAcquire(rec *record, holder string) (Permit, error) {
+func (b *Ledger) repeatAcquire(rec *record, holder string) (Permit, error) {
 	if rec.permit.Holder != holder {
 		return Permit{}, &HolderError{ID: rec.permit.ID, Holder: rec.permit.Holder}
 	}
@@ -295,14 +295,14 @@
 
 // checkIncarnation rejects messages about another incarnation. An engine that replaced another one
 // at the same address would otherwise be charged with the requests of its predecessor.
-func (b *Book) checkIncarnation(want uint64) error {
+func (b *Ledger) checkIncarnation(want uint64) error {
 	if want != 0 && want != b.incarnation {
 		return &IncarnationError{Want: want, Have: b.incarnation}
 	}
 	return nil
 }
 
-func (b *Book) add(now time.Time, p Permit) {
+func (b *Ledger) add(now time.Time, p Permit) {
 	rec := &record{permit: p, grantedAt: now}
 	if h := b.holders[p.Holder]; h != nil && h.dead {
 		// A message of the dead router was still in transit.
@@ -312,13 +312,13 @@
 	b.weight += p.Weight
 }
 
-func (b *Book) remove(rec *record) {
+func (b *Ledger) remove(rec *record) {
 	delete(b.permits, rec.permit.ID)
 	b.weight -= rec.permit.Weight
 }
 
 // noteContact records that the router has sent a message or is reported alive or dead.
-func (b *Book) noteContact(now time.Time, name string) *holder {
+func (b *Ledger) noteContact(now time.Time, name string) *holder {
 	h, ok := b.holders[name]
 	if !ok {
 		h = &holder{}
--- a/internal/decide/permit/permit.go
+++ b/internal/decide/permit/permit.go
@@ -23,8 +23,8 @@
 	// Weight is the work of the request; less than 1 counts as 1.
 	Weight int64
 	// PoolTotal is the load of the pool, and PoolN its number of engines.
-	PoolTotal int64
-	PoolN     int
+	PoolTotal   int64
+	PoolEngines int
 	// LeastLoaded means that no engine of the pool has less load. Such an engine may exceed the
 	// bound, since the request would weigh as much at any other engine.
 	LeastLoaded bool
@@ -54,8 +54,8 @@
 	NotHeld Outcome = "not_held"
 )
 
-// Held is one unfinished request in the report of a holder.
-type Held struct {
+// HeldRequest is one unfinished request in the report of a holder.
+type HeldRequest struct {
 	ID     string
 	Weight int64
 }
@@ -67,7 +67,7 @@
 	Seq uint64
 	// Incarnation is the incarnation of the engine that the report is about.
 	Incarnation uint64
-	Held        []Held
+	Held        []HeldRequest
 }
 
 // EngineLoad is the load that an engine reports.
@@ -91,8 +91,8 @@
 	Weight int64
 }
 
-// Reconciled describes what a report changed.
-type Reconciled struct {
+// Changes describes what a report changed.
+type Changes struct {
 	// Stale means that the report was outdated and changed nothing.
 	Stale bool
 	// Adopted counts the permits that were unknown before the report.
--- a/internal/decide/permit/permit_test.go
+++ b/internal/decide/permit/permit_test.go
@@ -21,7 +21,7 @@
 }
 
 func newRequest(id, holder string) Request {
-	return Request{ID: id, Holder: holder, Incarnation: 1, Weight: 10, PoolTotal: 1000, PoolN: 10}
+	return Request{ID: id, Holder: holder, Incarnation: 1, Weight: 10, PoolTotal: 1000, PoolEngines: 10}
 }
 
 // Guards against an engine that gets more requests or weight than its bounds allow, also while a
@@ -37,13 +37,13 @@
 		"beyond the bound":             {granted: 15, reason: ReasonBound},
 		"least loaded may exceed it":   {granted: 15, change: func(r *Request) { r.LeastLoaded = true }},
 		"never beyond the batch":       {granted: 20, change: func(r *Request) { r.LeastLoaded = true }, reason: ReasonBatch},
-		"no engines":                   {change: func(r *Request) { r.PoolN = 0 }, reason: ReasonBound},
+		"no engines":                   {change: func(r *Request) { r.PoolEngines = 0 }, reason: ReasonBound},
 		"half while warming up":        {granted: 7, live: []string{"r"}, reason: ReasonBound},
 		"half the batch, least loaded": {granted: 10, live: []string{"r"}, change: func(r *Request) { r.LeastLoaded = true }, reason: ReasonBatch},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := NewBook(epoch, Config{MaxBatch: 20}, 1, c.live)
+			b := NewLedger(epoch, Config{MaxBatch: 20}, 1, c.live)
 			for i := range c.granted {
 				r := newRequest(fmt.Sprint(i), "a")
 				r.LeastLoaded = true
@@ -68,87 +68,87 @@
 // Guards against a count that drifts upwards until the engine looks full and gets no requests, when
 // a message is repeated, late or lost: the count must follow the IDs of permits, not messages.
 func TestCountSurvivesRepeatedLateAndLostMessages(t *testing.T) {
-	acquire := func(b *Book, s float64, id string) error {
+	acquire := func(b *Ledger, s float64, id string) error {
 		_, err := b.Acquire(at(s), newRequest(id, "a"))
 		return err
 	}
-	report := func(b *Book, s float64, seq uint64, ids ...string) Reconciled {
+	report := func(b *Ledger, s float64, seq uint64, ids ...string) Changes {
 		r := HolderReport{Holder: "a", Seq: seq, Incarnation: 1}
 		for _, id := range ids {
-			r.Held = append(r.Held, Held{ID: id, Weight: 10})
+			r.Held = append(r.Held, HeldRequest{ID: id, Weight: 10})
 		}
-		return b.Holdings(at(s), r)
+		return b.ApplyHolderReport(at(s), r)
 	}
 	cases := map[string]struct {
-		run   func(t *testing.T, b *Book)
+		run   func(t *testing.T, b *Ledger)
 		count int
 	}{
-		"request repeated": {func(t *testing.T, b *Book) {
+		"request repeated": {func(t *testing.T, b *Ledger) {
 			require.NoError(t, acquire(b, 0, "x"))
 			require.NoError(t, acquire(b, 1, "x"))
 		}, 1},
-		"same id from another holder": {func(t *testing.T, b *Book) {
+		"same id from another holder": {func(t *testing.T, b *Ledger) {
 			require.NoError(t, acquire(b, 0, "x"))
 			_, err := b.Acquire(at(1), newRequest("x", "b"))
 			assert.ErrorAs(t, err, new(*HolderError))
 		}, 1},
-		"release repeated": {func(t *testing.T, b *Book) {
+		"release repeated": {func(t *testing.T, b *Ledger) {
 			require.NoError(t, acquire(b, 0, "x"))
 			assert.Equal(t, Released, b.Release(at(1), "x"))
 			assert.Equal(t, AlreadyReleased, b.Release(at(1), "x"))
 		}, 0},
-		"request repeated after the release": {func(t *testing.T, b *Book) {
+		"request repeated after the release": {func(t *testing.T, b *Ledger) {
 			require.NoError(t, acquire(b, 0, "x"))
 			b.Release(at(1), "x")
 			assert.ErrorAs(t, acquire(b, 2, "x"), new(*ReleasedError))
 		}, 0},
-		"release overtakes the request": {func(t *testing.T, b *Book) {
+		"release overtakes the request": {func(t *testing.T, b *Ledger) {
 			assert.Equal(t, NotHeld, b.Release(at(0), "x"))
 			assert.ErrorAs(t, acquire(b, 1, "x"), new(*ReleasedError))
 		}, 0},
-		"release overtakes a report": {func(t *testing.T, b *Book) {
+		"release overtakes a report": {func(t *testing.T, b *Ledger) {
 			require.NoError(t, acquire(b, 0, "x"))
 			b.Release(at(1), "x")
-			assert.Equal(t, Reconciled{}, report(b, 2, 1, "x"))
+			assert.Equal(t, Changes{}, report(b, 2, 1, "x"))
 		}, 0},
-		"release lost, missing from two reports": {func(t *testing.T, b *Book) {
+		"release lost, missing from two reports": {func(t *testing.T, b *Ledger) {
 			require.NoError(t, acquire(b, 0, "x"))
-			assert.Equal(t, Reconciled{}, report(b, 4, 1))
-			assert.Equal(t, Reconciled{Dropped: 1}, report(b, 5, 2))
+			assert.Equal(t, Changes{}, report(b, 4, 1))
+			assert.Equal(t, Changes{Dropped: 1}, report(b, 5, 2))
 		}, 0},
-		"grant still in transit": {func(t *testing.T, b *Book) {
+		"grant still in transit": {func(t *testing.T, b *Ledger) {
 			require.NoError(t, acquire(b, 0, "x"))
 			report(b, 1, 1)
 			report(b, 2, 2)
 		}, 1},
-		"old report arrives late": {func(t *testing.T, b *Book) {
-			assert.Equal(t, Reconciled{Adopted: 1}, report(b, 4, 2, "x"))
+		"old report arrives late": {func(t *testing.T, b *Ledger) {
+			assert.Equal(t, Changes{Adopted: 1}, report(b, 4, 2, "x"))
 			assert.True(t, report(b, 5, 1).Stale)
 		}, 1},
-		"dropped by mistake, adopted again": {func(t *testing.T, b *Book) {
+		"dropped by mistake, adopted again": {func(t *testing.T, b *Ledger) {
 			require.NoError(t, acquire(b, 0, "x"))
 			report(b, 4, 1)
 			report(b, 5, 2)
-			assert.Equal(t, Reconciled{Adopted: 1}, report(b, 6, 3, "x"))
+			assert.Equal(t, Changes{Adopted: 1}, report(b, 6, 3, "x"))
 		}, 1},
-		"meant for another incarnation": {func(t *testing.T, b *Book) {
+		"meant for another incarnation": {func(t *testing.T, b *Ledger) {
 			r := newRequest("x", "a")
 			r.Incarnation = 2
 			_, err := b.Acquire(at(0), r)
 			assert.ErrorAs(t, err, new(*IncarnationError))
 		}, 0},
-		"engine restarted": {func(t *testing.T, b *Book) {
+		"engine restarted": {func(t *testing.T, b *Ledger) {
 			require.NoError(t, acquire(b, 0, "x"))
-			assert.Equal(t, 1, b.EngineReport(at(1), EngineLoad{Incarnation: 2}).Dropped)
-			assert.True(t, b.EngineReport(at(2), EngineLoad{Incarnation: 1, Count: 9}).Stale)
+			assert.Equal(t, 1, b.ApplyEngineReport(at(1), EngineLoad{Incarnation: 2}).Dropped)
+			assert.True(t, b.ApplyEngineReport(at(2), EngineLoad{Incarnation: 1, Count: 9}).Stale)
 			assert.Equal(t, NotHeld, b.Release(at(2), "x"))
 		}, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := NewBook(epoch, Config{}, 1, nil)
+			b := NewLedger(epoch, Config{}, 1, nil)
 			c.run(t, b)
-			assert.Equal(t, Load{Count: c.count, Weight: int64(10 * c.count)}, b.Own())
+			assert.Equal(t, Load{Count: c.count, Weight: int64(10 * c.count)}, b.Granted())
 		})
 	}
 }
@@ -171,14 +171,14 @@
 		"not listed, less":        {10, EngineLoad{Count: 1, Weight: 5}, Load{1, 10}},
 	}
 	for name, c := range cases {
-		b := NewBook(epoch, Config{}, 1, nil)
+		b := NewLedger(epoch, Config{}, 1, nil)
 		for _, id := range []string{"x", "done"} {
 			_, err := b.Acquire(epoch, newRequest(id, "a"))
 			require.NoError(t, err)
 		}
 		b.Release(at(1), "done")
 		c.report.Incarnation = 1
-		b.EngineReport(at(c.at), c.report)
+		b.ApplyEngineReport(at(c.at), c.report)
 		assert.Equal(t, c.want, b.Load(at(c.at)), name)
 		assert.Equal(t, Load{1, 10}, b.Load(at(c.at+5.1)), "%s: an old report must not count", name)
 	}
@@ -209,16 +209,16 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := NewBook(epoch, Config{SilenceTimeout: time.Hour}, 1, nil)
+			b := NewLedger(epoch, Config{SilenceTimeout: time.Hour}, 1, nil)
 			for id, holder := range map[string]string{"x": "dead", "y": "dead", "z": "live"} {
 				_, err := b.Acquire(epoch, newRequest(id, holder))
 				require.NoError(t, err)
 			}
-			b.RouterDead(at(1), "dead")
-			require.Equal(t, 3, b.Own().Count)
+			b.MarkRouterDead(at(1), "dead")
+			require.Equal(t, 3, b.Granted().Count)
 			require.Equal(t, 2, b.Orphans())
-			b.EngineReport(at(c.at), c.report)
-			assert.Equal(t, c.left, b.Own().Count)
+			b.ApplyEngineReport(at(c.at), c.report)
+			assert.Equal(t, c.left, b.Granted().Count)
 		})
 	}
 }
@@ -227,16 +227,16 @@
 // is in transit, or without its death being reported to the owner.
 func TestPermitOfDeadRouterIsDropped(t *testing.T) {
 	for _, reported := range []bool{true, false} {
-		b := NewBook(epoch, Config{}, 1, nil)
+		b := NewLedger(epoch, Config{}, 1, nil)
 		if reported {
-			b.RouterDead(at(0), "a")
+			b.MarkRouterDead(at(0), "a")
 		}
 		_, err := b.Acquire(at(1), newRequest("x", "a"))
 		require.NoError(t, err)
 		for s := 5.0; s < 50; s += 5 {
-			b.EngineReport(at(s), EngineLoad{Incarnation: 1})
+			b.ApplyEngineReport(at(s), EngineLoad{Incarnation: 1})
 		}
-		assert.Zero(t, b.Own().Count, "reported: %t", reported)
+		assert.Zero(t, b.Granted().Count, "reported: %t", reported)
 	}
 }
 
@@ -244,7 +244,7 @@
 // or repeated.
 type simulation struct {
 	now         time.Time
-	book        *Book
+	book        *Ledger
 	incarnation uint64
 	lastID      int
 	held        map[string]map[string]int64
@@ -276,7 +276,7 @@
 	sim.seq[router]++
 	r := HolderReport{Holder: router, Seq: sim.seq[router], Incarnation: sim.incarnation}
 	for id, weight := range sim.held[router] {
-		r.Held = append(r.Held, Held{ID: id, Weight: weight})
+		r.Held = append(r.Held, HeldRequest{ID: id, Weight: weight})
 	}
 	sim.reports = append(sim.reports, r)
 }
@@ -289,7 +289,7 @@
 			l.IDs = append(l.IDs, id)
 		}
 	}
-	sim.book.EngineReport(sim.now, l)
+	sim.book.ApplyEngineReport(sim.now, l)
 }
 
 func (sim *simulation) live() []string { return slices.Sorted(maps.Keys(sim.held)) }
@@ -305,7 +305,7 @@
 			held:     map[string]map[string]int64{"a": {}, "b": {}, "c": {}},
 			requests: []Request{newRequest("0", "a")}, reports: []HolderReport{{Holder: "a", Incarnation: 1}},
 		}
-		sim.book = NewBook(sim.now, Config{}, sim.incarnation, nil)
+		sim.book = NewLedger(sim.now, Config{}, sim.incarnation, nil)
 		id := func(t *rapid.T) string { return fmt.Sprint(rapid.IntRange(0, sim.lastID).Draw(t, "id")) }
 		router := func(t *rapid.T) string { return rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "router") }
 		t.Repeat(map[string]func(*rapid.T){
@@ -343,13 +343,13 @@
 				}
 			},
 			"deliver report": func(t *rapid.T) {
-				sim.book.Holdings(sim.now, rapid.SampledFrom(sim.reports).Draw(t, "report"))
+				sim.book.ApplyHolderReport(sim.now, rapid.SampledFrom(sim.reports).Draw(t, "report"))
 			},
 			"router dies": func(t *rapid.T) {
 				if r := router(t); len(sim.held) > 1 {
 					delete(sim.held, r)
 					if rapid.Bool().Draw(t, "noticed") {
-						sim.book.RouterDead(sim.now, r)
+						sim.book.MarkRouterDead(sim.now, r)
 					}
 				}
 			},
@@ -363,7 +363,7 @@
 				sim.engineReport(true)
 			},
 			"owner changes": func(*rapid.T) {
-				sim.book = NewBook(sim.now, Config{}, sim.incarnation, sim.live())
+				sim.book = NewLedger(sim.now, Config{}, sim.incarnation, sim.live())
 				clear(sim.released) // releases are counted once per owner
 			},
 			"wait": func(t *rapid.T) {
@@ -374,7 +374,7 @@
 				for _, p := range sim.book.Permits() {
 					sum.Weight += p.Weight
 				}
-				require.Equal(t, sum, sim.book.Own())
+				require.Equal(t, sum, sim.book.Granted())
 			},
 		})
 		clear(sim.engine)
@@ -384,11 +384,11 @@
 			for _, r := range sim.live() {
 				clear(sim.held[r])
 				sim.report(r)
-				sim.book.Holdings(sim.now, sim.reports[len(sim.reports)-1])
+				sim.book.ApplyHolderReport(sim.now, sim.reports[len(sim.reports)-1])
 			}
 			sim.engineReport(named)
 		}
-		require.Equal(t, Load{}, sim.book.Own())
+		require.Equal(t, Load{}, sim.book.Granted())
 		require.Equal(t, Load{}, sim.book.Load(sim.now))
 		for x, n := range sim.released {
 			require.Equal(t, 1, n, "permit %s", x)
@@ -428,7 +428,7 @@
 // actual load as a multiple of the bound for the heaviest request.
 func simulateTwoOwners(rng *rand.Rand, engineReports bool, length float64) float64 {
 	cfg := Config{MaxBatch: 1000}
-	books := []*Book{NewBook(epoch, cfg, 1, nil), NewBook(epoch, cfg, 1, []string{"r0", "r1", "r2"})}
+	books := []*Ledger{NewLedger(epoch, cfg, 1, nil), NewLedger(epoch, cfg, 1, []string{"r0", "r1", "r2"})}
 	const total, n, heaviest = 2000, 10, 60
 	const bound = DefaultBound * (total + heaviest) / n
 	engine, load := map[string]int64{}, int64(0)
@@ -438,7 +438,7 @@
 		now := at(float64(step) / 20)
 		r := Request{
 			ID: fmt.Sprint(step), Holder: fmt.Sprint("r", rng.IntN(3)), Incarnation: 1,
-			Weight: 1 + rng.Int64N(heaviest), PoolTotal: total, PoolN: n,
+			Weight: 1 + rng.Int64N(heaviest), PoolTotal: total, PoolEngines: n,
 		}
 		if _, err := books[rng.IntN(2)].Acquire(now, r); err == nil {
 			engine[r.ID] = r.Weight
@@ -448,8 +448,8 @@
 		ids := slices.Sorted(maps.Keys(engine))
 		history = append(history, EngineLoad{Incarnation: 1, Age: time.Second, Weight: load, Count: len(ids), IDs: ids})
 		if engineReports && step >= 20 && step%10 == 0 {
-			books[0].EngineReport(now, history[step-20])
-			books[1].EngineReport(now, history[step-20])
+			books[0].ApplyEngineReport(now, history[step-20])
+			books[1].ApplyEngineReport(now, history[step-20])
 		}
 		if len(ids) > 0 && rng.IntN(4) == 0 {
 			x := ids[rng.IntN(len(ids))]
@@ -464,7 +464,7 @@
 }
 
 func BenchmarkAcquireRelease(b *testing.B) {
-	book := NewBook(epoch, Config{MaxBatch: 100}, 1, nil)
+	book := NewLedger(epoch, Config{MaxBatch: 100}, 1, nil)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		id := fmt.Sprint(i)
--- a/internal/decide/permit/reconcile.go
+++ b/internal/decide/permit/reconcile.go
@@ -9,26 +9,26 @@
 // reports that are still in transit.
 const holderTTL = 2 * time.Minute
 
-// Holdings applies a holder's list of unfinished requests. It adopts unknown permits, and drops
+// ApplyHolderReport applies a holder's list of unfinished requests. It adopts unknown permits, and drops
 // those that the holder no longer has, since their release must have been lost.
-func (b *Book) Holdings(now time.Time, r HolderReport) Reconciled {
+func (b *Ledger) ApplyHolderReport(now time.Time, r HolderReport) Changes {
 	if b.checkIncarnation(r.Incarnation) != nil {
-		return Reconciled{Stale: true}
+		return Changes{Stale: true}
 	}
 	if h := b.holders[r.Holder]; h != nil && r.Seq <= h.seq {
-		return Reconciled{Stale: true}
+		return Changes{Stale: true}
 	}
 	h := b.noteContact(now, r.Holder)
 	h.seq = r.Seq
 	delete(b.awaited, r.Holder)
-	res := Reconciled{Adopted: b.adopt(now, r)}
+	res := Changes{Adopted: b.adopt(now, r)}
 	res.Dropped = b.dropMissing(now, r)
 	return res
 }
 
-// RouterDead records that a router is dead. Its permits remain until a report of the engine ends
+// MarkRouterDead records that a router is dead. Its permits remain until a report of the engine ends
 // them, since the engine may still execute the requests.
-func (b *Book) RouterDead(now time.Time, name string) {
+func (b *Ledger) MarkRouterDead(now time.Time, name string) {
 	delete(b.awaited, name)
 	b.noteContact(now, name).dead = true
 	for _, rec := range b.permits {
@@ -38,35 +38,35 @@
 	}
 }
 
-// RouterAlive records that a router declared dead is alive. Its next report lists the permits that
+// MarkRouterAlive records that a router declared dead is alive. Its next report lists the permits that
 // it still holds.
-func (b *Book) RouterAlive(now time.Time, name string) {
+func (b *Ledger) MarkRouterAlive(now time.Time, name string) {
 	b.noteContact(now, name).dead = false
 }
 
-// EngineReport applies the load that the engine reports. A report of a newer incarnation removes
+// ApplyEngineReport applies the load that the engine reports. A report of a newer incarnation removes
 // all permits; a report older than the last one is ignored.
-func (b *Book) EngineReport(now time.Time, l EngineLoad) Reconciled {
+func (b *Ledger) ApplyEngineReport(now time.Time, l EngineLoad) Changes {
 	measuredAt := now.Add(-l.Age)
 	if l.Incarnation < b.incarnation {
-		return Reconciled{Stale: true}
+		return Changes{Stale: true}
 	}
 	if l.Incarnation > b.incarnation {
 		return b.reset(now, l)
 	}
 	if measuredAt.Before(b.engine.measuredAt) {
-		return Reconciled{Stale: true}
+		return Changes{Stale: true}
 	}
 	b.engine = engineReport{EngineLoad: l, measuredAt: measuredAt, receivedAt: now}
 	b.orphanSilent(now)
 	dropped := b.dropOrphans(now)
 	b.forgetHolders(now)
-	return Reconciled{Dropped: dropped}
+	return Changes{Dropped: dropped}
 }
 
 // reset removes all permits for a new incarnation, which executes nothing that was granted before.
-func (b *Book) reset(now time.Time, l EngineLoad) Reconciled {
-	res := Reconciled{Dropped: len(b.permits)}
+func (b *Ledger) reset(now time.Time, l EngineLoad) Changes {
+	res := Changes{Dropped: len(b.permits)}
 	clear(b.permits)
 	b.weight = 0
 	b.incarnation = l.Incarnation
@@ -75,7 +75,7 @@
 }
 
 // adopt adds the permits that only the holder knows, and returns their number.
-func (b *Book) adopt(now time.Time, r HolderReport) int {
+func (b *Ledger) adopt(now time.Time, r HolderReport) int {
 	n := 0
 	for _, held := range r.Held {
 		if rec, ok := b.permits[held.ID]; ok {
@@ -98,7 +98,7 @@
 }
 
 // assign records that the holder has the permit. It may have resumed the stream of another router.
-func (b *Book) assign(rec *record, holder string) {
+func (b *Ledger) assign(rec *record, holder string) {
 	rec.permit.Holder = holder
 	rec.missedReports = 0
 	if !b.holders[holder].dead {
@@ -109,7 +109,7 @@
 // dropMissing drops the holder's permits that it no longer reports, and returns their number. It
 // keeps a permit younger than ReportDelay, whose grant may not have reached the holder when it
 // compiled the report.
-func (b *Book) dropMissing(now time.Time, r HolderReport) int {
+func (b *Ledger) dropMissing(now time.Time, r HolderReport) int {
 	listed := make(map[string]struct{}, len(r.Held))
 	for _, held := range r.Held {
 		listed[held.ID] = struct{}{}
@@ -133,7 +133,7 @@
 
 // orphanSilent treats holders without a message for SilenceTimeout as dead. Otherwise a grant to a
 // router whose death the owner never learned of would count permanently.
-func (b *Book) orphanSilent(now time.Time) {
+func (b *Ledger) orphanSilent(now time.Time) {
 	for _, rec := range b.permits {
 		if !rec.orphanedAt.IsZero() {
 			continue
@@ -146,7 +146,7 @@
 }
 
 // dropOrphans drops permits of dead holders that the engine's report shows to have ended.
-func (b *Book) dropOrphans(now time.Time) int {
+func (b *Ledger) dropOrphans(now time.Time) int {
 	orphans := b.reportableOrphans()
 	if b.engine.listsRequests() {
 		return b.dropUnlisted(orphans)
@@ -156,7 +156,7 @@
 
 // reportableOrphans returns, oldest first, the orphans whose requests must have reached the engine
 // before its report if they reached it at all.
-func (b *Book) reportableOrphans() []*record {
+func (b *Ledger) reportableOrphans() []*record {
 	var orphans []*record
 	limit := b.engine.measuredAt.Add(-b.cfg.ReportDelay)
 	for _, rec := range b.permits {
@@ -170,7 +170,7 @@
 }
 
 // dropUnlisted drops the orphans that the engine does not list.
-func (b *Book) dropUnlisted(orphans []*record) int {
+func (b *Ledger) dropUnlisted(orphans []*record) int {
 	n := 0
 	for _, rec := range orphans {
 		if slices.Contains(b.engine.IDs, rec.permit.ID) {
@@ -184,7 +184,7 @@
 
 // dropBeyondCount drops the oldest orphans that exceed the engine's count less the requests of live
 // holders, and the orphans that are older than OrphanTTL.
-func (b *Book) dropBeyondCount(now time.Time, orphans []*record) int {
+func (b *Ledger) dropBeyondCount(now time.Time, orphans []*record) int {
 	keep := max(0, b.engine.Count-b.reportableLive())
 	n := 0
 	for i, rec := range orphans {
@@ -200,7 +200,7 @@
 
 // reportableLive returns the number of permits of live holders that the engine's report must
 // include.
-func (b *Book) reportableLive() int {
+func (b *Ledger) reportableLive() int {
 	n := 0
 	limit := b.engine.measuredAt.Add(-b.cfg.ReportDelay)
 	for _, rec := range b.permits {
@@ -213,7 +213,7 @@
 
 // forgetHolders forgets the holders without permits and without contact for holderTTL, to bound the
 // memory.
-func (b *Book) forgetHolders(now time.Time) {
+func (b *Ledger) forgetHolders(now time.Time) {
 	inUse := map[string]struct{}{}
 	for _, rec := range b.permits {
 		inUse[rec.permit.Holder] = struct{}{}
--- a/internal/decide/placement/bound.go
+++ b/internal/decide/placement/bound.go
@@ -16,10 +16,10 @@
 	return PoolLoad{Least: math.Inf(1)}
 }
 
-// TakeCensus sums up the engines of a pool that are in service. Engines that are draining,
+// SumLoad sums up the engines of a pool that are in service. Engines that are draining,
 // unloaded, ejected or unreported count neither in Total nor in N: their load would raise the mean,
 // and with it the bound of the others, although it is about to vanish.
-func TakeCensus(engines []Engine) PoolLoad {
+func SumLoad(engines []Engine) PoolLoad {
 	pool := newPoolLoad()
 	for i := range engines {
 		e := &engines[i]
--- a/internal/decide/placement/picker.go
+++ b/internal/decide/placement/picker.go
@@ -204,12 +204,12 @@
 
 func (c *candidate) decision(reason Reason) Decision {
 	return Decision{
-		Index:  c.index,
-		Weight: c.weight,
-		Cached: c.cached,
-		Reason: reason,
-		Lump:   c.overBound,
-		Wait:   secondsToDuration(c.cost),
+		Index:     c.index,
+		Weight:    c.weight,
+		Cached:    c.cached,
+		Reason:    reason,
+		OverBound: c.overBound,
+		Wait:      secondsToDuration(c.cost),
 	}
 }
 
--- a/internal/decide/placement/placement.go
+++ b/internal/decide/placement/placement.go
@@ -88,9 +88,9 @@
 	Cached int
 	// Reason is why the engine was selected.
 	Reason Reason
-	// Lump means that the request exceeds the load bound and was admitted because the engine is the
+	// OverBound means that the request exceeds the load bound and was admitted because the engine is the
 	// least loaded one.
-	Lump bool
+	OverBound bool
 	// Wait is the predicted time until the first token.
 	Wait time.Duration
 }
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -98,7 +98,7 @@
 	}
 	e := pool.Engines[d.Index]
 	limit, after := pool.Bound*e.Ramp*(total+float64(d.Weight))/n, float64(e.Load+d.Weight)
-	if !d.Lump {
+	if !d.OverBound {
 		require.LessOrEqual(t, after, limit+1e-6)
 		return
 	}
@@ -118,7 +118,7 @@
 	require.Equal(t, len(pool.Engines), outOfService+excluded.Full+excluded.Bound)
 	require.Equal(t, outOfService == len(pool.Engines), errors.Is(err, ErrNoEngine))
 	require.Equal(t, outOfService != len(pool.Engines), errors.Is(err, ErrFull))
-	load, policy := TakeCensus(pool.Engines), DefaultPolicy()
+	load, policy := SumLoad(pool.Engines), DefaultPolicy()
 	for i := range pool.Engines {
 		e := &pool.Engines[i]
 		_, err := Admit(e, policy.Weight(req, req.cachedTokens(e)), load, pool.Bound)
@@ -179,7 +179,7 @@
 			require.Equal(t, c.want == preferred, d.Index == preferred)
 			require.True(t, c.want == noIndex || c.want == d.Index)
 			require.Equal(t, c.reason, d.Reason, d.Reason.String())
-			require.Equal(t, c.overBound, d.Lump)
+			require.Equal(t, c.overBound, d.OverBound)
 		})
 	}
 }
@@ -215,11 +215,11 @@
 	d, err := newTestPicker().Pick(pool, req) // the same for both routers
 	require.NoError(t, err)
 	e := &pool.Engines[d.Index]
-	overBound, err := Admit(e, d.Weight, TakeCensus(pool.Engines), pool.Bound)
+	overBound, err := Admit(e, d.Weight, SumLoad(pool.Engines), pool.Bound)
 	require.NoError(t, err)
 	require.False(t, overBound)
 	e.Load += d.Weight
-	_, err = Admit(e, d.Weight, TakeCensus(pool.Engines), pool.Bound)
+	_, err = Admit(e, d.Weight, SumLoad(pool.Engines), pool.Bound)
 	require.ErrorIs(t, err, ErrFull)
 }
 
--- a/internal/decide/placement/policy_bench_test.go
+++ b/internal/decide/placement/policy_bench_test.go
@@ -73,7 +73,7 @@
 	se.running = append(se.running, req)
 	e.Load += int64(req.weight)
 	e.Running++
-	if d.Lump {
+	if d.OverBound {
 		sim.overBound++
 	}
 }
@@ -102,7 +102,7 @@
 }
 
 func (sim *simulation) skew() float64 {
-	load, highest := TakeCensus(sim.pool.Engines), int64(0)
+	load, highest := SumLoad(sim.pool.Engines), int64(0)
 	for i := range sim.pool.Engines {
 		if !sim.pool.Engines[i].Leaving {
 			highest = max(highest, sim.pool.Engines[i].Load)
--- a/internal/lab/bench/fleet/churn.go
+++ b/internal/lab/bench/fleet/churn.go
@@ -59,7 +59,7 @@
 func (e *Engine) drainAndStop(ctx context.Context) {
 	e.endService()
 	e.markLeaving()
-	e.Leave()
+	e.Drain()
 	// The drain outlives the end of the load; otherwise it would abort the last requests.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), drainTimeout)
 	defer cancel()
--- a/internal/lab/bench/fleet/engine.go
+++ b/internal/lab/bench/fleet/engine.go
@@ -158,7 +158,7 @@
 
 // Executed returns the attempt ids of the messages whose execution began.
 func (e *Engine) Executed() map[string]bool {
-	runs := e.Books().Runs
+	runs := e.Stats().Runs
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := make(map[string]bool, len(runs))
--- a/internal/lab/bench/run/chats.go
+++ b/internal/lab/bench/run/chats.go
@@ -123,7 +123,7 @@
 		c.r.tally.addRefusedAttempt(attemptID)
 		return err
 	}
-	c.record(start, i, chat.Tokens(text), &turn, o)
+	c.record(start, i, chat.EstimateTokens(text), &turn, o)
 	if err == nil && o != answered {
 		return errAnswer.New("%s", attemptID)
 	}
@@ -149,7 +149,7 @@
 		Broken:    o != answered,
 	}
 	if o == answered {
-		a.After = prompt + chat.Tokens(turn.Text)
+		a.After = prompt + chat.EstimateTokens(turn.Text)
 		c.contextTokens = a.After
 		class := c.conv.Priority
 		c.r.firstToken.Add(class, turn.FirstToken)
--- a/internal/lab/bench/run/result.go
+++ b/internal/lab/bench/run/result.go
@@ -113,7 +113,7 @@
 func (r *runner) checkServiceExecutions(c *Counts) {
 	executions := make(map[string]int)
 	for _, s := range r.fleet.Services {
-		for key, n := range s.Books().Executions {
+		for key, n := range s.Stats().Executions {
 			executions[key] += n
 		}
 	}
@@ -134,7 +134,7 @@
 func (r *runner) engineLost() int {
 	n := 0
 	for _, e := range r.fleet.Engines {
-		n += e.Books().Lost
+		n += e.Stats().Lost
 	}
 	return n
 }
@@ -190,7 +190,7 @@
 func (r *runner) loads() []measure.EngineLoad {
 	var out []measure.EngineLoad
 	for _, e := range r.fleet.Engines {
-		l := measure.EngineLoad{Buckets: e.Books().Load, BucketLength: engine.Defaults("", "").Bucket}
+		l := measure.EngineLoad{Buckets: e.Stats().Load, BucketLength: engine.Defaults("", "").Bucket}
 		for _, s := range e.InService() {
 			l.InService = append(l.InService, pair(s))
 		}
--- a/internal/lab/bench/workload/workload_test.go
+++ b/internal/lab/bench/workload/workload_test.go
@@ -70,7 +70,7 @@
 func TestTextLengthAndMark(t *testing.T) {
 	for _, tokens := range []int{20, 500, 10_000} {
 		text := workload.Text("[[c/1/0]]", tokens)
-		require.InDelta(t, tokens, chat.Tokens(text), 5)
+		require.InDelta(t, tokens, chat.EstimateTokens(text), 5)
 		require.True(t, strings.HasPrefix(text, "[[c/1/0]]"))
 		require.True(t, strings.HasSuffix(text, "[[c/1/0]]"))
 	}
--- a/internal/lab/capacity/fleet.go
+++ b/internal/lab/capacity/fleet.go
@@ -167,14 +167,14 @@
 	for i := range f.Size.Engines {
 		site := i % f.Size.Sites
 		e := board.Engine{
-			Name:    engineName(i),
-			ID:      rendezvous.ID(engineName(i)),
-			Address: fmt.Sprintf("10.2.%d.%d:8000", i/250, i%250+1),
-			Site:    siteName(site),
-			Region:  f.Size.regionName(site),
-			Pool:    PoolName(i / f.Size.Sites % f.Size.Pools),
-			Kind:    platform.KindEngine,
-			Known:   true,
+			Name:     engineName(i),
+			ID:       rendezvous.ID(engineName(i)),
+			Address:  fmt.Sprintf("10.2.%d.%d:8000", i/250, i%250+1),
+			Site:     siteName(site),
+			Region:   f.Size.regionName(site),
+			Pool:     PoolName(i / f.Size.Sites % f.Size.Pools),
+			Kind:     platform.KindEngine,
+			Reported: true,
 		}
 		e.Status = f.Status(e, 0)
 		e.Status.RequestIDs = nil
--- a/internal/lab/capacity/permits_test.go
+++ b/internal/lab/capacity/permits_test.go
@@ -61,11 +61,11 @@
 func BenchmarkBook(b *testing.B) {
 	for _, held := range []int{0, 50, 200, 1000} {
 		now := time.Now()
-		book := permit.NewBook(now, permit.Config{MaxBatch: 1 << 20, Bound: 100}, 1, nil)
+		book := permit.NewLedger(now, permit.Config{MaxBatch: 1 << 20, Bound: 100}, 1, nil)
 		ids := make([]string, held)
 		for i := range ids {
 			ids[i] = uuid.NewString()
-			r := permit.Request{ID: ids[i], Holder: "r", Weight: 1500, PoolTotal: 1 << 40, PoolN: 1}
+			r := permit.Request{ID: ids[i], Holder: "r", Weight: 1500, PoolTotal: 1 << 40, PoolEngines: 1}
 			_, err := book.Acquire(now, r)
 			require.NoError(b, err)
 		}
@@ -74,7 +74,7 @@
 			for b.Loop() {
 				n++
 				id := strconv.Itoa(n)
-				_, err := book.Acquire(now, permit.Request{ID: id, Holder: "r", Weight: 1500, PoolTotal: 1 << 40, PoolN: 1})
+				_, err := book.Acquire(now, permit.Request{ID: id, Holder: "r", Weight: 1500, PoolTotal: 1 << 40, PoolEngines: 1})
 				require.NoError(b, err)
 				book.Release(now, id)
 			}
@@ -82,7 +82,7 @@
 		b.Run(fmt.Sprintf("report/held=%d", held), func(b *testing.B) {
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
-				book.EngineReport(now, permit.EngineLoad{Incarnation: 1, Count: held, Weight: int64(held) * 1500, IDs: ids})
+				book.ApplyEngineReport(now, permit.EngineLoad{Incarnation: 1, Count: held, Weight: int64(held) * 1500, IDs: ids})
 			}
 		})
 	}
@@ -204,7 +204,7 @@
 		l := controller.Loads{Board: bd, Admission: newAdmission(b, bd, d.To.Name, new(peer.Counters))}
 		instance := f.Routers[self].Instance
 		for b.Loop() {
-			l.Heard(instance, d.Payload)
+			l.ReceiveDigest(instance, d.Payload)
 		}
 	})
 }
@@ -273,7 +273,7 @@
 			continue
 		}
 		for range held {
-			p := admission.ReportedPermit{Held: permit.Held{ID: uuid.NewString(), Weight: 1500}, Incarnation: 1}
+			p := admission.ReportedPermit{HeldRequest: permit.HeldRequest{ID: uuid.NewString(), Weight: 1500}, Incarnation: 1}
 			out[e.ID] = append(out[e.ID], p)
 		}
 	}
--- a/internal/lab/capacity/relay_test.go
+++ b/internal/lab/capacity/relay_test.go
@@ -81,7 +81,7 @@
 }
 
 func newTraffic(b *testing.B, bd *board.Board, adm *admission.Admission) *traffic.Server {
-	facts, err := admission.NewFacts(admission.DefaultRecentChats, 1)
+	facts, err := admission.NewCacheIndex(admission.DefaultRecentChats, 1)
 	require.NoError(b, err)
 	codec, err := token.NewCodec(token.Key{ID: 1, Secret: []byte(strings.Repeat("s", token.MinSecret))})
 	require.NoError(b, err)
@@ -203,12 +203,12 @@
 	}
 }
 
-func fullFacts(b *testing.B, owned int) *admission.Facts {
-	facts, err := admission.NewFacts(admission.DefaultRecentChats, 1)
+func fullFacts(b *testing.B, owned int) *admission.CacheIndex {
+	facts, err := admission.NewCacheIndex(admission.DefaultRecentChats, 1)
 	require.NoError(b, err)
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range admission.DefaultRecentChats {
-		facts.Served(rng.Uint64(), randomPlace(rng))
+		facts.RecordServed(rng.Uint64(), randomPlace(rng))
 	}
 	const viewPrefixes, pageSize = 20_000, 500
 	for e := range uint64(owned) {
--- a/internal/lab/faultkit/callers.go
+++ b/internal/lab/faultkit/callers.go
@@ -88,8 +88,8 @@
 
 // Locate asks the router at address which router to use for a chat. Its errors are of
 // ErrNoResponse.
-func (cl *Cluster) Locate(address, chat string) (wire.Locate, error) {
-	var out wire.Locate
+func (cl *Cluster) Locate(address, chat string) (wire.LocateResponse, error) {
+	var out wire.LocateResponse
 	url := "http://" + address + wire.PathLocate + "?model=" + Model + "&chat=" + chat
 	req, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/lab/faultkit/oracle.go
+++ b/internal/lab/faultkit/oracle.go
@@ -122,7 +122,7 @@
 func (o *Oracle) Executions(key string) int {
 	n := 0
 	for _, s := range o.allServices() {
-		for k, executions := range s.Books().Executions {
+		for k, executions := range s.Stats().Executions {
 			if k == Account+"/"+key {
 				n += executions
 			}
@@ -135,7 +135,7 @@
 func (o *Oracle) EngineExecutions() int {
 	n := 0
 	for _, e := range o.Engines() {
-		for _, executions := range e.Books().Runs {
+		for _, executions := range e.Stats().Runs {
 			n += executions
 		}
 	}
@@ -180,7 +180,7 @@
 // issued reports whether a service returned this record for the key.
 func (o *Oracle) issued(key string, r service.Record) bool {
 	for _, s := range o.allServices() {
-		for _, x := range s.Books().Records {
+		for _, x := range s.Stats().Records {
 			if x == r && x.Key == Account+"/"+key {
 				return true
 			}
--- a/internal/lab/faultkit/router.go
+++ b/internal/lab/faultkit/router.go
@@ -58,7 +58,7 @@
 	store       *store
 	vmList      *vmList
 	upstream    *upstream.Client
-	engineFacts *admission.Facts
+	engineFacts *admission.CacheIndex
 	quota       *quota.Quota
 	server      *http.Server
 	peerServer  *peer.Server
@@ -101,7 +101,7 @@
 func (r *Router) buildParts() error {
 	rng := rand.New(rand.NewPCG(seedFromName(r.Name), r.cluster.Seed))
 	caller := r.newPeerCaller()
-	facts, err := admission.NewFacts(admission.DefaultRecentChats, rng.Uint64())
+	facts, err := admission.NewCacheIndex(admission.DefaultRecentChats, rng.Uint64())
 	if err != nil {
 		return err
 	}
--- a/internal/lab/standin/engine/engine.go
+++ b/internal/lab/standin/engine/engine.go
@@ -73,8 +73,8 @@
 	e.Crash()
 }
 
-// Leave starts the drain: the engine refuses new requests and finishes the others.
-func (e *Engine) Leave() {
+// Drain starts the drain: the engine refuses new requests and finishes the others.
+func (e *Engine) Drain() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.draining = true
@@ -136,8 +136,8 @@
 	e.reset()
 }
 
-// Books returns a copy of the engine's stats.
-func (e *Engine) Books() Stats {
+// Stats returns a copy of the engine's stats.
+func (e *Engine) Stats() Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := e.recorder.copy()
--- a/internal/lab/standin/engine/engine_test.go
+++ b/internal/lab/standin/engine/engine_test.go
@@ -97,7 +97,7 @@
 		e.Restart()
 		third := completion(t, post(e, "r3", "", req))
 		require.Zero(t, third.Usage.CachedTokens, "a new incarnation has an empty cache")
-		b := e.Books()
+		b := e.Stats()
 		require.EqualValues(t, second.Usage.CachedTokens, b.CachedTokens)
 		require.EqualValues(t, 2, b.Incarnation)
 	})
@@ -151,7 +151,7 @@
 		for _, want := range []string{"running", "urgent", "normal", "batch"} {
 			require.Equal(t, want, <-ended)
 		}
-		b := e.Books()
+		b := e.Stats()
 		require.Equal(t, 1, b.Refused)
 		require.NotContains(t, b.Runs, "fourth")
 	})
@@ -181,7 +181,7 @@
 		done := make(chan *httptest.ResponseRecorder, 1)
 		go func() { done <- post(e, "r", "", chatRequest(20, "x")) }()
 		synctest.Wait()
-		e.Leave()
+		e.Drain()
 		refused := post(e, "late", "", chatRequest(1))
 		require.Equal(t, http.StatusServiceUnavailable, refused.Code)
 		require.Equal(t, ranNo, refused.Header().Get(wire.HeaderRan))
@@ -218,14 +218,14 @@
 	runEngine(t, opts, func(t *testing.T, e *Engine) {
 		completion(t, post(e, "r", "", chatRequest(25, "x")))
 		sum := 0.0
-		for _, l := range e.Books().Load {
+		for _, l := range e.Stats().Load {
 			require.Equal(t, 1, l.MaxRequests)
 			require.EqualValues(t, 26, l.MaxWeight)
 			sum += l.RequestSeconds
 		}
 		require.InDelta(t, 0.25, sum, 1e-9)
 		other := Stats{}
-		skews := Skew(0, e.Books(), other)
+		skews := Skew(0, e.Stats(), other)
 		require.NotEmpty(t, skews)
 		require.InDelta(t, 2, skews[0], 1e-9, "one of two engines has all the load")
 	})
@@ -245,7 +245,7 @@
 		require.PanicsWithValue(t, http.ErrAbortHandler, func() { post(e, "r2", "", chatRequest(1)) })
 		e.Restart()
 		completion(t, post(e, "r3", "", chatRequest(1)))
-		require.Equal(t, 1, e.Books().Lost)
+		require.Equal(t, 1, e.Stats().Lost)
 	})
 }
 
--- a/internal/lab/standin/engine/http.go
+++ b/internal/lab/standin/engine/http.go
@@ -210,7 +210,7 @@
 	return c.JSON(http.StatusOK, page)
 }
 
-func (e *Engine) getStats(c echo.Context) error { return c.JSON(http.StatusOK, e.Books()) }
+func (e *Engine) getStats(c echo.Context) error { return c.JSON(http.StatusOK, e.Stats()) }
 
 func (e *Engine) postFault(c echo.Context) error {
 	var f Fault
@@ -227,7 +227,7 @@
 }
 
 func (e *Engine) postLeave(c echo.Context) error {
-	e.Leave()
+	e.Drain()
 	return c.NoContent(http.StatusNoContent)
 }
 
--- a/internal/lab/standin/service/http.go
+++ b/internal/lab/standin/service/http.go
@@ -177,7 +177,7 @@
 
 func (s *Service) getReport(c echo.Context) error { return c.JSON(http.StatusOK, s.Report()) }
 
-func (s *Service) getStats(c echo.Context) error { return c.JSON(http.StatusOK, s.Books()) }
+func (s *Service) getStats(c echo.Context) error { return c.JSON(http.StatusOK, s.Stats()) }
 
 func (s *Service) postFault(c echo.Context) error {
 	var f Fault
@@ -194,6 +194,6 @@
 }
 
 func (s *Service) postLeave(c echo.Context) error {
-	s.Leave()
+	s.Drain()
 	return c.NoContent(http.StatusNoContent)
 }
--- a/internal/lab/standin/service/service.go
+++ b/internal/lab/standin/service/service.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// Books returns a copy of the service's stats.
-func (s *Service) Books() Stats {
+// Stats returns a copy of the service's stats.
+func (s *Service) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := s.stats
@@ -101,8 +101,8 @@
 	return out
 }
 
-// Leave starts the drain: the service refuses new calls.
-func (s *Service) Leave() {
+// Drain starts the drain: the service refuses new calls.
+func (s *Service) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
--- a/internal/lab/standin/service/service_test.go
+++ b/internal/lab/standin/service/service_test.go
@@ -41,7 +41,7 @@
 			}
 			call(s, http.MethodPost, PathHandovers, "", "{}")
 			call(s, http.MethodPost, PathReceipts, "", "{}")
-			b := s.Books()
+			b := s.Stats()
 			require.Equal(t, map[string]int{"k": tc.want, "": 2}, b.Executions)
 			require.Len(t, b.Records, tc.want+2)
 			require.Equal(t, len(b.Records), b.Records[len(b.Records)-1].Number)
@@ -56,8 +56,8 @@
 		require.NoError(t, json.Unmarshal(call(s, http.MethodGet, path+"17", "", "").Body.Bytes(), &l))
 		require.Equal(t, Lookup{Kind: kind, ID: "17", State: LookupState(kind, "17")}, l)
 	}
-	require.Equal(t, 2, s.Books().Lookups)
-	require.Empty(t, s.Books().Executions)
+	require.Equal(t, 2, s.Stats().Lookups)
+	require.Empty(t, s.Stats().Executions)
 }
 
 func TestReportShowsRunningCalls(t *testing.T) {
@@ -71,7 +71,7 @@
 		require.EqualValues(t, 1, st.Incarnation)
 		time.Sleep(2 * time.Second)
 		require.Zero(t, s.Report().Running)
-		require.Equal(t, 1, s.Books().MaxRunning)
+		require.Equal(t, 1, s.Stats().MaxRunning)
 	})
 }
 
--- a/internal/operate/admin/config_test.go
+++ b/internal/operate/admin/config_test.go
@@ -362,7 +362,7 @@
 		s.Routers = map[string]board.Router{
 			"r1": {Name: "r1", ID: 1, Site: "north"},
 			"r2": {Name: "r2", ID: 2, Site: "north", ConfigVersion: 2},
-			"r3": {Name: "r3", ID: 3, Site: "north", Leaving: true},
+			"r3": {Name: "r3", ID: 3, Site: "north", Draining: true},
 		}
 		s.Engines = map[string]board.Engine{"e1": {Name: "e1", ID: 9, Pool: "language", Site: "north"}}
 	})
--- a/internal/operate/admin/status.go
+++ b/internal/operate/admin/status.go
@@ -57,7 +57,7 @@
 	out := make([]api.RouterStatus, 0, len(snap.Routers))
 	for _, r := range snap.Routers {
 		state := api.RouterLive
-		if r.Leaving {
+		if r.Draining {
 			state = api.RouterLeaving
 		}
 		version := r.ConfigVersion
@@ -98,12 +98,12 @@
 func (s *Server) engineView(snap *board.Snapshot, e board.Engine, owner int) api.Engine {
 	out := api.Engine{
 		Name: e.Name, Kind: e.Kind, Pool: e.Pool, Site: e.Site, Address: e.Address,
-		Leaving: e.Leaving, Known: e.Known,
+		Leaving: e.Leaving, Known: e.Reported,
 	}
 	if owner >= 0 {
 		out.Owner = snap.Routers[owner].Name
 	}
-	if e.Known {
+	if e.Reported {
 		out.Incarnation = e.Status.Incarnation
 		out.Model, out.Version = e.Status.Model, e.Status.Version
 	}
--- a/internal/serve/admission/admission.go
+++ b/internal/serve/admission/admission.go
@@ -43,8 +43,8 @@
 	Adapter bool
 	// Place describes the request to placement.
 	Place placement.Request
-	// Avoid lists the IDs of engines that have already failed this request.
-	Avoid []uint64
+	// Excluded lists the IDs of engines that have already failed this request.
+	Excluded []uint64
 }
 
 // Grant is the right to send one request to one engine.
@@ -69,10 +69,10 @@
 	g.once.Do(func() { g.a.releasePermit(g.ID) })
 }
 
-// GiveUp ends the permit of a stream whose caller is gone. It reports whether
+// Abort ends the permit of a stream whose caller is gone. It reports whether
 // this router still held the permit: the caller may have resumed the stream at
 // another router, where it continues.
-func (g *Grant) GiveUp(ctx context.Context) (wasHeld bool) {
+func (g *Grant) Abort(ctx context.Context) (wasHeld bool) {
 	g.once.Do(func() { wasHeld = g.a.abort(ctx, g.ID) })
 	return wasHeld
 }
--- a/internal/serve/admission/admission_test.go
+++ b/internal/serve/admission/admission_test.go
@@ -222,7 +222,7 @@
 		require.NoError(t, err)
 		resumed, err := to.admission.Adopt(context.Background(), g.ID, "e1", g.Incarnation)
 		require.NoError(t, err)
-		require.False(t, g.GiveUp(context.Background()))
+		require.False(t, g.Abort(context.Background()))
 		require.Equal(t, 1, owner.permitCount("e1"))
 		resumed.Release()
 		waitFor(t, "release at the owner", func() bool { return owner.permitCount("e1") == 0 })
@@ -234,7 +234,7 @@
 	owner, other := ownerOf(nodes, "e1")
 	g, err := other.admission.Admit(context.Background(), request(queue.Normal))
 	require.NoError(t, err)
-	require.True(t, g.GiveUp(context.Background()))
+	require.True(t, g.Abort(context.Background()))
 	require.Zero(t, owner.permitCount("e1"))
 }
 
--- a/internal/serve/admission/digest.go
+++ b/internal/serve/admission/digest.go
@@ -255,9 +255,9 @@
 	return out
 }
 
-// TakeDigest applies a digest from another router. It fails with ErrDigest if
+// ApplyDigest applies a digest from another router. It fails with ErrDigest if
 // the digest is malformed.
-func (a *Admission) TakeDigest(payload []byte) error {
+func (a *Admission) ApplyDigest(payload []byte) error {
 	loads, err := decodeDigest(payload)
 	if err != nil {
 		return err
--- a/internal/serve/admission/facts.go
+++ b/internal/serve/admission/facts.go
@@ -21,9 +21,9 @@
 	maxEvidence = 8
 )
 
-// Facts records at which engines prompt prefixes are cached, as far as this
+// CacheIndex records at which engines prompt prefixes are cached, as far as this
 // router knows. It is safe for concurrent use.
-type Facts struct {
+type CacheIndex struct {
 	mu       sync.Mutex
 	recent   *prefix.Recent
 	views    map[uint64]*prefix.View
@@ -35,15 +35,15 @@
 	incarnations map[uint64]uint64
 }
 
-// NewFacts returns an empty Facts with room for the given number of recent
+// NewCacheIndex returns an empty Facts with room for the given number of recent
 // chats.
-func NewFacts(chats int, seed uint64) (*Facts, error) {
+func NewCacheIndex(chats int, seed uint64) (*CacheIndex, error) {
 	epoch := time.Now()
 	r, err := prefix.NewRecent(chats, seed, epoch)
 	if err != nil {
 		return nil, err
 	}
-	return &Facts{
+	return &CacheIndex{
 		recent:       r,
 		views:        make(map[uint64]*prefix.View),
 		seed:         seed,
@@ -53,21 +53,21 @@
 }
 
 // Incarnation implements prefix.Incarnations; the caller holds f.mu.
-func (f *Facts) Incarnation(engine uint64) (uint64, bool) {
+func (f *CacheIndex) Incarnation(engine uint64) (uint64, bool) {
 	i, ok := f.incarnations[engine]
 	return i, ok
 }
 
-// Current sets the current incarnation of an engine. Evidence from other
+// SetIncarnation sets the current incarnation of an engine. Evidence from other
 // incarnations becomes invalid.
-func (f *Facts) Current(engine, incarnation uint64) {
+func (f *CacheIndex) SetIncarnation(engine, incarnation uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.incarnations[engine] = incarnation
 }
 
-// Served records that a chat's prefix is now cached at an engine.
-func (f *Facts) Served(chat uint64, p prefix.Place) {
+// RecordServed records that a chat's prefix is now cached at an engine.
+func (f *CacheIndex) RecordServed(chat uint64, p prefix.Place) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, ok := f.incarnations[p.Engine]; !ok {
@@ -80,7 +80,7 @@
 
 // Evidence returns the engines believed to cache a prefix of the request, at
 // most maxEvidence.
-func (f *Facts) Evidence(q prefix.Query) []placement.Evidence {
+func (f *CacheIndex) Evidence(q prefix.Query) []placement.Evidence {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	q.Now = time.Now()
@@ -109,7 +109,7 @@
 
 // Follow starts a view of an engine's cache if there is none, and returns the
 // sequence number of the next cache event to fetch.
-func (f *Facts) Follow(engine uint64) (next uint64, err error) {
+func (f *CacheIndex) Follow(engine uint64) (next uint64, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	v := f.views[engine]
@@ -124,14 +124,14 @@
 }
 
 // Unfollow drops the view of an engine that this router no longer owns.
-func (f *Facts) Unfollow(engine uint64) {
+func (f *CacheIndex) Unfollow(engine uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.views, engine)
 	f.rebuildViewList()
 }
 
-func (f *Facts) rebuildViewList() {
+func (f *CacheIndex) rebuildViewList() {
 	f.viewList = f.viewList[:0]
 	for _, v := range f.views {
 		f.viewList = append(f.viewList, v)
@@ -139,7 +139,7 @@
 }
 
 // Apply applies a page of an engine's cache events.
-func (f *Facts) Apply(engine uint64, page wire.CacheEvents) {
+func (f *CacheIndex) Apply(engine uint64, page wire.CacheEvents) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if v := f.views[engine]; v != nil {
@@ -148,22 +148,22 @@
 	}
 }
 
-// Hot returns up to limit chats that an engine served recently, so that their
+// RecentChats returns up to limit chats that an engine served recently, so that their
 // cached prefixes can be exported.
-func (f *Facts) Hot(engine, incarnation uint64, limit int) []HotChat {
+func (f *CacheIndex) RecentChats(engine, incarnation uint64, limit int) []RecentChat {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var out []HotChat
+	var out []RecentChat
 	f.recent.Visit(engine, incarnation, time.Now(), func(chat uint64, p prefix.Place, age time.Duration) {
 		if len(out) < limit {
-			out = append(out, HotChat{Chat: chat, Place: p, Age: age})
+			out = append(out, RecentChat{Chat: chat, Place: p, Age: age})
 		}
 	})
 	return out
 }
 
-// HotChat is a chat whose prefix is cached at an engine.
-type HotChat struct {
+// RecentChat is a chat whose prefix is cached at an engine.
+type RecentChat struct {
 	Chat  uint64
 	Place prefix.Place
 	// Age is the time since the chat's last turn.
@@ -171,7 +171,7 @@
 }
 
 // Prune drops the incarnations of engines that are no longer in the snapshot.
-func (f *Facts) Prune(snap *board.Snapshot) {
+func (f *CacheIndex) Prune(snap *board.Snapshot) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id := range f.incarnations {
--- a/internal/serve/admission/heldpermits.go
+++ b/internal/serve/admission/heldpermits.go
@@ -50,7 +50,7 @@
 	out := make(map[uint64][]ReportedPermit)
 	for id, p := range h.permits {
 		out[p.engine] = append(out[p.engine], ReportedPermit{
-			Held:        permit.Held{ID: id, Weight: p.weight},
+			HeldRequest: permit.HeldRequest{ID: id, Weight: p.weight},
 			Incarnation: p.incarnation,
 		})
 	}
--- a/internal/serve/admission/permitbooks.go
+++ b/internal/serve/admission/permitbooks.go
@@ -18,7 +18,7 @@
 // engineBook is the permit book of one owned engine.
 type engineBook struct {
 	mu      sync.Mutex
-	permits *permit.Book
+	permits *permit.Ledger
 	bound   float64
 	engine  string
 	group   groupKey
@@ -77,7 +77,7 @@
 			return placement.Admissible(load, w, total, n, book.bound)
 		},
 	}
-	book.permits = permit.NewBook(now, cfg, e.Status.Incarnation, others)
+	book.permits = permit.NewLedger(now, cfg, e.Status.Incarnation, others)
 	return book
 }
 
@@ -105,12 +105,12 @@
 		book.mu.Lock()
 		for name := range b.liveHolders {
 			if !live[name] {
-				book.permits.RouterDead(now, name)
+				book.permits.MarkRouterDead(now, name)
 			}
 		}
 		for name := range live {
 			if !b.liveHolders[name] {
-				book.permits.RouterAlive(now, name)
+				book.permits.MarkRouterAlive(now, name)
 			}
 		}
 		book.mu.Unlock()
@@ -169,18 +169,18 @@
 // applyEngineReport applies an engine's own report. It returns false if this
 // router doesn't own the engine.
 func (b *permitBooks) applyEngineReport(now time.Time, id uint64, load permit.EngineLoad) bool {
-	return b.reconcile(id, func(book *permit.Book) permit.Reconciled { return book.EngineReport(now, load) })
+	return b.reconcile(id, func(book *permit.Ledger) permit.Changes { return book.ApplyEngineReport(now, load) })
 }
 
 // applyHolderReport applies a holder's report. It returns false if this router
 // doesn't own the engine.
 func (b *permitBooks) applyHolderReport(now time.Time, id uint64, r permit.HolderReport) bool {
-	return b.reconcile(id, func(book *permit.Book) permit.Reconciled { return book.Holdings(now, r) })
+	return b.reconcile(id, func(book *permit.Ledger) permit.Changes { return book.ApplyHolderReport(now, r) })
 }
 
 // reconcile applies a report to an engine's book and counts the permits that it
 // adopted or dropped.
-func (b *permitBooks) reconcile(id uint64, apply func(*permit.Book) permit.Reconciled) bool {
+func (b *permitBooks) reconcile(id uint64, apply func(*permit.Ledger) permit.Changes) bool {
 	book := b.find(id)
 	if book == nil {
 		return false
--- a/internal/serve/admission/remote.go
+++ b/internal/serve/admission/remote.go
@@ -85,7 +85,7 @@
 
 // ReportedPermit is one unfinished request in a holder's report.
 type ReportedPermit struct {
-	permit.Held
+	permit.HeldRequest
 	Incarnation uint64
 }
 
@@ -157,9 +157,9 @@
 // applyReport applies a holder's report to the engine's book, once per
 // incarnation.
 func (a *Admission) applyReport(now time.Time, engine uint64, args ReportArgs, list []ReportedPermit) {
-	byIncarnation := make(map[uint64][]permit.Held)
+	byIncarnation := make(map[uint64][]permit.HeldRequest)
 	for _, h := range list {
-		byIncarnation[h.Incarnation] = append(byIncarnation[h.Incarnation], h.Held)
+		byIncarnation[h.Incarnation] = append(byIncarnation[h.Incarnation], h.HeldRequest)
 	}
 	if len(list) == 0 {
 		byIncarnation[0] = nil
--- a/internal/serve/admission/scheduler.go
+++ b/internal/serve/admission/scheduler.go
@@ -123,7 +123,7 @@
 // permit on newer information, place tries another engine, up to
 // maxPlacementAttempts.
 func (s *scheduler) place(ctx context.Context, now time.Time, req *Request) (*Grant, error) {
-	excluded := slices.Clone(req.Avoid)
+	excluded := slices.Clone(req.Excluded)
 	for range maxPlacementAttempts {
 		c, err := s.selectEngine(now, req, excluded)
 		if err != nil {
@@ -195,7 +195,7 @@
 	}
 	d, err := s.strategy.Pick(pool, &req.Place)
 	s.restoreHidden(pool)
-	if err == nil && !d.Lump {
+	if err == nil && !d.OverBound {
 		return d, nil
 	}
 	return s.strategy.Pick(pool, &req.Place)
@@ -278,13 +278,13 @@
 // load the requesting router assumed.
 func (s *scheduler) acquireOwned(now time.Time, pool *placement.Pool, i int, r permit.Request) (permit.Permit, error) {
 	e := &pool.Engines[i]
-	census := placement.TakeCensus(pool.Engines)
+	census := placement.SumLoad(pool.Engines)
 	lump, err := placement.Admit(e, r.Weight, census, pool.Bound)
 	if err != nil {
 		return permit.Permit{}, err
 	}
 	r.PoolTotal = census.Total
-	r.PoolN = census.N
+	r.PoolEngines = census.N
 	r.LeastLoaded = lump
 	p, err := s.a.books.acquire(now, e.ID, pool.Bound, r)
 	if err == nil && lump {
--- a/internal/serve/board/board.go
+++ b/internal/serve/board/board.go
@@ -29,8 +29,8 @@
 	Control string
 	Site    string
 	// Region is the region of Site in the active configuration. It is only set in snapshots.
-	Region  string
-	Leaving bool
+	Region   string
+	Draining bool
 	// ConfigVersion is the version of the active configuration that the router last reported.
 	ConfigVersion uint64
 }
@@ -53,8 +53,8 @@
 	// Status is the report that last changed the incarnation, model, version or draining state,
 	// without request IDs.
 	Status wire.EngineStatus
-	// Known is set once a report of this generation was received.
-	Known bool
+	// Reported is set once a report of this generation was received.
+	Reported bool
 	// FirstSeen is the time when this router first saw this generation.
 	FirstSeen time.Time
 	// Joined is set for an engine that appeared after this router had read the first complete list.
--- a/internal/serve/board/ownership_test.go
+++ b/internal/serve/board/ownership_test.go
@@ -31,14 +31,14 @@
 	first := b.Snapshot()
 	b.UpdateWait(func(s *State) {
 		e := s.Engines["e3"]
-		e.Leaving, e.Known = true, true
+		e.Leaving, e.Reported = true, true
 		s.Engines["e3"] = e
 		s.Draining = true
 	})
 	require.Same(t, first.ownership, b.Snapshot().ownership)
 	b.UpdateWait(func(s *State) {
 		r := s.Routers["r2"]
-		r.Leaving = true
+		r.Draining = true
 		s.Routers["r2"] = r
 	})
 	last := b.Snapshot()
@@ -48,7 +48,7 @@
 			owner, ok := last.EngineOwner(id)
 			require.True(t, ok)
 			require.Equal(t, owner, last.Routers[g.Owners[i]])
-			require.False(t, owner.Leaving)
+			require.False(t, owner.Draining)
 		}
 	}
 }
--- a/internal/serve/board/snapshot.go
+++ b/internal/serve/board/snapshot.go
@@ -31,7 +31,7 @@
 	sort.Slice(s.Routers, func(i, j int) bool { return s.Routers[i].Name < s.Routers[j].Name })
 	for i, r := range s.Routers {
 		s.routerIndexes[r.Name] = i
-		if r.Leaving {
+		if r.Draining {
 			continue
 		}
 		s.Live = append(s.Live, r)
--- a/internal/serve/chat/chat.go
+++ b/internal/serve/chat/chat.go
@@ -34,14 +34,14 @@
 	tokens := 0
 	for _, m := range messages {
 		hash = hashField(hashField(hash, m.Role), m.Content)
-		tokens += Tokens(m.Content)
+		tokens += EstimateTokens(m.Content)
 		boundaries = append(boundaries, Boundary{Hash: hash, Tokens: tokens})
 	}
 	return boundaries
 }
 
-// Tokens returns the estimated length of text in tokens.
-func Tokens(text string) int {
+// EstimateTokens returns the estimated length of text in tokens.
+func EstimateTokens(text string) int {
 	return len(text)/BytesPerToken + 1
 }
 
--- a/internal/serve/controller/configs.go
+++ b/internal/serve/controller/configs.go
@@ -66,7 +66,7 @@
 	for {
 		c.step(ctx)
 		period := headPollPeriod
-		if c.InForceNow() == nil {
+		if c.Active() == nil {
 			period = initialPollPeriod
 		}
 		t := time.NewTimer(jitter(period))
@@ -81,8 +81,8 @@
 	}
 }
 
-// Heard handles a broadcast head. Items of other kinds are ignored.
-func (c *Configs) Heard(item membership.Item) {
+// ReceiveHead handles a broadcast head. Items of other kinds are ignored.
+func (c *Configs) ReceiveHead(item membership.Item) {
 	var hash config.Hash
 	if item.Kind != ItemConfigHead || len(item.Value) != len(hash) {
 		return
@@ -141,7 +141,7 @@
 // too, because it may be the only one.
 func (c *Configs) readsHead() bool {
 	rank := c.Board.Snapshot().Rank(dutyConfig)
-	return rank < headReaders || c.InForceNow() == nil
+	return rank < headReaders || c.Active() == nil
 }
 
 func (c *Configs) readHead(ctx context.Context) {
@@ -258,8 +258,8 @@
 	return true
 }
 
-// InForceNow returns the configuration that is active at this router, or nil.
-func (c *Configs) InForceNow() *config.InForce {
+// Active returns the configuration that is active at this router, or nil.
+func (c *Configs) Active() *config.InForce {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.follower.InForce()
--- a/internal/serve/controller/engines.go
+++ b/internal/serve/controller/engines.go
@@ -27,7 +27,7 @@
 	Upstream *upstream.Client
 	// Admission receives the engines' loads, Facts the contents of their caches.
 	Admission *admission.Admission
-	Facts     *admission.Facts
+	Facts     *admission.CacheIndex
 	Log       *log.Logger
 
 	mu sync.Mutex
@@ -113,7 +113,7 @@
 	} else {
 		g.Admission.EngineReport(&e, st)
 	}
-	g.Facts.Current(e.ID, st.Incarnation)
+	g.Facts.SetIncarnation(e.ID, st.Incarnation)
 	g.updateBoard(e, st)
 	if e.Kind == platform.KindEngine {
 		g.fetchEvents(ctx, e, st.Incarnation)
@@ -143,7 +143,7 @@
 // or draining state.
 func (g *Engines) updateBoard(e board.Engine, st wire.EngineStatus) {
 	generation := e.Generation
-	unchanged := e.Known && e.Status.Incarnation == st.Incarnation && e.Leaving == (e.Leaving || st.Leaving) &&
+	unchanged := e.Reported && e.Status.Incarnation == st.Incarnation && e.Leaving == (e.Leaving || st.Leaving) &&
 		e.Status.Model == st.Model && e.Status.Version == st.Version
 	if unchanged {
 		return
@@ -153,7 +153,7 @@
 		if !ok || current.Generation != generation {
 			return
 		}
-		current.Known = true
+		current.Reported = true
 		current.Status = st
 		current.Status.RequestIDs = nil
 		current.Leaving = current.Leaving || st.Leaving
--- a/internal/serve/controller/handoff.go
+++ b/internal/serve/controller/handoff.go
@@ -35,7 +35,7 @@
 type Handoff struct {
 	Board    *board.Board
 	Upstream *upstream.Client
-	Facts    *admission.Facts
+	Facts    *admission.CacheIndex
 	Log      *log.Logger
 
 	// Moved counts the prefixes transferred, and those of pools without another engine; Failed
@@ -62,7 +62,7 @@
 		}
 	}
 	for _, e := range snap.Engines {
-		if e.Kind != platform.KindEngine || !e.Leaving || !e.Known {
+		if e.Kind != platform.KindEngine || !e.Leaving || !e.Reported {
 			continue
 		}
 		if r, ok := snap.EngineOwner(e.ID); !ok || r.Name != snap.Self {
@@ -78,7 +78,7 @@
 
 // moveChats transfers the chats cached at e, the most recent first.
 func (h *Handoff) moveChats(ctx context.Context, e board.Engine) {
-	chats := h.Facts.Hot(e.ID, e.Status.Incarnation, maxHandoffChats)
+	chats := h.Facts.RecentChats(e.ID, e.Status.Incarnation, maxHandoffChats)
 	sort.Slice(chats, func(i, j int) bool { return chats[i].Age < chats[j].Age })
 	for _, c := range chats {
 		if ctx.Err() != nil {
@@ -94,7 +94,7 @@
 	h.Log.Info("cache transfer finished", "from", e.Name, "chats", len(chats))
 }
 
-func (h *Handoff) moveChat(ctx context.Context, from board.Engine, c admission.HotChat) error {
+func (h *Handoff) moveChat(ctx context.Context, from board.Engine, c admission.RecentChat) error {
 	to, ok := h.nextEngine(from, c.Chat)
 	if !ok {
 		return nil
@@ -111,7 +111,7 @@
 	if err := h.Upstream.Import(ctx, callTo(to), kv); err != nil {
 		return err
 	}
-	h.Facts.Served(c.Chat, prefix.Place{
+	h.Facts.RecordServed(c.Chat, prefix.Place{
 		Engine:      to.ID,
 		Incarnation: to.Status.Incarnation,
 		Prefix:      c.Place.Prefix,
--- a/internal/serve/controller/loads.go
+++ b/internal/serve/controller/loads.go
@@ -70,13 +70,13 @@
 	}
 }
 
-// Heard handles a digest from the instance of a router. Digests of unknown instances are ignored.
-func (l *Loads) Heard(instance uint64, payload []byte) {
+// ReceiveDigest handles a digest from the instance of a router. Digests of unknown instances are ignored.
+func (l *Loads) ReceiveDigest(instance uint64, payload []byte) {
 	for _, r := range l.Board.Snapshot().Routers {
 		if r.Instance != instance {
 			continue
 		}
-		if err := l.Admission.TakeDigest(payload); err != nil {
+		if err := l.Admission.ApplyDigest(payload); err != nil {
 			l.Log.Warn("load digest rejected", "from", r.Name, "cause", err)
 		}
 		return
--- a/internal/serve/controller/members.go
+++ b/internal/serve/controller/members.go
@@ -29,7 +29,7 @@
 			Address:       member.HTTP,
 			Control:       member.Address,
 			Site:          member.Site,
-			Leaving:       member.State == membership.StateLeaving,
+			Draining:      member.State == membership.StateLeaving,
 			ConfigVersion: member.ConfigVersion,
 		}
 		if old, ok := routers[member.Name]; ok && !m.supersedes(r, old) {
@@ -47,5 +47,5 @@
 	if r.Name == m.Self {
 		return r.Instance == m.ID
 	}
-	return old.Leaving && !r.Leaving
+	return old.Draining && !r.Draining
 }
--- a/internal/serve/router/admin.go
+++ b/internal/serve/router/admin.go
@@ -111,7 +111,7 @@
 // activeConfig returns the version and the text of the active configuration, or version 0 without
 // one.
 func (r *Router) activeConfig() (uint64, config.Bundle, error) {
-	current := r.configs.InForceNow()
+	current := r.configs.Active()
 	if current == nil {
 		return 0, config.Bundle{}, nil
 	}
--- a/internal/serve/router/provision.go
+++ b/internal/serve/router/provision.go
@@ -58,7 +58,7 @@
 }
 
 func (r *Router) provisionAdmission(rng *rand.Rand, instance uint64) (err error) {
-	if r.facts, err = admission.NewFacts(admission.DefaultRecentChats, rng.Uint64()); err != nil {
+	if r.facts, err = admission.NewCacheIndex(admission.DefaultRecentChats, rng.Uint64()); err != nil {
 		return err
 	}
 	r.quota = quota.New(quota.Options{
@@ -192,9 +192,9 @@
 	if err := r.gossip.OnChange(members.Update); err != nil {
 		return err
 	}
-	if err := r.gossip.OnItem(r.configs.Heard); err != nil {
+	if err := r.gossip.OnItem(r.configs.ReceiveHead); err != nil {
 		return err
 	}
-	r.gossip.OnDatagram(controller.ChannelLoads, r.loads.Heard)
+	r.gossip.OnDatagram(controller.ChannelLoads, r.loads.ReceiveDigest)
 	return nil
 }
--- a/internal/serve/router/router.go
+++ b/internal/serve/router/router.go
@@ -74,7 +74,7 @@
 	secrets    *secret.Store
 	upstream   *upstream.Client
 	admission  *admission.Admission
-	facts      *admission.Facts
+	facts      *admission.CacheIndex
 	quota      *quota.Quota
 	traffic    *traffic.Server
 	chain      *config.Chain
@@ -196,7 +196,7 @@
 	r.traffic.RefuseNew()
 	if err := r.traffic.Wait(ctx); err != nil {
 		r.log.Warn("drain deadline reached; closing open streams", "cause", err)
-		r.traffic.CutStreams()
+		r.traffic.CloseStreams()
 		wait, cancel := context.WithTimeout(context.WithoutCancel(ctx), streamCloseTimeout)
 		defer cancel()
 		_ = r.traffic.Wait(wait)
--- a/internal/serve/traffic/chat.go
+++ b/internal/serve/traffic/chat.go
@@ -243,7 +243,7 @@
 		Adapter:  r.body.Adapter != "",
 		Deadline: r.caller.deadline,
 		Place:    r.placement,
-		Avoid:    r.excluded,
+		Excluded: r.excluded,
 	}
 }
 
--- a/internal/serve/traffic/harness_test.go
+++ b/internal/serve/traffic/harness_test.go
@@ -60,7 +60,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go h.board.Run(ctx)
-	facts, err := admission.NewFacts(1000, 1)
+	facts, err := admission.NewCacheIndex(1000, 1)
 	require.NoError(t, err)
 	h.admission = admission.New(admission.Options{Board: h.board, Self: "r1", Instance: 1, Rand: rand.New(rand.NewPCG(1, 1))})
 	t.Cleanup(h.admission.Close)
@@ -201,7 +201,7 @@
 func executions(engines map[string]*engine.Engine) int {
 	n := 0
 	for _, e := range engines {
-		for _, times := range e.Books().Runs {
+		for _, times := range e.Stats().Runs {
 			n += times
 		}
 	}
--- a/internal/serve/traffic/locate.go
+++ b/internal/serve/traffic/locate.go
@@ -85,7 +85,7 @@
 		return apierr.New(apierr.CodeNotReady, http.StatusServiceUnavailable, "no router in service is known").
 			WithRetryAfter(time.Second)
 	}
-	response := wire.Locate{
+	response := wire.LocateResponse{
 		Address: routers[0].Address,
 		Router:  routers[0].Name,
 		TTLMS:   s.jitteredTTL().Milliseconds(),
--- a/internal/serve/traffic/response.go
+++ b/internal/serve/traffic/response.go
@@ -113,7 +113,7 @@
 		return
 	}
 	last := r.request.prefixes[len(r.request.prefixes)-1]
-	r.s.Facts.Served(r.request.caller.affinityKey, prefix.Place{
+	r.s.Facts.RecordServed(r.request.caller.affinityKey, prefix.Place{
 		Engine:      r.grant.Engine.ID,
 		Incarnation: r.grant.Incarnation,
 		Prefix:      last.Hash,
@@ -127,7 +127,7 @@
 func (r *chatResponse) expire() {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.ctx), cancelTimeout)
 	defer cancel()
-	if r.grant.GiveUp(ctx) {
+	if r.grant.Abort(ctx) {
 		r.cancelAtEngine(ctx)
 	}
 }
--- a/internal/serve/traffic/server.go
+++ b/internal/serve/traffic/server.go
@@ -67,7 +67,7 @@
 	Board    *board.Board
 	Admitter Admitter
 	// Facts knows where prefixes are cached.
-	Facts *admission.Facts
+	Facts *admission.CacheIndex
 	Quota Limiter
 	// Upstream sends the requests to engines and plain services.
 	Upstream *upstream.Client
@@ -187,7 +187,7 @@
 		}
 		h.Set(wire.HeaderRequestID, id)
 		if s.Board.Snapshot().Draining {
-			h.Set(wire.HeaderMoved, "1")
+			h.Set(wire.HeaderLocateAgain, "1")
 		}
 		if s.refusingNew.Load() {
 			return drainingError()
@@ -209,9 +209,9 @@
 // routers. Requests in progress continue.
 func (s *Server) RefuseNew() { s.refusingNew.Store(true) }
 
-// CutStreams closes the streams to callers, who resume at another router. The
+// CloseStreams closes the streams to callers, who resume at another router. The
 // engines' streams continue.
-func (s *Server) CutStreams() { s.shutdown() }
+func (s *Server) CloseStreams() { s.shutdown() }
 
 // Close ends streams and background work immediately.
 func (s *Server) Close() { s.shutdown() }
--- a/internal/serve/traffic/services.go
+++ b/internal/serve/traffic/services.go
@@ -246,7 +246,7 @@
 		Pools:    []*config.Pool{pool},
 		Deadline: sc.caller.deadline,
 		Place:    placement.Request{OutputTokens: 1},
-		Avoid:    sc.excluded,
+		Excluded: sc.excluded,
 	})
 }
 
--- a/internal/serve/traffic/traffic_test.go
+++ b/internal/serve/traffic/traffic_test.go
@@ -72,7 +72,7 @@
 			e := decodeRefusal(t, body)
 			require.Equal(t, c.code, e.Code)
 			require.Zero(t, executions(h.engines))
-			require.Empty(t, h.portal.Books().Executions)
+			require.Empty(t, h.portal.Stats().Executions)
 		})
 	}
 }
@@ -189,15 +189,15 @@
 			status := 0
 			for attempt := 0; attempt < 3 || status == http.StatusServiceUnavailable; attempt++ {
 				require.Less(t, attempt, 10, "the injected faults must end")
-				before := sum(h.portal.Books().Executions)
+				before := sum(h.portal.Stats().Executions)
 				resp, body := h.do(receiptRequest("k1"))
 				status = resp.StatusCode
 				if status >= 400 && decodeRefusal(t, body).Ran == apierr.RanNo {
-					require.Equal(t, before, sum(h.portal.Books().Executions), "a call refused as not run must not have run")
+					require.Equal(t, before, sum(h.portal.Stats().Executions), "a call refused as not run must not have run")
 				}
 			}
 			require.Equal(t, c.finalStatus, status)
-			require.Equal(t, c.executions, sum(h.portal.Books().Executions))
+			require.Equal(t, c.executions, sum(h.portal.Stats().Executions))
 		})
 	}
 }
@@ -220,7 +220,7 @@
 	resp, again := h.do(receiptRequest("k1"))
 	require.Equal(t, 201, resp.StatusCode, again)
 	require.Equal(t, first, again)
-	require.Equal(t, 1, sum(h.portal.Books().Executions))
+	require.Equal(t, 1, sum(h.portal.Stats().Executions))
 }
 
 func sum(m map[string]int) int {
@@ -241,7 +241,7 @@
 	resp, second := h.do(r)
 	require.Equal(t, 201, resp.StatusCode)
 	require.NotEqual(t, first, second)
-	require.Len(t, h.portal.Books().Executions, 2, "the service must see two keys")
+	require.Len(t, h.portal.Stats().Executions, 2, "the service must see two keys")
 
 	body, _ := newChat("page one", true)
 	own, _ := h.do(request{body: body, key: chatAPIKey, header: map[string]string{wire.HeaderChatID: "c"}})
@@ -262,7 +262,7 @@
 	resp, body := h.do(r)
 	require.Equal(t, 422, resp.StatusCode)
 	require.Equal(t, apierr.CodeKeyReused, decodeRefusal(t, body).Code)
-	require.Equal(t, 1, sum(h.portal.Books().Executions))
+	require.Equal(t, 1, sum(h.portal.Stats().Executions))
 }
 
 // A caller that cannot be served must be refused immediately and told when to
@@ -307,7 +307,7 @@
 	body, _ := newChat("page one", true)
 	resp, _ := h.do(request{body: body, key: chatAPIKey})
 	require.Equal(t, 200, resp.StatusCode, "callers cache the address for a while")
-	require.NotEmpty(t, resp.Header.Get(wire.HeaderMoved))
+	require.NotEmpty(t, resp.Header.Get(wire.HeaderLocateAgain))
 	h.server.RefuseNew()
 	resp, got := h.do(request{body: body, key: chatAPIKey})
 	require.Equal(t, 503, resp.StatusCode)
--- a/internal/serve/upstream/control_test.go
+++ b/internal/serve/upstream/control_test.go
@@ -148,7 +148,7 @@
 		require.True(t, upstream.ErrIdentity.Has(requireFailure(t, err, upstream.RefusedBeforeExecuting)))
 		_, err = c.Events(t.Context(), call, 0)
 		require.True(t, upstream.ErrIdentity.Has(requireFailure(t, err, upstream.RefusedBeforeExecuting)))
-		require.Empty(t, e.Books().Runs)
+		require.Empty(t, e.Stats().Runs)
 	})
 }
 
@@ -234,7 +234,7 @@
 		res, err := to.Complete(t.Context(), chatCall("r2", req))
 		require.NoError(t, err)
 		require.Contains(t, string(res.Body), fmt.Sprintf(`"cached_tokens":%d`, last.Tokens))
-		require.EqualValues(t, last.Tokens, e2.Books().CachedTokens)
+		require.EqualValues(t, last.Tokens, e2.Stats().CachedTokens)
 	})
 }
 
@@ -253,7 +253,7 @@
 		call.RequestID = "unknown"
 		require.NoError(t, c.Cancel(t.Context(), call))
 		time.Sleep(time.Minute)
-		b := e.Books()
+		b := e.Stats()
 		require.Equal(t, 1, b.Canceled)
 		require.Empty(t, b.Finished)
 		require.Less(t, b.OutputTokens, int64(10))
@@ -270,7 +270,7 @@
 			require.NoError(t, err)
 			require.JSONEq(t, `{"number":1,"kind":"receipts","key":"key-r"}`, string(res.Body))
 		}
-		b := s.Books()
+		b := s.Stats()
 		require.Equal(t, map[string]int{"key-r": 1}, b.Executions)
 		require.Equal(t, 1, b.Deduplicated)
 	})
--- a/internal/serve/upstream/fleet_test.go
+++ b/internal/serve/upstream/fleet_test.go
@@ -62,7 +62,7 @@
 		}
 		runFleet(t, fleetStreams, 20, clients, addresses)
 		for _, e := range engines {
-			b := e.Books()
+			b := e.Stats()
 			require.Len(t, b.Runs, fleetStreams)
 			require.Equal(t, b.Runs, b.Finished)
 			for id, n := range b.Runs {
--- a/internal/serve/upstream/sent_test.go
+++ b/internal/serve/upstream/sent_test.go
@@ -115,7 +115,7 @@
 				f := requireFailure(t, err, tc.sent)
 				require.True(t, tc.want.Has(f), "%v", f)
 				time.Sleep(2 * time.Minute)
-				require.Equal(t, tc.executions, s.Books().Executions["key-r"])
+				require.Equal(t, tc.executions, s.Stats().Executions["key-r"])
 			})
 		})
 	}
@@ -142,7 +142,7 @@
 				_, err := c.Stream(t.Context(), chatCall("r", chatRequest(5, "x")))
 				f := requireFailure(t, err, tc.sent)
 				require.True(t, tc.want.Has(f), "%v", f)
-				require.Equal(t, tc.runs, e.Books().Runs["r"])
+				require.Equal(t, tc.runs, e.Stats().Runs["r"])
 			})
 		})
 	}
--- a/internal/serve/upstream/stream_test.go
+++ b/internal/serve/upstream/stream_test.go
@@ -28,7 +28,7 @@
 			require.Equal(t, engine.Answer(req), words)
 			s.Close()
 		}
-		require.Equal(t, map[string]int{"r0": 1, "r1": 1, "r2": 1}, e.Books().Runs)
+		require.Equal(t, map[string]int{"r0": 1, "r1": 1, "r2": 1}, e.Stats().Runs)
 		require.EqualValues(t, 1, l.dials.Load(), "whole streams give their connection back")
 	})
 }
@@ -136,7 +136,7 @@
 				rest, err := readAll(s)
 				require.NoError(t, err)
 				require.Equal(t, engine.Answer(req), append(head, rest...))
-				require.Equal(t, 1, e.Books().Runs["r"])
+				require.Equal(t, 1, e.Stats().Runs["r"])
 				require.EqualValues(t, 2, l.dials.Load())
 				s.Close()
 			})
--- a/internal/serve/wire/wire.go
+++ b/internal/serve/wire/wire.go
@@ -33,9 +33,9 @@
 	HeaderRan = "X-Request-Ran"
 	// HeaderRouter is the name of the router that sent the response.
 	HeaderRouter = "X-Router"
-	// HeaderMoved tells the caller to send a new locate request, because the
+	// HeaderLocateAgain tells the caller to send a new locate request, because the
 	// router is draining.
-	HeaderMoved = "X-Locate-Again"
+	HeaderLocateAgain = "X-Locate-Again"
 	// HeaderIncarnation is the incarnation of the engine that sent the response.
 	// On a request, it is the incarnation that the router expects.
 	HeaderIncarnation = "X-Engine-Incarnation"
@@ -62,8 +62,8 @@
 // DoneMarker is the data of the event that ends a complete stream.
 const DoneMarker = "[DONE]"
 
-// Locate is the reply to a locate request.
-type Locate struct {
+// LocateResponse is the reply to a locate request.
+type LocateResponse struct {
 	// Address is the host and port to use first.
 	Address string `json:"address"`
 	// Alternates are the addresses to try, in this order, if Address fails.
--- a/test/faults/config_test.go
+++ b/test/faults/config_test.go
@@ -196,7 +196,7 @@
 func (s *changeScenario) deliverHeld() {
 	s.update(func() { s.holdAnnouncements, s.announcementsEnded = false, true })
 	for _, item := range slices.Backward(s.heldAnnouncements) {
-		s.announcedRouter.Configs.Heard(item)
+		s.announcedRouter.Configs.ReceiveHead(item)
 	}
 }
 
@@ -361,12 +361,12 @@
 		_ = from.Gate.Pass()
 		s.update(func() { s.announcementsEnded = true })
 	}
-	s.announcedRouter.Configs.Heard(item)
+	s.announcedRouter.Configs.ReceiveHead(item)
 	if duplicate {
-		s.announcedRouter.Configs.Heard(item)
+		s.announcedRouter.Configs.ReceiveHead(item)
 	}
 	if reorder {
-		s.announcedRouter.Configs.Heard(membership.Item{Kind: item.Kind, Key: item.Key, Version: 1, Value: make([]byte, len(item.Value))})
+		s.announcedRouter.Configs.ReceiveHead(membership.Item{Kind: item.Kind, Key: item.Key, Version: 1, Value: make([]byte, len(item.Value))})
 	}
 }
 
@@ -441,6 +441,6 @@
 }
 
 func activeHash(r *faultkit.Router) []byte {
-	h := r.Configs.InForceNow().Hash
+	h := r.Configs.Active().Hash
 	return h[:]
 }
--- a/test/faults/permits_test.go
+++ b/test/faults/permits_test.go
@@ -22,7 +22,7 @@
 	now time.Duration
 	// owner is the book that the holders use. otherOwner is the book of a router that
 	// considers itself the owner too.
-	owner, otherOwner *permit.Book
+	owner, otherOwner *permit.Ledger
 	holders           map[string]*permitHolder
 	messages          []message
 	// running maps the requests that the engine executes to the time of their end.
@@ -45,7 +45,7 @@
 	seq    uint64
 	frozen bool
 	dead   bool
-	book   *permit.Book
+	book   *permit.Ledger
 }
 
 // message is a message under way.
@@ -85,9 +85,9 @@
 	return g
 }
 
-func (g *permitScenario) newBook(live []string) *permit.Book {
+func (g *permitScenario) newBook(live []string) *permit.Ledger {
 	cfg := permit.Config{MaxBatch: maxRunning, Admit: func(int64, int64, int64, int, float64) bool { return true }}
-	return permit.NewBook(g.timestamp(), cfg, g.incarnation, live)
+	return permit.NewLedger(g.timestamp(), cfg, g.incarnation, live)
 }
 
 func (g *permitScenario) timestamp() time.Time { return epoch.Add(g.now) }
@@ -179,7 +179,7 @@
 	book, sent := h.book, g.now
 	done := false
 	g.send(func() {
-		p, err := book.Acquire(g.timestamp(), permit.Request{ID: id, Holder: h.name, Weight: 1, PoolTotal: 1, PoolN: 1})
+		p, err := book.Acquire(g.timestamp(), permit.Request{ID: id, Holder: h.name, Weight: 1, PoolTotal: 1, PoolEngines: 1})
 		if err != nil {
 			g.send(func() { done = true })
 			return
@@ -210,10 +210,10 @@
 	h.seq++
 	r := permit.HolderReport{Holder: h.name, Seq: h.seq, Incarnation: g.incarnation}
 	for id := range h.held {
-		r.Held = append(r.Held, permit.Held{ID: id, Weight: 1})
+		r.Held = append(r.Held, permit.HeldRequest{ID: id, Weight: 1})
 	}
 	book := h.book
-	g.send(func() { book.Holdings(g.timestamp(), r) })
+	g.send(func() { book.ApplyHolderReport(g.timestamp(), r) })
 }
 
 // sendEngineReport reports the executing requests to the owners.
@@ -223,9 +223,9 @@
 	}
 	l := permit.EngineLoad{Incarnation: g.incarnation, Count: len(g.running), Weight: int64(len(g.running))}
 	l.IDs = slices.Collect(maps.Keys(g.running))
-	g.owner.EngineReport(g.timestamp(), l)
+	g.owner.ApplyEngineReport(g.timestamp(), l)
 	if g.otherOwner != nil {
-		g.otherOwner.EngineReport(g.timestamp(), l)
+		g.otherOwner.ApplyEngineReport(g.timestamp(), l)
 	}
 }
 
@@ -276,7 +276,7 @@
 }
 
 var permitCells = []permitCell{
-	{faultkit.Kill, faultkit.Permit, func(g *permitScenario) { g.holders["x"].dead = true; g.owner.RouterDead(g.timestamp(), "x") }, nil, "holder killed; its permits are released by the engine's report"},
+	{faultkit.Kill, faultkit.Permit, func(g *permitScenario) { g.holders["x"].dead = true; g.owner.MarkRouterDead(g.timestamp(), "x") }, nil, "holder killed; its permits are released by the engine's report"},
 	{faultkit.Kill, faultkit.TakeOver, func(g *permitScenario) { g.changeOwner(true) }, nil, "owner killed; the next one starts with an empty book"},
 	{faultkit.Freeze, faultkit.Permit, func(g *permitScenario) { g.holders["x"].frozen = true }, func(g *permitScenario) { g.holders["x"].frozen = false }, "holder frozen with its permits, later thawed"},
 	{faultkit.CutBoth, faultkit.Permit, func(g *permitScenario) { g.messageDelays = loseShare(1) }, nil, "all messages lost"},
@@ -300,7 +300,7 @@
 	{faultkit.AddressReused, faultkit.Permit, (*permitScenario).restartEngine, nil, "another incarnation at the address"},
 	{faultkit.DuplicateKill, faultkit.Permit, func(g *permitScenario) {
 		g.holders["x"].dead = true
-		g.owner.RouterDead(g.timestamp(), "x")
+		g.owner.MarkRouterDead(g.timestamp(), "x")
 		g.messageDelays = func(g *permitScenario) []time.Duration { return []time.Duration{time.Millisecond, 5 * time.Second} }
 	}, nil, "holder killed while copies of its messages are under way"},
 }
@@ -348,7 +348,7 @@
 	g.runFor(time.Minute)
 	g.load = 0
 	g.runFor(settleTime)
-	require.Zero(t, g.owner.Own().Count, "all permits are released")
+	require.Zero(t, g.owner.Granted().Count, "all permits are released")
 	served := g.served
 	g.load = 0.4
 	g.runFor(20 * time.Second)
--- a/test/faults/upstreams_test.go
+++ b/test/faults/upstreams_test.go
@@ -39,7 +39,7 @@
 	description string
 }
 
-func drainByReport(s *drainScenario) { s.Oracle.Engine(firstEngine).Leave() }
+func drainByReport(s *drainScenario) { s.Oracle.Engine(firstEngine).Drain() }
 
 // drainByVMList marks the engine as leaving in the VM list only. The engine itself
 // still accepts work.
@@ -147,7 +147,7 @@
 }
 
 func (s *drainScenario) executionsAt(engine string) int {
-	return len(s.Oracle.Engine(engine).Books().Runs)
+	return len(s.Oracle.Engine(engine).Stats().Runs)
 }
 
 // startChats starts n chats at once.
--- a/test/faults/views_test.go
+++ b/test/faults/views_test.go
@@ -153,7 +153,7 @@
 	return wrong
 }
 
-func (s *viewScenario) locate(r *faultkit.Router, chat string) wire.Locate {
+func (s *viewScenario) locate(r *faultkit.Router, chat string) wire.LocateResponse {
 	loc, err := s.Locate(r.Address, chat)
 	require.NoError(s.t, err)
 	return loc
@@ -165,7 +165,7 @@
 func runLocateSurge(t *testing.T) {
 	inViewScenario(t, faultkit.Options{Engines: viewEngineCount, Bundle: highRateBundle(t)}, func(s *viewScenario) {
 		calls := len(s.Platform.History())
-		answers := make([]wire.Locate, locateCalls)
+		answers := make([]wire.LocateResponse, locateCalls)
 		var all sync.WaitGroup
 		for i := range answers {
 			all.Go(func() { answers[i], _ = s.Locate(s.a.Address, fmt.Sprint("chat-", i)) })
