--- a/internal/serve/upstream/call.go
+++ b/internal/serve/upstream/call.go
@@ -19,116 +19,120 @@
 
 // Call describes one request to an upstream.
 type Call struct {
-	// Address is the upstream's IP address and port.
+	// Address is the IP address and port of the upstream.
 	Address string
-	// Name is the upstream's expected name; empty means any.
+	// Name is the expected name of the upstream; empty accepts any.
 	Name string
-	// Incarnation is the expected incarnation; 0 means any.
+	// Incarnation is the expected incarnation of the upstream; 0 accepts any.
 	Incarnation uint64
-	// RequestID identifies the request; the upstream echoes it.
+	// RequestID identifies the request; engines echo it in their responses.
 	RequestID string
-	// Brief asks Status to leave the unfinished requests' ids out.
+	// Brief asks Status to omit the ids of unfinished requests.
 	Brief bool
-	// Priority is the priority class for the engine's queue.
+	// Priority is the priority class in the engine's queue.
 	Priority string
-	// Body is the request's body.
-	Body []byte
+	Body     []byte
 
-	// Method, Path, Query, ContentType and Accept are for Do only.
+	// Method, Path, Query, ContentType and Accept are used by Do only.
 	Method      string
 	Path        string
 	Query       string
 	ContentType string
 	Accept      string
-	// IdempotencyKey is handed to a plain service, which may deduplicate by it.
+	// IdempotencyKey is sent to the plain service, which may use it to
+	// deduplicate requests.
 	IdempotencyKey string
-	// Idempotent allows Do to use a pooled connection. Leave it false for
-	// work that must run at most once.
+	// Idempotent allows Do to use a pooled connection. It must be false for
+	// requests that must be executed at most once.
 	Idempotent bool
 
-	// FirstChunk and IdleGap override the client's timers; 0 keeps them.
+	// FirstChunk and IdleGap override the timeouts in Options; 0 keeps them.
 	FirstChunk time.Duration
 	IdleGap    time.Duration
 }
 
 const (
-	userAgent    = "damaskrouter"
-	maxRefusal   = 4 << 10
-	ranNo        = "no"
-	headerAuth   = "Authorization"
-	bearerPrefix = "Bearer "
+	userAgent      = "damaskrouter"
+	maxRefusalBody = 4 << 10
+	ranNo          = "no"
+	headerAuth     = "Authorization"
+	bearerPrefix   = "Bearer "
 )
 
-// request is a call translated to HTTP.
+// request is the HTTP request for a Call.
 type request struct {
-	op     string
-	method string
-	path   string
-	query  string
-	body   []byte
-	call   Call
-	accept string
-	typ    string
-	token  string
-	pooled bool
-	// packed asks for a reply in gzip.
-	packed bool
-	// headers bounds the wait for the reply's headers.
-	headers time.Duration
+	op          string
+	method      string
+	path        string
+	query       string
+	body        []byte
+	call        Call
+	accept      string
+	contentType string
+	token       string
+	pooled      bool
+	// acceptGzip asks for a gzip-encoded response.
+	acceptGzip bool
+	// headerTimeout bounds the wait for the response headers, and in do the
+	// whole exchange.
+	headerTimeout time.Duration
 }
 
-// reply is an HTTP response whose body is still to be read.
-type reply struct {
+// exchange is an HTTP exchange whose response body has not been read yet.
+type exchange struct {
 	res *http.Response
-	// ctx ends with the exchange; its cause says why.
+	// ctx ends with the exchange; its cause is the reason.
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	answer *engineconn.Answer
+	// raw is the response that res was made from.
+	raw *engineconn.Answer
 }
 
-// close ends the exchange. The connection is kept if the body has been read to its end.
-func (r *reply) close() {
-	r.answer.Close()
-	r.cancel(nil)
+// close ends the exchange. The connection can be reused only if the body has
+// been read to its end.
+func (e *exchange) close() {
+	e.raw.Close()
+	e.cancel(nil)
 }
 
-// roundTrip sends r and returns the reply once its headers are in. Statuses of
-// 400 and above become a *Failure, save for the plain replies of a service.
-func (c *Client) roundTrip(ctx context.Context, r request) (*reply, error) {
+// roundTrip sends r and returns the exchange once the response headers have
+// arrived. A status of 400 or above is returned as a *Failure, except for the
+// 4xx responses of a plain service; see isResponse.
+func (c *Client) roundTrip(ctx context.Context, r request) (*exchange, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	out, err := c.outgoing(r)
+	req, err := c.engineRequest(r)
 	if err != nil {
 		cancel(nil)
 		return nil, &Failure{Op: r.op, Sent: NotSent, Cause: err}
 	}
-	timer := headerTimer(r.headers, cancel)
-	answer, err := c.conns.Send(ctx, targetOf(r.call), out)
+	timer := headerTimer(r.headerTimeout, cancel)
+	raw, err := c.conns.Send(ctx, targetOf(r.call), req)
 	timer.Stop()
 	if err == nil && ctx.Err() != nil {
-		// It came after its time: whoever asked has been told so.
-		answer.Close()
+		// The response arrived after the timeout or after the caller canceled.
+		raw.Close()
 		err = engineconn.ErrNoAnswer.Wrap(ctx.Err())
 	}
 	if err != nil {
 		defer cancel(nil)
 		return nil, c.transportFailure(ctx, r, err)
 	}
-	rep := &reply{res: responseOf(answer), ctx: ctx, cancel: cancel, answer: answer}
-	if f := refusal(r, rep.res); f != nil {
-		rep.close()
+	ex := &exchange{res: httpResponse(raw), ctx: ctx, cancel: cancel, raw: raw}
+	if f := refusal(r, ex.res); f != nil {
+		ex.close()
 		return nil, f
 	}
-	return rep, nil
+	return ex, nil
 }
 
-// targetOf names an upstream by its address: another one may stand there later, but
-// connections to the first do not lead to it.
+// targetOf identifies an upstream by its address. A later upstream at the same
+// address can't receive requests over pooled connections to the earlier one.
 func targetOf(call Call) engineconn.Target {
 	return engineconn.Target{ID: call.Address, Address: call.Address}
 }
 
-// responseOf puts an answer in the form that replies are checked in.
-func responseOf(a *engineconn.Answer) *http.Response {
+// httpResponse converts a response of engineconn to an *http.Response.
+func httpResponse(a *engineconn.Answer) *http.Response {
 	res := &http.Response{StatusCode: a.Status, Header: a.Header, ContentLength: a.Length, Body: io.NopCloser(a)}
 	if a.Framed && a.Length < 0 {
 		res.TransferEncoding = []string{"chunked"}
@@ -142,8 +146,9 @@
 	})
 }
 
-// transportFailure classifies a failed exchange, and drops the upstream's other idle
-// connections where one that had been used before has gone silent.
+// transportFailure classifies a failed exchange. If a reused connection timed
+// out, it also closes the other idle connections to the upstream, which are
+// probably dead too.
 func (c *Client) transportFailure(ctx context.Context, r request, err error) *Failure {
 	f := &Failure{Op: r.op, Sent: SentNoReply, Cause: transportCause(ctx, err)}
 	if engineconn.ErrNotSent.Has(err) {
@@ -171,44 +176,47 @@
 	}
 }
 
-// outgoing is the request as it goes on the wire. Only pooled ones use a connection that
-// others have used, and leave it to them.
-func (c *Client) outgoing(r request) (*engineconn.Request, error) {
+// engineRequest returns the request to send. Only pooled requests use pooled
+// connections and return theirs to the pool. Errors: ErrCall.
+func (c *Client) engineRequest(r request) (*engineconn.Request, error) {
 	if _, err := netip.ParseAddrPort(r.call.Address); err != nil {
 		return nil, ErrCall.New("address %q is no IP and port", r.call.Address)
 	}
 	target := &url.URL{Path: r.path, RawQuery: r.query}
-	out := &engineconn.Request{
+	req := &engineconn.Request{
 		Method:  r.method,
 		Target:  target.RequestURI(),
 		Host:    r.call.Address,
 		Header:  r.header(),
 		Body:    r.body,
 		MaxIdle: neverReuse,
-		// Whose answer it is, is checked where the answer is read.
+		// The caller of Send checks which request the response belongs to, and
+		// reports a mismatch as ErrMismatch.
 		Own:     func(http.Header) bool { return true },
-		Traffic: c.meters.of(r.op),
+		Traffic: c.traffic.forOperation(r.op),
 	}
 	if r.pooled {
-		out.MaxIdle = c.opts.IdleConn
-		out.Keep = c.opts.MaxIdlePerHost
+		req.MaxIdle = c.opts.IdleConn
+		req.Keep = c.opts.MaxIdlePerHost
 	} else {
-		out.Header.Set("Connection", "close")
+		req.Header.Set("Connection", "close")
 	}
-	return out, checkHeader(out.Header)
+	return req, checkHeader(req.Header)
 }
 
-// neverReuse asks for a new connection; see engineconn.Request.MaxIdle.
+// neverReuse is a value of engineconn.Request.MaxIdle that forces a new
+// connection.
 const neverReuse = -time.Second
 
-// header lists the only headers that ever leave for an upstream.
+// header returns the headers to send. It lists them one by one, so that no
+// internal header can be forwarded by accident.
 func (r request) header() http.Header {
 	h := http.Header{"User-Agent": {userAgent}}
 	setHeader(h, wire.HeaderRequestID, r.call.RequestID)
 	setHeader(h, wire.HeaderPriority, r.call.Priority)
-	setHeader(h, "Content-Type", r.typ)
+	setHeader(h, "Content-Type", r.contentType)
 	setHeader(h, "Accept", r.accept)
-	if r.packed {
+	if r.acceptGzip {
 		h.Set("Accept-Encoding", encodingGzip)
 	}
 	setHeader(h, protocol.HeaderName, r.call.Name)
@@ -230,7 +238,7 @@
 	}
 }
 
-// checkHeader refuses values that would split the request in two.
+// checkHeader rejects values that would allow request splitting. Errors: ErrCall.
 func checkHeader(h http.Header) error {
 	for name, values := range h {
 		if strings.ContainsAny(values[0], "\r\n\x00") {
@@ -240,11 +248,11 @@
 	return nil
 }
 
-// refusal returns nil for a status that is a reply. All others become a
-// Failure. Only the typed header proves that nothing ran; a bare 5xx may come
-// after execution.
+// refusal returns nil if res is a response to the request, and otherwise a
+// Failure. Only the header X-Request-Ran proves that nothing was executed; a 5xx
+// without it may follow an execution.
 func refusal(r request, res *http.Response) *Failure {
-	if isReply(r, res) {
+	if isResponse(r, res) {
 		return nil
 	}
 	f := &Failure{Op: r.op, Sent: SentNoReply, Status: res.StatusCode}
@@ -262,9 +270,10 @@
 	return f
 }
 
-// isReply reports whether the status is the upstream's answer to the work
-// itself. A plain service's 4xx is, unless it states that nothing ran.
-func isReply(r request, res *http.Response) bool {
+// isResponse reports whether the status is a response to the request itself
+// rather than a refusal. A 4xx of a plain service is, unless the service states
+// that it executed nothing.
+func isResponse(r request, res *http.Response) bool {
 	switch {
 	case res.StatusCode < http.StatusOK:
 		return false
@@ -279,11 +288,11 @@
 
 func refusalCode(res *http.Response) protocol.Code {
 	var p protocol.Refusal
-	body, err := unpacked(res)
+	body, err := decodedBody(res)
 	if err != nil {
 		return ""
 	}
-	b, _ := io.ReadAll(io.LimitReader(body, maxRefusal))
+	b, _ := io.ReadAll(io.LimitReader(body, maxRefusalBody))
 	if json.Unmarshal(b, &p) != nil {
 		return ""
 	}
--- a/internal/serve/upstream/client.go
+++ b/internal/serve/upstream/client.go
@@ -1,6 +1,6 @@
-// Package upstream is the router's HTTP client towards engines and plain
-// services. It classifies every call by what is known about its execution,
-// reads streams without trusting them, and never sends anything twice by itself.
+// Package upstream is the router's HTTP client for engines and plain services.
+// It reports for every failed call whether the upstream may have executed it,
+// validates every chunk of a stream, and never resends a request by itself.
 package upstream
 
 import (
@@ -11,38 +11,40 @@
 	"damaskrouter.example/damaskrouter/internal/base/engineconn"
 )
 
-// DialFunc opens a connection; tests put in-memory pipes here.
+// DialFunc opens a connection.
 type DialFunc = engineconn.DialFunc
 
-// Options are the client's settings. The zero value of a field means its default.
+// Options configures a Client. Zero fields take the defaults.
 type Options struct {
 	// Dial opens connections. The default dials TCP.
 	Dial DialFunc
-	// Clock reads the time that ages of connections are counted by. The default
-	// counts from New, without the time for which the VM is suspended.
+	// Clock returns the time by which the age of connections is measured. The
+	// default counts from New, excluding the time for which the VM is suspended.
 	Clock func() time.Duration
 	// DialTimeout bounds the opening of a connection.
 	DialTimeout time.Duration
-	// HeaderTimeout bounds the wait for a reply's headers, for streams and
-	// control calls. Engines send them as soon as they queue a request.
+	// HeaderTimeout bounds the wait for the response headers of a stream.
+	// Engines send them as soon as they queue a request.
 	HeaderTimeout time.Duration
 	// CallTimeout bounds a whole control call.
 	CallTimeout time.Duration
-	// TransferTimeout bounds an export or import of KV cache.
+	// TransferTimeout bounds an export or import of KV cache, a call to a plain
+	// service and a chat completion that is not streamed.
 	TransferTimeout time.Duration
-	// FirstChunk bounds the wait for a stream's first chunk, which includes
-	// the engine's queue and prefill.
+	// FirstChunk bounds the wait for the first chunk of a stream, which includes
+	// the time in the engine's queue and the prefill.
 	FirstChunk time.Duration
 	// IdleGap bounds the wait between two chunks of a stream.
 	IdleGap time.Duration
-	// IdleConn is how long an unused connection stays in the pool.
+	// IdleConn is how long an idle connection stays in the pool.
 	IdleConn time.Duration
-	// ConnAge is how long after its opening a connection is used again. Something
-	// between router and upstream may have forgotten it, which shows only by a timeout.
+	// ConnAge is how long after its opening a connection is reused. A device
+	// between router and upstream may have dropped its state of the connection,
+	// which is noticed only by a timeout.
 	ConnAge time.Duration
-	// MaxIdlePerHost bounds the unused connections to one upstream.
+	// MaxIdlePerHost bounds the idle connections to one upstream.
 	MaxIdlePerHost int
-	// MaxBody bounds a reply that is read whole, in bytes.
+	// MaxBody bounds the body of a response that is not streamed, in bytes.
 	MaxBody int64
 	// MaxTransfer bounds an exported KV cache, in bytes.
 	MaxTransfer int64
@@ -66,14 +68,14 @@
 	DefaultMaxEvent        = 64 << 10
 )
 
-// Client calls upstreams. It is safe for concurrent use.
+// Client sends requests to upstreams. It is safe for concurrent use.
 type Client struct {
-	opts   Options
-	conns  *engineconn.Pool
-	meters meters
+	opts    Options
+	conns   *engineconn.Pool
+	traffic trafficCounters
 }
 
-// New returns a Client. Close releases its connections.
+// New returns a Client. Close must be called to release its connections.
 func New(opts Options) *Client {
 	opts = opts.withDefaults()
 	return &Client{opts: opts, conns: engineconn.NewPool(engineconn.Options{
@@ -81,7 +83,7 @@
 	})}
 }
 
-// Close drops the pooled connections. Streams in progress go on.
+// Close closes the idle connections. Streams in progress are not interrupted.
 func (c *Client) Close() { c.conns.Close() }
 
 func (o Options) withDefaults() Options {
@@ -114,7 +116,8 @@
 	}
 }
 
-// dial marks failures to connect, which are told apart from broken connections.
+// dial marks errors with ErrDial, which distinguishes them from those of broken
+// connections.
 func (o Options) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := o.Dial(ctx, network, address)
 	return conn, ErrDial.Wrap(err)
--- a/internal/serve/upstream/control.go
+++ b/internal/serve/upstream/control.go
@@ -14,14 +14,14 @@
 // EventPage is a page of an engine's cache events.
 type EventPage struct {
 	wire.CacheEvents
-	// Gap is set where events between the one asked for and the first one
-	// returned are missing: what is known of the cache is then doubtful.
+	// Gap is set if events are missing between the requested sequence number and
+	// the last event of the page. The known state of the cache is then unreliable.
 	Gap bool
 }
 
-// Status asks an upstream for its report. Where another upstream or another
-// incarnation answers, it returns that report together with an ErrIdentity
-// failure: a replaced VM may have come back with the same IP address.
+// Status requests the status report of an upstream. If another upstream or
+// incarnation responds, it returns that report together with an ErrIdentity
+// failure, since a replacement VM may have the same IP address.
 func (c *Client) Status(ctx context.Context, call Call) (wire.EngineStatus, error) {
 	want := Call{Name: call.Name, Incarnation: call.Incarnation}
 	call.Name = ""
@@ -31,7 +31,7 @@
 		query = url.Values{protocol.QueryBrief: {"1"}}.Encode()
 	}
 	var st wire.EngineStatus
-	err := c.control(ctx, request{
+	err := c.doControl(ctx, request{
 		op:     opStatus,
 		method: http.MethodGet,
 		path:   wire.PathEngineStatus,
@@ -45,21 +45,22 @@
 	return st, checkIdentity(opStatus, want, st.Name, st.Incarnation)
 }
 
-// Events returns the cache events after sequence number after. Ask next with
-// the page's Next.
+// Events returns the cache events with sequence numbers above after. The next
+// page is requested with the page's Next. Errors include ErrIdentity if another
+// incarnation responds.
 func (c *Client) Events(ctx context.Context, call Call, after uint64) (EventPage, error) {
 	want := Call{Incarnation: call.Incarnation}
 	call.Incarnation = 0
 	var page EventPage
-	err := c.control(ctx, request{
+	err := c.doControl(ctx, request{
 		op:     opEvents,
 		method: http.MethodGet,
 		path:   wire.PathEngineEvents,
 		query:  url.Values{protocol.QueryAfter: {strconv.FormatUint(after, 10)}}.Encode(),
 		call:   call,
 		pooled: true,
-		// A page of events is numbers in the same few words over and over.
-		packed: true,
+		// Events repeat the same field names and compress well.
+		acceptGzip: true,
 	}, &page.CacheEvents)
 	if err != nil {
 		return EventPage{}, err
@@ -68,7 +69,7 @@
 	return page, checkIdentity(opEvents, want, "", page.Incarnation)
 }
 
-// hasGap reports whether the sequence numbers after the given one have a hole.
+// hasGap reports whether the events are not consecutive, starting at after+1.
 func hasGap(events []wire.CacheEvent, after uint64) bool {
 	for _, e := range events {
 		if e.Seq != after+1 {
@@ -79,7 +80,8 @@
 	return false
 }
 
-// Export fetches the KV cache of the prefix.
+// Export returns the KV cache of the prefix with the given chain hash, in the
+// engine's binary form.
 func (c *Client) Export(ctx context.Context, call Call, prefix uint64) ([]byte, error) {
 	body, err := json.Marshal(protocol.ExportRequest{Prefix: prefix})
 	if err != nil {
@@ -89,29 +91,29 @@
 	return res.Body, err
 }
 
-// Import stores a KV cache that Export returned.
+// Import loads a KV cache that Export returned into the engine.
 func (c *Client) Import(ctx context.Context, call Call, kv []byte) error {
 	_, err := c.transfer(ctx, opImport, wire.PathEngineImport, protocol.TypeBinary, call, kv)
 	return err
 }
 
-func (c *Client) transfer(ctx context.Context, op, path, typ string, call Call, body []byte) (Response, error) {
-	return c.whole(ctx, request{
-		op:      op,
-		method:  http.MethodPost,
-		path:    path,
-		body:    body,
-		call:    call,
-		typ:     typ,
-		headers: c.opts.TransferTimeout,
+func (c *Client) transfer(ctx context.Context, op, path, contentType string, call Call, body []byte) (Response, error) {
+	return c.do(ctx, request{
+		op:            op,
+		method:        http.MethodPost,
+		path:          path,
+		body:          body,
+		call:          call,
+		contentType:   contentType,
+		headerTimeout: c.opts.TransferTimeout,
 	}, c.opts.MaxTransfer)
 }
 
-// control runs a short call and decodes its JSON reply into out.
-func (c *Client) control(ctx context.Context, r request, out any) error {
-	r.headers = c.opts.CallTimeout
+// doControl sends a short request and decodes its JSON response into out.
+func (c *Client) doControl(ctx context.Context, r request, out any) error {
+	r.headerTimeout = c.opts.CallTimeout
 	r.accept = protocol.TypeJSON
-	res, err := c.whole(ctx, r, c.opts.MaxBody)
+	res, err := c.do(ctx, r, c.opts.MaxBody)
 	if err != nil {
 		return err
 	}
--- a/internal/serve/upstream/failure.go
+++ b/internal/serve/upstream/failure.go
@@ -8,25 +8,25 @@
 	"github.com/zeebo/errs"
 )
 
-// Sent states what is known about the execution of a call. The order matters:
-// a larger value means that more may have happened.
+// Sent states what is known about the execution of a call. The values are ordered:
+// a larger one means that the call may have got further.
 type Sent int
 
 // What is known after a call.
 const (
 	// NotSent means that no byte of the request was written.
 	NotSent Sent = iota
-	// RefusedBeforeExecuting means that the upstream stated, by the header
-	// X-Request-Ran: no, that it executed nothing.
+	// RefusedBeforeExecuting means that the upstream stated that it executed
+	// nothing, with the header X-Request-Ran: no.
 	RefusedBeforeExecuting
-	// SentNoReply means that the upstream may have executed the request; its
-	// reply is missing, incomplete, or an error that proves nothing.
+	// SentNoReply means that the upstream may have executed the request: its
+	// response is missing, incomplete, or an error that doesn't rule it out.
 	SentNoReply
-	// Replied means that a whole reply arrived.
+	// Replied means that a complete response arrived.
 	Replied
 )
 
-// String returns the name used in logs.
+// String returns the name of s in logs.
 func (s Sent) String() string {
 	switch s {
 	case NotSent:
@@ -43,47 +43,50 @@
 // DidNotRun reports whether s proves that the upstream executed nothing.
 func (s Sent) DidNotRun() bool { return s == NotSent || s == RefusedBeforeExecuting }
 
-// Classes of the causes that a Failure wraps; test with Class.Has.
+// Classes of the causes that a Failure wraps. Class.Has tests for them.
 var (
-	// ErrCall is a call that could not be built: bad address, path or header.
+	// ErrCall means that the request could not be built, because of an invalid
+	// address, method, path, header or request id.
 	ErrCall = errs.Class("upstream call")
-	// ErrDial is a connection that could not be opened.
+	// ErrDial means that no connection could be opened.
 	ErrDial = errs.Class("upstream dial")
-	// ErrTransport is a connection that broke before the reply's headers.
+	// ErrTransport means that the connection broke before the response headers.
 	ErrTransport = errs.Class("upstream transport")
-	// ErrTimeout is a deadline that passed before the reply's headers.
+	// ErrTimeout means that a timeout or the caller's deadline passed.
 	ErrTimeout = errs.Class("upstream timeout")
-	// ErrIdle is a stream that stayed silent for longer than its idle gap.
+	// ErrIdle means that no event of a stream arrived within FirstChunk or IdleGap.
 	ErrIdle = errs.Class("upstream stream idle")
-	// ErrIncomplete is a reply or stream that ended before its end marker.
+	// ErrIncomplete means that a response or stream ended before its end marker,
+	// or that a body has neither a length nor chunked framing.
 	ErrIncomplete = errs.Class("upstream reply incomplete")
-	// ErrMismatch is a reply that belongs to another request.
+	// ErrMismatch means that a response belongs to another request.
 	ErrMismatch = errs.Class("upstream reply of another request")
-	// ErrOffset is a stream whose chunks are not consecutive.
+	// ErrOffset means that the chunks of a stream are not consecutive.
 	ErrOffset = errs.Class("upstream chunk offset")
-	// ErrMalformed is a reply that breaks the protocol's syntax.
+	// ErrMalformed means that a response violates the protocol.
 	ErrMalformed = errs.Class("upstream reply malformed")
-	// ErrTooLarge is a line, event or body beyond its bound.
+	// ErrTooLarge means that a line, event or body exceeds its limit.
 	ErrTooLarge = errs.Class("upstream reply too large")
-	// ErrIdentity is an upstream other than the one expected at the address.
+	// ErrIdentity means that another upstream or incarnation than the expected one
+	// runs at the address.
 	ErrIdentity = errs.Class("upstream identity")
-	// ErrRefused is a status of 400 or above.
+	// ErrRefused means that the upstream responded with an error status.
 	ErrRefused = errs.Class("upstream refused")
-	// ErrCanceled is a call that its caller gave up.
+	// ErrCanceled means that the caller canceled the call.
 	ErrCanceled = errs.Class("upstream call canceled")
 )
 
-// Failure is the one error type of this package.
+// Failure is the error type that all calls of this package return.
 type Failure struct {
-	// Op names the operation, such as "stream" or "order".
+	// Op names the operation, such as "stream" or "cancel".
 	Op string
-	// Sent is what is known about execution.
+	// Sent states what is known about the execution.
 	Sent Sent
-	// Status is the HTTP status, or 0 where no reply arrived.
+	// Status is the HTTP status, or 0 if no response arrived.
 	Status int
-	// Code is the reason the upstream gave, or empty.
+	// Code is the reason that the upstream gave, or empty.
 	Code protocol.Code
-	// Cause belongs to one of the classes above.
+	// Cause is of one of the classes above.
 	Cause error
 }
 
@@ -95,8 +98,8 @@
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Cause }
 
-// SentOf returns what err proves about execution. An error of unknown origin
-// proves nothing, so it counts as SentNoReply.
+// SentOf returns what err states about the execution. An error that is not a
+// *Failure proves nothing, so it counts as SentNoReply.
 func SentOf(err error) Sent {
 	if err == nil {
 		return Replied
--- a/internal/serve/upstream/protocol/protocol.go
+++ b/internal/serve/upstream/protocol/protocol.go
@@ -1,12 +1,13 @@
-// Package protocol holds the parts of the upstream protocol that are no wire
-// type: the body of a refusal, its codes and the content types. The router's
-// client and the stand-ins both import it, so that they can't drift apart.
+// Package protocol defines the parts of the upstream protocol that package wire
+// doesn't: the body and codes of a refusal, the export request, a header, query
+// parameters and content types. The router's client and the stand-ins share it, so
+// that they can't diverge.
 package protocol
 
-// Code names the reason for a refusal.
+// Code is the reason for a refusal.
 type Code string
 
-// The reasons for which an upstream refuses a call.
+// Reasons for which an upstream refuses a request.
 const (
 	CodeQueueFull      Code = "queue_full"
 	CodeLeaving        Code = "leaving"
@@ -18,7 +19,7 @@
 	CodeFault          Code = "fault"
 )
 
-// Refusal is the JSON body of every answer with a status of 400 or above.
+// Refusal is the JSON body of every response with a status of 400 or above.
 type Refusal struct {
 	Code    Code   `json:"code"`
 	Message string `json:"message,omitempty"`
@@ -30,18 +31,19 @@
 	Prefix uint64 `json:"prefix"`
 }
 
-// HeaderName is the name of the upstream that answered, and on a request the
-// one that the router means. Incarnation numbers of two engines may be equal,
-// so the number alone doesn't tell a replaced VM from the one it replaced.
+// HeaderName carries the name of the upstream: in a response that of the sender,
+// in a request that of the intended recipient. Two engines may have equal
+// incarnation numbers, so the incarnation alone doesn't distinguish a replacement
+// VM from the one that it replaced.
 const HeaderName = "X-Engine-Name"
 
 // Query parameters.
 const (
-	// QueryFrom is the offset of the first chunk wanted from a resumed stream.
+	// QueryFrom is the offset of the first chunk of a resumed stream.
 	QueryFrom = "from"
-	// QueryAfter is the sequence number of the last cache event already seen.
 	// QueryBrief asks for a status report without request ids.
 	QueryBrief = "brief"
+	// QueryAfter is the sequence number of the last cache event already received.
 	QueryAfter = "after"
 )
 
@@ -52,7 +54,7 @@
 	TypeBinary = "application/octet-stream"
 )
 
-// ObjectChunk and ObjectCompletion are the values of an answer's object field.
+// Values of the object field of a chunk and of a chat completion.
 const (
 	ObjectChunk      = "chat.completion.chunk"
 	ObjectCompletion = "chat.completion"
--- a/internal/serve/upstream/service.go
+++ b/internal/serve/upstream/service.go
@@ -14,16 +14,17 @@
 	"damaskrouter.example/damaskrouter/internal/serve/wire"
 )
 
-// Response is a whole reply. Of the upstream's headers only the content type
-// is kept: all others are between router and upstream.
+// Response is a complete response. It holds no header of the upstream but the
+// content type: the others concern only the router and the upstream.
 type Response struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// controlPaths belong to the router itself. Some upstreams don't check who
-// gives an order, so a caller's path must never reach them.
+// controlPaths are reserved for requests of the router itself. Some upstreams
+// don't check who sends a control request, so the path of a caller's request must
+// never match one.
 var controlPaths = []string{
 	wire.PathEngineStatus,
 	strings.TrimSuffix(wire.PathEngineStreams, "/"),
@@ -33,41 +34,42 @@
 	"/standin",
 }
 
-// Do sends one call to a plain service and returns the whole reply. Unless
-// call.Idempotent is set, it goes out once at most, on its own connection.
-// A status of 500 or above, and any refusal before executing, is a *Failure.
+// Do sends a request to a plain service and returns the complete response.
+// Unless call.Idempotent is set, the request uses a new connection of its own.
+// Any request is sent at most once. A status of 500 or above, and any refusal
+// before execution, is a *Failure.
 func (c *Client) Do(ctx context.Context, call Call) (Response, error) {
 	if err := checkService(call); err != nil {
 		return Response{}, &Failure{Op: opService, Sent: NotSent, Cause: err}
 	}
 	r := request{
-		op:      opService,
-		method:  call.Method,
-		path:    call.Path,
-		query:   call.Query,
-		body:    call.Body,
-		call:    call,
-		typ:     call.ContentType,
-		accept:  call.Accept,
-		pooled:  call.Idempotent,
-		headers: c.opts.TransferTimeout,
-	}
-	return c.whole(ctx, r, c.opts.MaxBody)
+		op:            opService,
+		method:        call.Method,
+		path:          call.Path,
+		query:         call.Query,
+		body:          call.Body,
+		call:          call,
+		contentType:   call.ContentType,
+		accept:        call.Accept,
+		pooled:        call.Idempotent,
+		headerTimeout: c.opts.TransferTimeout,
+	}
+	return c.do(ctx, r, c.opts.MaxBody)
 }
 
-// Complete runs a chat completion that is not streamed. The reply's request id
-// is checked in the header and in the body.
+// Complete requests a chat completion that is not streamed. It checks the
+// request id in both the header and the body of the response.
 func (c *Client) Complete(ctx context.Context, call Call) (Response, error) {
-	res, err := c.whole(ctx, request{
-		op:      opComplete,
-		method:  http.MethodPost,
-		path:    wire.PathChat,
-		body:    call.Body,
-		call:    call,
-		typ:     protocol.TypeJSON,
-		accept:  protocol.TypeJSON,
-		pooled:  true,
-		headers: c.opts.TransferTimeout,
+	res, err := c.do(ctx, request{
+		op:            opComplete,
+		method:        http.MethodPost,
+		path:          wire.PathChat,
+		body:          call.Body,
+		call:          call,
+		contentType:   protocol.TypeJSON,
+		accept:        protocol.TypeJSON,
+		pooled:        true,
+		headerTimeout: c.opts.TransferTimeout,
 	}, c.opts.MaxBody)
 	if err != nil {
 		return Response{}, err
@@ -91,35 +93,36 @@
 	return nil
 }
 
-// whole runs r and reads its reply to the end, up to limit bytes and within
-// the time r gives to headers.
-func (c *Client) whole(ctx context.Context, r request, limit int64) (Response, error) {
-	ctx, cancel := context.WithTimeout(ctx, r.headers)
+// do sends r and reads the response to its end, up to limit bytes and within
+// r.headerTimeout.
+func (c *Client) do(ctx context.Context, r request, limit int64) (Response, error) {
+	ctx, cancel := context.WithTimeout(ctx, r.headerTimeout)
 	defer cancel()
-	rep, err := c.roundTrip(ctx, r)
+	ex, err := c.roundTrip(ctx, r)
 	if err != nil {
 		return Response{}, err
 	}
-	defer rep.close()
-	res := Response{Status: rep.res.StatusCode, ContentType: rep.res.Header.Get("Content-Type")}
-	if err := checkReplyOwner(r, rep.res); err != nil {
+	defer ex.close()
+	res := Response{Status: ex.res.StatusCode, ContentType: ex.res.Header.Get("Content-Type")}
+	if err := checkResponseOwner(r, ex.res); err != nil {
 		return Response{}, &Failure{Op: r.op, Sent: SentNoReply, Status: res.Status, Cause: err}
 	}
-	res.Body, err = readBounded(rep.res, limit)
+	res.Body, err = readBody(ex.res, limit)
 	if err == nil {
-		err = rep.ctx.Err()
+		err = ex.ctx.Err()
 	}
 	if err != nil {
-		return Response{}, c.readFailure(r, rep, err)
+		return Response{}, c.readFailure(r, ex, err)
 	}
 	return res, nil
 }
 
-// checkReplyOwner insists on the echoed id for chat completions. Plain
-// services need not echo it, but may not echo another's. The same goes for the
-// answerer's name and incarnation.
-func checkReplyOwner(r request, res *http.Response) error {
-	if err := checkAnswerer(r.call, res); err != nil {
+// checkResponseOwner checks that the response belongs to the request and comes
+// from the expected upstream. Chat completions must echo the request id; other
+// responses may omit it, but must not echo that of another request. The name and
+// incarnation of the upstream may be omitted too. Errors: ErrIdentity, ErrMismatch.
+func checkResponseOwner(r request, res *http.Response) error {
+	if err := checkResponder(r.call, res); err != nil {
 		return err
 	}
 	if r.op != opComplete && res.Header.Get(wire.HeaderRequestID) == "" {
@@ -128,29 +131,31 @@
 	return checkEcho(r.call, res)
 }
 
-func (c *Client) readFailure(r request, rep *reply, err error) *Failure {
-	f := &Failure{Op: r.op, Sent: SentNoReply, Status: rep.res.StatusCode, Cause: err}
-	if !ErrTooLarge.Has(err) && rep.ctx.Err() != nil {
-		f.Cause = transportCause(rep.ctx, err)
+func (c *Client) readFailure(r request, ex *exchange, err error) *Failure {
+	f := &Failure{Op: r.op, Sent: SentNoReply, Status: ex.res.StatusCode, Cause: err}
+	if !ErrTooLarge.Has(err) && ex.ctx.Err() != nil {
+		f.Cause = transportCause(ex.ctx, err)
 	}
-	if rep.answer.Reused && ErrTimeout.Has(f.Cause) {
+	if ex.raw.Reused && ErrTimeout.Has(f.Cause) {
 		c.conns.Drop(r.call.Address)
 	}
 	return f
 }
 
-// readBounded reads a body whose end is marked. A body that ends with its
-// connection is refused: a cut can't be told from its end, and half an answer
-// would be shown as whole.
-func readBounded(res *http.Response, limit int64) ([]byte, error) {
+// readBody reads a body of up to limit bytes. It rejects a body that ends with
+// the connection: its end can't be told from a lost connection, and an incomplete
+// response would be returned as complete. Errors: ErrIncomplete, ErrMalformed,
+// ErrTooLarge.
+func readBody(res *http.Response, limit int64) ([]byte, error) {
 	if res.ContentLength < 0 && !slices.Contains(res.TransferEncoding, "chunked") {
 		return nil, ErrIncomplete.New("body without length")
 	}
-	body, err := unpacked(res)
+	body, err := decodedBody(res)
 	if err != nil {
 		return nil, err
 	}
-	// The limit is on the unpacked body: a small packed one may hold a huge one.
+	// The limit applies to the decompressed body, since a small compressed one may
+	// expand to a huge one.
 	b, err := io.ReadAll(io.LimitReader(body, limit+1))
 	if err != nil {
 		return nil, ErrIncomplete.Wrap(err)
@@ -161,11 +166,12 @@
 	return b, nil
 }
 
-// encodingGzip is the one content coding that is asked for.
+// encodingGzip is the only content coding that the client accepts.
 const encodingGzip = "gzip"
 
-// unpacked is the reply's body without its content coding.
-func unpacked(res *http.Response) (io.Reader, error) {
+// decodedBody returns a reader of the body with its content coding removed.
+// Errors: ErrMalformed.
+func decodedBody(res *http.Response) (io.Reader, error) {
 	switch coding := res.Header.Get("Content-Encoding"); coding {
 	case "", "identity":
 		return res.Body, nil
@@ -196,8 +202,8 @@
 	return checkServicePath(call.Path)
 }
 
-// checkServicePath refuses paths that are relative, not in their shortest
-// form, or meant for the router's own control calls.
+// checkServicePath rejects paths that are relative, not in their shortest form,
+// or reserved for control calls in any letter case. Errors: ErrCall.
 func checkServicePath(p string) error {
 	if !strings.HasPrefix(p, "/") || path.Clean(p) != p {
 		return ErrCall.New("path %q is not in its shortest form", p)
--- a/internal/serve/upstream/stream.go
+++ b/internal/serve/upstream/stream.go
@@ -31,89 +31,89 @@
 	opImport   = "import"
 )
 
-// drainTimeout bounds the wait for the end of a body behind the end marker.
+// drainTimeout bounds the wait for the end of a body after the end marker.
 const drainTimeout = 100 * time.Millisecond
 
-// maxDrain bounds what is read behind the end marker, in bytes.
+// maxDrain bounds what is read after the end marker, in bytes.
 const maxDrain = 512
 
-// requestIDs are letters, digits, _ and -, so that no id is a path segment
-// with a meaning of its own.
-var requestIDs = regexp.MustCompile(`^[A-Za-z0-9_-]{1,128}$`)
+// requestIDPattern allows letters, digits, _ and -, so that no id is a special
+// path segment such as "..".
+var requestIDPattern = regexp.MustCompile(`^[A-Za-z0-9_-]{1,128}$`)
 
 // Event is one chunk of a stream, or its end.
 type Event struct {
-	// Offset is the chunk's place in the answer, counted from 0.
+	// Offset is the index of the chunk in the response, counted from 0.
 	Offset int
-	// Data is the chunk's JSON, valid until the next call of Next.
+	// Data is the JSON of the chunk. It is valid until the next call of Next.
 	Data []byte
-	// Done is set on the end marker: the answer is whole.
+	// Done is set for the end marker: the response is complete.
 	Done bool
 }
 
-// Stream reads one answer. It is not safe for concurrent use; to stop a
-// blocked Next, cancel the context that the stream was opened with.
+// Stream reads a streamed response. It is not safe for concurrent use. A blocked
+// Next is stopped by canceling the context that the stream was opened with.
 type Stream struct {
 	client *Client
 	op     string
 	call   Call
-	rep    *reply
+	ex     *exchange
 	ctx    context.Context
 	events *sse.Reader
 	timer  *time.Timer
-	// wait is how long the next event may take: FirstChunk, later IdleGap.
-	wait   time.Duration
-	next   int
-	idHead []byte
-	done   bool
-	err    error
+	// timeout bounds the wait for the next event: FirstChunk at first, then IdleGap.
+	timeout  time.Duration
+	next     int
+	idPrefix []byte
+	done     bool
+	err      error
 }
 
-// Stream starts a streamed chat completion.
+// Stream starts a streamed chat completion. The caller must close the stream.
 func (c *Client) Stream(ctx context.Context, call Call) (*Stream, error) {
-	return c.open(ctx, request{
-		op:      opStream,
-		method:  http.MethodPost,
-		path:    wire.PathChat,
-		body:    call.Body,
-		call:    call,
-		typ:     protocol.TypeJSON,
-		accept:  protocol.TypeEvents,
-		pooled:  true,
-		headers: c.opts.HeaderTimeout,
+	return c.openStream(ctx, request{
+		op:            opStream,
+		method:        http.MethodPost,
+		path:          wire.PathChat,
+		body:          call.Body,
+		call:          call,
+		contentType:   protocol.TypeJSON,
+		accept:        protocol.TypeEvents,
+		pooled:        true,
+		headerTimeout: c.opts.HeaderTimeout,
 	}, 0)
 }
 
-// Resume continues the stream of call.RequestID at chunk from, always on a new
-// connection: the old one may have gone silent, and so may its neighbours in
-// the pool.
+// Resume continues the stream of call.RequestID at chunk from. It always opens a
+// new connection, since the pooled ones may be as dead as that of the interrupted
+// stream. The caller must close the stream.
 func (c *Client) Resume(ctx context.Context, call Call, from int) (*Stream, error) {
-	return c.open(ctx, request{
-		op:      opResume,
-		method:  http.MethodGet,
-		path:    wire.PathEngineStreams + call.RequestID,
-		query:   url.Values{protocol.QueryFrom: {strconv.Itoa(from)}}.Encode(),
-		call:    call,
-		accept:  protocol.TypeEvents,
-		headers: c.opts.HeaderTimeout,
+	return c.openStream(ctx, request{
+		op:            opResume,
+		method:        http.MethodGet,
+		path:          wire.PathEngineStreams + call.RequestID,
+		query:         url.Values{protocol.QueryFrom: {strconv.Itoa(from)}}.Encode(),
+		call:          call,
+		accept:        protocol.TypeEvents,
+		headerTimeout: c.opts.HeaderTimeout,
 	}, from)
 }
 
-// Cancel asks the engine to stop working on call.RequestID. A stream that the
-// engine doesn't know is no error: it has ended already.
+// Cancel asks the engine to stop executing call.RequestID. It returns no error if
+// the engine doesn't know the stream, which has then ended already.
 func (c *Client) Cancel(ctx context.Context, call Call) error {
 	if err := checkRequestID(call.RequestID); err != nil {
 		return &Failure{Op: opCancel, Sent: NotSent, Cause: err}
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.opts.CallTimeout)
 	defer cancel()
-	rep, err := c.roundTrip(ctx, request{
-		op:      opCancel,
-		method:  http.MethodDelete,
-		path:    wire.PathEngineStreams + call.RequestID,
-		call:    call,
-		pooled:  true,
-		headers: c.opts.CallTimeout,
+	ex, err := c.roundTrip(ctx, request{
+		op:            opCancel,
+		method:        http.MethodDelete,
+		path:          wire.PathEngineStreams + call.RequestID,
+		call:          call,
+		pooled:        true,
+		headerTimeout: c.opts.CallTimeout,
 	})
 	var f *Failure
 	if errors.As(err, &f) && f.Code == protocol.CodeUnknownStream {
@@ -122,11 +122,11 @@
 	if err != nil {
 		return err
 	}
-	rep.close()
+	ex.close()
 	return nil
 }
 
-func (c *Client) open(ctx context.Context, r request, from int) (*Stream, error) {
+func (c *Client) openStream(ctx context.Context, r request, from int) (*Stream, error) {
 	if err := checkRequestID(r.call.RequestID); err != nil {
 		return nil, &Failure{Op: r.op, Sent: NotSent, Cause: err}
 	}
@@ -136,32 +136,35 @@
 	if r.call.IdleGap <= 0 {
 		r.call.IdleGap = c.opts.IdleGap
 	}
-	rep, err := c.roundTrip(ctx, r)
+	ex, err := c.roundTrip(ctx, r)
 	if err != nil {
 		return nil, err
 	}
-	if err := checkStreamHead(r.call, rep.res); err != nil {
-		rep.close()
-		return nil, &Failure{Op: r.op, Sent: SentNoReply, Status: rep.res.StatusCode, Cause: err}
+	if err := checkStreamHeader(r.call, ex.res); err != nil {
+		ex.close()
+		return nil, &Failure{Op: r.op, Sent: SentNoReply, Status: ex.res.StatusCode, Cause: err}
 	}
-	return newStream(c, r, rep, from), nil
+	return newStream(c, r, ex, from), nil
 }
 
-// checkRequestID allows ids that need no escaping. Request ids become part of
-// a path; one such as "../orders" would make a cancel an order.
+// checkRequestID rejects ids that would need escaping. Request ids become part of
+// a path: one such as "../orders" would send a cancel to another control path.
+// Errors: ErrCall.
 func checkRequestID(id string) error {
-	if !requestIDs.MatchString(id) {
+	if !requestIDPattern.MatchString(id) {
 		return ErrCall.New("request id %q", id)
 	}
 	return nil
 }
 
-// checkStreamHead refuses a reply that is no stream or not ours.
-func checkStreamHead(call Call, res *http.Response) error {
+// checkStreamHeader rejects a response that is not a stream, belongs to another
+// request or comes from another upstream. Errors: ErrIdentity, ErrMalformed,
+// ErrMismatch.
+func checkStreamHeader(call Call, res *http.Response) error {
 	if err := checkEcho(call, res); err != nil {
 		return err
 	}
-	if err := checkAnswerer(call, res); err != nil {
+	if err := checkResponder(call, res); err != nil {
 		return err
 	}
 	if t := res.Header.Get("Content-Type"); !strings.HasPrefix(t, protocol.TypeEvents) {
@@ -170,8 +173,9 @@
 	return nil
 }
 
-// checkEcho compares the request id in the reply's header with ours. A reply
-// left over on a connection would otherwise reach another caller.
+// checkEcho compares the request id in the response header with that of the call.
+// Without the check, a stale response on a reused connection would reach another
+// caller. Errors: ErrMismatch.
 func checkEcho(call Call, res *http.Response) error {
 	if echoed := res.Header.Get(wire.HeaderRequestID); echoed != call.RequestID {
 		return ErrMismatch.New("reply to request %q", echoed)
@@ -179,9 +183,10 @@
 	return nil
 }
 
-// checkAnswerer compares the name and incarnation in the reply's headers, if
-// they are there, with those expected: not every upstream refuses by itself.
-func checkAnswerer(call Call, res *http.Response) error {
+// checkResponder compares the name and incarnation in the response headers, if
+// present, with those expected. Not every upstream rejects a request that is meant
+// for another. Errors: ErrIdentity.
+func checkResponder(call Call, res *http.Response) error {
 	name := res.Header.Get(protocol.HeaderName)
 	if call.Name != "" && name != "" && name != call.Name {
 		return ErrIdentity.New("name %q instead of %q", name, call.Name)
@@ -194,30 +199,30 @@
 	return nil
 }
 
-func newStream(c *Client, r request, rep *reply, from int) *Stream {
+func newStream(c *Client, r request, ex *exchange, from int) *Stream {
 	s := &Stream{
-		client: c,
-		op:     r.op,
-		call:   r.call,
-		rep:    rep,
-		ctx:    rep.ctx,
-		events: sse.NewReader(rep.res.Body, c.opts.MaxEvent),
-		wait:   r.call.FirstChunk,
-		next:   from,
-		idHead: []byte(`{"id":"` + r.call.RequestID + `",`),
+		client:   c,
+		op:       r.op,
+		call:     r.call,
+		ex:       ex,
+		ctx:      ex.ctx,
+		events:   sse.NewReader(ex.res.Body, c.opts.MaxEvent),
+		timeout:  r.call.FirstChunk,
+		next:     from,
+		idPrefix: []byte(`{"id":"` + r.call.RequestID + `",`),
 	}
-	// One timer serves the whole stream. It runs only while Next waits, since
-	// a caller that reads slowly doesn't make the engine silent. Its expiry
-	// cancels the request, which closes the connection; a silent connection
-	// can't return to the pool.
-	s.timer = time.AfterFunc(s.wait, func() {
-		rep.cancel(ErrIdle.New("no chunk in time"))
+	// The timer is reused for the whole stream. After the first call of Next it
+	// runs only while Next waits, since a slow caller doesn't mean that the engine
+	// is silent. Its expiry cancels the request, which closes the connection, so a
+	// silent connection can't return to the pool.
+	s.timer = time.AfterFunc(s.timeout, func() {
+		ex.cancel(ErrIdle.New("no chunk in time"))
 	})
 	return s
 }
 
-// Next returns the next chunk. After an error or the end marker the stream is
-// finished, and Next returns the same again.
+// Next returns the next chunk or the end marker. After an error or the end marker,
+// every further call returns the same result. Errors are of type *Failure.
 func (s *Stream) Next() (Event, error) {
 	if s.err != nil {
 		return Event{}, s.err
@@ -225,21 +230,21 @@
 	if s.done {
 		return Event{Offset: s.next, Done: true}, nil
 	}
-	s.timer.Reset(s.wait)
+	s.timer.Reset(s.timeout)
 	raw, err := s.events.Next()
 	s.timer.Stop()
 	if err != nil {
 		return Event{}, s.fail(s.readCause(err))
 	}
-	ev, err := s.check(raw)
+	event, err := s.checkEvent(raw)
 	if err != nil {
 		return Event{}, s.fail(err)
 	}
-	s.wait = s.call.IdleGap
-	return ev, nil
+	s.timeout = s.call.IdleGap
+	return event, nil
 }
 
-func (s *Stream) check(raw sse.Event) (Event, error) {
+func (s *Stream) checkEvent(raw sse.Event) (Event, error) {
 	if string(raw.Data) == wire.DoneMarker {
 		s.done = true
 		return Event{Offset: s.next, Done: true}, nil
@@ -258,10 +263,12 @@
 	return Event{Offset: offset, Data: raw.Data}, nil
 }
 
-// checkChunkID compares the id inside the chunk. Engines write it first, so
-// that a comparison of bytes mostly does; any other order of fields is parsed.
+// checkChunkID compares the id in the chunk with that of the request. Engines
+// write it as the first field, so comparing the prefix is usually enough; the
+// JSON is parsed only if the fields are in another order. Errors: ErrMalformed,
+// ErrMismatch.
 func (s *Stream) checkChunkID(data []byte) error {
-	if bytes.HasPrefix(data, s.idHead) {
+	if bytes.HasPrefix(data, s.idPrefix) {
 		return nil
 	}
 	var c struct {
@@ -276,7 +283,8 @@
 	return nil
 }
 
-// readCause tells apart our own timers, our caller, and a broken stream.
+// readCause returns the cause of a failed read: a timeout, a canceled context, an
+// event beyond the limit, or a broken stream.
 func (s *Stream) readCause(err error) error {
 	switch {
 	case sse.ErrTooLong.Has(err):
@@ -288,18 +296,18 @@
 	}
 }
 
-// fail closes the stream. What was sent stays sent: a broken stream never
-// proves that the request did not run.
+// fail closes the stream and returns its failure. A broken stream never proves
+// that the request was not executed.
 func (s *Stream) fail(cause error) error {
-	s.err = &Failure{Op: s.op, Sent: SentNoReply, Status: s.rep.res.StatusCode, Cause: cause}
-	if s.rep.answer.Reused && ErrIdle.Has(cause) {
+	s.err = &Failure{Op: s.op, Sent: SentNoReply, Status: s.ex.res.StatusCode, Cause: cause}
+	if s.ex.raw.Reused && ErrIdle.Has(cause) {
 		s.client.conns.Drop(s.call.Address)
 	}
-	s.rep.close()
+	s.ex.close()
 	return s.err
 }
 
-// Offset returns the offset of the next chunk expected.
+// Offset returns the offset of the next expected chunk.
 func (s *Stream) Offset() int { return s.next }
 
 // Resume closes the stream and continues it on a new connection.
@@ -309,14 +317,14 @@
 	return s.client.Resume(ctx, s.call, from)
 }
 
-// Close releases the connection. Only a stream read to its end marker gives it
-// back to the pool; any other is closed, so no leftover can reach a later
-// request.
+// Close ends the stream. Its connection returns to the pool only if the stream was
+// read to its end marker, and is closed otherwise, so that no remaining data can
+// reach a later request.
 func (s *Stream) Close() {
 	if s.done {
 		s.timer.Reset(drainTimeout)
-		_, _ = io.CopyN(io.Discard, s.rep.res.Body, maxDrain)
+		_, _ = io.CopyN(io.Discard, s.ex.res.Body, maxDrain)
 	}
 	s.timer.Stop()
-	s.rep.close()
+	s.ex.close()
 }
--- a/internal/serve/upstream/traffic.go
+++ b/internal/serve/upstream/traffic.go
@@ -2,25 +2,26 @@
 
 import "damaskrouter.example/damaskrouter/internal/base/engineconn"
 
-// Bytes is the traffic of one kind of call, in bytes.
+// Bytes is the traffic of one kind of call, in bytes received and sent.
 type Bytes struct {
 	In  int64 `json:"in"`
 	Out int64 `json:"out"`
 }
 
-// Traffic is the traffic of control calls so far. It is what was read from and
-// written to the connections while they served such a call: request and status
-// lines, headers, framing and bodies, with calls that failed. Headers of TCP
-// and IP, handshakes and acknowledgements are left out, and so are streams and
-// calls to plain services, which are the callers' own traffic.
+// Traffic is the traffic of control calls since the client was created. It
+// counts what was read from and written to connections during such calls:
+// request and status lines, headers, framing and bodies, including those of
+// failed calls. TCP and IP headers, handshakes and acknowledgements are not
+// counted, nor are streams and calls to plain services, which carry the traffic
+// of callers.
 type Traffic struct {
 	Status Bytes `json:"status"`
 	Events Bytes `json:"events"`
-	// Transfers are exports and imports of KV cache.
+	// Transfers counts exports and imports of KV cache.
 	Transfers Bytes `json:"transfers"`
 }
 
-// Since returns the traffic after an earlier reading.
+// Since returns the traffic between an earlier reading and t.
 func (t Traffic) Since(earlier Traffic) Traffic {
 	return Traffic{
 		Status:    t.Status.since(earlier.Status),
@@ -29,16 +30,16 @@
 	}
 }
 
-// Total is both directions together.
+// Total returns the sum of both directions.
 func (b Bytes) Total() int64 { return b.In + b.Out }
 
 func (b Bytes) since(earlier Bytes) Bytes {
 	return Bytes{In: b.In - earlier.In, Out: b.Out - earlier.Out}
 }
 
-// Traffic returns the traffic of control calls so far.
+// Traffic returns the traffic of control calls since New.
 func (c *Client) Traffic() Traffic {
-	m := &c.meters
+	m := &c.traffic
 	return Traffic{
 		Status:    bytesOf(&m.status),
 		Events:    bytesOf(&m.events),
@@ -46,13 +47,13 @@
 	}
 }
 
-// meters are the kinds that are counted.
-type meters struct{ status, events, transfers engineconn.Traffic }
+// trafficCounters holds the counters of the operations that Traffic covers.
+type trafficCounters struct{ status, events, transfers engineconn.Traffic }
 
 func bytesOf(t *engineconn.Traffic) Bytes { return Bytes{In: t.In.Load(), Out: t.Out.Load()} }
 
-// of returns the meter of an operation, or nil if it isn't counted.
-func (m *meters) of(op string) *engineconn.Traffic {
+// forOperation returns the counter of an operation, or nil if it isn't counted.
+func (m *trafficCounters) forOperation(op string) *engineconn.Traffic {
 	switch op {
 	case opStatus:
 		return &m.status
