--- a/internal/serve/upstream/fleet_test.go
+++ b/internal/serve/upstream/concurrency_test.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	fleetEngines = 12
-	fleetStreams = 100
+	engineCount      = 12
+	streamsPerEngine = 100
 )
 
-// runFleet reads streams from each of n engines and checks that every caller
-// got its own whole answer.
-func runFleet(t testing.TB, streams, tokens int, clients []*upstream.Client, addresses []string) {
+// runStreams reads the given number of streams concurrently from each engine and
+// checks that each stream returns the complete response to its own request.
+func runStreams(t testing.TB, streams, tokens int, clients []*upstream.Client, addresses []string) {
 	var wg sync.WaitGroup
 	for i, c := range clients {
 		for j := range streams {
@@ -38,32 +38,32 @@
 					return
 				}
 				defer s.Close()
-				words, err := readAll(s)
+				contents, err := readAll(s)
 				assert.NoError(t, err)
-				assert.Equal(t, engine.Answer(req), words)
+				assert.Equal(t, engine.Answer(req), contents)
 			})
 		}
 	}
 	wg.Wait()
 }
 
-// Symptom: under load, callers get chunks of one another.
-// Sequence: many callers share engines, connections and buffers.
-func TestEveryCallerGetsItsOwnWholeAnswer(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+// Under load, when many callers share engines, connections and buffers, no caller
+// may receive chunks of another's stream.
+func TestConcurrentStreamsNotMixedUp(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		var engines []*engine.Engine
 		var clients []*upstream.Client
 		var addresses []string
-		for i := range fleetEngines {
+		for i := range engineCount {
 			e, c, _ := newEngine(t, engine.Defaults(fmt.Sprint("e", i), "m"))
 			engines = append(engines, e)
 			clients = append(clients, c)
 			addresses = append(addresses, address)
 		}
-		runFleet(t, fleetStreams, 20, clients, addresses)
+		runStreams(t, streamsPerEngine, 20, clients, addresses)
 		for _, e := range engines {
 			b := e.Books()
-			require.Len(t, b.Runs, fleetStreams)
+			require.Len(t, b.Runs, streamsPerEngine)
 			require.Equal(t, b.Runs, b.Finished)
 			for id, n := range b.Runs {
 				require.Equal(t, 1, n, id)
@@ -72,17 +72,17 @@
 	})
 }
 
-// BenchmarkFleet runs 12 engines with 100 streams each over loopback, client
-// and stand-ins in one process, and reports processor time per chunk.
-func BenchmarkFleet(b *testing.B) {
+// BenchmarkConcurrentStreams runs 12 engines with 100 streams each over loopback,
+// with the client and the stand-ins in one process. It reports CPU time per chunk.
+func BenchmarkConcurrentStreams(b *testing.B) {
 	const tokens = 100
 	client := upstream.New(upstream.Options{})
 	b.Cleanup(client.Close)
 	var clients []*upstream.Client
 	var addresses []string
-	for i := range fleetEngines {
+	for i := range engineCount {
 		opts := engine.Defaults(fmt.Sprint("e", i), "m")
-		opts.MaxBatch = fleetStreams
+		opts.MaxBatch = streamsPerEngine
 		e := engine.New(opts)
 		srv := httptest.NewServer(e.Handler())
 		b.Cleanup(srv.Close)
@@ -90,18 +90,18 @@
 		clients = append(clients, client)
 		addresses = append(addresses, hostPort(srv))
 	}
-	start := processorTime(b)
+	start := cpuTime(b)
 	for b.Loop() {
-		runFleet(b, fleetStreams, tokens, clients, addresses)
+		runStreams(b, streamsPerEngine, tokens, clients, addresses)
 	}
-	used := processorTime(b) - start
-	chunks := b.N * fleetEngines * fleetStreams * tokens
+	used := cpuTime(b) - start
+	chunks := b.N * engineCount * streamsPerEngine * tokens
 	b.ReportMetric(float64(used.Nanoseconds())/float64(chunks), "cpu-ns/chunk")
 	b.ReportMetric(used.Seconds()/b.Elapsed().Seconds(), "cores")
 }
 
-// BenchmarkStreamChunk measures one call of Next; the server sends its chunks
-// in large writes, so that nearly all of the cost is the client's.
+// BenchmarkStreamChunk measures one call of Next. The server sends its chunks in
+// large writes, so that nearly all of the cost is in the client.
 func BenchmarkStreamChunk(b *testing.B) {
 	const tail = "\ndata: {\"id\":\"r\",\"object\":\"chat.completion.chunk\",\"model\":\"m\",\"offset\":0," +
 		"\"choices\":[{\"index\":0,\"delta\":{\"role\":\"assistant\",\"content\":\"word \"},\"finish_reason\":null}]}\n\n"
@@ -132,16 +132,16 @@
 	}
 }
 
-// BenchmarkCall measures a whole call over a pooled connection, and over a
-// fresh one as non-idempotent work uses it.
+// BenchmarkCall measures a complete call over a pooled connection, and over a new
+// one as used for non-idempotent requests.
 func BenchmarkCall(b *testing.B) {
-	srv := httptest.NewServer(sse(chunk("r", 0) + done))
+	srv := httptest.NewServer(sseHandler(chunk("r", 0) + endMarker))
 	b.Cleanup(srv.Close)
 	c := upstream.New(upstream.Options{})
 	b.Cleanup(c.Close)
 	for name, idempotent := range map[string]bool{"pooled": true, "fresh": false} {
 		b.Run(name, func(b *testing.B) {
-			call := receipt("r")
+			call := receiptCall("r")
 			call.Address = hostPort(srv)
 			call.Idempotent = idempotent
 			b.ReportAllocs()
@@ -158,7 +158,7 @@
 	return srv.Listener.Addr().(*net.TCPAddr).AddrPort().String()
 }
 
-func processorTime(t testing.TB) time.Duration {
+func cpuTime(t testing.TB) time.Duration {
 	var u syscall.Rusage
 	require.NoError(t, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
--- a/internal/serve/upstream/control_test.go
+++ b/internal/serve/upstream/control_test.go
@@ -20,54 +20,54 @@
 	"github.com/zeebo/errs"
 )
 
-// Symptom: a caller loads a model, or reads another's stream.
-// Sequence: a caller's path, method or id is passed on and means a control call.
-// Cause: some upstreams don't check who gives an order.
-func TestControlCallsCannotBeForged(t *testing.T) {
+// A caller's path, method, id or header must not turn its request into a control
+// call that loads a model or reads another caller's stream: some upstreams don't
+// check who sends one.
+func TestForgedControlCallsRejected(t *testing.T) {
 	paths := []string{
 		"/v1/orders", "/V1/Orders", "/v1/orders/", "//v1/orders", "/x/../v1/orders", "/v1/./orders",
 		"", "/v1/kv/export", "/v1/status", "/v1/streams/other", "/v1/cache/events", "/standin/faults",
 	}
-	refuse := func(t *testing.T, err error) {
+	requireRejected := func(t *testing.T, err error) {
 		require.True(t, upstream.ErrCall.Has(requireFailure(t, err, upstream.NotSent)))
 	}
 	c := upstream.New(upstream.Options{Dial: nil})
 	for _, p := range paths {
 		t.Run("path "+p, func(t *testing.T) {
-			call := receipt("r")
+			call := receiptCall("r")
 			call.Path = p
 			_, err := c.Do(t.Context(), call)
-			refuse(t, err)
+			requireRejected(t, err)
 		})
 	}
 	for _, id := range []string{"", ".", "..", "../orders", "a/b", "a?b", "a%2fb", "a b", "a\nb", strings.Repeat("a", 129)} {
 		t.Run("id "+id, func(t *testing.T) {
 			call := upstream.Call{Address: address, RequestID: id}
 			_, err := c.Resume(t.Context(), call, 0)
-			refuse(t, err)
+			requireRejected(t, err)
 			_, err = c.Stream(t.Context(), call)
-			refuse(t, err)
-			refuse(t, c.Cancel(t.Context(), call))
+			requireRejected(t, err)
+			requireRejected(t, c.Cancel(t.Context(), call))
 		})
 	}
-	for name, change := range map[string]func(*upstream.Call){
-		"method":          func(c *upstream.Call) { c.Method = "CONNECT" },
-		"header":          func(c *upstream.Call) { c.ContentType = "a\r\nX-Priority: urgent" },
-		"address by name": func(c *upstream.Call) { c.Address = "localhost:1" },
+	for name, modify := range map[string]func(*upstream.Call){
+		"method":                 func(c *upstream.Call) { c.Method = "CONNECT" },
+		"header":                 func(c *upstream.Call) { c.ContentType = "a\r\nX-Priority: urgent" },
+		"address is a host name": func(c *upstream.Call) { c.Address = "localhost:1" },
 	} {
 		t.Run(name, func(t *testing.T) {
-			call := receipt("r")
-			change(&call)
+			call := receiptCall("r")
+			modify(&call)
 			_, err := c.Do(t.Context(), call)
-			refuse(t, err)
+			requireRejected(t, err)
 		})
 	}
 }
 
-// Symptom: an internal header leaves the router, or an upstream's reaches a caller.
-// Cause: headers are listed one by one instead of passed through.
-func TestOnlyListedHeadersPass(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+// Only listed headers may pass: no internal header of the router may reach an
+// upstream, and no header of an upstream a caller.
+func TestInternalHeadersNotForwarded(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		var got http.Header
 		c := newClient(t, listen(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
@@ -77,11 +77,11 @@
 			w.WriteHeader(http.StatusNotFound)
 			_, _ = io.WriteString(w, "no such receipt")
 		})), upstream.Options{})
-		res, err := c.Do(t.Context(), receipt("r"))
+		res, err := c.Do(t.Context(), receiptCall("r"))
 		require.NoError(t, err)
 		require.Equal(t, upstream.Response{
 			Status: http.StatusNotFound, ContentType: "text/plain", Body: []byte("no such receipt"),
-		}, res, "a service's 4xx is its answer")
+		}, res, "a 4xx of a service is its response")
 		require.Equal(t, http.Header{
 			"User-Agent":              {"damaskrouter"},
 			"Connection":              {"close"},
@@ -93,8 +93,9 @@
 	})
 }
 
-// Symptom: half a reply is handed on, or memory runs out.
-func TestDoubtfulBodiesAreRefused(t *testing.T) {
+// A truncated body must not be returned as complete, and an oversized one must not
+// exhaust the memory.
+func TestIncompleteOrOversizedBodyRejected(t *testing.T) {
 	cases := map[string]func(w http.ResponseWriter){
 		"cut":       func(w http.ResponseWriter) { w.Header().Set("Content-Length", "9") },
 		"too large": func(w http.ResponseWriter) { _, _ = io.WriteString(w, strings.Repeat("x", 101)) },
@@ -108,12 +109,12 @@
 	}
 	for name, write := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
+			runInBubble(t, func(t *testing.T) {
 				c := newClient(t, listen(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					_, _ = io.Copy(io.Discard, r.Body)
 					write(w)
 				})), upstream.Options{MaxBody: 100})
-				_, err := c.Do(t.Context(), receipt("r"))
+				_, err := c.Do(t.Context(), receiptCall("r"))
 				f := requireFailure(t, err, upstream.SentNoReply)
 				require.True(t, upstream.ErrIncomplete.Has(f) || upstream.ErrTooLarge.Has(f), "%v", f)
 			})
@@ -121,11 +122,11 @@
 	}
 }
 
-// Symptom: work or trust meant for one engine goes to another.
-// Sequence: the VM is replaced and the new one has the same IP address.
-// Cause: an address says nothing of who answers.
-func TestIdentityIsChecked(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+// A VM is replaced by one with the same IP address. The new engine must not execute
+// requests meant for the old one, nor may its status and events be taken for those
+// of the old one.
+func TestReplacedEngineDetected(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		e, c, _ := newEngine(t, engine.Defaults("e1", "m"))
 		call := chatCall("r", chatRequest(1, "x"))
 		call.Name, call.Incarnation = "e1", 1
@@ -142,7 +143,7 @@
 		call.Name, call.Incarnation = "e2", 0
 		_, err = c.Status(t.Context(), call)
 		require.True(t, upstream.ErrIdentity.Has(requireFailure(t, err, upstream.Replied)))
-		// The incarnation agrees by chance; only the name tells.
+		// The incarnations are equal by chance, so only the name distinguishes them.
 		call.Incarnation = 2
 		_, err = c.Stream(t.Context(), call)
 		require.True(t, upstream.ErrIdentity.Has(requireFailure(t, err, upstream.RefusedBeforeExecuting)))
@@ -152,18 +153,18 @@
 	})
 }
 
-// Symptom: as above, at an upstream that doesn't look at whom it was meant for.
-// Cause: the reply says who answered.
-func TestAnswererIsChecked(t *testing.T) {
+// As TestReplacedEngineDetected, with an upstream that doesn't check the identity in
+// the request: the response headers must be checked.
+func TestResponseOfWrongUpstreamRejected(t *testing.T) {
 	for header, value := range map[string]string{protocol.HeaderName: "e2", wire.HeaderIncarnation: "8"} {
 		t.Run(header, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
-				answer := sse(done)
+			runInBubble(t, func(t *testing.T) {
+				respond := sseHandler(endMarker)
 				c := newClient(t, listen(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					w.Header().Set(header, value)
-					answer(w, r)
+					respond(w, r)
 				})), upstream.Options{})
-				call := receipt("r")
+				call := receiptCall("r")
 				call.Name, call.Incarnation = "e1", 7
 				_, err := c.Do(t.Context(), call)
 				require.True(t, upstream.ErrIdentity.Has(requireFailure(t, err, upstream.SentNoReply)))
@@ -174,43 +175,44 @@
 	}
 }
 
-// Symptom: what is believed of a cache is wrong without anyone noticing.
-// Sequence: events come late, and some never come.
-func TestEventsShowTheirGaps(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+// Events are delayed and some are lost. The gap must be reported, since the known
+// state of the cache would otherwise be wrong without notice.
+func TestMissingEventsReported(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		e, c, _ := newEngine(t, engine.Defaults("e1", "m"))
 		call := upstream.Call{Address: address, RequestID: "ev"}
-		ask := func(after uint64) upstream.EventPage {
+		events := func(after uint64) upstream.EventPage {
 			page, err := c.Events(t.Context(), call, after)
 			require.NoError(t, err)
 			return page
 		}
-		run := func(id string, words ...string) {
-			s, err := c.Stream(t.Context(), chatCall(id, chatRequest(1, words...)))
+		execute := func(id string, contents ...string) {
+			s, err := c.Stream(t.Context(), chatCall(id, chatRequest(1, contents...)))
 			require.NoError(t, err)
 			_, err = readAll(s)
 			require.NoError(t, err)
 			s.Close()
 		}
-		run("r0", "x", "y")
-		require.Empty(t, ask(0).Events, "events are late")
+		execute("r0", "x", "y")
+		require.Empty(t, events(0).Events, "events are delayed")
 		time.Sleep(time.Second)
-		page := ask(0)
+		page := events(0)
 		require.Len(t, page.Events, 3)
 		require.False(t, page.Gap)
 		e.Inject(engine.Fault{Kind: engine.FaultEventGap, After: 1})
-		run("r1", "z")
+		execute("r1", "z")
 		time.Sleep(time.Second)
-		page = ask(page.Next)
+		page = events(page.Next)
 		require.Len(t, page.Events, 1)
 		require.True(t, page.Gap)
-		require.Empty(t, ask(page.Next).Events)
+		require.Empty(t, events(page.Next).Events)
 	})
 }
 
-// Symptom: a chat that moves has to be read in anew.
-func TestExportedCacheIsHitElsewhere(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+// A chat that moves to another engine must reuse the exported cache instead of being
+// prefilled again.
+func TestExportedCacheUsedByOtherEngine(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		_, from, _ := newEngine(t, engine.Defaults("e1", "m"))
 		e2, to, _ := newEngine(t, engine.Defaults("e2", "m"))
 		req := chatRequest(10, strings.Repeat("dossier ", 100))
@@ -226,7 +228,7 @@
 		kv, err := from.Export(t.Context(), call, last.Hash)
 		require.NoError(t, err)
 		require.NoError(t, to.Import(t.Context(), call, kv))
-		require.Error(t, to.Import(t.Context(), call, kv[:10]), "a cut import is refused")
+		require.Error(t, to.Import(t.Context(), call, kv[:10]), "a truncated import is rejected")
 		_, err = from.Export(t.Context(), call, 1)
 		requireFailure(t, err, upstream.RefusedBeforeExecuting)
 		req.Messages = append(req.Messages, wire.Message{Role: "user", Content: "and now?"})
@@ -238,9 +240,10 @@
 	})
 }
 
-// Symptom: an engine works on for a caller who has gone.
-func TestCancelEndsTheWorkOnce(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+// An engine must not continue to execute a request whose caller has left. Further
+// cancels have no effect.
+func TestCancelStopsExecution(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		e, c, _ := newEngine(t, engine.Defaults("e1", "m"))
 		call := chatCall("r", chatRequest(1000, "x"))
 		s, err := c.Stream(t.Context(), call)
@@ -261,12 +264,12 @@
 	})
 }
 
-func TestServiceRepliesWhole(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+func TestServiceCallReturnsCompleteResponse(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		s := service.New(service.Options{Name: "portal", Deduplicates: true})
 		c := newClient(t, listen(t, s.Handler()), upstream.Options{})
 		for range 2 {
-			res, err := c.Do(t.Context(), receipt("r"))
+			res, err := c.Do(t.Context(), receiptCall("r"))
 			require.NoError(t, err)
 			require.JSONEq(t, `{"number":1,"kind":"receipts","key":"key-r"}`, string(res.Body))
 		}
@@ -276,20 +279,19 @@
 	})
 }
 
-// Symptom: a router runs out of memory over one poll.
-// Sequence: an upstream answers with a small body that unpacks to a huge one.
-// Cause: the bound is on the bytes that came over the wire.
-func TestPackedReplyIsBoundedUnpacked(t *testing.T) {
+// An upstream sends a small compressed body that expands to a huge one. The limit
+// must apply to the decompressed size, or one poll could exhaust the memory.
+func TestDecompressedResponseBounded(t *testing.T) {
 	for name, c := range map[string]struct {
 		coding string
 		body   func(w io.Writer)
 		class  *errs.Class
 	}{
-		"bomb":     {"gzip", func(w io.Writer) { pack(w, strings.Repeat(" ", 1<<20)) }, &upstream.ErrTooLarge},
-		"garbage":  {"gzip", func(w io.Writer) { _, _ = io.WriteString(w, "not gzip") }, &upstream.ErrMalformed},
-		"cut":      {"gzip", func(w io.Writer) { _, _ = w.Write([]byte{0x1f, 0x8b, 8, 0, 0, 0, 0, 0, 0, 255, 1}) }, &upstream.ErrIncomplete},
-		"unasked":  {"br", func(w io.Writer) { _, _ = io.WriteString(w, "{}") }, &upstream.ErrMalformed},
-		"in order": {"gzip", func(w io.Writer) { pack(w, `{"incarnation":1,"next":7}`) }, nil},
+		"bomb":       {"gzip", func(w io.Writer) { writeGzip(w, strings.Repeat(" ", 1<<20)) }, &upstream.ErrTooLarge},
+		"garbage":    {"gzip", func(w io.Writer) { _, _ = io.WriteString(w, "not gzip") }, &upstream.ErrMalformed},
+		"cut":        {"gzip", func(w io.Writer) { _, _ = w.Write([]byte{0x1f, 0x8b, 8, 0, 0, 0, 0, 0, 0, 255, 1}) }, &upstream.ErrIncomplete},
+		"unasked":    {"br", func(w io.Writer) { _, _ = io.WriteString(w, "{}") }, &upstream.ErrMalformed},
+		"valid gzip": {"gzip", func(w io.Writer) { writeGzip(w, `{"incarnation":1,"next":7}`) }, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -311,7 +313,7 @@
 	}
 }
 
-func pack(w io.Writer, text string) {
+func writeGzip(w io.Writer, text string) {
 	z := gzip.NewWriter(w)
 	_, _ = io.WriteString(z, text)
 	_ = z.Close()
--- a/internal/serve/upstream/silent_test.go
+++ b/internal/serve/upstream/dead_connection_test.go
@@ -14,91 +14,89 @@
 	"github.com/stretchr/testify/require"
 )
 
-// forgetfulNet loses track of its open connections on demand: writes to them
-// vanish and nothing arrives any more, while new connections work.
-type forgetfulNet struct {
+// blackholeNet simulates a device, such as a NAT gateway, that drops its state of
+// open connections: writes to them are lost, while new connections work.
+type blackholeNet struct {
 	l     *pipeListener
 	mu    sync.Mutex
-	conns []*forgottenConn
+	conns []*blackholeConn
 }
 
-type forgottenConn struct {
+type blackholeConn struct {
 	net.Conn
-	forgotten atomic.Bool
+	blackholed atomic.Bool
 }
 
-func (c *forgottenConn) Write(b []byte) (int, error) {
-	if c.forgotten.Load() {
+func (c *blackholeConn) Write(b []byte) (int, error) {
+	if c.blackholed.Load() {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
 }
 
-func (n *forgetfulNet) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (n *blackholeNet) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	c, err := n.l.dial(ctx, network, addr)
 	if err != nil {
 		return nil, err
 	}
-	fc := &forgottenConn{Conn: c}
+	bc := &blackholeConn{Conn: c}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.conns = append(n.conns, fc)
-	return fc, nil
+	n.conns = append(n.conns, bc)
+	return bc, nil
 }
 
-func (n *forgetfulNet) forget() {
+func (n *blackholeNet) blackhole() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range n.conns {
-		c.forgotten.Store(true)
+		c.blackholed.Store(true)
 	}
 }
 
-// Symptom: requests wait for their timeouts although the engine is well.
-// Sequence: four connections rest in the pool; something between the two ends
-// forgets them; new connections work. A request finds the first one silent.
-// Cause: the pool offers the silent connections one after the other.
-func TestSilentPooledConnections(t *testing.T) {
+// Four idle connections are pooled when a device between router and engine drops
+// their state. Requests must not time out on one dead connection after the other
+// although the engine is healthy and new connections work.
+func TestDeadPooledConnectionsClosed(t *testing.T) {
 	const pooled = 4
 	cases := []struct {
-		name string
-		opts upstream.Options
-		rest time.Duration
-		lost int
+		name     string
+		opts     upstream.Options
+		idle     time.Duration
+		timedOut int
 	}{
-		{"at once: one request is lost, the rest of the pool is shed", upstream.Options{}, 0, 1},
-		{"after the idle time: none is lost", upstream.Options{}, upstream.DefaultIdleConn + time.Second, 0},
-		{"beyond the connections' age: none is lost",
+		{"immediately: one request times out, the idle connections are closed", upstream.Options{}, 0, 1},
+		{"after the idle timeout: none times out", upstream.Options{}, upstream.DefaultIdleConn + time.Second, 0},
+		{"beyond the maximum age: none times out",
 			upstream.Options{ConnAge: time.Second, IdleConn: time.Hour}, 2 * time.Second, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
+			runInBubble(t, func(t *testing.T) {
 				e := engine.New(engine.Defaults("e1", "m"))
 				t.Cleanup(e.Close)
-				n := &forgetfulNet{l: listen(t, e.Handler())}
+				n := &blackholeNet{l: listen(t, e.Handler())}
 				tc.opts.Dial = n.dial
 				c := upstream.New(tc.opts)
 				t.Cleanup(c.Close)
-				require.Zero(t, runAtOnce(t, c, "warm", pooled))
+				require.Zero(t, runConcurrentStreams(t, c, "warm", pooled))
 				require.Len(t, n.conns, pooled)
-				n.forget()
-				time.Sleep(tc.rest)
-				lost := 0
+				n.blackhole()
+				time.Sleep(tc.idle)
+				timedOut := 0
 				for i := range pooled {
-					lost += runAtOnce(t, c, fmt.Sprint("again", i), 1)
+					timedOut += runConcurrentStreams(t, c, fmt.Sprint("again", i), 1)
 				}
-				require.Equal(t, tc.lost, lost)
+				require.Equal(t, tc.timedOut, timedOut)
 			})
 		})
 	}
 }
 
-// Symptom: calls to all engines dial anew whenever one engine is silent.
-// Sequence: one engine answers on reused connections no more, another does.
-// Cause: a pool shared by all upstreams is shed as a whole.
-func TestSilentUpstreamLeavesOtherPoolsAlone(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+// One engine stops responding on a reused connection. Only its idle connections may
+// be closed; calls to other engines must not have to dial again.
+func TestTimeoutKeepsConnectionsToOtherUpstreams(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		const other = "127.0.0.1:2"
 		listeners := map[string]*pipeListener{}
 		engines := map[string]*engine.Engine{}
@@ -118,7 +116,7 @@
 		status(address)
 		status(other)
 		engines[address].Inject(engine.Fault{Kind: engine.FaultSilent, Count: 1})
-		require.Equal(t, 1, runAtOnce(t, c, "silent", 1))
+		require.Equal(t, 1, runConcurrentStreams(t, c, "silent", 1))
 		status(address)
 		status(other)
 		require.EqualValues(t, 2, listeners[address].dials.Load())
@@ -126,15 +124,16 @@
 	})
 }
 
-// runAtOnce runs n streams side by side and returns how many timed out.
-func runAtOnce(t *testing.T, c *upstream.Client, name string, n int) int {
-	lost := 0
+// runConcurrentStreams opens n streams, then reads them to their ends. It returns
+// how many timed out.
+func runConcurrentStreams(t *testing.T, c *upstream.Client, name string, n int) int {
+	timedOut := 0
 	var streams []*upstream.Stream
 	for i := range n {
 		s, err := c.Stream(t.Context(), chatCall(fmt.Sprint(name, "-", i), chatRequest(3, "x")))
 		if err != nil {
 			require.True(t, upstream.ErrTimeout.Has(requireFailure(t, err, upstream.SentNoReply)))
-			lost++
+			timedOut++
 			continue
 		}
 		streams = append(streams, s)
@@ -144,17 +143,17 @@
 		require.NoError(t, err)
 		s.Close()
 	}
-	return lost
+	return timedOut
 }
 
-// Symptom: a stream falls silent and its slot in the pool poisons later calls.
-// Sequence: the connection is forgotten in the middle of a stream.
-// Cause: only the gap between chunks shows it; resume needs a new connection.
-func TestStreamOnForgottenConnectionResumes(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+// A connection goes dead in the middle of a stream, which only the idle timeout
+// detects. The stream must resume on a new connection, and the dead one must not be
+// reused.
+func TestStreamResumesAfterDeadConnection(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		e := engine.New(engine.Defaults("e1", "m"))
 		t.Cleanup(e.Close)
-		n := &forgetfulNet{l: listen(t, e.Handler())}
+		n := &blackholeNet{l: listen(t, e.Handler())}
 		c := upstream.New(upstream.Options{Dial: n.dial})
 		t.Cleanup(c.Close)
 		req := chatRequest(20, "x")
@@ -165,7 +164,7 @@
 		head, err := readAll(s)
 		require.True(t, upstream.ErrIdle.Has(err))
 		require.Less(t, time.Since(start), 2*upstream.DefaultIdleGap)
-		n.forget()
+		n.blackhole()
 		s, err = s.Resume(t.Context())
 		require.NoError(t, err)
 		rest, err := readAll(s)
--- a/internal/serve/upstream/sent_test.go
+++ b/internal/serve/upstream/failure_test.go
@@ -19,7 +19,7 @@
 	"github.com/zeebo/errs"
 )
 
-func receipt(id string) upstream.Call {
+func receiptCall(id string) upstream.Call {
 	return upstream.Call{
 		Address:        address,
 		RequestID:      id,
@@ -31,8 +31,8 @@
 	}
 }
 
-// closingServer executes each POST; when a connection carries its second one,
-// it closes the connection after reading it, without a reply.
+// closingServer executes each POST request and then closes the connection without
+// a response. It responds to GET requests.
 type closingServer struct {
 	executions atomic.Int64
 }
@@ -49,13 +49,11 @@
 	}
 }
 
-// Symptom: one call issues two receipts.
-// Sequence: a pooled connection has served a look-up; the receipt goes out on
-// it; the service executes, and the connection breaks before the reply.
-// Cause: an HTTP client that sends a request again by itself if its connection was
-// reused and the request bears an Idempotency-Key. Nothing is sent again here, not even
-// what may be: a repeat that nobody has counted is none of the retry budget's.
-func TestNonIdempotentWorkIsSentOnce(t *testing.T) {
+// A service executes a request and closes the connection before the response. An
+// HTTP client that resends requests with an Idempotency-Key after a failure of a
+// reused connection would issue two receipts. This client resends nothing, not even
+// idempotent requests: a hidden retry would bypass the retry budget.
+func TestFailedRequestNotResent(t *testing.T) {
 	cases := []struct {
 		name       string
 		idempotent bool
@@ -68,13 +66,13 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
+			runInBubble(t, func(t *testing.T) {
 				srv := &closingServer{}
 				c := newClient(t, listen(t, srv), upstream.Options{})
 				lookup := upstream.Call{Address: address, Method: http.MethodGet, Path: "/status/1", Idempotent: true}
 				_, err := c.Do(t.Context(), lookup)
 				require.NoError(t, err)
-				call := receipt("r")
+				call := receiptCall("r")
 				call.Body = tc.body
 				call.Idempotent = tc.idempotent
 				_, err = c.Do(t.Context(), call)
@@ -85,11 +83,9 @@
 	}
 }
 
-// Symptom: "did not run" is reported for a receipt that was issued, or the
-// outcome is called unknown although nothing was sent.
-// Sequence: the service fails at each point of a call.
-// Cause: only the protocol's proof counts; no status means "did not run".
-func TestServiceFaultsAreClassified(t *testing.T) {
+// A service fails at each point of a call. The failure must not claim that nothing
+// was executed if a receipt was issued: only X-Request-Ran proves that, no status does.
+func TestServiceFailureClassification(t *testing.T) {
 	cases := []struct {
 		fault      service.FaultKind
 		sent       upstream.Sent
@@ -105,13 +101,13 @@
 	}
 	for _, tc := range cases {
 		t.Run(string(tc.fault), func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
+			runInBubble(t, func(t *testing.T) {
 				s := service.New(service.Options{Name: "portal"})
 				c := newClient(t, listen(t, s.Handler()), upstream.Options{})
 				s.Inject(service.Fault{Kind: tc.fault, Count: 1, Delay: time.Minute})
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
-				_, err := c.Do(ctx, receipt("r"))
+				_, err := c.Do(ctx, receiptCall("r"))
 				f := requireFailure(t, err, tc.sent)
 				require.True(t, tc.want.Has(f), "%v", f)
 				time.Sleep(2 * time.Minute)
@@ -121,13 +117,13 @@
 	}
 }
 
-// Symptom: as above, for a chat completion.
-func TestEngineFaultsAreClassified(t *testing.T) {
+// As TestServiceFailureClassification, for a chat completion.
+func TestEngineFailureClassification(t *testing.T) {
 	cases := []struct {
-		fault engine.FaultKind
-		sent  upstream.Sent
-		want  *errs.Class
-		runs  int
+		fault      engine.FaultKind
+		sent       upstream.Sent
+		want       *errs.Class
+		executions int
 	}{
 		{engine.FaultRefuse, upstream.RefusedBeforeExecuting, &upstream.ErrRefused, 0},
 		{engine.FaultErrorBefore, upstream.SentNoReply, &upstream.ErrRefused, 0},
@@ -136,23 +132,22 @@
 	}
 	for _, tc := range cases {
 		t.Run(string(tc.fault), func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
+			runInBubble(t, func(t *testing.T) {
 				e, c, _ := newEngine(t, engine.Defaults("e1", "m"))
 				e.Inject(engine.Fault{Kind: tc.fault, Count: 1})
 				_, err := c.Stream(t.Context(), chatCall("r", chatRequest(5, "x")))
 				f := requireFailure(t, err, tc.sent)
 				require.True(t, tc.want.Has(f), "%v", f)
-				require.Equal(t, tc.runs, e.Books().Runs["r"])
+				require.Equal(t, tc.executions, e.Books().Runs["r"])
 			})
 		})
 	}
 }
 
-// Symptom: a call that was never sent is taken for one that may have run, or
-// the reverse.
-// Sequence: dialling fails, dialling hangs, or the peer never reads a byte.
-func TestConnectionFaultsAreClassified(t *testing.T) {
-	refused := func(context.Context, string, string) (net.Conn, error) { return nil, errors.ErrUnsupported }
+// A call that was never sent must not count as possibly executed, nor the reverse.
+// The dial fails, the dial hangs, or the peer never reads a byte.
+func TestConnectionFailureClassification(t *testing.T) {
+	failing := func(context.Context, string, string) (net.Conn, error) { return nil, errors.ErrUnsupported }
 	hanging := func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -167,16 +162,16 @@
 		sent upstream.Sent
 		want *errs.Class
 	}{
-		{"dial refused", refused, upstream.NotSent, &upstream.ErrDial},
+		{"dial fails", failing, upstream.NotSent, &upstream.ErrDial},
 		{"dial hangs", hanging, upstream.NotSent, &upstream.ErrTimeout},
-		{"write begun and not finished", unread, upstream.SentNoReply, &upstream.ErrTimeout},
+		{"write started but not finished", unread, upstream.SentNoReply, &upstream.ErrTimeout},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
+			runInBubble(t, func(t *testing.T) {
 				c := upstream.New(upstream.Options{Dial: tc.dial})
 				for _, run := range []func(context.Context) error{
-					func(ctx context.Context) error { _, err := c.Do(ctx, receipt("r")); return err },
+					func(ctx context.Context) error { _, err := c.Do(ctx, receiptCall("r")); return err },
 					func(ctx context.Context) error {
 						_, err := c.Stream(ctx, chatCall("r", chatRequest(1, "x")))
 						return err
@@ -187,25 +182,24 @@
 					cancel()
 					require.True(t, tc.want.Has(f), "%v", f)
 				}
-				// The transport's own dials end with their timeout.
+				// Lets dials that are still in progress reach their timeout.
 				time.Sleep(2 * upstream.DefaultDialTimeout)
 			})
 		})
 	}
 }
 
-// Symptom: "did not run" for a request that ran.
-// Sequence: a late refusal of another request is read as the reply to ours.
-// Cause: the proof belongs to the request id that it echoes.
-func TestRefusalOfAnotherRequestProvesNothing(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+// A delayed refusal of another request arrives as the response. It proves nothing
+// about this request, which may have been executed.
+func TestRefusalOfAnotherRequestNotTrusted(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		c := newClient(t, listen(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
 			w.Header().Set(wire.HeaderRequestID, "other")
 			w.Header().Set(wire.HeaderRan, "no")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		})), upstream.Options{})
-		_, err := c.Do(t.Context(), receipt("r"))
+		_, err := c.Do(t.Context(), receiptCall("r"))
 		require.True(t, upstream.ErrMismatch.Has(requireFailure(t, err, upstream.SentNoReply)), "%v", err)
 		require.False(t, upstream.SentOf(err).DidNotRun())
 		require.Equal(t, upstream.SentNoReply, upstream.SentOf(errors.ErrUnsupported))
--- a/internal/serve/upstream/helper_test.go
+++ b/internal/serve/upstream/helper_test.go
@@ -19,8 +19,8 @@
 
 const address = "127.0.0.1:1"
 
-// pipeListener serves connections made of net.Pipe, so that a server and its
-// clients run on the clock of one synctest bubble.
+// pipeListener accepts connections made of net.Pipe, so that a server and its
+// clients use the clock of one synctest bubble.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -73,8 +73,8 @@
 	}
 }
 
-// bubble runs f in a synctest bubble.
-func bubble(t *testing.T, f func(t *testing.T)) { synctest.Test(t, f) }
+// runInBubble runs f in a synctest bubble.
+func runInBubble(t *testing.T, f func(t *testing.T)) { synctest.Test(t, f) }
 
 func newClient(t testing.TB, l *pipeListener, opts upstream.Options) *upstream.Client {
 	opts.Dial = l.dial
@@ -83,7 +83,7 @@
 	return c
 }
 
-// newEngine returns a stand-in that serves model "m", and a client to it.
+// newEngine returns a stand-in engine, a client of it and its listener.
 func newEngine(t testing.TB, opts engine.Options) (*engine.Engine, *upstream.Client, *pipeListener) {
 	e := engine.New(opts)
 	t.Cleanup(e.Close)
@@ -91,10 +91,10 @@
 	return e, newClient(t, l, upstream.Options{}), l
 }
 
-func chatRequest(n int, words ...string) wire.ChatRequest {
-	req := wire.ChatRequest{Model: "m", Stream: true, MaxTokens: n}
-	for _, w := range words {
-		req.Messages = append(req.Messages, wire.Message{Role: "user", Content: w})
+func chatRequest(maxTokens int, contents ...string) wire.ChatRequest {
+	req := wire.ChatRequest{Model: "m", Stream: true, MaxTokens: maxTokens}
+	for _, content := range contents {
+		req.Messages = append(req.Messages, wire.Message{Role: "user", Content: content})
 	}
 	return req
 }
@@ -104,26 +104,28 @@
 	return upstream.Call{Address: address, RequestID: id, Body: body, Priority: "normal"}
 }
 
-// readAll reads s to its end marker and returns the chunks' contents.
+// readAll reads s to its end marker or an error and returns the contents of the
+// chunks.
 func readAll(s *upstream.Stream) ([]string, error) {
-	var words []string
+	var contents []string
 	for {
-		ev, err := s.Next()
-		if err != nil || ev.Done {
-			return words, err
+		event, err := s.Next()
+		if err != nil || event.Done {
+			return contents, err
 		}
 		var c wire.Chunk
-		if err := json.Unmarshal(ev.Data, &c); err != nil {
-			return words, err
+		if err := json.Unmarshal(event.Data, &c); err != nil {
+			return contents, err
 		}
 		for _, choice := range c.Choices {
-			words = append(words, choice.Delta.Content)
+			contents = append(contents, choice.Delta.Content)
 		}
 	}
 }
 
-// sse serves a canned stream to a request id.
-func sse(body string) http.HandlerFunc {
+// sseHandler responds to every request with body as an event stream, and echoes
+// the request id.
+func sseHandler(body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -137,7 +139,7 @@
 	return "id: " + o + "\ndata: {\"id\":\"" + id + "\",\"offset\":" + o + "}\n\n"
 }
 
-const done = "data: [DONE]\n\n"
+const endMarker = "data: [DONE]\n\n"
 
 func requireFailure(t *testing.T, err error, sent upstream.Sent) *upstream.Failure {
 	t.Helper()
--- a/internal/serve/upstream/stream_test.go
+++ b/internal/serve/upstream/stream_test.go
@@ -16,29 +16,29 @@
 	"github.com/zeebo/errs"
 )
 
-func TestStreamWholeAnswer(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+func TestStreamReadsCompleteResponse(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		e, c, l := newEngine(t, engine.Defaults("e1", "m"))
 		req := chatRequest(30, "hello", "again")
 		for i := range 3 {
 			s, err := c.Stream(t.Context(), chatCall(fmt.Sprint("r", i), req))
 			require.NoError(t, err)
-			words, err := readAll(s)
+			contents, err := readAll(s)
 			require.NoError(t, err)
-			require.Equal(t, engine.Answer(req), words)
+			require.Equal(t, engine.Answer(req), contents)
 			s.Close()
 		}
 		require.Equal(t, map[string]int{"r0": 1, "r1": 1, "r2": 1}, e.Books().Runs)
-		require.EqualValues(t, 1, l.dials.Load(), "whole streams give their connection back")
+		require.EqualValues(t, 1, l.dials.Load(), "completed streams return their connection to the pool")
 	})
 }
 
-// Symptom: a caller sees half an answer as whole, or a chunk of another answer.
-// Sequence: the engine ends, cuts or mixes up a stream in the ways below.
-// Cause: trusting the end of a body, or the order and owner of its events.
-func TestStreamRefusesDoubtfulStreams(t *testing.T) {
+// An engine truncates a stream, or sends missing, repeated or foreign chunks. The
+// caller must not receive an incomplete response as complete, nor a chunk of
+// another response.
+func TestInvalidStreamRejected(t *testing.T) {
 	c0, c1 := chunk("r", 0), chunk("r", 1)
-	long := strings.Repeat("x", upstream.DefaultMaxEvent)
+	longData := strings.Repeat("x", upstream.DefaultMaxEvent)
 	cases := []struct {
 		name string
 		body string
@@ -46,69 +46,67 @@
 	}{
 		{"no end marker", c0 + c1, &upstream.ErrIncomplete},
 		{"empty body", "", &upstream.ErrIncomplete},
-		{"end marker without blank line", c0 + "data: [DONE]\n", &upstream.ErrIncomplete},
-		{"cut within an event", c0 + c1[:len(c1)-2], &upstream.ErrIncomplete},
-		{"gap", c0 + chunk("r", 2) + done, &upstream.ErrOffset},
-		{"first chunk missing", c1 + done, &upstream.ErrOffset},
-		{"chunk twice", c0 + c0 + done, &upstream.ErrOffset},
-		{"chunk of another request", c0 + chunk("q", 1) + done, &upstream.ErrMismatch},
-		{"chunk of a request with our id as prefix", c0 + chunk("r2", 1) + done, &upstream.ErrMismatch},
-		{"chunk without id", "id: 0\ndata: {}\n\n" + done, &upstream.ErrMismatch},
-		{"chunk that is no JSON", "id: 0\ndata: oops\n\n" + done, &upstream.ErrMalformed},
-		{"event without offset", "data: {\"id\":\"r\"}\n\n" + done, &upstream.ErrMalformed},
-		{"negative offset", "id: -1\ndata: {\"id\":\"r\"}\n\n" + done, &upstream.ErrMalformed},
-		{"line too long", "data: " + long + "\n\n" + done, &upstream.ErrTooLarge},
-		{"event too long", strings.Repeat("data: "+long[:1<<14]+"\n", 5) + "\n", &upstream.ErrTooLarge},
+		{"end marker without a blank line", c0 + "data: [DONE]\n", &upstream.ErrIncomplete},
+		{"truncated within an event", c0 + c1[:len(c1)-2], &upstream.ErrIncomplete},
+		{"gap", c0 + chunk("r", 2) + endMarker, &upstream.ErrOffset},
+		{"first chunk missing", c1 + endMarker, &upstream.ErrOffset},
+		{"repeated chunk", c0 + c0 + endMarker, &upstream.ErrOffset},
+		{"chunk of another request", c0 + chunk("q", 1) + endMarker, &upstream.ErrMismatch},
+		{"chunk of a request whose id starts with this one", c0 + chunk("r2", 1) + endMarker, &upstream.ErrMismatch},
+		{"chunk without id", "id: 0\ndata: {}\n\n" + endMarker, &upstream.ErrMismatch},
+		{"chunk is not JSON", "id: 0\ndata: oops\n\n" + endMarker, &upstream.ErrMalformed},
+		{"event without offset", "data: {\"id\":\"r\"}\n\n" + endMarker, &upstream.ErrMalformed},
+		{"negative offset", "id: -1\ndata: {\"id\":\"r\"}\n\n" + endMarker, &upstream.ErrMalformed},
+		{"line too long", "data: " + longData + "\n\n" + endMarker, &upstream.ErrTooLarge},
+		{"event too long", strings.Repeat("data: "+longData[:1<<14]+"\n", 5) + "\n", &upstream.ErrTooLarge},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
-				c := newClient(t, listen(t, sse(tc.body)), upstream.Options{})
+			runInBubble(t, func(t *testing.T) {
+				c := newClient(t, listen(t, sseHandler(tc.body)), upstream.Options{})
 				s, err := c.Stream(t.Context(), upstream.Call{Address: address, RequestID: "r"})
 				require.NoError(t, err)
 				_, err = readAll(s)
 				f := requireFailure(t, err, upstream.SentNoReply)
 				require.True(t, tc.want.Has(f), "%v", f)
-				_, again := s.Next()
-				require.Equal(t, err, again, "a failed stream stays failed")
+				_, secondErr := s.Next()
+				require.Equal(t, err, secondErr, "a failed stream stays failed")
 			})
 		})
 	}
 }
 
-func TestStreamAcceptsOtherSpellings(t *testing.T) {
+func TestStreamAcceptsSSEVariants(t *testing.T) {
 	cases := map[string]string{
-		"carriage returns":   strings.ReplaceAll(chunk("r", 0)+done, "\n", "\r\n"),
-		"comments":           ": hello\n\n" + chunk("r", 0) + ":\n" + done,
-		"other field order":  "data: {\"offset\":0,\"id\":\"r\"}\nid: 0\n\n" + done,
-		"unknown fields":     "event: x\nretry: 5\n" + chunk("r", 0) + done,
-		"no space":           "id:0\ndata:{\"id\":\"r\"}\n\n" + done,
-		"data in two lines":  "id: 0\ndata: {\"id\":\ndata: \"r\"}\n\n" + done,
-		"bytes after marker": chunk("r", 0) + done + strings.Repeat("x", 1<<12),
+		"carriage returns":   strings.ReplaceAll(chunk("r", 0)+endMarker, "\n", "\r\n"),
+		"comments":           ": hello\n\n" + chunk("r", 0) + ":\n" + endMarker,
+		"other field order":  "data: {\"offset\":0,\"id\":\"r\"}\nid: 0\n\n" + endMarker,
+		"unknown fields":     "event: x\nretry: 5\n" + chunk("r", 0) + endMarker,
+		"no space":           "id:0\ndata:{\"id\":\"r\"}\n\n" + endMarker,
+		"data in two lines":  "id: 0\ndata: {\"id\":\ndata: \"r\"}\n\n" + endMarker,
+		"bytes after marker": chunk("r", 0) + endMarker + strings.Repeat("x", 1<<12),
 	}
 	for name, body := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
-				c := newClient(t, listen(t, sse(body)), upstream.Options{})
+			runInBubble(t, func(t *testing.T) {
+				c := newClient(t, listen(t, sseHandler(body)), upstream.Options{})
 				s, err := c.Stream(t.Context(), upstream.Call{Address: address, RequestID: "r"})
 				require.NoError(t, err)
-				ev, err := s.Next()
+				event, err := s.Next()
 				require.NoError(t, err)
-				require.JSONEq(t, `{"id":"r"}`, strings.Replace(strings.Replace(string(ev.Data), `"offset":0,`, "", 1), `,"offset":0`, "", 1))
-				ev, err = s.Next()
+				require.JSONEq(t, `{"id":"r"}`, strings.Replace(strings.Replace(string(event.Data), `"offset":0,`, "", 1), `,"offset":0`, "", 1))
+				event, err = s.Next()
 				require.NoError(t, err)
-				require.True(t, ev.Done)
+				require.True(t, event.Done)
 				s.Close()
 			})
 		})
 	}
 }
 
-// Symptom: an answer stops in the middle, or shows a foreign line.
-// Sequence: the engine's connection fails after five chunks in one of the ways
-// below, while the engine itself works on; the stream is resumed.
-// Cause: each must be noticed as what it is, and the rest must come over a new
-// connection.
+// A stream fails after five chunks while the engine continues to execute the
+// request. Each failure must be detected as its own class, and the remaining chunks
+// must arrive over a new connection.
 func TestStreamResumesAfterFaults(t *testing.T) {
 	cases := []struct {
 		fault engine.FaultKind
@@ -121,7 +119,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(string(tc.fault), func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
+			runInBubble(t, func(t *testing.T) {
 				e, c, l := newEngine(t, engine.Defaults("e1", "m"))
 				e.Inject(engine.Fault{Kind: tc.fault, After: 5, Count: 1})
 				req := chatRequest(40, "dossier")
@@ -144,28 +142,26 @@
 	}
 }
 
-// Symptom: a stream to a slow caller is broken off as silent.
-// Sequence: the caller takes longer for a chunk than the idle gap.
-// Cause: the timer has to run only while the engine is waited for.
-func TestStreamSlowReaderIsNotIdle(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+// A caller takes longer to process a chunk than the idle gap. The stream must not
+// time out, since the engine is not silent.
+func TestSlowReaderDoesNotCauseIdleTimeout(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		_, c, _ := newEngine(t, engine.Defaults("e1", "m"))
 		s, err := c.Stream(t.Context(), chatCall("r", chatRequest(4, "x")))
 		require.NoError(t, err)
-		for ev := (upstream.Event{}); !ev.Done; {
+		for event := (upstream.Event{}); !event.Done; {
 			time.Sleep(10 * upstream.DefaultIdleGap)
-			ev, err = s.Next()
+			event, err = s.Next()
 			require.NoError(t, err)
 		}
 		s.Close()
 	})
 }
 
-// Symptom: a caller receives the answer to an earlier request.
-// Sequence: request "a" times out; its answer comes late; request "b" follows.
-// Cause: a timed-out connection that goes back to the pool.
-func TestLateAnswerReachesNobody(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+// Request "a" times out and its response arrives later. Request "b" must not read
+// it, as it would if the timed-out connection returned to the pool.
+func TestDelayedResponseNotReadByNextRequest(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		l := listen(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			id := r.Header.Get(wire.HeaderRequestID)
 			if id == "a" {
@@ -189,9 +185,9 @@
 	})
 }
 
-// Symptom: as above, but the upstream itself mixes up its replies.
-// Cause: replies have to be compared with the request they are for.
-func TestRepliesOfAnotherRequestAreRefused(t *testing.T) {
+// An upstream sends the response of another request. It must be rejected by the
+// request id in its header or body.
+func TestResponseOfAnotherRequestRejected(t *testing.T) {
 	cases := map[string]struct{ header, body string }{
 		"header":    {"b", `{"id":"a"}`},
 		"body":      {"a", `{"id":"b"}`},
@@ -199,7 +195,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
+			runInBubble(t, func(t *testing.T) {
 				l := listen(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 					w.Header().Set(wire.HeaderRequestID, tc.header)
 					w.Header().Set("Content-Type", "text/event-stream")
