--- a/client/client_test.go
+++ b/client/client_test.go
@@ -135,7 +135,7 @@
 // clients that stay on a draining router.
 func TestOnlyDrainingOrUnreadyRouterIsRetried(t *testing.T) {
 	for code, retried := range map[apierr.Code]bool{
-		apierr.CodeLeaving: true, apierr.CodeNotReady: true, apierr.CodeQueueFull: false, apierr.CodeUnauthorized: false,
+		apierr.CodeDraining: true, apierr.CodeNotReady: true, apierr.CodeQueueFull: false, apierr.CodeUnauthorized: false,
 	} {
 		t.Run(string(code), func(t *testing.T) {
 			var requests atomic.Int32
--- a/client/stream.go
+++ b/client/stream.go
@@ -70,7 +70,7 @@
 	if !ok {
 		return true
 	}
-	return e.Code == apierr.CodeLeaving || e.Code == apierr.CodeNotReady
+	return e.Code == apierr.CodeDraining || e.Code == apierr.CodeNotReady
 }
 
 func (s *stream) attemptAt(ctx context.Context, addr string) error {
--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -177,7 +177,7 @@
 		if err == nil {
 			return v, f.printVersion(con, raw, v)
 		}
-		outcomeUnknown = outcomeUnknown || client.Unsettled(err)
+		outcomeUnknown = outcomeUnknown || client.MayHaveTakenEffect(err)
 		if !outcomeUnknown || isConclusive(err) {
 			return config.Version{}, err
 		}
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -87,7 +87,7 @@
 	for attempt := 1; ; attempt++ {
 		raw, err := c.Do(ctx, r, out)
 		var f *api.Failure
-		if !errors.As(err, &f) || f.Code != apierr.CodeStoreDown || f.Ran != apierr.RanNo || f.RetryAfterMS == 0 {
+		if !errors.As(err, &f) || f.Code != apierr.CodeStoreUnavailable || f.Ran != apierr.RanNo || f.RetryAfterMS == 0 {
 			return raw, err
 		}
 		if attempt == storeAttempts {
--- a/internal/cli/operator_test.go
+++ b/internal/cli/operator_test.go
@@ -107,7 +107,7 @@
 	refusal := func(code apierr.Code, status int) string {
 		return fmt.Sprintf("%d %s", status, code)
 	}
-	down := refusal(apierr.CodeStoreDown, http.StatusServiceUnavailable)
+	down := refusal(apierr.CodeStoreUnavailable, http.StatusServiceUnavailable)
 	for name, tc := range map[string]struct {
 		responses []string
 		code      int
--- a/internal/decide/prefix/evidence.go
+++ b/internal/decide/prefix/evidence.go
@@ -91,9 +91,9 @@
 // Locator combines the sources of evidence.
 type Locator struct {
 	// Recent is the owner's table of recent chats, or nil.
-	Recent *Recent
+	Recent *RecentChats
 	// Views are those of the engines whose cache events this router follows.
-	Views []*View
+	Views []*CacheView
 	// Current reports the current incarnations. Evidence for any other is dropped,
 	// since its cache is gone.
 	Current Incarnations
@@ -130,7 +130,7 @@
 	if h == nil || h.Model != s.q.Model {
 		return
 	}
-	p := Place{Engine: h.Engine, Incarnation: h.Incarnation, Prefix: h.Prefix, Tokens: h.Tokens}
+	p := Location{Engine: h.Engine, Incarnation: h.Incarnation, Prefix: h.Prefix, Tokens: h.Tokens}
 	sameChat := s.q.Chat != 0 && h.Chat == s.q.Chat
 	s.addLocation(p, provenance{HintConfidence, unknownAge, SourceHint, sameChat})
 }
@@ -159,7 +159,7 @@
 
 // addLocation adds the evidence of a recorded location. A prefix that is none of the
 // request's boundaries counts with a lower confidence if the chat is the same.
-func (s *search) addLocation(p Place, from provenance) {
+func (s *search) addLocation(p Location, from provenance) {
 	if !s.isCurrent(p.Engine, p.Incarnation) {
 		return
 	}
@@ -177,7 +177,7 @@
 
 // addView adds the cached boundary of the highest value in v. Boundaries grow, so the
 // search ends where even full confidence couldn't yield a higher value.
-func (s *search) addView(v *View) {
+func (s *search) addView(v *CacheView) {
 	if !s.isCurrent(v.engine, v.incarnation) {
 		return
 	}
--- a/internal/decide/prefix/evidence_test.go
+++ b/internal/decide/prefix/evidence_test.go
@@ -47,14 +47,14 @@
 	return wire.CacheEvents{Incarnation: incarnation, Events: events}
 }
 
-func newRecent(t require.TestingT, capacity int) *Recent {
-	r, err := NewRecent(capacity, 1, epoch)
+func newRecent(t require.TestingT, capacity int) *RecentChats {
+	r, err := NewRecentChats(capacity, 1, epoch)
 	require.NoError(t, err)
 	return r
 }
 
-func newView(t require.TestingT, engine uint64, pages ...wire.CacheEvents) *View {
-	v, err := NewView(engine, 1000, 1, epoch)
+func newView(t require.TestingT, engine uint64, pages ...wire.CacheEvents) *CacheView {
+	v, err := NewCacheView(engine, 1000, 1, epoch)
 	require.NoError(t, err)
 	for _, p := range pages {
 		v.Apply(p, epoch)
@@ -69,7 +69,7 @@
 	type item = Evidence
 	cases := map[string]struct {
 		hint   *token.Hint
-		recent *Place
+		recent *Location
 		pages  []wire.CacheEvents // of engineA
 		chat   uint64
 		after  time.Duration
@@ -77,13 +77,13 @@
 	}{
 		"nothing known": {chat: chatC},
 		"hint alone":    {hint: hintAt(engineB, 102), want: []item{{engineB, 1000, HintConfidence, SourceHint}}},
-		"recent alone": {recent: &Place{engineB, 1, 102, 1000}, chat: chatC,
+		"recent alone": {recent: &Location{engineB, 1, 102, 1000}, chat: chatC,
 			want: []item{{engineB, 1000, RecentConfidence, SourceRecent}}},
-		"recent, a half-life old": {recent: &Place{engineB, 1, 102, 1000}, chat: chatC, after: RecentHalfLife,
+		"recent, a half-life old": {recent: &Location{engineB, 1, 102, 1000}, chat: chatC, after: RecentHalfLife,
 			want: []item{{engineB, 1000, RecentConfidence / 2, SourceRecent}}},
-		"recent beats hint on one engine": {hint: hintAt(engineB, 102), recent: &Place{engineB, 1, 102, 1000}, chat: chatC,
+		"recent beats hint on one engine": {hint: hintAt(engineB, 102), recent: &Location{engineB, 1, 102, 1000}, chat: chatC,
 			want: []item{{engineB, 1000, RecentConfidence, SourceRecent}}},
-		"hint beats old record": {hint: hintAt(engineB, 102), recent: &Place{engineB, 1, 102, 1000}, chat: chatC, after: RecentHalfLife,
+		"hint beats old record": {hint: hintAt(engineB, 102), recent: &Location{engineB, 1, 102, 1000}, chat: chatC, after: RecentHalfLife,
 			want: []item{{engineB, 1000, HintConfidence, SourceHint}}},
 		"longest prefix of a view":  {pages: []wire.CacheEvents{full}, want: []item{{engineA, 2000, ViewConfidence, SourceView}}},
 		"view of a shared prefix":   {pages: []wire.CacheEvents{page(1, stored(0, 101))}, want: []item{{engineA, 100, ViewConfidence, SourceView}}},
@@ -96,10 +96,10 @@
 			want: []item{{engineB, 2000, HintConfidence, SourceHint}, {engineA, 1000, ViewConfidence, SourceView}}},
 		"hint contradicted by an eviction": {hint: hintAt(engineA, 102), pages: []wire.CacheEvents{gone},
 			want: []item{{engineA, 1000, HintConfidence * EvictedFactor, SourceHint}}},
-		"record older than eviction": {recent: &Place{engineA, 1, 102, 1000}, pages: []wire.CacheEvents{gone}, chat: chatC,
+		"record older than eviction": {recent: &Location{engineA, 1, 102, 1000}, pages: []wire.CacheEvents{gone}, chat: chatC,
 			want: []item{{engineA, 1000, RecentConfidence * EvictedFactor, SourceRecent}}},
 		"hint of an older incarnation":   {hint: &token.Hint{Chat: chatC, Model: modelM, Engine: engineA, Incarnation: 0, Prefix: 102}, chat: chatC},
-		"record of an older incarnation": {recent: &Place{engineA, 9, 102, 1000}, chat: chatC},
+		"record of an older incarnation": {recent: &Location{engineA, 9, 102, 1000}, chat: chatC},
 		"unknown engine":                 {hint: hintAt(999, 102), chat: chatC},
 		"hint of another model":          {hint: &token.Hint{Chat: chatC, Model: 4, Engine: engineA, Incarnation: 1, Prefix: 102}, chat: chatC},
 		"edited chat":                    {hint: hintAt(engineA, 66), chat: chatC, want: []item{{engineA, 100, HintConfidence * DivergedFactor, SourceHint}}},
@@ -112,7 +112,7 @@
 			if tc.recent != nil {
 				require.NoError(t, r.Record(chatC, *tc.recent, epoch))
 			}
-			l := Locator{Recent: r, Views: []*View{newView(t, engineA, tc.pages...)}, Current: incarnations{engineA: 1, engineB: 1}}
+			l := Locator{Recent: r, Views: []*CacheView{newView(t, engineA, tc.pages...)}, Current: incarnations{engineA: 1, engineB: 1}}
 			q := Query{Boundaries: request, Hint: tc.hint, Chat: tc.chat, Model: modelM, Now: epoch.Add(tc.after)}
 			got := l.Evidence(nil, q)
 			require.Len(t, got, len(tc.want))
@@ -131,8 +131,8 @@
 // before the stored event arrives: an eviction older than the record must not count.
 func TestRecordNewerThanEvictionIsTrusted(t *testing.T) {
 	r, later := newRecent(t, 100), epoch.Add(time.Minute)
-	require.NoError(t, r.Record(chatC, Place{engineA, 1, 102, 1000}, later))
-	l := Locator{Recent: r, Views: []*View{newView(t, engineA, page(1, evicted(0, 102)))}, Current: incarnations{engineA: 1}}
+	require.NoError(t, r.Record(chatC, Location{engineA, 1, 102, 1000}, later))
+	l := Locator{Recent: r, Views: []*CacheView{newView(t, engineA, page(1, evicted(0, 102)))}, Current: incarnations{engineA: 1}}
 	got := l.Evidence(nil, Query{Boundaries: request, Chat: chatC, Model: modelM, Now: later})
 	assert.Equal(t, []Evidence{{engineA, 1000, RecentConfidence, SourceRecent}}, got)
 }
@@ -196,7 +196,7 @@
 			ev := wire.CacheEvent{Seq: rapid.Uint64Range(0, 99).Draw(t, "seq"), Prefix: small.Draw(t, "prefix"), Tokens: 1,
 				Kind: rapid.SampledFrom([]wire.CacheEventKind{wire.CacheStored, wire.CacheEvicted}).Draw(t, "kind")}
 			l.Views[rapid.IntRange(0, 2).Draw(t, "view")].Apply(page(small.Draw(t, "inc"), ev), now)
-			require.NoError(t, r.Record(small.Draw(t, "chat"), Place{small.Draw(t, "engine"), small.Draw(t, "i"), small.Draw(t, "p"), 5}, now))
+			require.NoError(t, r.Record(small.Draw(t, "chat"), Location{small.Draw(t, "engine"), small.Draw(t, "i"), small.Draw(t, "p"), 5}, now))
 		}
 		hint := token.Hint{Chat: 1, Engine: small.Draw(t, "he"), Incarnation: small.Draw(t, "hi"), Prefix: small.Draw(t, "hp")}
 		q := Query{Boundaries: []chat.Boundary{{Hash: 1, Tokens: 10}, {Hash: 2, Tokens: 20}, {Hash: 3, Tokens: 40}},
--- a/internal/decide/prefix/prefix.go
+++ b/internal/decide/prefix/prefix.go
@@ -24,8 +24,8 @@
 	return xxh3.HashStringSeed(chat, xxh3.HashString(account))
 }
 
-// Place is the location where a prefix is, or was, cached.
-type Place struct {
+// Location is the location where a prefix is, or was, cached.
+type Location struct {
 	// Engine is the hash of the engine's name.
 	Engine uint64
 	// Incarnation is that of the engine; a later incarnation has an empty cache.
--- a/internal/decide/prefix/recent.go
+++ b/internal/decide/prefix/recent.go
@@ -15,9 +15,9 @@
 // refers to the maximum number of engine incarnations.
 var ErrTooManyEngines = errs.Class("prefix: number of engine incarnations exceeds the limit")
 
-// Recent is a bounded table of the chats that an owner recorded last. When it is full,
+// RecentChats is a bounded table of the chats that an owner recorded last. When it is full,
 // recording a chat evicts the least recently used one of a bucket.
-type Recent struct {
+type RecentChats struct {
 	table        *table[recentEntry]
 	incarnations incarnationTable
 	epoch        time.Time
@@ -29,20 +29,20 @@
 	slot   uint16
 }
 
-// NewRecent returns a table with capacity for the given number of chats. The times
+// NewRecentChats returns a table with capacity for the given number of chats. The times
 // passed to its methods are only compared with epoch, so readings of a monotonic clock
 // suffice. It returns ErrCapacity if capacity isn't positive.
-func NewRecent(capacity int, seed uint64, epoch time.Time) (*Recent, error) {
+func NewRecentChats(capacity int, seed uint64, epoch time.Time) (*RecentChats, error) {
 	t, err := newTable[recentEntry](capacity, seed)
 	if err != nil {
 		return nil, err
 	}
-	return &Recent{table: t, incarnations: newIncarnationTable(), epoch: epoch}, nil
+	return &RecentChats{table: t, incarnations: newIncarnationTable(), epoch: epoch}, nil
 }
 
 // Record records that chat was served at p. It returns ErrTooManyEngines if p is of a
 // new engine incarnation and the table refers to the maximum number of them.
-func (r *Recent) Record(chat uint64, p Place, now time.Time) error {
+func (r *RecentChats) Record(chat uint64, p Location, now time.Time) error {
 	slot, ok := r.incarnations.acquire(engineIncarnation{p.Engine, p.Incarnation})
 	if !ok {
 		return ErrTooManyEngines.New("%d", maxIncarnations)
@@ -56,17 +56,17 @@
 }
 
 // Lookup returns where chat was served last, and how long ago.
-func (r *Recent) Lookup(chat uint64, now time.Time) (p Place, age time.Duration, ok bool) {
+func (r *RecentChats) Lookup(chat uint64, now time.Time) (p Location, age time.Duration, ok bool) {
 	e, used := r.table.get(chat)
 	if e == nil {
-		return Place{}, 0, false
+		return Location{}, 0, false
 	}
 	return r.location(e), used.age(stampAt(r.epoch, now)), true
 }
 
 // Visit calls f for each chat that was served by the given incarnation of engine, to
 // export its cache before it leaves. f must not change r.
-func (r *Recent) Visit(engine, incarnation uint64, now time.Time, f func(chat uint64, p Place, age time.Duration)) {
+func (r *RecentChats) Visit(engine, incarnation uint64, now time.Time, f func(chat uint64, p Location, age time.Duration)) {
 	want, nowStamp := engineIncarnation{engine, incarnation}, stampAt(r.epoch, now)
 	r.table.sweep(func(chat uint64, e *recentEntry, used stamp) bool {
 		if r.incarnations.slots[e.slot].engineIncarnation == want {
@@ -78,7 +78,7 @@
 
 // DropEngine removes the chats served by any incarnation of engine except keep, which
 // is 0 for an engine that is gone for good.
-func (r *Recent) DropEngine(engine, keep uint64) {
+func (r *RecentChats) DropEngine(engine, keep uint64) {
 	r.table.sweep(func(_ uint64, e *recentEntry, _ stamp) bool {
 		servedBy := r.incarnations.slots[e.slot].engineIncarnation
 		if servedBy.engine != engine || servedBy.incarnation == keep {
@@ -90,11 +90,11 @@
 }
 
 // Len returns the number of chats in the table.
-func (r *Recent) Len() int { return r.table.len }
+func (r *RecentChats) Len() int { return r.table.len }
 
-func (r *Recent) location(e *recentEntry) Place {
+func (r *RecentChats) location(e *recentEntry) Location {
 	servedBy := r.incarnations.slots[e.slot].engineIncarnation
-	return Place{
+	return Location{
 		Engine:      servedBy.engine,
 		Incarnation: servedBy.incarnation,
 		Prefix:      e.prefix,
--- a/internal/decide/prefix/recent_test.go
+++ b/internal/decide/prefix/recent_test.go
@@ -16,7 +16,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 24
 		r, now := newRecent(t, capacity), epoch
-		model := map[uint64]Place{}
+		model := map[uint64]Location{}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 99).Draw(t, "s")) * time.Second)
 			if rapid.IntRange(0, 9).Draw(t, "op") == 0 {
@@ -30,7 +30,7 @@
 				continue
 			}
 			c := rapid.Uint64Range(1, 60).Draw(t, "chat")
-			p := Place{rapid.Uint64Range(1, 3).Draw(t, "engine"), rapid.Uint64Range(1, 3).Draw(t, "inc"), c * 100, int(c)}
+			p := Location{rapid.Uint64Range(1, 3).Draw(t, "engine"), rapid.Uint64Range(1, 3).Draw(t, "inc"), c * 100, int(c)}
 			require.NoError(t, r.Record(c, p, now))
 			model[c] = p
 			got, age, ok := r.Lookup(c, now)
@@ -55,14 +55,14 @@
 func TestRecentEvictsLeastRecentlyUsed(t *testing.T) {
 	r := newRecent(t, 1) // one bucket
 	for c := range uint64(ways + 1) {
-		require.NoError(t, r.Record(c, Place{Engine: 1}, epoch.Add(time.Duration(c)*stampUnit)))
+		require.NoError(t, r.Record(c, Location{Engine: 1}, epoch.Add(time.Duration(c)*stampUnit)))
 	}
 	_, _, ok := r.Lookup(0, epoch)
 	assert.False(t, ok)
 	_, _, ok = r.Lookup(1, epoch)
 	assert.True(t, ok)
 	visited := 0
-	r.Visit(1, 0, epoch, func(uint64, Place, time.Duration) { visited++ })
+	r.Visit(1, 0, epoch, func(uint64, Location, time.Duration) { visited++ })
 	assert.Equal(t, ways, visited)
 }
 
@@ -90,17 +90,17 @@
 }
 
 func TestCapacityAndIncarnationLimits(t *testing.T) {
-	_, err := NewRecent(0, 1, epoch)
+	_, err := NewRecentChats(0, 1, epoch)
 	assert.True(t, ErrCapacity.Has(err))
-	_, err = NewView(1, -1, 1, epoch)
+	_, err = NewCacheView(1, -1, 1, epoch)
 	assert.True(t, ErrCapacity.Has(err))
 	r := newRecent(t, 4*maxIncarnations)
 	for i := range uint64(maxIncarnations) {
-		require.NoError(t, r.Record(i, Place{Engine: i}, epoch))
+		require.NoError(t, r.Record(i, Location{Engine: i}, epoch))
 	}
-	assert.True(t, ErrTooManyEngines.Has(r.Record(1, Place{Engine: maxIncarnations}, epoch)))
+	assert.True(t, ErrTooManyEngines.Has(r.Record(1, Location{Engine: maxIncarnations}, epoch)))
 	r.DropEngine(0, 1)
-	assert.NoError(t, r.Record(1, Place{Engine: maxIncarnations}, epoch))
+	assert.NoError(t, r.Record(1, Location{Engine: maxIncarnations}, epoch))
 	assert.NotEqual(t, ChatID("acme", "1"), ChatID("bolt", "1"))
 }
 
@@ -121,10 +121,10 @@
 	const chats, engines = 45_000, 850
 	var kept, bytes float64
 	for b.Loop() {
-		r, heapBytes := measureHeap(func() *Recent {
+		r, heapBytes := measureHeap(func() *RecentChats {
 			r := newRecent(b, chats)
 			for c := range uint64(chats) {
-				_ = r.Record(mix(c+1), Place{Engine: mix(c % engines), Incarnation: 1, Prefix: c, Tokens: 1}, epoch)
+				_ = r.Record(mix(c+1), Location{Engine: mix(c % engines), Incarnation: 1, Prefix: c, Tokens: 1}, epoch)
 			}
 			return r
 		})
@@ -139,8 +139,8 @@
 	const prefixes = 20_000
 	var kept, bytes float64
 	for b.Loop() {
-		v, heapBytes := measureHeap(func() *View {
-			v, _ := NewView(1, prefixes, 1, epoch)
+		v, heapBytes := measureHeap(func() *CacheView {
+			v, _ := NewCacheView(1, prefixes, 1, epoch)
 			for i := range uint64(prefixes) {
 				v.Apply(page(1, stored(i, mix(i))), epoch)
 			}
@@ -155,7 +155,7 @@
 	r := newRecent(b, 45_000)
 	b.ReportAllocs()
 	for i := uint64(0); b.Loop(); i++ {
-		_ = r.Record(mix(i%60_000), Place{Engine: i % 850, Incarnation: 1}, epoch)
+		_ = r.Record(mix(i%60_000), Location{Engine: i % 850, Incarnation: 1}, epoch)
 	}
 }
 
@@ -170,7 +170,7 @@
 	for e := range uint64(3) {
 		l.Views = append(l.Views, newView(b, e+1, page(1, stored(0, 100+10*e))))
 	}
-	_ = l.Recent.Record(chatC, Place{1, 1, 130, 1}, epoch)
+	_ = l.Recent.Record(chatC, Location{1, 1, 130, 1}, epoch)
 	q := Query{Boundaries: bs, Hint: hintAt(2, 135), Chat: chatC, Model: modelM, Now: epoch}
 	dst := make([]Evidence, 0, 8)
 	b.ReportAllocs()
--- a/internal/decide/prefix/view.go
+++ b/internal/decide/prefix/view.go
@@ -10,10 +10,10 @@
 // which it is taken for the current one.
 const maxStaleRun = 3
 
-// View is the state of one engine's cache according to its cache events. It is bounded;
+// CacheView is the state of one engine's cache according to its cache events. It is bounded;
 // a prefix dropped from it is merely unknown. Evictions are stored, since an evicted
 // prefix contradicts a hint while an unknown one doesn't.
-type View struct {
+type CacheView struct {
 	engine      uint64
 	incarnation uint64
 	previous    uint64
@@ -46,27 +46,27 @@
 	Unknown uint64
 }
 
-// NewView returns a view of engine with capacity for the given number of prefixes. It
+// NewCacheView returns a view of engine with capacity for the given number of prefixes. It
 // returns ErrCapacity if capacity isn't positive.
-func NewView(engine uint64, capacity int, seed uint64, epoch time.Time) (*View, error) {
+func NewCacheView(engine uint64, capacity int, seed uint64, epoch time.Time) (*CacheView, error) {
 	t, err := newTable[viewEntry](capacity, seed)
 	if err != nil {
 		return nil, err
 	}
-	return &View{engine: engine, table: t, epoch: epoch}, nil
+	return &CacheView{engine: engine, table: t, epoch: epoch}, nil
 }
 
-// Next returns the sequence number of the next event to request from the engine.
-func (v *View) Next() uint64 { return v.nextSeq }
+// NextSeq returns the sequence number of the next event to request from the engine.
+func (v *CacheView) NextSeq() uint64 { return v.nextSeq }
 
 // Incarnation returns the incarnation of the engine that the view describes.
-func (v *View) Incarnation() uint64 { return v.incarnation }
+func (v *CacheView) Incarnation() uint64 { return v.incarnation }
 
 // Len returns the number of prefixes in the view, including evicted ones.
-func (v *View) Len() int { return v.table.len }
+func (v *CacheView) Len() int { return v.table.len }
 
 // Stats returns the counters since the view was created.
-func (v *View) Stats() ViewStats { return v.stats }
+func (v *CacheView) Stats() ViewStats { return v.stats }
 
 // Apply applies a page of events.
 //
@@ -74,7 +74,7 @@
 // after a later eviction, it would restore a prefix that is gone, and chats would miss
 // despite a high confidence. A page of the previous incarnation is ignored too, since
 // it would empty the view of the current one.
-func (v *View) Apply(page wire.CacheEvents, now time.Time) {
+func (v *CacheView) Apply(page wire.CacheEvents, now time.Time) {
 	if page.Incarnation != v.incarnation && !v.switchIncarnation(page.Incarnation) {
 		v.stats.StalePages++
 		return
@@ -94,7 +94,7 @@
 // unless maxStaleRun pages of it arrive in a row: then the page that replaced it was
 // the late one, and the view would otherwise keep describing an incarnation that is
 // gone.
-func (v *View) switchIncarnation(incarnation uint64) bool {
+func (v *CacheView) switchIncarnation(incarnation uint64) bool {
 	if incarnation == v.previous && v.previous != 0 {
 		v.staleRun++
 		if v.staleRun < maxStaleRun {
@@ -107,7 +107,7 @@
 	return true
 }
 
-func (v *View) applyEvent(e wire.CacheEvent, at stamp) {
+func (v *CacheView) applyEvent(e wire.CacheEvent, at stamp) {
 	if e.Seq < v.nextSeq {
 		v.stats.Repeats++
 		return
@@ -128,7 +128,7 @@
 // evictions: with unchanged confidence in older entries, chats would be sent to an
 // engine that has evicted their prefix, and miss after each gap. Deleting the entries
 // would lose what mostly still holds.
-func (v *View) skipTo(seq uint64) {
+func (v *CacheView) skipTo(seq uint64) {
 	if seq <= v.nextSeq {
 		return
 	}
@@ -139,7 +139,7 @@
 	}
 }
 
-func (v *View) set(prefix uint64, tokens uint32, at stamp) {
+func (v *CacheView) set(prefix uint64, tokens uint32, at stamp) {
 	e, _, _ := v.table.put(prefix, at)
 	*e = viewEntry{tokens: tokens, gaps: v.gaps}
 }
@@ -154,7 +154,7 @@
 	age time.Duration
 }
 
-func (v *View) lookup(prefix uint64, now time.Time) prefixState {
+func (v *CacheView) lookup(prefix uint64, now time.Time) prefixState {
 	e, reportedAt := v.table.get(prefix)
 	if e == nil {
 		return prefixState{}
--- a/internal/fleet/membership/detector_test.go
+++ b/internal/fleet/membership/detector_test.go
@@ -207,39 +207,39 @@
 
 	t.Run("leaving", func(t *testing.T) {
 		d := newDetector(other)
-		d.ObserveVMs([]platform.VM{vm(platform.VMLeaving, 5)})
+		d.ObserveVMs([]platform.VM{vm(platform.VMDraining, 5)})
 		require.Equal(t, StateLeaving, stateOf(d, 2))
 		d.ObserveVMs([]platform.VM{vm(platform.VMLive, 5)})
 		require.Equal(t, StateLeaving, stateOf(d, 2), "sticks")
 		refuted := other
 		refuted.Incarnation = 2
 		d.apply(refuted)
-		d.ObserveVMs([]platform.VM{vm(platform.VMLeaving, 5)})
+		d.ObserveVMs([]platform.VM{vm(platform.VMDraining, 5)})
 		require.Equal(t, StateLeaving, stateOf(d, 2), "applied to the next incarnation as well")
 	})
 	t.Run("leaving and suspect", func(t *testing.T) {
 		suspect := other
 		suspect.State = StateSuspect
 		d := newDetector(suspect)
-		d.ObserveVMs([]platform.VM{vm(platform.VMLeaving, 5)})
+		d.ObserveVMs([]platform.VM{vm(platform.VMDraining, 5)})
 		require.Equal(t, StateLeavingSuspect, stateOf(d, 2))
 		runUnanswered(d, 5*time.Second)
 		require.Equal(t, StateDead, stateOf(d, 2), "the suspicion continues")
 	})
 	t.Run("leaving entry of the previous VM with the same name", func(t *testing.T) {
 		d := newDetector(other)
-		d.ObserveVMs([]platform.VM{vm(platform.VMLeaving, 5)})
+		d.ObserveVMs([]platform.VM{vm(platform.VMDraining, 5)})
 		d.apply(testMember(3, "other"))
-		d.ObserveVMs([]platform.VM{vm(platform.VMLeaving, 5)})
+		d.ObserveVMs([]platform.VM{vm(platform.VMDraining, 5)})
 		require.Equal(t, StateAlive, stateOf(d, 3))
-		d.ObserveVMs([]platform.VM{vm(platform.VMLeaving, 6)})
+		d.ObserveVMs([]platform.VM{vm(platform.VMDraining, 6)})
 		require.Equal(t, StateLeaving, stateOf(d, 3))
 	})
 	t.Run("leaving entry of another generation", func(t *testing.T) {
 		fresh := other
 		fresh.Generation = 6
 		d := newDetector(fresh)
-		d.ObserveVMs([]platform.VM{vm(platform.VMLeaving, 5)})
+		d.ObserveVMs([]platform.VM{vm(platform.VMDraining, 5)})
 		require.Equal(t, StateAlive, stateOf(d, 2))
 	})
 	t.Run("live member missing from the list", func(t *testing.T) {
@@ -269,7 +269,7 @@
 	})
 	t.Run("leaving entry of this router", func(t *testing.T) {
 		d := newDetector()
-		own := vm(platform.VMLeaving, 5)
+		own := vm(platform.VMDraining, 5)
 		own.Name = "self"
 		d.ObserveVMs([]platform.VM{own})
 		require.Equal(t, StateLeaving, d.Self().State)
--- a/internal/fleet/membership/discovery.go
+++ b/internal/fleet/membership/discovery.go
@@ -45,7 +45,7 @@
 			continue
 		}
 		d.discovery.vms = append(d.discovery.vms, vm)
-		if vm.State == platform.VMLeaving {
+		if vm.State == platform.VMDraining {
 			d.observeLeaving(vm)
 		}
 	}
--- a/internal/lab/bench/fleet/engine.go
+++ b/internal/lab/bench/fleet/engine.go
@@ -85,7 +85,7 @@
 func (e *Engine) markLeaving() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.vm.State = platform.VMLeaving
+	e.vm.State = platform.VMDraining
 	e.fleet.putVM(e.vm)
 }
 
--- a/internal/lab/capacity/gossip_test.go
+++ b/internal/lab/capacity/gossip_test.go
@@ -299,7 +299,7 @@
 
 // activeWithin is the time within which all routers must receive a change: the
 // time until it must be active, less the time to notice, fetch and compile it.
-const activeWithin = config.InForceWithin - 2*time.Second
+const activeWithin = config.MaxActivationDelay - 2*time.Second
 
 // BenchmarkHeadWorst measures, over fleets with different seeds, the time until
 // all routers have received a new head, and until all have received it or know
--- a/internal/lab/capacity/relay_test.go
+++ b/internal/lab/capacity/relay_test.go
@@ -83,7 +83,7 @@
 func newTraffic(b *testing.B, bd *board.Board, adm *admission.Admission) *traffic.Server {
 	facts, err := admission.NewCacheIndex(admission.DefaultRecentChats, 1)
 	require.NoError(b, err)
-	codec, err := token.NewCodec(token.Key{ID: 1, Secret: []byte(strings.Repeat("s", token.MinSecret))})
+	codec, err := token.NewCodec(token.Key{ID: 1, Secret: []byte(strings.Repeat("s", token.MinSecretBytes))})
 	require.NoError(b, err)
 	fake := platformtest.New()
 	return traffic.New(traffic.Options{
@@ -222,8 +222,8 @@
 }
 
 // randomPlace returns the place of a random chat at one of the target's engines.
-func randomPlace(rng *rand.Rand) prefix.Place {
-	return prefix.Place{
+func randomPlace(rng *rand.Rand) prefix.Location {
+	return prefix.Location{
 		Engine:      1 + rng.Uint64N(uint64(capacity.Target().Engines)),
 		Incarnation: 1,
 		Prefix:      rng.Uint64(),
--- a/internal/lab/faultkit/cluster.go
+++ b/internal/lab/faultkit/cluster.go
@@ -173,7 +173,7 @@
 	if cl.options.Budget == nil {
 		return cl.Platform
 	}
-	return platform.Budgeted(cl.Platform, platform.NewBudget(*cl.options.Budget))
+	return platform.WithBudget(cl.Platform, platform.NewBudget(*cl.options.Budget))
 }
 
 // newClaimToken returns a claim token that is unique in the cluster.
--- a/internal/operate/admin/access_test.go
+++ b/internal/operate/admin/access_test.go
@@ -38,7 +38,7 @@
 	}
 	resolve := func(account string) func(string) *api.Failure {
 		// The claim never had this version: permitted operators get a conflict.
-		return post(api.PathResolve, api.ResolveRequest{Account: account, Key: "k", Verdict: claim.VerdictRan, Seen: 99})
+		return post(api.PathResolve, api.ResolveRequest{Account: account, Key: "k", Verdict: claim.VerdictExecuted, Seen: 99})
 	}
 	const fleet, scoped = "viewer editor admin breakglass", "desk-viewer desk-editor desk-admin desk-breakglass"
 	actions := map[string]struct {
--- a/internal/operate/admin/api/api.go
+++ b/internal/operate/admin/api/api.go
@@ -133,9 +133,9 @@
 // DiffReply lists differences.
 type DiffReply struct {
 	// From and To are the compared versions; To is 0 if files were compared.
-	From  uint64        `json:"from"`
-	To    uint64        `json:"to"`
-	Lines []config.Line `json:"lines"`
+	From  uint64              `json:"from"`
+	To    uint64              `json:"to"`
+	Lines []config.Difference `json:"lines"`
 }
 
 // ApplyRequest asks for a bundle to be accepted as the next version.
--- a/internal/operate/admin/audit.go
+++ b/internal/operate/admin/audit.go
@@ -85,6 +85,6 @@
 	if f.Status < http.StatusInternalServerError {
 		return err
 	}
-	return apierr.New(apierr.CodeStoreDown, http.StatusServiceUnavailable, "the audit trail can't be written now").
+	return apierr.New(apierr.CodeStoreUnavailable, http.StatusServiceUnavailable, "the audit trail can't be written now").
 		WithRetryAfter(storeRetryAfter).WithCause(err)
 }
--- a/internal/operate/admin/audit_test.go
+++ b/internal/operate/admin/audit_test.go
@@ -34,7 +34,7 @@
 	seen := h.addClaim("mills", "secret-key")
 	var v claim.View
 	require.Nil(t, h.get(ada, api.PathClaims+"?account=mills&key=secret-key", &v))
-	require.Nil(t, h.post(ada, api.PathResolve, api.ResolveRequest{Account: "mills", Key: "secret-key", Verdict: claim.VerdictRan, Seen: v.Version}, &v))
+	require.Nil(t, h.post(ada, api.PathResolve, api.ResolveRequest{Account: "mills", Key: "secret-key", Verdict: claim.VerdictExecuted, Seen: v.Version}, &v))
 	assert.Equal(t, claim.StateDone, v.State)
 	h.advance(time.Minute)
 	require.Nil(t, h.revoke(rootToken, "ada"))
@@ -78,7 +78,7 @@
 		h := newHarness(t)
 		h.admin.CallTimeout = shortCallTimeout
 		seen := h.addClaim("mills", "k")
-		req := api.ResolveRequest{Account: "mills", Key: "k", Verdict: claim.VerdictNotRun, Seen: seen}
+		req := api.ResolveRequest{Account: "mills", Key: "k", Verdict: claim.VerdictNotExecuted, Seen: seen}
 		h.store.Before(func(_ context.Context, c platformtest.Call) {
 			if c.Op == platformtest.OpCommit && c.Use == platform.UseAudit {
 				h.store.SetDown(true)
@@ -87,7 +87,7 @@
 		h.store.Script(platformtest.OpCommit, fault)
 		f := h.post(rootToken, api.PathResolve, req, nil)
 		require.NotNil(t, f, name)
-		assert.Equal(t, []any{apierr.CodeStoreDown, apierr.RanNo}, []any{f.Code, f.Ran}, name)
+		assert.Equal(t, []any{apierr.CodeStoreUnavailable, apierr.RanNo}, []any{f.Code, f.Ran}, name)
 		h.store.Before(nil)
 		h.store.SetDown(false)
 		var v claim.View
@@ -103,11 +103,11 @@
 		req  api.ResolveRequest
 		code apierr.Code
 	}{
-		"another version":  {api.ResolveRequest{Account: "mills", Key: "k", Verdict: claim.VerdictRan, Seen: seen + 1}, apierr.CodeConflict},
+		"another version":  {api.ResolveRequest{Account: "mills", Key: "k", Verdict: claim.VerdictExecuted, Seen: seen + 1}, apierr.CodeConflict},
 		"unknown verdict":  {api.ResolveRequest{Account: "mills", Key: "k", Verdict: "perhaps", Seen: seen}, apierr.CodeConflict},
-		"no such claim":    {api.ResolveRequest{Account: "mills", Key: "other", Verdict: claim.VerdictRan, Seen: seen}, apierr.CodeNotFound},
-		"no key":           {api.ResolveRequest{Account: "mills", Verdict: claim.VerdictRan, Seen: seen}, apierr.CodeBadRequest},
-		"another's claims": {api.ResolveRequest{Account: "pumps", Key: "k", Verdict: claim.VerdictRan, Seen: seen}, apierr.CodeNotFound},
+		"no such claim":    {api.ResolveRequest{Account: "mills", Key: "other", Verdict: claim.VerdictExecuted, Seen: seen}, apierr.CodeNotFound},
+		"no key":           {api.ResolveRequest{Account: "mills", Verdict: claim.VerdictExecuted, Seen: seen}, apierr.CodeBadRequest},
+		"another's claims": {api.ResolveRequest{Account: "pumps", Key: "k", Verdict: claim.VerdictExecuted, Seen: seen}, apierr.CodeNotFound},
 	} {
 		h.advance(time.Second)
 		f := h.post(rootToken, api.PathResolve, tc.req, nil)
@@ -122,7 +122,7 @@
 func TestVerdictCanBeRepeatedAfterLostReply(t *testing.T) {
 	h := newHarness(t)
 	seen := h.addClaim("mills", "k")
-	req := api.ResolveRequest{Account: "mills", Key: "k", Verdict: claim.VerdictRan, Seen: seen}
+	req := api.ResolveRequest{Account: "mills", Key: "k", Verdict: claim.VerdictExecuted, Seen: seen}
 	h.store.Script(platformtest.OpCommit, platformtest.None, platformtest.LoseReplyAfterEffect)
 	h.advance(time.Second)
 	f := h.post(rootToken, api.PathResolve, req, nil)
--- a/internal/operate/admin/client/client.go
+++ b/internal/operate/admin/client/client.go
@@ -188,9 +188,9 @@
 	return reply.Error
 }
 
-// Unsettled reports whether a change that failed with err may have taken effect.
+// MayHaveTakenEffect reports whether a change that failed with err may have taken effect.
 // It should then be sent again with the same id.
-func Unsettled(err error) bool {
+func MayHaveTakenEffect(err error) bool {
 	if ErrNoReply.Has(err) {
 		return true
 	}
--- a/internal/operate/admin/config_test.go
+++ b/internal/operate/admin/config_test.go
@@ -32,7 +32,7 @@
 
 	var diff api.DiffReply
 	require.Nil(t, h.post(rootToken, api.PathDiff, api.DiffRequest{From: 1}, &diff))
-	assert.Equal(t, []config.Line{{Op: config.OpChanged, Path: "base.yaml: accounts[mills].weight", Old: "2", New: "4"}}, diff.Lines)
+	assert.Equal(t, []config.Difference{{Op: config.OpChanged, Path: "base.yaml: accounts[mills].weight", Old: "2", New: "4"}}, diff.Lines)
 
 	back, f := h.sendChange(rootToken, api.PathRollback, "back", 2, api.RollbackRequest{To: 1})
 	require.Nil(t, f)
@@ -131,12 +131,12 @@
 	_, rejected["apply"] = h.applyFiles(rootToken, 1, replaceInBase("weight: 2", "weight: 4"))
 	for name, f := range rejected {
 		require.NotNil(t, f, name)
-		assert.Equal(t, []any{apierr.CodeStoreDown, http.StatusServiceUnavailable, apierr.RanNo}, []any{f.Code, f.Status, f.Ran}, name)
+		assert.Equal(t, []any{apierr.CodeStoreUnavailable, http.StatusServiceUnavailable, apierr.RanNo}, []any{f.Code, f.Status, f.Ran}, name)
 		assert.Positive(t, f.RetryAfter(), name)
 	}
 	assert.Equal(t, before, h.storedRows())
 	h.advance(maxStaleness)
-	assert.Equal(t, apierr.CodeStoreDown, h.get(kim, api.PathFleet, nil).Code, "an outdated list is not used forever")
+	assert.Equal(t, apierr.CodeStoreUnavailable, h.get(kim, api.PathFleet, nil).Code, "an outdated list is not used forever")
 	assert.Nil(t, h.get(rootToken, api.PathFleet, nil), "the bootstrap token does not need the store")
 }
 
@@ -152,7 +152,7 @@
 	before := h.storedRows()
 	_, f := h.applyFiles(kim, 1, replaceInBase("weight: 2", "weight: 4"))
 	require.NotNil(t, f)
-	assert.Equal(t, []any{apierr.CodeStoreDown, apierr.RanNo}, []any{f.Code, f.Ran})
+	assert.Equal(t, []any{apierr.CodeStoreUnavailable, apierr.RanNo}, []any{f.Code, f.Ran})
 	assert.Equal(t, before, h.storedRows())
 	assert.Nil(t, h.get(kim, api.PathConfig, nil), "reads are still allowed")
 }
@@ -283,7 +283,7 @@
 		"no key":            {"GET", api.PathClaims + "?account=mills", nil, nil, 400, apierr.CodeBadRequest},
 		"unknown site":      {"GET", api.PathAccounts + "?site=south", nil, nil, 404, apierr.CodeNotFound},
 		"unknown path":      {"GET", api.Prefix + "/nothing", nil, nil, 404, apierr.CodeNotFound},
-		"unknown method":    {"PUT", api.PathConfig, nil, nil, 405, apierr.CodeMethod},
+		"unknown method":    {"PUT", api.PathConfig, nil, nil, 405, apierr.CodeMethodNotAllowed},
 	} {
 		path, query, _ := strings.Cut(tc.path, "?")
 		r := client.Request{Method: tc.method, Path: path, Header: tc.header, Body: tc.body}
--- a/internal/operate/admin/errors.go
+++ b/internal/operate/admin/errors.go
@@ -138,7 +138,7 @@
 	case platform.ErrNotFound.Has(err):
 		return apierr.New(apierr.CodeNotFound, http.StatusNotFound, "nothing is stored under that name")
 	case platform.ErrUnavailable.Has(err), platform.ErrBudget.Has(err), audit.ErrContended.Has(err):
-		return apierr.New(apierr.CodeStoreDown, http.StatusServiceUnavailable, "the table service can't be used now").
+		return apierr.New(apierr.CodeStoreUnavailable, http.StatusServiceUnavailable, "the table service can't be used now").
 			WithRetryAfter(storeRetryAfter)
 	}
 	return nil
--- a/internal/operate/admin/fixed_use.go
+++ b/internal/operate/admin/fixed_use.go
@@ -12,12 +12,12 @@
 	use   platform.Use
 }
 
-// Charged returns a Table that makes all calls of table with the given use.
+// WithUse returns a Table that makes all calls of table with the given use.
 //
 // The configuration chain makes its calls with the use of routers that follow the
 // head. Operators who read old versions would exhaust the call budget that a
 // router needs to read the head, and accepted changes would be applied late.
-func Charged(table platform.Table, use platform.Use) platform.Table {
+func WithUse(table platform.Table, use platform.Use) platform.Table {
 	return &fixedUse{table: table, use: use}
 }
 
--- a/internal/operate/admin/scope.go
+++ b/internal/operate/admin/scope.go
@@ -161,7 +161,7 @@
 
 // changedFields returns the changed fields of a section. Some changes, such as a
 // different order, affect no single field; the path of the section represents them.
-func changedFields(lines []config.Line, path string) []string {
+func changedFields(lines []config.Difference, path string) []string {
 	var out []string
 	for _, line := range lines {
 		if strings.HasPrefix(line.Path, path) {
--- a/internal/secure/secret/accessors.go
+++ b/internal/secure/secret/accessors.go
@@ -9,12 +9,12 @@
 	"damaskrouter.example/damaskrouter/internal/secure/token"
 )
 
-// Fleet returns the fleet keys for calls between routers. It has the type
+// FleetKeys returns the fleet keys for calls between routers. It has the type
 // peer.Keys.
-func (s *Store) Fleet() []peer.FleetKey { return s.current.Load().peerKeys }
+func (s *Store) FleetKeys() []peer.FleetKey { return s.current.Load().peerKeys }
 
-// Gossip returns the fleet keys for gossip packets.
-func (s *Store) Gossip() gossip.Keys { return s.current.Load().gossip }
+// GossipKeys returns the fleet keys for gossip packets.
+func (s *Store) GossipKeys() gossip.Keys { return s.current.Load().gossip }
 
 // PeerOptions returns the option that enables TLS for calls between routers, or
 // none if the settings name no certificate for them.
--- a/internal/secure/secret/secret_test.go
+++ b/internal/secure/secret/secret_test.go
@@ -111,16 +111,16 @@
 
 func newRouter(t *testing.T, dir string, id uint64, seeds ...string) *router {
 	r := &router{fixture: newFixture(t, dir, fmt.Sprint("r", id), "k1"), id: id}
-	r.server = peer.NewServer(r.name, r.Fleet, &r.counters, r.PeerOptions()...)
+	r.server = peer.NewServer(r.name, r.FleetKeys, &r.counters, r.PeerOptions()...)
 	require.NoError(t, r.server.Register("Ping", Ping{}))
-	r.caller = peer.NewCaller(r.name, r.Fleet, &r.counters, r.PeerOptions()...)
+	r.caller = peer.NewCaller(r.name, r.FleetKeys, &r.counters, r.PeerOptions()...)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	r.address = ln.Addr().String()
 	self := membership.Member{Name: r.name, ID: id, Address: r.address, Site: "north"}
 	opts := membership.DefaultOptions()
 	opts.Seeds = seeds
-	r.packets, err = gossip.NewEndpoint(self, opts, r.Gossip(), rand.New(rand.NewSource(1)), nil)
+	r.packets, err = gossip.NewEndpoint(self, opts, r.GossipKeys(), rand.New(rand.NewSource(1)), nil)
 	require.NoError(t, err)
 	go r.server.Serve(ln)
 	t.Cleanup(func() {
@@ -134,7 +134,7 @@
 // reload does what a running router does every few seconds.
 func (r *router) reload(t *testing.T) {
 	require.NoError(t, r.Check())
-	require.NoError(t, r.packets.SetKeys(r.Gossip()))
+	require.NoError(t, r.packets.SetKeys(r.GossipKeys()))
 	r.server.Sweep()
 }
 
@@ -314,6 +314,6 @@
 	assert.Nil(t, s.CallerTLS())
 	assert.Empty(t, s.PeerOptions())
 	assert.Nil(t, s.Status().PeerCertSeconds)
-	require.Len(t, s.Fleet(), 1)
-	require.NoError(t, s.Gossip().Validate())
+	require.Len(t, s.FleetKeys(), 1)
+	require.NoError(t, s.GossipKeys().Validate())
 }
--- a/internal/secure/token/key.go
+++ b/internal/secure/token/key.go
@@ -13,8 +13,8 @@
 const (
 	// MaxKeys is the largest number of keys that are valid at once.
 	MaxKeys = 2
-	// MinSecret is the minimum length of a secret, in bytes.
-	MinSecret = 32
+	// MinSecretBytes is the minimum length of a secret, in bytes.
+	MinSecretBytes = 32
 )
 
 // ErrKeys reports an invalid set of keys.
@@ -35,8 +35,8 @@
 		return ErrKeys.New("%d keys, want 1 to %d", len(keys), MaxKeys)
 	}
 	for i, k := range keys {
-		if len(k.Secret) < MinSecret {
-			return ErrKeys.New("key %d has %d bytes, want at least %d", k.ID, len(k.Secret), MinSecret)
+		if len(k.Secret) < MinSecretBytes {
+			return ErrKeys.New("key %d has %d bytes, want at least %d", k.ID, len(k.Secret), MinSecretBytes)
 		}
 		if i > 0 && k.ID == keys[0].ID {
 			return ErrKeys.New("key id %d is used twice", k.ID)
--- a/internal/secure/token/token_test.go
+++ b/internal/secure/token/token_test.go
@@ -19,7 +19,7 @@
 	}
 )
 
-func testKey(id byte) Key { return Key{ID: id, Secret: bytes.Repeat([]byte{id}, MinSecret)} }
+func testKey(id byte) Key { return Key{ID: id, Secret: bytes.Repeat([]byte{id}, MinSecretBytes)} }
 
 func newTestCodec(t testing.TB, keys ...Key) *Codec {
 	c, err := NewCodec(keys...)
@@ -56,7 +56,7 @@
 	short := sealResume(t, c, Resume{RequestID: strings.Repeat("r", 27), Lifetime: time.Minute})
 	require.Len(t, short, len(h))
 	retired := newTestCodec(t, testKey(9)).SealHint("acme", hint)
-	sameID := newTestCodec(t, Key{ID: 1, Secret: bytes.Repeat([]byte{8}, MinSecret)}).SealHint("acme", hint)
+	sameID := newTestCodec(t, Key{ID: 1, Secret: bytes.Repeat([]byte{8}, MinSecretBytes)}).SealHint("acme", hint)
 	late := issued.Add(resume.Lifetime + timeResolution + MaxClockSkew + time.Second)
 	cases := map[string]struct {
 		account, text string
@@ -143,7 +143,7 @@
 		"none":         nil,
 		"three":        {testKey(1), testKey(2), testKey(3)},
 		"same id":      {testKey(1), testKey(1)},
-		"short secret": {{ID: 1, Secret: make([]byte, MinSecret-1)}},
+		"short secret": {{ID: 1, Secret: make([]byte, MinSecretBytes-1)}},
 	} {
 		_, err := NewCodec(keys...)
 		assert.True(t, ErrKeys.Has(err), name)
--- a/internal/serve/admission/facts.go
+++ b/internal/serve/admission/facts.go
@@ -25,9 +25,9 @@
 // router knows. It is safe for concurrent use.
 type CacheIndex struct {
 	mu       sync.Mutex
-	recent   *prefix.Recent
-	views    map[uint64]*prefix.View
-	viewList []*prefix.View
+	recent   *prefix.RecentChats
+	views    map[uint64]*prefix.CacheView
+	viewList []*prefix.CacheView
 	seed     uint64
 	epoch    time.Time
 	scratch  []prefix.Evidence
@@ -39,13 +39,13 @@
 // chats.
 func NewCacheIndex(chats int, seed uint64) (*CacheIndex, error) {
 	epoch := time.Now()
-	r, err := prefix.NewRecent(chats, seed, epoch)
+	r, err := prefix.NewRecentChats(chats, seed, epoch)
 	if err != nil {
 		return nil, err
 	}
 	return &CacheIndex{
 		recent:       r,
-		views:        make(map[uint64]*prefix.View),
+		views:        make(map[uint64]*prefix.CacheView),
 		seed:         seed,
 		epoch:        epoch,
 		incarnations: make(map[uint64]uint64),
@@ -67,7 +67,7 @@
 }
 
 // RecordServed records that a chat's prefix is now cached at an engine.
-func (f *CacheIndex) RecordServed(chat uint64, p prefix.Place) {
+func (f *CacheIndex) RecordServed(chat uint64, p prefix.Location) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, ok := f.incarnations[p.Engine]; !ok {
@@ -114,13 +114,13 @@
 	defer f.mu.Unlock()
 	v := f.views[engine]
 	if v == nil {
-		if v, err = prefix.NewView(engine, maxViewPrefixes, f.seed, f.epoch); err != nil {
+		if v, err = prefix.NewCacheView(engine, maxViewPrefixes, f.seed, f.epoch); err != nil {
 			return 0, err
 		}
 		f.views[engine] = v
 		f.rebuildViewList()
 	}
-	return v.Next(), nil
+	return v.NextSeq(), nil
 }
 
 // Unfollow drops the view of an engine that this router no longer owns.
@@ -154,7 +154,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []RecentChat
-	f.recent.Visit(engine, incarnation, time.Now(), func(chat uint64, p prefix.Place, age time.Duration) {
+	f.recent.Visit(engine, incarnation, time.Now(), func(chat uint64, p prefix.Location, age time.Duration) {
 		if len(out) < limit {
 			out = append(out, RecentChat{Chat: chat, Place: p, Age: age})
 		}
@@ -165,7 +165,7 @@
 // RecentChat is a chat whose prefix is cached at an engine.
 type RecentChat struct {
 	Chat  uint64
-	Place prefix.Place
+	Place prefix.Location
 	// Age is the time since the chat's last turn.
 	Age time.Duration
 }
--- a/internal/serve/admission/waiting.go
+++ b/internal/serve/admission/waiting.go
@@ -52,10 +52,10 @@
 		return out.grant, out.err
 	case <-ctx.Done():
 		s.removeWaiter(w)
-		return nil, apierr.New(apierr.CodeDeadline, http.StatusRequestTimeout, "caller is gone").WithCause(ctx.Err())
+		return nil, apierr.New(apierr.CodeDeadlineUnreachable, http.StatusRequestTimeout, "caller is gone").WithCause(ctx.Err())
 	case <-s.a.ctx.Done():
 		s.removeWaiter(w)
-		return nil, apierr.New(apierr.CodeLeaving, http.StatusServiceUnavailable, "router is stopping").
+		return nil, apierr.New(apierr.CodeDraining, http.StatusServiceUnavailable, "router is stopping").
 			WithRetryAfter(minRetryAfter)
 	}
 }
@@ -95,7 +95,7 @@
 	}
 	var deadlineErr *queue.DeadlineError
 	if errors.As(err, &deadlineErr) {
-		return apierr.New(apierr.CodeDeadline, http.StatusServiceUnavailable, "the deadline can't be met").
+		return apierr.New(apierr.CodeDeadlineUnreachable, http.StatusServiceUnavailable, "the deadline can't be met").
 			WithRetryAfter(max(deadlineErr.RetryAfter, minRetryAfter)).WithCause(err)
 	}
 	return apierr.New(apierr.CodeQueueFull, http.StatusServiceUnavailable, "the request can't wait here").
--- a/internal/serve/controller/configs.go
+++ b/internal/serve/controller/configs.go
@@ -158,7 +158,7 @@
 func (c *Configs) wanted() config.Head {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.follower.Wants(c.newest.Version, c.newest.Hash) {
+	if !c.follower.ShouldFetch(c.newest.Version, c.newest.Hash) {
 		return config.Head{}
 	}
 	return c.newest
@@ -176,7 +176,7 @@
 func (c *Configs) firstUnknownVersion() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	active := c.follower.InForce()
+	active := c.follower.Active()
 	if active == nil {
 		return 1
 	}
@@ -234,7 +234,7 @@
 func (c *Configs) offer(version uint64, hash config.Hash, b config.Bundle) bool {
 	c.mu.Lock()
 	applied, err := c.follower.Offer(version, hash, b)
-	active := c.follower.InForce()
+	active := c.follower.Active()
 	c.mu.Unlock()
 	if err != nil {
 		c.Log.Error("configuration rejected", "version", version, "cause", err)
@@ -259,10 +259,10 @@
 }
 
 // Active returns the configuration that is active at this router, or nil.
-func (c *Configs) Active() *config.InForce {
+func (c *Configs) Active() *config.Active {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.follower.InForce()
+	return c.follower.Active()
 }
 
 // Current returns the reply to a router that requests the active configuration of this one. It is
@@ -270,7 +270,7 @@
 func (c *Configs) Current(atLeast uint64) ConfigReply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	active := c.follower.InForce()
+	active := c.follower.Active()
 	if active == nil || active.Version < atLeast {
 		return ConfigReply{}
 	}
--- a/internal/serve/controller/handoff.go
+++ b/internal/serve/controller/handoff.go
@@ -111,7 +111,7 @@
 	if err := h.Upstream.Import(ctx, callTo(to), kv); err != nil {
 		return err
 	}
-	h.Facts.RecordServed(c.Chat, prefix.Place{
+	h.Facts.RecordServed(c.Chat, prefix.Location{
 		Engine:      to.ID,
 		Incarnation: to.Status.Incarnation,
 		Prefix:      c.Place.Prefix,
--- a/internal/serve/controller/sweeper_test.go
+++ b/internal/serve/controller/sweeper_test.go
@@ -78,8 +78,8 @@
 func TestSweeperDeletesOnlyFinishedClaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newSweepingRouter(t)
-		require.NoError(t, r.claims.Finish(r.ctx, r.begin(t, "done"), claim.Answer{Status: 201}))
-		require.NoError(t, r.claims.Refused(r.ctx, r.begin(t, "refused")))
+		require.NoError(t, r.claims.Finish(r.ctx, r.begin(t, "done"), claim.Response{Status: 201}))
+		require.NoError(t, r.claims.Release(r.ctx, r.begin(t, "refused")))
 		require.NoError(t, r.claims.MarkUnknown(r.ctx, r.begin(t, "unknown")))
 		r.begin(t, "claimed")
 		time.Sleep(testRetention)
@@ -101,7 +101,7 @@
 func TestSweeperContinuesAfterStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newSweepingRouter(t)
-		require.NoError(t, r.claims.Finish(r.ctx, r.begin(t, "done"), claim.Answer{Status: 201}))
+		require.NoError(t, r.claims.Finish(r.ctx, r.begin(t, "done"), claim.Response{Status: 201}))
 		time.Sleep(testRetention / 2)
 		r.store.SetDown(true)
 		time.Sleep(2 * testRetention)
--- a/internal/serve/controller/vms.go
+++ b/internal/serve/controller/vms.go
@@ -173,7 +173,7 @@
 	e.Kind = vm.Kind
 	// Leaving is not reset within a generation: the list lags, and an outdated entry must not send
 	// requests to an engine that has reported that it is draining.
-	e.Leaving = e.Leaving || vm.State == platform.VMLeaving
+	e.Leaving = e.Leaving || vm.State == platform.VMDraining
 	return e
 }
 
--- a/internal/serve/httperr/httperr.go
+++ b/internal/serve/httperr/httperr.go
@@ -26,7 +26,7 @@
 	case http.StatusNotFound:
 		return apierr.New(apierr.CodeNotFound, httpErr.Code, "no such path")
 	case http.StatusMethodNotAllowed:
-		return apierr.New(apierr.CodeMethod, httpErr.Code, "method not allowed here")
+		return apierr.New(apierr.CodeMethodNotAllowed, httpErr.Code, "method not allowed here")
 	case http.StatusRequestEntityTooLarge:
 		return TooLarge()
 	}
--- a/internal/serve/httperr/httperr_test.go
+++ b/internal/serve/httperr/httperr_test.go
@@ -22,7 +22,7 @@
 		ran  apierr.Ran
 	}{
 		{echo.ErrNotFound, apierr.CodeNotFound, apierr.RanNo},
-		{echo.ErrMethodNotAllowed, apierr.CodeMethod, apierr.RanNo},
+		{echo.ErrMethodNotAllowed, apierr.CodeMethodNotAllowed, apierr.RanNo},
 		{echo.ErrStatusRequestEntityTooLarge, apierr.CodeTooLarge, apierr.RanNo},
 		{echo.ErrUnsupportedMediaType, apierr.CodeBadRequest, apierr.RanNo},
 		{echo.ErrInternalServerError, apierr.CodeInternal, apierr.RanUnknown},
--- a/internal/serve/quota/quota.go
+++ b/internal/serve/quota/quota.go
@@ -147,7 +147,7 @@
 		return apierr.New(apierr.CodeRateLimited, http.StatusTooManyRequests, "the account's request rate is used up").
 			WithRetryAfter(rate.RetryAfter).WithCause(err)
 	}
-	e := apierr.New(apierr.CodeConcurrency, http.StatusTooManyRequests, "the account has too many unfinished requests")
+	e := apierr.New(apierr.CodeConcurrencyLimited, http.StatusTooManyRequests, "the account has too many unfinished requests")
 	var conc *limit.ConcurrencyError
 	if errors.As(err, &conc) {
 		e = e.WithRetryAfter(conc.RetryAfter)
--- a/internal/serve/quota/quota_test.go
+++ b/internal/serve/quota/quota_test.go
@@ -99,7 +99,7 @@
 	_, err = q.Take(t.Context(), &a)
 	require.NoError(t, err)
 	_, err = q.Take(t.Context(), &a)
-	require.Equal(t, apierr.CodeConcurrency, apierr.From(err).Code)
+	require.Equal(t, apierr.CodeConcurrencyLimited, apierr.From(err).Code)
 	first()
 	first()
 	_, err = q.Take(t.Context(), &a)
--- a/internal/serve/router/admin.go
+++ b/internal/serve/router/admin.go
@@ -86,7 +86,7 @@
 	server, err := admin.New(admin.Options{
 		Board:         r.board,
 		Loads:         r.admission.Admitted,
-		Chain:         config.NewChain(admin.Charged(r.table, platform.UseAdmin), r.objects, time.Now),
+		Chain:         config.NewChain(admin.WithUse(r.table, platform.UseAdmin), r.objects, time.Now),
 		Claims:        r.claims,
 		Table:         r.table,
 		InForce:       r.activeConfig,
--- a/internal/serve/router/provision.go
+++ b/internal/serve/router/provision.go
@@ -47,8 +47,8 @@
 
 func (r *Router) provisionPeers() {
 	options := r.secrets.PeerOptions()
-	r.peerCaller = peer.NewCaller(r.set.Name, r.secrets.Fleet, &r.counters, options...)
-	r.peerServer = peer.NewServer(r.set.Name, r.secrets.Fleet, &r.counters, options...)
+	r.peerCaller = peer.NewCaller(r.set.Name, r.secrets.FleetKeys, &r.counters, options...)
+	r.peerServer = peer.NewServer(r.set.Name, r.secrets.FleetKeys, &r.counters, options...)
 	r.upstream = upstream.New(upstream.Options{
 		Clock:       bootclock.Now,
 		DialTimeout: r.set.Timeouts.UpstreamConnect,
@@ -164,7 +164,7 @@
 			Name: r.set.Name, ID: instance, Address: control, HTTP: address, Site: r.set.Site,
 		},
 		Options: opts,
-		Keys:    r.secrets.Gossip(),
+		Keys:    r.secrets.GossipKeys(),
 		Log:     func(message string, keyvals ...any) { r.log.Warn(message, keyvals...) },
 	})
 	return err
--- a/internal/serve/router/secrets.go
+++ b/internal/serve/router/secrets.go
@@ -43,7 +43,7 @@
 	err := r.secrets.Check()
 	// The keys are passed on at each check, changed or not, because the queue to gossip may have
 	// been full the last time.
-	if setErr := r.gossip.SetKeys(r.secrets.Gossip()); setErr != nil {
+	if setErr := r.gossip.SetKeys(r.secrets.GossipKeys()); setErr != nil {
 		r.log.Warn("fleet keys not passed to membership; retrying later", "cause", setErr)
 	}
 	r.peerServer.Sweep()
--- a/internal/serve/traffic/chat.go
+++ b/internal/serve/traffic/chat.go
@@ -226,7 +226,7 @@
 // it: a chat can be repeated, but the first copy must not keep using the
 // engine.
 func (r *chatRequest) attemptFailed(grant *admission.Grant, err error) {
-	if !upstream.SentOf(err).DidNotRun() {
+	if !upstream.SentOf(err).NotExecuted() {
 		r.s.cancelInBackground(r.upstreamCall(grant))
 	}
 	grant.Release()
--- a/internal/serve/traffic/harness_test.go
+++ b/internal/serve/traffic/harness_test.go
@@ -64,7 +64,7 @@
 	require.NoError(t, err)
 	h.admission = admission.New(admission.Options{Board: h.board, Self: "r1", Instance: 1, Rand: rand.New(rand.NewPCG(1, 1))})
 	t.Cleanup(h.admission.Close)
-	codec, err := token.NewCodec(token.Key{ID: 1, Secret: []byte(strings.Repeat("s", token.MinSecret))})
+	codec, err := token.NewCodec(token.Key{ID: 1, Secret: []byte(strings.Repeat("s", token.MinSecretBytes))})
 	require.NoError(t, err)
 	h.server = New(Options{
 		Board: h.board, Admitter: h.admission, Facts: facts, Quota: unlimited{}, Name: "r1",
--- a/internal/serve/traffic/response.go
+++ b/internal/serve/traffic/response.go
@@ -113,7 +113,7 @@
 		return
 	}
 	last := r.request.prefixes[len(r.request.prefixes)-1]
-	r.s.Facts.RecordServed(r.request.caller.affinityKey, prefix.Place{
+	r.s.Facts.RecordServed(r.request.caller.affinityKey, prefix.Location{
 		Engine:      r.grant.Engine.ID,
 		Incarnation: r.grant.Incarnation,
 		Prefix:      last.Hash,
--- a/internal/serve/traffic/retry.go
+++ b/internal/serve/traffic/retry.go
@@ -130,7 +130,7 @@
 
 func disconnectedError(err error) *apierr.Error {
 	// The caller never receives this error; it is for the log and the metrics.
-	return apierr.New(apierr.CodeDeadline, http.StatusRequestTimeout, "caller is gone").WithCause(err)
+	return apierr.New(apierr.CodeDeadlineUnreachable, http.StatusRequestTimeout, "caller is gone").WithCause(err)
 }
 
 // upstreamError returns the refusal after an upstream's failure. The caller of
--- a/internal/serve/traffic/server.go
+++ b/internal/serve/traffic/server.go
@@ -197,7 +197,7 @@
 }
 
 func drainingError() *apierr.Error {
-	return apierr.New(apierr.CodeLeaving, http.StatusServiceUnavailable, "this router is leaving; locate again").
+	return apierr.New(apierr.CodeDraining, http.StatusServiceUnavailable, "this router is leaving; locate again").
 		WithRetryAfter(drainingRetryAfter)
 }
 
--- a/internal/serve/traffic/services.go
+++ b/internal/serve/traffic/services.go
@@ -122,8 +122,8 @@
 	}
 	route, err := svc.Match(r.Method, "/"+path)
 	switch {
-	case config.ErrMethod.Has(err):
-		return apierr.New(apierr.CodeMethod, http.StatusMethodNotAllowed, "method not allowed here").WithCause(err)
+	case config.ErrMethodNotAllowed.Has(err):
+		return apierr.New(apierr.CodeMethodNotAllowed, http.StatusMethodNotAllowed, "method not allowed here").WithCause(err)
 	case config.ErrBadPath.Has(err):
 		return httperr.BadRequest("malformed path").WithCause(err)
 	case err != nil:
@@ -199,10 +199,10 @@
 	resp, refusal := sc.send(ctx, sc.service.Deduplicates)
 	switch {
 	case refusal == nil:
-		sc.record(ctx, func(ctx context.Context) error { return sc.s.Claims.Finish(ctx, c, claim.Answer(resp)) })
+		sc.record(ctx, func(ctx context.Context) error { return sc.s.Claims.Finish(ctx, c, claim.Response(resp)) })
 		return resp, nil
 	case refusal.Ran == apierr.RanNo:
-		sc.record(ctx, func(ctx context.Context) error { return sc.s.Claims.Refused(ctx, c) })
+		sc.record(ctx, func(ctx context.Context) error { return sc.s.Claims.Release(ctx, c) })
 		return resp, refusal
 	}
 	sc.record(ctx, func(ctx context.Context) error { return sc.s.Claims.MarkUnknown(ctx, c) })
@@ -286,10 +286,10 @@
 
 // claimError translates the errors of a claim.
 func claimError(err error) error {
-	var notExecuted *claim.NotRunError
+	var notExecuted *claim.NotExecutedError
 	switch {
 	case errors.As(err, &notExecuted):
-		return apierr.New(apierr.CodeStoreDown, http.StatusServiceUnavailable,
+		return apierr.New(apierr.CodeStoreUnavailable, http.StatusServiceUnavailable,
 			"the claim could not be recorded; come back with the same key").
 			WithRetryAfter(storeRetryAfter).WithCause(err)
 	case claim.ErrKeyReused.Has(err):
@@ -299,7 +299,7 @@
 		return apierr.New(apierr.CodeOutcomeUnknown, http.StatusConflict,
 			"an earlier request with this key may have run or may still be running").
 			WithRan(apierr.RanUnknown).WithRetryAfter(time.Second).WithCause(err)
-	case claim.ErrAnswerLost.Has(err):
+	case claim.ErrResponseLost.Has(err):
 		return apierr.New(apierr.CodeOutcomeUnknown, http.StatusConflict,
 			"the request ran, but its answer can't be shown again").
 			WithRan(apierr.RanYes).WithCause(err)
--- a/internal/serve/traffic/traffic_test.go
+++ b/internal/serve/traffic/traffic_test.go
@@ -54,7 +54,7 @@
 		"bad deadline":       {request{body: good, key: chatAPIKey, header: map[string]string{wire.HeaderDeadlineMS: "-1"}}, 400, apierr.CodeBadRequest},
 		"bad class":          {request{body: good, key: chatAPIKey, header: map[string]string{wire.HeaderPriority: "first"}}, 400, apierr.CodeBadRequest},
 		"idempotent chat":    {request{body: good, key: chatAPIKey, header: map[string]string{wire.HeaderIdempotencyKey: "k"}}, 400, apierr.CodeBadRequest},
-		"wrong method":       {request{method: "GET", key: chatAPIKey}, 405, apierr.CodeMethod},
+		"wrong method":       {request{method: "GET", key: chatAPIKey}, 405, apierr.CodeMethodNotAllowed},
 		"order endpoint":     {request{path: wire.PathEngineOrders, body: "{}", key: chatAPIKey}, 404, apierr.CodeNotFound},
 		"forged resume":      {request{method: "GET", path: wire.PathResume, key: chatAPIKey, header: map[string]string{wire.HeaderResumeToken: "x"}}, 403, apierr.CodeBadToken},
 		"unknown service":    {request{path: "/v1/services/none/receipts", body: "{}", key: portalAPIKey}, 404, apierr.CodeNotFound},
@@ -63,7 +63,7 @@
 		"undeclared route":   {request{path: "/v1/services/portal/standin/books", method: "GET", key: portalAPIKey}, 404, apierr.CodeNotFound},
 		"key missing":        {request{path: "/v1/services/portal/receipts", body: "{}", key: portalAPIKey}, 400, apierr.CodeKeyMissing},
 		"key too long":       {request{path: "/v1/services/portal/receipts", body: "{}", key: portalAPIKey, header: map[string]string{wire.HeaderIdempotencyKey: strings.Repeat("k", 300)}}, 400, apierr.CodeBadRequest},
-		"method not allowed": {request{path: "/v1/services/portal/receipts", method: "DELETE", key: portalAPIKey}, 405, apierr.CodeMethod},
+		"method not allowed": {request{path: "/v1/services/portal/receipts", method: "DELETE", key: portalAPIKey}, 405, apierr.CodeMethodNotAllowed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, "e1")
@@ -311,5 +311,5 @@
 	h.server.RefuseNew()
 	resp, got := h.do(request{body: body, key: chatAPIKey})
 	require.Equal(t, 503, resp.StatusCode)
-	require.Equal(t, apierr.CodeLeaving, decodeRefusal(t, got).Code)
+	require.Equal(t, apierr.CodeDraining, decodeRefusal(t, got).Code)
 }
--- a/internal/serve/upstream/failure.go
+++ b/internal/serve/upstream/failure.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// DidNotRun reports whether s proves that the upstream executed nothing.
-func (s Sent) DidNotRun() bool { return s == NotSent || s == RefusedBeforeExecuting }
+// NotExecuted reports whether s proves that the upstream executed nothing.
+func (s Sent) NotExecuted() bool { return s == NotSent || s == RefusedBeforeExecuting }
 
 // Classes of the causes that a Failure wraps. Class.Has tests for them.
 var (
--- a/internal/serve/upstream/failure_test.go
+++ b/internal/serve/upstream/failure_test.go
@@ -201,7 +201,7 @@
 		})), upstream.Options{})
 		_, err := c.Do(t.Context(), receiptCall("r"))
 		require.True(t, upstream.ErrMismatch.Has(requireFailure(t, err, upstream.SentNoReply)), "%v", err)
-		require.False(t, upstream.SentOf(err).DidNotRun())
+		require.False(t, upstream.SentOf(err).NotExecuted())
 		require.Equal(t, upstream.SentNoReply, upstream.SentOf(errors.ErrUnsupported))
 	})
 }
--- a/internal/store/claim/claim_test.go
+++ b/internal/store/claim/claim_test.go
@@ -24,11 +24,11 @@
 	ctx      = context.Background()
 	receipt  = Key{Account: "mill", IdempotencyKey: "receipt-7", Service: "portal"}
 	body     = HashBody([]byte("body"))
-	response = Answer{Status: 201, ContentType: "text/plain", Body: []byte("receipt 7")}
+	response = Response{Status: 201, ContentType: "text/plain", Body: []byte("receipt 7")}
 )
 
 func isNotExecuted(err error) bool {
-	var notExecuted *NotRunError
+	var notExecuted *NotExecutedError
 	return errors.As(err, &notExecuted)
 }
 
@@ -50,7 +50,7 @@
 	endings := map[string]func(*Store, *Claim) error{
 		"finish":  func(s *Store, c *Claim) error { return s.Finish(ctx, c, response) },
 		"unknown": func(s *Store, c *Claim) error { return s.MarkUnknown(ctx, c) },
-		"refused": func(s *Store, c *Claim) error { return s.Refused(ctx, c) },
+		"refused": func(s *Store, c *Claim) error { return s.Release(ctx, c) },
 		"vanish":  func(*Store, *Claim) error { return nil },
 	}
 	for ending, end := range endings {
@@ -121,7 +121,7 @@
 	first, err := a.Begin(ctx, receipt, body)
 	require.NoError(t, err)
 	table.fault = faultAt(2, duplicated)
-	require.NoError(t, a.Refused(ctx, first.Claim))
+	require.NoError(t, a.Release(ctx, first.Claim))
 	second, err := b.Begin(ctx, receipt, body)
 	require.NoError(t, err)
 	require.Equal(t, Run, second.Kind)
@@ -129,7 +129,7 @@
 	third, err := c.Begin(ctx, receipt, body)
 	require.NoError(t, err)
 	require.Equal(t, InProgress, third.Kind)
-	require.NoError(t, a.Refused(ctx, first.Claim), "a repeated release changes nothing")
+	require.NoError(t, a.Release(ctx, first.Claim), "a repeated release changes nothing")
 	view, err := c.Show(ctx, receipt)
 	require.NoError(t, err)
 	require.Equal(t, "b", view.Router)
@@ -156,7 +156,7 @@
 
 func TestLargeResponseIsStoredAsObject(t *testing.T) {
 	s := newStore(newFakeTable(), "a")
-	large := Answer{Status: 200, Body: bytes.Repeat([]byte("x"), maxInlineBody+1)}
+	large := Response{Status: 200, Body: bytes.Repeat([]byte("x"), maxInlineBody+1)}
 	out, err := s.Begin(ctx, receipt, body)
 	require.NoError(t, err)
 	require.NoError(t, s.Finish(ctx, out.Claim, large))
@@ -165,7 +165,7 @@
 	require.Equal(t, large, out.Answer)
 	s.objects.(*fakeObjects).down = true
 	_, err = s.Begin(ctx, receipt, body)
-	require.True(t, ErrAnswerLost.Has(err))
+	require.True(t, ErrResponseLost.Has(err))
 }
 
 func TestOperatorResolvesUnknownOutcome(t *testing.T) {
@@ -178,14 +178,14 @@
 	require.NoError(t, err)
 	require.Equal(t, View{Account: "mill", Service: "portal", Router: "a", State: StateUnknown, Version: 2}, view)
 	var conflict *platform.ConflictError
-	require.ErrorAs(t, s.Resolve(ctx, receipt, 1, VerdictNotRun), &conflict)
-	require.NoError(t, s.Resolve(ctx, receipt, 2, VerdictNotRun))
+	require.ErrorAs(t, s.Resolve(ctx, receipt, 1, VerdictNotExecuted), &conflict)
+	require.NoError(t, s.Resolve(ctx, receipt, 2, VerdictNotExecuted))
 	out, err = s.Begin(ctx, receipt, body)
 	require.NoError(t, err)
 	require.Equal(t, Run, out.Kind)
 	require.NoError(t, s.Finish(ctx, out.Claim, response))
 	var bad *BadVerdictError
-	require.ErrorAs(t, s.Resolve(ctx, receipt, 5, VerdictNotRun), &bad)
+	require.ErrorAs(t, s.Resolve(ctx, receipt, 5, VerdictNotExecuted), &bad)
 }
 
 // Claims must not be deleted within the retention period, or a repeated request
@@ -333,7 +333,7 @@
 							continue
 						}
 						call = time.Now()
-						err := s.Finish(ctx, out.Claim, Answer{Body: []byte(h.token)})
+						err := s.Finish(ctx, out.Claim, Response{Body: []byte(h.token)})
 						record(id, call, operation{token: h.token, ok: err == nil})
 					}
 				})
@@ -395,7 +395,7 @@
 			"refuse": func(t *rapid.T) {
 				if h := pick(t); !h.sent {
 					h.sent = true // The request is aborted and must not be sent later.
-					_ = h.store.Refused(ctx, h.claim)
+					_ = h.store.Release(ctx, h.claim)
 				}
 			},
 			"deliver": func(*rapid.T) { table.deliverDelayed() },
--- a/internal/store/claim/errors.go
+++ b/internal/store/claim/errors.go
@@ -14,9 +14,9 @@
 	ErrOutcomeUnknown = errs.Class("claim: outcome unknown")
 	// ErrKeyReused means that the key belongs to a request with another body.
 	ErrKeyReused = errs.Class("claim: idempotency key reused")
-	// ErrAnswerLost means that the request was executed, but its response is
+	// ErrResponseLost means that the request was executed, but its response is
 	// not available: it was not stored, or the object store doesn't return it.
-	ErrAnswerLost = errs.Class("claim: answer not available")
+	ErrResponseLost = errs.Class("claim: answer not available")
 	// ErrSuperseded means that the row no longer belongs to this claim, or
 	// that its state doesn't allow the change.
 	ErrSuperseded = errs.Class("claim: superseded")
@@ -27,11 +27,11 @@
 	ErrCorrupt = errs.Class("claim: corrupt row")
 )
 
-// NotRunError is the refusal of a request that was not executed: nothing of it was
+// NotExecutedError is the refusal of a request that was not executed: nothing of it was
 // sent. This does not hold for earlier requests with the same key, which may have
 // been executed, so the caller should retry with the same key, never with a new
 // one.
-type NotRunError struct {
+type NotExecutedError struct {
 	// RowMayExist reports that a claim row may remain. It blocks the key until
 	// this router or an operator releases it.
 	RowMayExist bool
@@ -40,9 +40,9 @@
 }
 
 // Error implements error.
-func (e *NotRunError) Error() string {
+func (e *NotExecutedError) Error() string {
 	return fmt.Sprintf("claim: not run (row may exist: %t): %v", e.RowMayExist, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *NotRunError) Unwrap() error { return e.Cause }
+func (e *NotExecutedError) Unwrap() error { return e.Cause }
--- a/internal/store/claim/operator.go
+++ b/internal/store/claim/operator.go
@@ -23,14 +23,14 @@
 
 // The verdicts.
 const (
-	// VerdictRan means that the request was executed. It closes the key
+	// VerdictExecuted means that the request was executed. It closes the key
 	// permanently; the response is not available.
-	VerdictRan Verdict = "ran"
-	// VerdictNotRun means that the request was not executed and will not be.
+	VerdictExecuted Verdict = "ran"
+	// VerdictNotExecuted means that the request was not executed and will not be.
 	// It allows the key to be claimed again. It is correct only if the holder's
 	// VM no longer exists or the upstream is known to reject the request: a
 	// holder that is merely paused may still send it.
-	VerdictNotRun Verdict = "not-run"
+	VerdictNotExecuted Verdict = "not-run"
 )
 
 // BadVerdictError reports an unknown verdict, or a verdict that doesn't apply to
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	to, ok := map[Verdict]State{VerdictRan: StateDone, VerdictNotRun: StateRefused}[v]
+	to, ok := map[Verdict]State{VerdictExecuted: StateDone, VerdictNotExecuted: StateRefused}[v]
 	if ok && rec.State == to {
 		return nil
 	}
--- a/internal/store/claim/record.go
+++ b/internal/store/claim/record.go
@@ -72,8 +72,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Answer is the complete response of an upstream.
-type Answer struct {
+// Response is the complete response of an upstream.
+type Response struct {
 	Status      int
 	ContentType string
 	Body        []byte
--- a/internal/store/claim/store.go
+++ b/internal/store/claim/store.go
@@ -85,7 +85,7 @@
 	// Claim is set for Run.
 	Claim *Claim
 	// Answer is set for Answered.
-	Answer Answer
+	Answer Response
 }
 
 // Err returns the error of an outcome for which the request must be refused:
@@ -221,26 +221,26 @@
 		cause = ErrNotRecorded.New("row changed in every attempt")
 	}
 	if !b.maybeWritten {
-		return &NotRunError{Cause: cause}
+		return &NotExecutedError{Cause: cause}
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cleanupTimeout)
 	defer cancel()
-	err := b.store.Refused(ctx, &Claim{row: b.row, rec: b.own})
-	return &NotRunError{Cause: cause, RowMayExist: err != nil}
+	err := b.store.Release(ctx, &Claim{row: b.row, rec: b.own})
+	return &NotExecutedError{Cause: cause, RowMayExist: err != nil}
 }
 
 // Finish records the response to the request of a claim. It may be repeated.
 // Errors: ErrNotRecorded, ErrSuperseded, ErrCorrupt. After ErrNotRecorded the key
 // may stay blocked: the response can't be repeated to later callers, but the
 // request is never executed twice.
-func (s *Store) Finish(ctx context.Context, c *Claim, response Answer) error {
+func (s *Store) Finish(ctx context.Context, c *Claim, response Response) error {
 	rec := c.rec
 	rec.State = StateDone
 	rec.Answer = s.storeResponse(ctx, c.rec.Token, response)
 	return s.transition(ctx, platform.UseClaim, c, rec)
 }
 
-// Refused releases a claim whose request was provably not executed: no connection
+// Release releases a claim whose request was provably not executed: no connection
 // to the upstream was made, or the upstream rejected the request before executing
 // it. Errors: as of Finish.
 //
@@ -251,7 +251,7 @@
 //
 // If the store doesn't record the release, the key stays blocked. The Store
 // therefore remembers the claim, so that this router may replace it later.
-func (s *Store) Refused(ctx context.Context, c *Claim) error {
+func (s *Store) Release(ctx context.Context, c *Claim) error {
 	s.markReleased(c.rec.Token)
 	rec := c.rec
 	rec.State = StateRefused
@@ -352,7 +352,7 @@
 
 // storeResponse returns a response in the form stored in the row. It puts a body
 // larger than maxInlineBody into the object store.
-func (s *Store) storeResponse(ctx context.Context, token string, response Answer) *storedResponse {
+func (s *Store) storeResponse(ctx context.Context, token string, response Response) *storedResponse {
 	stored := &storedResponse{Status: response.Status, ContentType: response.ContentType}
 	if len(response.Body) <= maxInlineBody {
 		stored.Body = response.Body
@@ -370,17 +370,17 @@
 }
 
 // loadResponse is the reverse of storeResponse. Errors: ErrAnswerLost.
-func (s *Store) loadResponse(ctx context.Context, stored *storedResponse) (Answer, error) {
+func (s *Store) loadResponse(ctx context.Context, stored *storedResponse) (Response, error) {
 	if stored == nil || stored.Lost {
-		return Answer{}, ErrAnswerLost.New("it was not kept")
+		return Response{}, ErrResponseLost.New("it was not kept")
 	}
-	response := Answer{Status: stored.Status, ContentType: stored.ContentType, Body: stored.Body}
+	response := Response{Status: stored.Status, ContentType: stored.ContentType, Body: stored.Body}
 	if stored.Object == "" {
 		return response, nil
 	}
 	body, err := s.objects.Get(ctx, stored.Object)
 	if err != nil {
-		return Answer{}, ErrAnswerLost.Wrap(err)
+		return Response{}, ErrResponseLost.Wrap(err)
 	}
 	response.Body = body
 	return response, nil
--- a/internal/store/config/config_test.go
+++ b/internal/store/config/config_test.go
@@ -225,7 +225,7 @@
 		assert.True(t, ErrBadPath.Has(err), "%q: %v", path, err)
 	}
 	_, err := e.MatchRoute("portal", "DELETE", "/receipts")
-	assert.True(t, ErrMethod.Has(err))
+	assert.True(t, ErrMethodNotAllowed.Has(err))
 	for _, call := range [][2]string{{"portal", "/orders"}, {"portal", "/status/a/b"}, {"portal", "/"}, {"nix", "/status/a"}} {
 		_, err = e.MatchRoute(call[0], "GET", call[1])
 		assert.True(t, ErrNoRoute.Has(err), "%v", call)
--- a/internal/store/config/diff.go
+++ b/internal/store/config/diff.go
@@ -19,8 +19,8 @@
 	OpChanged Op = "changed"
 )
 
-// Line is one difference between two bundles.
-type Line struct {
+// Difference is one difference between two bundles.
+type Difference struct {
 	Op Op `json:"op"`
 	// Path is the file and the field, with list entries by name instead of
 	// position, for example base.yaml: pools[language].load_bound.
@@ -32,7 +32,7 @@
 }
 
 // String formats the difference as one line for a terminal.
-func (l Line) String() string {
+func (l Difference) String() string {
 	switch l.Op {
 	case OpAdded:
 		return "+ " + l.Path + " " + l.New
@@ -44,11 +44,11 @@
 
 // Diff returns the differences from a to b, sorted by path. It compares values:
 // comments, order and layout are ignored.
-func Diff(a, b Bundle) []Line {
+func Diff(a, b Bundle) []Difference {
 	before, after := flattenBundle(a), flattenBundle(b)
 	all := maps.Clone(before)
 	maps.Copy(all, after)
-	var lines []Line
+	var lines []Difference
 	for _, path := range slices.Sorted(maps.Keys(all)) {
 		if line, differs := diffLine(path, before, after); differs {
 			lines = append(lines, line)
@@ -57,16 +57,16 @@
 	return lines
 }
 
-func diffLine(path string, before, after map[string]string) (Line, bool) {
+func diffLine(path string, before, after map[string]string) (Difference, bool) {
 	oldValue, inOld := before[path]
 	newValue, inNew := after[path]
 	switch {
 	case !inOld:
-		return Line{Op: OpAdded, Path: path, New: newValue}, true
+		return Difference{Op: OpAdded, Path: path, New: newValue}, true
 	case !inNew:
-		return Line{Op: OpRemoved, Path: path, Old: oldValue}, true
+		return Difference{Op: OpRemoved, Path: path, Old: oldValue}, true
 	}
-	return Line{Op: OpChanged, Path: path, Old: oldValue, New: newValue}, oldValue != newValue
+	return Difference{Op: OpChanged, Path: path, Old: oldValue, New: newValue}, oldValue != newValue
 }
 
 // flattenBundle returns the text of each scalar of a bundle by path.
--- a/internal/store/config/diff_test.go
+++ b/internal/store/config/diff_test.go
@@ -23,11 +23,11 @@
 	}, got)
 	assert.Empty(t, Diff(a, a))
 	moved := withBase(t, "{method: POST, path: /receipts}", "{path: /receipts, method: PUT}")
-	assert.Equal(t, []Line{
+	assert.Equal(t, []Difference{
 		{Op: OpRemoved, Path: "base.yaml: services[portal].routes[POST /receipts].method", Old: "POST"},
 		{Op: OpRemoved, Path: "base.yaml: services[portal].routes[POST /receipts].path", Old: "/receipts"},
 		{Op: OpAdded, Path: "base.yaml: services[portal].routes[PUT /receipts].method", New: "PUT"},
 		{Op: OpAdded, Path: "base.yaml: services[portal].routes[PUT /receipts].path", New: "/receipts"},
 	}, Diff(a, moved))
-	assert.Equal(t, []Line{{Op: OpChanged, Path: BaseFile, Old: "[", New: "]"}}, Diff(Bundle{Base: []byte("[")}, Bundle{Base: []byte("]")}))
+	assert.Equal(t, []Difference{{Op: OpChanged, Path: BaseFile, Old: "[", New: "]"}}, Diff(Bundle{Base: []byte("[")}, Bundle{Base: []byte("]")}))
 }
--- a/internal/store/config/document.go
+++ b/internal/store/config/document.go
@@ -125,6 +125,6 @@
 	Models []string `yaml:"models,omitempty" json:"models,omitempty" validate:"unique"`
 }
 
-// InForceWithin is the maximum time from the acceptance of a version until it is
+// MaxActivationDelay is the maximum time from the acceptance of a version until it is
 // active at all routers.
-const InForceWithin = 5 * time.Second
+const MaxActivationDelay = 5 * time.Second
--- a/internal/store/config/errors.go
+++ b/internal/store/config/errors.go
@@ -21,9 +21,9 @@
 	// ErrNoRoute means that there is no such service, or that it does not allow
 	// the path.
 	ErrNoRoute = errs.Class("config: no route")
-	// ErrMethod means that the service allows the path only with another
+	// ErrMethodNotAllowed means that the service allows the path only with another
 	// method.
-	ErrMethod = errs.Class("config: method not allowed")
+	ErrMethodNotAllowed = errs.Class("config: method not allowed")
 	// ErrBadPath means that a path is malformed or ambiguous.
 	ErrBadPath = errs.Class("config: bad path")
 )
--- a/internal/store/config/follower.go
+++ b/internal/store/config/follower.go
@@ -3,8 +3,8 @@
 // MaxRejections is the maximum number of rejected offers that a Follower keeps.
 const MaxRejections = 32
 
-// InForce is the active configuration of a router. It is immutable.
-type InForce struct {
+// Active is the active configuration of a router. It is immutable.
+type Active struct {
 	Version   uint64
 	Hash      Hash
 	Bundle    Bundle
@@ -28,7 +28,7 @@
 // that owns the control state may use it.
 type Follower struct {
 	site       string
-	active     *InForce
+	active     *Active
 	rejections []Rejection
 }
 
@@ -38,16 +38,16 @@
 	return &Follower{site: site}
 }
 
-// InForce returns the active configuration, or nil before the first version.
-func (f *Follower) InForce() *InForce { return f.active }
+// Active returns the active configuration, or nil before the first version.
+func (f *Follower) Active() *Active { return f.active }
 
 // Rejections returns the last rejected offers, oldest first, at most
 // MaxRejections.
 func (f *Follower) Rejections() []Rejection { return f.rejections }
 
-// Wants reports whether the version should be fetched: it is newer than the
+// ShouldFetch reports whether the version should be fetched: it is newer than the
 // active one, and its undamaged content has not been rejected before.
-func (f *Follower) Wants(version uint64, hash Hash) bool {
+func (f *Follower) ShouldFetch(version uint64, hash Hash) bool {
 	return version > f.version() && f.findRejection(version, hash, hash) == nil
 }
 
@@ -95,7 +95,7 @@
 
 // build checks the offer and builds the complete configuration, so that no part
 // of it is active before all of it is usable.
-func (f *Follower) build(version uint64, hash, actual Hash, b Bundle) (*InForce, error) {
+func (f *Follower) build(version uint64, hash, actual Hash, b Bundle) (*Active, error) {
 	if version == 0 {
 		return nil, ErrCorrupt.New("versions start at 1")
 	}
@@ -110,7 +110,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &InForce{Version: version, Hash: hash, Bundle: b, Effective: effective}, nil
+	return &Active{Version: version, Hash: hash, Bundle: b, Effective: effective}, nil
 }
 
 // findRejection returns the recorded rejection of an offer, or nil. The lookup
--- a/internal/store/config/follower_test.go
+++ b/internal/store/config/follower_test.go
@@ -53,7 +53,7 @@
 			if got := f.version(); got != highest {
 				t.Fatalf("version %d active, want %d", got, highest)
 			}
-			if highest > 0 && f.InForce().Hash != variant(int(highest)).Hash() {
+			if highest > 0 && f.Active().Hash != variant(int(highest)).Hash() {
 				t.Fatalf("version %d has other content", highest)
 			}
 		}
@@ -62,7 +62,7 @@
 
 func TestFollowerRejectsOlderAndForkedOffers(t *testing.T) {
 	f := NewFollower("north")
-	assert.Nil(t, f.InForce(), "a new router must have no active configuration")
+	assert.Nil(t, f.Active(), "a new router must have no active configuration")
 	applied, err := offer(f, 3)
 	require.NoError(t, err)
 	assert.True(t, applied)
@@ -85,11 +85,11 @@
 		assert.True(t, hasType[*RejectedError](err))
 	}
 	assert.Len(t, f.Rejections(), 1, "a repeated offer must be recorded once")
-	assert.True(t, f.Wants(1, variant(1).Hash()))
+	assert.True(t, f.ShouldFetch(1, variant(1).Hash()))
 	applied, err := offer(f, 1)
 	require.NoError(t, err)
 	assert.True(t, applied)
-	assert.False(t, f.Wants(1, variant(1).Hash()))
+	assert.False(t, f.ShouldFetch(1, variant(1).Hash()))
 }
 
 // Guards against a router that fetches the same version again and again, or stops
@@ -104,9 +104,9 @@
 	for _, b := range []Bundle{unknownKey, otherSite} {
 		_, err = f.Offer(2, b.Hash(), b)
 		assert.True(t, hasType[*RejectedError](err))
-		assert.False(t, f.Wants(2, b.Hash()))
+		assert.False(t, f.ShouldFetch(2, b.Hash()))
 	}
-	assert.EqualValues(t, 1, f.InForce().Version)
+	assert.EqualValues(t, 1, f.Active().Version)
 	for version := range MaxRejections + 1 {
 		_, _ = f.Offer(uint64(version+10), unknownKey.Hash(), unknownKey)
 	}
--- a/internal/store/config/route.go
+++ b/internal/store/config/route.go
@@ -51,7 +51,7 @@
 	case best != nil:
 		return newMatch(*best, segments), nil
 	case methodMismatch:
-		return RouteMatch{}, ErrMethod.New("%s on %s", method, s.Name)
+		return RouteMatch{}, ErrMethodNotAllowed.New("%s on %s", method, s.Name)
 	}
 	return RouteMatch{}, ErrNoRoute.New("%s %s on %s", method, escapedPath, s.Name)
 }
--- a/internal/store/platform/budget.go
+++ b/internal/store/platform/budget.go
@@ -190,9 +190,9 @@
 	budget *Budget
 }
 
-// Budgeted returns a Table that calls next only if budget allows the call, and
+// WithBudget returns a Table that calls next only if budget allows the call, and
 // returns ErrBudget immediately otherwise.
-func Budgeted(next Table, budget *Budget) Table {
+func WithBudget(next Table, budget *Budget) Table {
 	return &budgetTable{next: next, budget: budget}
 }
 
--- a/internal/store/platform/decorators_test.go
+++ b/internal/store/platform/decorators_test.go
@@ -98,7 +98,7 @@
 			var next platform.Table = fake
 			if c.name == "budget exhausted" {
 				reads := platform.Rates{Reads: 100}
-				next = platform.Budgeted(fake, platform.NewBudget(platform.BudgetOptions{Total: reads}))
+				next = platform.WithBudget(fake, platform.NewBudget(platform.BudgetOptions{Total: reads}))
 			}
 			fail := func(b platform.Table) {
 				fake.Script(platformtest.OpGet, platformtest.Down)
@@ -134,7 +134,7 @@
 func TestBudgetRejectsLowerPriorityUsesFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := platformtest.New()
-		table := platform.Budgeted(fake, platform.NewBudget(platform.BudgetOptions{
+		table := platform.WithBudget(fake, platform.NewBudget(platform.BudgetOptions{
 			Total: platform.Rates{Reads: 100, Writes: 100},
 			Burst: time.Second,
 		}))
@@ -168,7 +168,7 @@
 			PerUse: map[platform.Use]platform.Rates{platform.UseClaim: {Reads: 10, Writes: 10}},
 			Burst:  time.Second,
 		})
-		table := platform.Budgeted(platformtest.New(), b)
+		table := platform.WithBudget(platformtest.New(), b)
 		for range 10 {
 			require.Equal(t, ok, commit(t, table))
 		}
@@ -187,7 +187,7 @@
 // are refused while the store is idle.
 func TestRetentionLeavesBudgetForClaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table := platform.Budgeted(platformtest.New(), platform.NewBudget(platform.BudgetOptions{
+		table := platform.WithBudget(platformtest.New(), platform.NewBudget(platform.BudgetOptions{
 			Total:  platform.Rates{Reads: 1000, Writes: 1000},
 			PerUse: map[platform.Use]platform.Rates{platform.UseClaim: {Reads: 100, Writes: 100}},
 			Burst:  time.Second,
@@ -248,7 +248,7 @@
 	commit(t, table)
 	commit(t, table)
 	_, _ = table.Commit(t.Context(), platform.UseClaim, someWrite)
-	get(t, platform.WithStats(platform.Budgeted(fake, none), stats))
+	get(t, platform.WithStats(platform.WithBudget(fake, none), stats))
 	_, _ = table.Get(t.Context(), "stray", "t", "absent")
 	require.Equal(t, map[platform.Use]platform.UseCounts{
 		platform.UseClaim: {
--- a/internal/store/platform/open.go
+++ b/internal/store/platform/open.go
@@ -26,7 +26,7 @@
 	stats := &Stats{}
 	table := opts.Table
 	if opts.Budget != nil {
-		table = Budgeted(table, opts.Budget)
+		table = WithBudget(table, opts.Budget)
 	}
 	table = NewBreaker(table, opts.Breaker)
 	table = WithStats(table, stats)
--- a/internal/store/platform/platform.go
+++ b/internal/store/platform/platform.go
@@ -137,8 +137,8 @@
 
 // The states of a VM.
 const (
-	VMLive    VMState = "live"
-	VMLeaving VMState = "leaving"
+	VMLive     VMState = "live"
+	VMDraining VMState = "leaving"
 )
 
 // VM is one entry of the list of VMs.
--- a/test/e2e/faults_test.go
+++ b/test/e2e/faults_test.go
@@ -279,7 +279,7 @@
 	_, err = portal.Call(t.Context(), http.MethodPost, "portal", "/receipts", "during", []byte(`{"cooperative":"a"}`))
 	var refusal *client.Refusal
 	require.ErrorAs(t, err, &refusal)
-	require.Equal(t, apierr.CodeStoreDown, refusal.Code)
+	require.Equal(t, apierr.CodeStoreUnavailable, refusal.Code)
 	require.Equal(t, apierr.RanNo, refusal.Ran)
 	require.Equal(t, before, f.receiptCount(t))
 }
--- a/test/faults/upstreams_test.go
+++ b/test/faults/upstreams_test.go
@@ -43,7 +43,7 @@
 
 // drainByVMList marks the engine as leaving in the VM list only. The engine itself
 // still accepts work.
-func drainByVMList(s *drainScenario) { putVMState(s, platform.VMLeaving) }
+func drainByVMList(s *drainScenario) { putVMState(s, platform.VMDraining) }
 
 // drainThenOlderList delivers an older VM list after the one that marks the engine as
 // leaving.
--- a/test/soak/faults.go
+++ b/test/soak/faults.go
@@ -21,10 +21,10 @@
 // Faults of links, of the store and of engines.
 var (
 	badLinks   = []mode{delayed, resetting, droppingReplies, droppingAll}
-	badStores  = []standin.Fault{standin.Busy, standin.Limited, standin.Silent, standin.Hushed}
+	badStores  = []standin.Fault{standin.Unavailable, standin.RateLimited, standin.Unresponsive, standin.StaleWatches}
 	badEngines = []platformtest.Behaviour{
-		platformtest.Shed, platformtest.Broken, platformtest.Reset, platformtest.Mute,
-		platformtest.CutBody, platformtest.Unframed, platformtest.Extra, platformtest.Unsealed,
+		platformtest.Reject, platformtest.RespondError, platformtest.Reset, platformtest.NeverRespond,
+		platformtest.TruncateBody, platformtest.OmitLength, platformtest.SecondResponse, platformtest.OmitSeal,
 	}
 )
 
@@ -45,9 +45,9 @@
 	}},
 	{"store", func(cl *cluster, rng *rand.Rand, d time.Duration) {
 		bad := pick(rng, badStores)
-		cl.store.Fail(func(string) standin.Fault { return bad })
+		cl.store.SetClientFaults(func(string) standin.Fault { return bad })
 		time.Sleep(d)
-		cl.store.Fail(func(string) standin.Fault { return standin.Well })
+		cl.store.SetClientFaults(func(string) standin.Fault { return standin.NoFault })
 	}},
 	{"store history compacted", func(cl *cluster, _ *rand.Rand, _ time.Duration) { cl.store.Compact() }},
 	{"engine link", func(cl *cluster, rng *rand.Rand, d time.Duration) {
--- a/test/soak/recorder.go
+++ b/test/soak/recorder.go
@@ -14,7 +14,7 @@
 	path   string
 	key    string
 	sent   time.Time
-	answer platformtest.Answer
+	answer platformtest.Response
 }
 
 // recorder collects what callers observed, to be compared with the engines' records.
@@ -61,7 +61,7 @@
 		rec.checkCold(e)
 	}
 	for _, e := range rec.observations {
-		rec.violations = append(rec.violations, platformtest.Judge(e.path, e.answer, runs[e.answer.ID])...)
+		rec.violations = append(rec.violations, platformtest.CheckResponse(e.path, e.answer, runs[e.answer.ID])...)
 		rec.checkRevokedKey(e, runs[e.answer.ID])
 	}
 	rec.checkExits(cl.exits())
