--- a/internal/base/engineconn/errors.go
+++ b/internal/base/engineconn/errors.go
@@ -13,7 +13,7 @@
 	ErrNotSent = errs.Class("engine: not sent")
 	// ErrNoResponse means that the request was sent, wholly or in part, and the
 	// connection ended or its deadline passed before a response began.
-	ErrNoResponse = errs.Class("engine: no response")
+	ErrNoResponse = errs.Class("engine: no answer")
 	// ErrReused wraps ErrNoAnswer and ErrMalformed if the connection had carried
 	// another request before: it may have gone dead since, and other idle
 	// connections with it.
@@ -22,5 +22,5 @@
 	// request.
 	ErrMalformed = errs.Class("engine: malformed response")
 	// ErrTruncated means that a response ended before it was complete.
-	ErrTruncated = errs.Class("engine: response truncated")
+	ErrTruncated = errs.Class("engine: answer cut short")
 )
--- a/internal/store/config/chain.go
+++ b/internal/store/config/chain.go
@@ -174,7 +174,7 @@
 func checkChange(change Change) error {
 	switch {
 	case !changeIDPattern.MatchString(change.ChangeID):
-		return ErrBadChange.New("change id %q must be a letter or digit, then letters, digits, '.', '_' or '-', 128 at most", change.ChangeID)
+		return ErrBadChange.New("change id %q", change.ChangeID)
 	case change.Author == "":
 		return ErrBadChange.New("change %s has no author", change.ChangeID)
 	case len(change.Bundle.Encode()) > MaxEncodedBytes:
--- a/internal/store/config/effective.go
+++ b/internal/store/config/effective.go
@@ -175,7 +175,7 @@
 func (e *Effective) MatchRoute(service, method, escapedPath string) (RouteMatch, error) {
 	s, ok := e.Service(service)
 	if !ok {
-		return RouteMatch{}, ErrNoRoute.New("no service is called %q", service)
+		return RouteMatch{}, ErrNoRoute.New("service %q", service)
 	}
 	return s.Match(method, escapedPath)
 }
--- a/internal/store/config/route.go
+++ b/internal/store/config/route.go
@@ -181,7 +181,7 @@
 		}
 	}
 	if strings.Contains(pattern, "%") {
-		return "must not be percent-encoded"
+		return "write the path decoded"
 	}
 	return ""
 }
--- a/internal/store/config/validate.go
+++ b/internal/store/config/validate.go
@@ -199,7 +199,7 @@
 	for i, a := range c.doc.Accounts {
 		for j, hash := range a.KeyHashes {
 			if other, ok := owners[hash]; ok && other != a.Name {
-				c.addProblem(fmt.Sprintf("accounts[%d].key_hashes[%d]", i, j), "is already a key of account %q", other)
+				c.addProblem(fmt.Sprintf("accounts[%d].key_hashes[%d]", i, j), "is a key of account %q", other)
 			}
 			owners[hash] = a.Name
 		}
@@ -219,7 +219,7 @@
 	c.problems = c.src.Fields(fieldValidator(), c.overlay)
 	switch {
 	case c.overlay.Site != c.site:
-		c.addProblem("site", "must be %q, the site that the file is named after", c.site)
+		c.addProblem("site", "the file is that of site %q", c.site)
 	case !c.base.sites[c.site]:
 		c.addProblem("site", "no site is called %q", c.site)
 	}
@@ -237,7 +237,7 @@
 		path := fmt.Sprintf("pools[%d]", i)
 		override := &c.overlay.Pools[i]
 		if seen[override.Name] {
-			c.addProblem(path+".name", "%q has more than one entry", override.Name)
+			c.addProblem(path+".name", "%q is already changed", override.Name)
 		}
 		seen[override.Name] = true
 		c.checkPool(path, override)
@@ -270,7 +270,7 @@
 			c.addProblem(path, "no account is called %q", override.Name)
 		}
 		if seen[override.Name] {
-			c.addProblem(path, "%q has more than one entry", override.Name)
+			c.addProblem(path, "%q is already changed", override.Name)
 		}
 		seen[override.Name] = true
 	}
