--- a/internal/base/engineconn/pool.go
+++ b/internal/base/engineconn/pool.go
@@ -55,7 +55,7 @@
 // Request is a request to an engine.
 type Request struct {
 	Method string
-	// Target is the path and query as the client sent them.
+	// Target is the path and query as the caller sent them.
 	Target string
 	Host   string
 	Header http.Header
--- a/internal/base/engineconn/send_test.go
+++ b/internal/base/engineconn/send_test.go
@@ -78,7 +78,7 @@
 	require.True(t, ErrNotSent.Has(err), "%v", err)
 }
 
-// Guards against a client getting the response to another request: an engine sends a late
+// Guards against a caller getting the response to another request: an engine sends a late
 // second response where the response to the next request on the connection is expected, and
 // whatever arrives first is taken.
 func TestStrayResponseOnReusedConnectionIsSkipped(t *testing.T) {
@@ -126,7 +126,7 @@
 	require.Equal(t, "half", string(body))
 }
 
-// Guards against engines working on for clients that have disconnected: the context ends
+// Guards against engines working on for callers that have disconnected: the context ends
 // while the engine works or while its response is read, and the connection stays open.
 func TestContextEndClosesConnection(t *testing.T) {
 	closed := make(chan struct{}, 2)
--- a/internal/edge/callers/callers.go
+++ b/internal/edge/callers/callers.go
@@ -1,14 +1,14 @@
-// Package callers limits the connections that clients have open to a router.
+// Package callers limits the connections that callers have open to a router.
 //
-// Clients whose requests are refused retry on new connections and leave the old ones open. In a
+// Callers whose requests are refused retry on new connections and leave the old ones open. In a
 // surge of ten times the usual load, routers ran out of file descriptors within seconds. They could
 // open no connections to engines or to other routers, so slots that other routers' gates had
-// granted them were not released. This lasted for the lifetime of the process, because clients kept
+// granted them were not released. This lasted for the lifetime of the process, because callers kept
 // retrying. It shows as failed attempts with the cause "too many open files".
 //
 // For each new connection beyond the limit, the connection that has been idle for longest is
 // closed. Connections with requests in progress are never closed. If all connections are busy, new
-// ones are closed before a request is read, which tells clients that none was executed.
+// ones are closed before a request is read, which tells callers that none was executed.
 package callers
 
 import (
--- a/internal/edge/callers/callers_test.go
+++ b/internal/edge/callers/callers_test.go
@@ -38,7 +38,7 @@
 }
 
 // Guards against a router that runs out of file descriptors and refuses most requests for as long
-// as it runs: in a surge, clients retry on new connections and leave the old ones open. Beyond the
+// as it runs: in a surge, callers retry on new connections and leave the old ones open. Beyond the
 // limit, the connection that has been idle for longest is closed for each new one.
 func TestLongestIdleConnectionIsClosedForNewOne(t *testing.T) {
 	l := newLimit(10)
@@ -150,7 +150,7 @@
 	})
 }
 
-// Guards against refusing clients of a server with a limit because earlier clients left their
+// Guards against refusing callers of a server with a limit because earlier callers left their
 // connections open.
 func TestServerServesMoreIdleClientsThanItsLimit(t *testing.T) {
 	l := newLimit(50)
--- a/internal/edge/catalog/config.go
+++ b/internal/edge/catalog/config.go
@@ -51,7 +51,7 @@
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the maximum time that a client waits for the response; zero if only the client's
+	// Timeout is the maximum time that a caller waits for the response; zero if only the caller's
 	// own limit applies.
 	Timeout time.Duration
 	// Objective is the latency objective: the maximum time to a response, or to the first event of
@@ -104,7 +104,7 @@
 	Priority int
 }
 
-// Limits bounds what a client may send.
+// Limits bounds what a caller may send.
 type Limits struct {
 	// MaxHeader and MaxBody are in bytes; zero means no bound.
 	MaxHeader int64
--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -1,4 +1,4 @@
-// Package entry determines the addresses of the routers that a client should connect to.
+// Package entry determines the addresses of the routers that a caller should connect to.
 package entry
 
 import (
@@ -10,38 +10,38 @@
 	"damaskrouter.example/damaskrouter/internal/decide/rendezvous"
 )
 
-// Router is a router that clients may connect to.
+// Router is a router that callers may connect to.
 type Router struct {
 	Name string
 	Site string
-	// Address is the address at which it serves clients, "ip:port".
+	// Address is the address at which it serves callers, "ip:port".
 	Address string
 }
 
-// Query describes a client that queries router addresses.
+// Query describes a caller that queries router addresses.
 type Query struct {
-	// Host is the host name that the client wants to reach.
+	// Host is the host name that the caller wants to reach.
 	Host   string
 	Region string
 	Site   string
 }
 
-// Response is a list of router addresses and the time for which a client may use it.
+// Response is a list of router addresses and the time for which a caller may use it.
 type Response struct {
 	Addresses []string
 	TTL       time.Duration
 }
 
 const (
-	// maxAddresses bounds the addresses in an answer. Clients use no more.
+	// maxAddresses bounds the addresses in an answer. Callers use no more.
 	maxAddresses = 64
-	// minLocalRouters is the number of routers from which on a site's clients are sent only to the
-	// routers of their site. With one, clients would have no router left after its loss.
+	// minLocalRouters is the number of routers from which on a site's callers are sent only to the
+	// routers of their site. With one, callers would have no router left after its loss.
 	minLocalRouters = 2
 )
 
-// Resolve returns the addresses that the router named self returns to a client: the routers of the
-// client's site, or all routers if the site has fewer than minLocalRouters. Traffic between sites
+// Resolve returns the addresses that the router named self returns to a caller: the routers of the
+// caller's site, or all routers if the site has fewer than minLocalRouters. Traffic between sites
 // has a cost, and a local router answers faster. The answer has at least one address unless routers
 // is empty.
 func Resolve(self string, routers []Router, query Query, ttl time.Duration) Response {
@@ -66,9 +66,9 @@
 
 // sampleRouters returns at most maxAddresses of the routers. It may reorder the slice. Each router
 // named self selects a different sample: if all returned the same 64 routers, these would serve all
-// clients of a site that has lost its own routers, a load for the routers of four sites. The sample
+// callers of a site that has lost its own routers, a load for the routers of four sites. The sample
 // is selected by rendezvous hashing, so that a router that is added or removed changes only one
-// address of an answer. Clients close their connections to addresses that are no longer in the
+// address of an answer. Callers close their connections to addresses that are no longer in the
 // answer.
 func sampleRouters(self string, routers []Router) []Router {
 	if len(routers) <= maxAddresses {
--- a/internal/edge/entry/entry_test.go
+++ b/internal/edge/entry/entry_test.go
@@ -54,7 +54,7 @@
 }
 
 // Guards against closing connections to routers that remain: removing a router must remove its own
-// address from an answer and no other, because clients close connections to addresses that are no
+// address from an answer and no other, because callers close connections to addresses that are no
 // longer in the answer.
 func TestRouterThatLeavesRemovesOnlyItsOwnAddress(t *testing.T) {
 	all := routers(make([]string, 100)...)
--- a/internal/edge/feed/join.go
+++ b/internal/edge/feed/join.go
@@ -34,7 +34,7 @@
 	contactsDelay = 40 * time.Millisecond
 	// joinDeadline is how long a router tries to join before it continues alone, or with the
 	// routers it reached if they have no catalog either. firstStartJoinDeadline applies instead
-	// where the whole fleet starts for the first time: there are no contacts and no clients yet.
+	// where the whole fleet starts for the first time: there are no contacts and no callers yet.
 	joinDeadline           = 600 * time.Millisecond
 	firstStartJoinDeadline = 3 * time.Second
 	// memberExchangePeriod is how long after its start a router keeps asking for new members, and
--- a/internal/edge/health/health_test.go
+++ b/internal/edge/health/health_test.go
@@ -21,7 +21,7 @@
 	require.Positive(t, LoadShares([]Evidence{one.At(0), good, good})[0])
 }
 
-// Guards against ejecting all engines after a fault of the clients or of all engines: each engine
+// Guards against ejecting all engines after a fault of the callers or of all engines: each engine
 // is compared with the rest of its service.
 func TestEnginesThatFailAlikeAreNotEjected(t *testing.T) {
 	bad := Evidence{Good: 5, Bad: 5}
--- a/internal/edge/node/leave.go
+++ b/internal/edge/node/leave.go
@@ -10,7 +10,7 @@
 
 const (
 	// minDrainShare is the part of the drain timeout for which the router keeps
-	// serving at least: clients that still hold its address are served or sent
+	// serving at least: callers that still hold its address are served or sent
 	// elsewhere, rather than failing to connect.
 	minDrainShare = 0.7
 	// exitMargin is the part of the stop timeout that is kept free for the exit
@@ -29,7 +29,7 @@
 }
 
 // Leave takes the router out of service without cutting requests: it first
-// sends clients to other routers, closes their connections after a response, and
+// sends callers to other routers, closes their connections after a response, and
 // lets running requests finish within the drain timeout. It returns early if the
 // context ends.
 func (r *Router) Leave(ctx context.Context) {
--- a/internal/edge/node/metrics.go
+++ b/internal/edge/node/metrics.go
@@ -15,7 +15,7 @@
 	vars := r.forwarder.Stats().Vars()
 	vars.Set("latency_ms", expvar.Func(func() any { return r.forwarder.Stats().Latencies() }))
 	vars.Set("in_flight", expvar.Func(func() any { return r.forwarder.InFlight() }))
-	vars.Set("caller_connections", expvar.Func(func() any { return r.clientLimit.Counts() }))
+	vars.Set("caller_connections", expvar.Func(func() any { return r.callerLimit.Counts() }))
 	vars.Set("engine_connections", expvar.Func(func() any { return r.forwarder.Conns.Dials() }))
 	vars.Set("peer_calls", expvar.Func(func() any { return r.peerCounters.Snapshot() }))
 	vars.Set("routers", expvar.Func(func() any { return r.routerCount() }))
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -1,4 +1,4 @@
-// Package node assembles a router that serves clients on a platform, and runs
+// Package node assembles a router that serves callers on a platform, and runs
 // its life cycle: start, serve, leave, stop.
 package node
 
@@ -33,7 +33,7 @@
 var Error = errs.Class("router")
 
 const (
-	// addressTTL is how long clients may cache the addresses of routers. A router
+	// addressTTL is how long callers may cache the addresses of routers. A router
 	// that leaves gets no more requests after it.
 	addressTTL = 2 * time.Second
 	// leaseShare is the part of the bound for revoked keys for which a
@@ -41,8 +41,8 @@
 	// the time between the check and the send, and late notifications by watches
 	// of the store.
 	leaseShare = 0.7
-	// idleTimeout is how long a client's connection may be idle before it is
-	// closed. It exceeds the longest idle time after which operators allow a client
+	// idleTimeout is how long a caller's connection may be idle before it is
+	// closed. It exceeds the longest idle time after which operators allow a caller
 	// to reuse a connection.
 	idleTimeout = 2 * time.Minute
 	// headerTimeout bounds the time to receive the header of a request.
@@ -100,8 +100,8 @@
 	livePeers atomic.Pointer[[]feed.Peer]
 
 	servers servers
-	// clientLimit limits the connections of clients.
-	clientLimit *callers.Limit
+	// callerLimit limits the connections of callers.
+	callerLimit *callers.Limit
 	leaving     atomic.Bool
 	ctx         context.Context
 	cancel      context.CancelFunc
@@ -114,7 +114,7 @@
 	r.active.Store(&activeSettings{settings: initial, digest: initial.Digest(), since: bootclock.Now()})
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	r.self = feed.Peer{
-		Name: initial.Name, Site: initial.Site, Address: r.peerAddress(r.clientAddress()), Link: uint64(initial.Limits.LinkMbps),
+		Name: initial.Name, Site: initial.Site, Address: r.peerAddress(r.callerAddress()), Link: uint64(initial.Limits.LinkMbps),
 	}
 	r.assembleFeed()
 	r.assembleForwarder()
@@ -142,7 +142,7 @@
 func (r *Router) timing() feed.Timing { return feed.TimingFor(r.changeBound()) }
 
 func (r *Router) assembleFeed() {
-	r.clientLimit = callers.New(r.maxClientConns)
+	r.callerLimit = callers.New(r.maxCallerConns)
 	r.start = r.newStart()
 	r.store = newStoreProxy(r.platform.Store, r.settings().Store)
 	contacts := feed.Contacts{Table: r.store}
@@ -241,9 +241,9 @@
 	r.goRun(r.logFleetSize)
 	r.goRun(r.reviewEngines)
 	r.goRun(r.gateOwner.Run)
-	clientServer := r.newServer(r.forwarder)
-	r.clientLimit.Attach(clientServer)
-	if err := r.servers.open(r, listenerClients, r.settings().Listen.Callers, clientServer); err != nil {
+	callerServer := r.newServer(r.forwarder)
+	r.callerLimit.Attach(callerServer)
+	if err := r.servers.open(r, listenerCallers, r.settings().Listen.Callers, callerServer); err != nil {
 		return err
 	}
 	r.mounts = r.newMounts()
@@ -252,7 +252,7 @@
 
 // The names of the listeners in logs.
 const (
-	listenerClients   = "callers"
+	listenerCallers   = "callers"
 	listenerDirectory = "directory"
 	listenerReady     = "ready"
 	listenerControl   = "control"
@@ -338,7 +338,7 @@
 	return now
 }
 
-// resolve answers a client's query for addresses of routers. A router that
+// resolve answers a caller's query for addresses of routers. A router that
 // leaves names only the others, or itself if it knows no other.
 func (r *Router) resolve(q entry.Query) entry.Response {
 	var routers []entry.Router
@@ -346,15 +346,15 @@
 		if p.Name == r.self.Name && r.leaving.Load() {
 			continue
 		}
-		routers = append(routers, entry.Router{Name: p.Name, Site: p.Site, Address: r.clientAddressOf(p.Address)})
+		routers = append(routers, entry.Router{Name: p.Name, Site: p.Site, Address: r.callerAddressOf(p.Address)})
 	}
 	if len(routers) == 0 {
-		routers = []entry.Router{{Name: r.self.Name, Site: r.self.Site, Address: r.clientAddress()}}
+		routers = []entry.Router{{Name: r.self.Name, Site: r.self.Site, Address: r.callerAddress()}}
 	}
 	return entry.Resolve(r.self.Name, routers, q, min(addressTTL, time.Duration(r.settings().Bounds.MaxTTL)))
 }
 
-// ready reports whether requests of clients can be served.
+// ready reports whether requests of callers can be served.
 func (r *Router) ready() bool {
 	snapshot := r.board.Snapshot()
 	return !r.leaving.Load() && snapshot.Config != nil && snapshot.ConfigAge(bootclock.Now()) < r.keyLease()
--- a/internal/edge/node/peers.go
+++ b/internal/edge/node/peers.go
@@ -26,8 +26,8 @@
 	return net.JoinHostPort(host, strconv.Itoa(r.settings().Listen.PortRange[0]))
 }
 
-// clientAddress returns the address at which clients reach this router.
-func (r *Router) clientAddress() string {
+// callerAddress returns the address at which callers reach this router.
+func (r *Router) callerAddress() string {
 	_, port, err := net.SplitHostPort(r.settings().Listen.Callers)
 	if r.settings().Listen.Advertise == "" || err != nil {
 		return r.settings().Listen.Callers
@@ -35,9 +35,9 @@
 	return net.JoinHostPort(r.settings().Listen.Advertise, port)
 }
 
-// clientAddressOf returns the address at which the router with a peer address
-// serves clients, or an empty string if an address is malformed.
-func (r *Router) clientAddressOf(peerAddress string) string {
+// callerAddressOf returns the address at which the router with a peer address
+// serves callers, or an empty string if an address is malformed.
+func (r *Router) callerAddressOf(peerAddress string) string {
 	host, _, err := net.SplitHostPort(peerAddress)
 	_, port, portErr := net.SplitHostPort(r.settings().Listen.Callers)
 	if err != nil || portErr != nil {
@@ -80,7 +80,7 @@
 	r.gossip, err = gossip.Listen(gossip.Config{
 		Listen: listen,
 		Self: membership.Member{
-			Name: r.self.Name, Address: r.self.Address, HTTP: r.clientAddress(), Site: r.self.Site,
+			Name: r.self.Name, Address: r.self.Address, HTTP: r.callerAddress(), Site: r.self.Site,
 			Link: r.self.Link,
 		},
 		Options: r.gossipOptions(),
--- a/internal/edge/node/servers.go
+++ b/internal/edge/node/servers.go
@@ -76,13 +76,13 @@
 	}
 }
 
-// clientConnShare is the part of the file descriptors that connections of clients may use. Each
+// callerConnShare is the part of the file descriptors that connections of callers may use. Each
 // request uses another one to an engine; the rest is for files, the store and other routers.
-const clientConnShare = 0.4
+const callerConnShare = 0.4
 
-// maxClientConns returns how many connections clients may have.
-func (r *Router) maxClientConns() int {
-	return int(clientConnShare * float64(r.settings().Limits.MaxFiles))
+// maxCallerConns returns how many connections callers may have.
+func (r *Router) maxCallerConns() int {
+	return int(callerConnShare * float64(r.settings().Limits.MaxFiles))
 }
 
 func (r *Router) newServer(handler http.Handler) *http.Server {
--- a/internal/edge/settings/settings.go
+++ b/internal/edge/settings/settings.go
@@ -35,7 +35,7 @@
 	// Seeds are control addresses of other routers, "ip:port". They may be out
 	// of date.
 	Seeds []string `yaml:"seeds" validate:"dive,hostport"`
-	// FirstStart means that the whole fleet starts for the first time and has no clients yet.
+	// FirstStart means that the whole fleet starts for the first time and has no callers yet.
 	// A router then waits longer for others before it reads the store itself. The default is
 	// false.
 	FirstStart bool `yaml:"first_start" scope:"own"`
@@ -57,12 +57,12 @@
 
 // Listen holds the listen addresses of the router, "ip:port".
 type Listen struct {
-	// Callers is the address that serves the requests of clients.
+	// Callers is the address that serves the requests of callers.
 	Callers   string `yaml:"callers" validate:"required,hostport" scope:"own" apply:"restart"`
 	Ready     string `yaml:"ready" validate:"required,hostport" scope:"own"`
 	Directory string `yaml:"directory" validate:"required,hostport" scope:"own"`
 	Control   string `yaml:"control" validate:"required,hostport" scope:"own"`
-	// Advertise is the IP address at which clients and other routers reach this VM, on the
+	// Advertise is the IP address at which callers and other routers reach this VM, on the
 	// same ports. The default is the IP address of Callers; it differs behind network address
 	// translation.
 	Advertise string `yaml:"advertise" validate:"omitempty,ip" scope:"own" apply:"restart"`
@@ -77,7 +77,7 @@
 type Limits struct {
 	// MemoryMB is the memory that the process may use, in megabytes.
 	MemoryMB int64 `yaml:"memory_mb" validate:"min=16" scope:"own"`
-	// MaxFiles is the maximum number of open file descriptors; connections of clients take at
+	// MaxFiles is the maximum number of open file descriptors; connections of callers take at
 	// most four tenths of them.
 	MaxFiles int `yaml:"max_files" validate:"min=64" scope:"own"`
 	// LinkMbps is the bandwidth of the network link, in megabits per second.
@@ -111,7 +111,7 @@
 	RetryRatio  float64 `yaml:"retry_ratio" validate:"min=0"`
 	RetrySlack  float64 `yaml:"retry_slack" validate:"min=0"`
 	RetryWindow Seconds `yaml:"retry_window_s" validate:"duration"`
-	// MaxTTL is the longest time that clients cache an address.
+	// MaxTTL is the longest time that callers cache an address.
 	MaxTTL Seconds `yaml:"max_ttl_s" validate:"duration"`
 }
 
