--- a/internal/base/engineconn/conn.go
+++ b/internal/base/engineconn/conn.go
@@ -17,10 +17,10 @@
 const (
 	// defaultDialTimeout bounds the opening of a connection, unless Options sets
 	// another bound. Within a site it takes about two milliseconds; a lost packet
-	// costs a second, in which another engine would have answered.
+	// costs a second, in which another engine would have responded.
 	defaultDialTimeout = 300 * time.Millisecond
 	// userTimeout ends a connection on which the peer acknowledges nothing. A VM
-	// without power neither answers nor resets, and without this bound the request
+	// without power neither responds nor resets, and without this bound the request
 	// would wait until its own deadline. On a healthy but lossy link a packet is
 	// sent for the third time after about a second.
 	userTimeout = 1200 * time.Millisecond
--- a/internal/base/engineconn/errors.go
+++ b/internal/base/engineconn/errors.go
@@ -14,7 +14,7 @@
 	// ErrNoResponse means that the request was sent, wholly or in part, and the
 	// connection ended or its deadline passed before a response began.
 	ErrNoResponse = errs.Class("engine: no answer")
-	// ErrReused wraps ErrNoAnswer and ErrMalformed if the connection had carried
+	// ErrReused wraps ErrNoResponse and ErrMalformed if the connection had carried
 	// another request before: it may have gone dead since, and other idle
 	// connections with it.
 	ErrReused = errs.Class("engine: on a reused connection")
--- a/internal/base/engineconn/send.go
+++ b/internal/base/engineconn/send.go
@@ -80,7 +80,7 @@
 // Send sends a request to an engine and returns the response once its header has
 // arrived. The end of the context closes the connection, also while the body is
 // read; most engines then stop working on the request. Errors: ErrNotSent,
-// ErrNoAnswer, ErrMalformed.
+// ErrNoResponse, ErrMalformed.
 func (p *Pool) Send(ctx context.Context, to Target, r *Request) (*Response, error) {
 	c, err := p.connect(ctx, to, r.MaxIdle)
 	if err != nil {
@@ -178,7 +178,7 @@
 }
 
 // readHeader reads the header of the response that belongs to the request, and
-// skips stray responses before it. Errors: ErrNoAnswer, ErrMalformed.
+// skips stray responses before it. Errors: ErrNoResponse, ErrMalformed.
 func readHeader(c *conn, r *Request) (*http.Response, error) {
 	if _, err := c.reader.Peek(1); err != nil {
 		return nil, ErrNoResponse.Wrap(err)
@@ -202,7 +202,7 @@
 }
 
 // readFinalHeader reads the next header of a response, and skips interim
-// responses such as 100 Continue. Errors: ErrNoAnswer, ErrMalformed.
+// responses such as 100 Continue. Errors: ErrNoResponse, ErrMalformed.
 func readFinalHeader(c *conn, r *Request) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: r.Method})
@@ -227,7 +227,7 @@
 
 // Read reads the body. It returns io.EOF if the body is complete: its announced
 // length or its last chunk was read or, if it has neither, the engine closed the
-// connection. Errors: ErrCut.
+// connection. Errors: ErrTruncated.
 func (a *Response) Read(b []byte) (int, error) {
 	n, err := a.body.Read(b)
 	switch {
--- a/internal/decide/gate/gate.go
+++ b/internal/decide/gate/gate.go
@@ -2,15 +2,15 @@
 // its Gate.
 //
 // Routers that decide independently on reports of each other's load all see the same free slot, all
-// send a request to it, and learn only some tenths of a second later that it is taken. The engine
-// then queues requests, preempts running ones, and finishes late those that it does finish. A
-// single router that counts every request at an engine is always right, at the cost of one call
-// before each request. Ownership of the engines is spread over many routers, so that no router has
-// to answer for all of them.
+// send a request to it, and learn only some tenths of a second later that it is occupied. The engine
+// then queues requests, preempts running ones, and completes others late. A single router that
+// counts every request at an engine has no such delay, at the cost of one call before each request.
+// Ownership of the engines is spread over many routers, so that none has to handle the calls for all
+// of them.
 //
-// A Gate grants a slot to a request, queues it, or refuses it at once if its turn would come too
-// late. Order, fairness and the predicted wait come from package queue. A grant is a lease: it ends
-// when it is released, when its holder is gone, or when it expires.
+// A Gate grants a slot to a request, queues it, or refuses it at once if its predicted wait is too
+// long. Order, fairness and the predicted wait come from package queue. A grant is a lease: it ends
+// when it is released, when its holder leaves or dies, or when it expires.
 //
 // A Gate is not safe for concurrent use and reads no clock; the times passed to it must not run
 // backwards.
@@ -42,7 +42,7 @@
 // Config configures a Gate.
 type Config struct {
 	// Classes is the number of urgency classes, the most urgent one first. The gate adds as many
-	// again behind them for late requests.
+	// again after them for late requests.
 	Classes int
 	// Window is the time constant of the drain rate; zero means DefaultWindow.
 	Window time.Duration
@@ -59,7 +59,7 @@
 	// Account is the client account, and Class the urgency class.
 	Account string
 	Class   queue.Class
-	// Late marks a request that can no longer be answered on time. Late requests are served after
+	// Late marks a request whose response can no longer be on time. Late requests are served after
 	// all others, by class among themselves: they lose nothing by it, while each one served earlier
 	// would make another request late. In a surge of four times the engines' capacity, the model in
 	// package lab/model earns 0.24 of the benefit with this rule and 0.18 without it, of 0.25
@@ -112,7 +112,7 @@
 	undelivered []Decision
 }
 
-// New returns a gate without slots; see SetPlaces.
+// New returns a gate without slots; see SetSlots.
 func New(cfg Config) *Gate {
 	if cfg.Window <= 0 {
 		cfg.Window = DefaultWindow
@@ -130,8 +130,8 @@
 // SetSlots sets how many requests may be at the engine at once.
 func (g *Gate) SetSlots(n int) { g.slots = max(n, 0) }
 
-// SetUnleased sets how many requests are at the engine without a lease of this gate: those sent while
-// no lease was needed, or with a lease of another owner.
+// SetUnleased sets how many requests are at the engine without a lease of this gate: those sent
+// while no lease was needed, or with a lease of another owner.
 func (g *Gate) SetUnleased(n int) { g.unleased = max(n, 0) }
 
 // Held returns the number of leases.
@@ -149,7 +149,7 @@
 
 // Acquire grants a slot, queues the request, or refuses it. The decision on a queued request is
 // returned by a later call of Settle.
-func (g *Gate) Acquire(now time.Time, req Request) (v Decision, queued bool) {
+func (g *Gate) Acquire(now time.Time, req Request) (decision Decision, queued bool) {
 	if _, leased := g.leases[req.ID]; leased {
 		return Decision{ID: req.ID, Granted: true}, false
 	}
@@ -228,12 +228,12 @@
 		delete(g.waiting, id)
 		return
 	}
-	g.undelivered = slices.DeleteFunc(g.undelivered, func(v Decision) bool { return v.ID == id })
+	g.undelivered = slices.DeleteFunc(g.undelivered, func(d Decision) bool { return d.ID == id })
 	delete(g.leases, id)
 }
 
-// DropHolder removes all leases and queued requests of a router that is gone and will release none
-// of them.
+// DropHolder removes all leases and queued requests of a router that has left or died and will
+// release none of them.
 func (g *Gate) DropHolder(now time.Time, holder string) {
 	for id, l := range g.leases {
 		if l.holder == holder {
@@ -248,7 +248,7 @@
 }
 
 // Settle returns the decisions on queued requests: those granted because slots are free, and those
-// refused because their turn would come too late. It must be called after every other call that may
+// refused because their turn would be too late. It must be called after every other call that may
 // free a slot, and every few milliseconds while requests are queued.
 func (g *Gate) Settle(now time.Time) []Decision {
 	g.expireLeases(now)
@@ -270,8 +270,8 @@
 	return decisions
 }
 
-// RefuseAll refuses all queued requests and returns the decisions. It is used when the engine takes
-// no more requests.
+// RefuseAll refuses all queued requests and returns the decisions. It is used when the engine
+// accepts no more requests.
 func (g *Gate) RefuseAll(now time.Time) []Decision {
 	for id := range g.waiting {
 		g.queue.Remove(id)
@@ -281,7 +281,7 @@
 	return g.Settle(now)
 }
 
-// expireLeases ends the leases that are past their time: their release was lost.
+// expireLeases ends the leases that have expired because their release was lost.
 func (g *Gate) expireLeases(now time.Time) {
 	for id, l := range g.leases {
 		if !l.until.IsZero() && now.After(l.until) {
--- a/internal/decide/gate/gate_test.go
+++ b/internal/decide/gate/gate_test.go
@@ -71,7 +71,7 @@
 	require.Len(t, g.Settle(at(0)), 1)
 }
 
-// Guards against slots that stay occupied for good after a router dies or its release is lost:
+// Guards against slots that stay occupied forever after a router dies or its release is lost:
 // leases end with their holder, or when they expire.
 func TestLeasesEndWithHolderOrExpiry(t *testing.T) {
 	g := newGate(2)
--- a/internal/decide/gate/overload.go
+++ b/internal/decide/gate/overload.go
@@ -6,7 +6,7 @@
 	// overloadGap is how long after its last refusal an overload has ended.
 	overloadGap = 2 * time.Second
 	// retryJitter is the share by which retry delays vary in both directions, so that refused
-	// callers don't return all at once.
+	// callers don't retry all at once.
 	retryJitter = 0.3
 	// maxRetryShare bounds the retry delay to this share of the time that the caller has left.
 	maxRetryShare = 1.0 / 3
@@ -23,8 +23,8 @@
 // RetryAfter records a refusal at now and returns after how long the caller should retry. The
 // duration of an overload is not known; the best estimate is that it lasts for as long again as it
 // has lasted, and at least for the route's objective. With shorter delays many callers would retry
-// while all slots are still taken, and callers that return soon can't be told from new ones; see
-// Usual. The caller gives up after remaining; random is a number from 0 to 1.
+// while all slots are still occupied, and callers that retry soon can't be distinguished from new
+// ones; see TimeoutBaseline. The caller gives up after remaining; random is a number from 0 to 1.
 func (o *Overload) RetryAfter(objective, remaining, now time.Duration, random float64) time.Duration {
 	if o.Over(now) {
 		o.firstRefusal = now
--- a/internal/decide/gate/overload_test.go
+++ b/internal/decide/gate/overload_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against refused callers that return all at once and are refused again: their retry delay
+// Guards against refused callers that retry all at once and are refused again: their retry delay
 // grows with the overload, is jittered, and is bounded by the time they have left.
 func TestRetryDelayFollowsOverloadDuration(t *testing.T) {
 	const objective, remaining = 500 * time.Millisecond, time.Minute
@@ -24,7 +24,7 @@
 }
 
 // Guards against two faults in a surge of four times the usual load: links between engines that
-// carry so many prompts that answers begin a second late, and requests without a prompt that wait
+// carry so many prompts that responses begin a second late, and requests without a prompt that wait
 // at one engine while slots become free at others. A request with a prompt waits only at its own
 // engine, any other one for a while at each.
 func TestMaxWaitByPromptAndPosition(t *testing.T) {
--- a/internal/decide/gate/pace.go
+++ b/internal/decide/gate/pace.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Pace bounds the rate of requests to an engine that can take only few, such as one that has just
+// Pace bounds the rate of requests to an engine that can serve only few, such as one that has just
 // started. The zero value sets no bound.
 type Pace struct {
 	// PerSecond is the number of requests granted per second, evenly spaced.
@@ -26,7 +26,7 @@
 const maxConcurrentOwners = 2
 
 // PaceFor returns the pace for one owner, such that all owners together grant at most maxPerWindow
-// requests in any window, slack of which may come at once.
+// requests in any window, slack of which may arrive at once.
 func PaceFor(maxPerWindow, slack float64, duration time.Duration) Pace {
 	burst := max(int(slack/maxConcurrentOwners), 1)
 	steady := max(maxPerWindow/maxConcurrentOwners-float64(burst), 0)
@@ -42,7 +42,7 @@
 	nextDue time.Time
 }
 
-// set applies a pace from now on. It extends a pace in force and never shortens it: routers learn
+// set applies a pace from now on. It extends an active pace and never shortens it: routers learn
 // at different times how long an engine is cold.
 func (p *pacer) set(now time.Time, pace Pace) {
 	if pace.PerSecond <= 0 || pace.For <= 0 {
@@ -73,7 +73,7 @@
 	p.nextDue = p.nextDue.Add(p.interval)
 }
 
-// perSecond returns the rate of grants that the pace allows, and false if no pace is in force.
+// perSecond returns the rate of grants that the pace allows, and false if no pace is active.
 func (p *pacer) perSecond(now time.Time) (float64, bool) {
 	if !p.active(now) {
 		return 0, false
--- a/internal/decide/gate/pace_test.go
+++ b/internal/decide/gate/pace_test.go
@@ -47,8 +47,8 @@
 	return most
 }
 
-// Guards against a cold engine that gets more requests per second than it can take, whatever the
-// load, whichever of two concurrent owners of its gate is asked, and however long the grants take
+// Guards against a cold engine that gets more requests per second than it can serve, whatever the
+// load, whichever of two concurrent owners of its gate gets the requests, and however long the grants take
 // to arrive.
 func TestColdEngineRateIsBoundedAcrossOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -81,7 +81,7 @@
 	})
 }
 
-// Guards against an idle cold engine: it gets most of the requests it can take.
+// Guards against an idle cold engine: it gets most of the requests it can serve.
 func TestColdEngineIsNotLeftIdle(t *testing.T) {
 	g := newGate(64)
 	pace := PaceFor(21.5, 5, time.Minute)
@@ -92,8 +92,8 @@
 	require.InDelta(t, 10*pace.PerSecond, granted, 3)
 }
 
-// Guards against requests that wait for an engine that is gone or evacuated: each is refused at
-// once and can go elsewhere.
+// Guards against requests that wait for an engine that was removed or evacuated: each is refused at
+// once and can be sent to another engine.
 func TestRefuseAllLeavesNoRequestQueued(t *testing.T) {
 	g := newGate(1)
 	g.Acquire(at(0), newRequest("running", 0, time.Second))
--- a/internal/decide/gate/refusals.go
+++ b/internal/decide/gate/refusals.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	// refusalTTL is the minimum time for which a refusal is remembered. Callers stay away for a
-	// third of their remaining time at most, which is rarely longer.
+	// refusalTTL is the minimum time for which a refusal is remembered. Callers wait for a
+	// third of their remaining time at most before they retry, which is rarely longer.
 	refusalTTL = 5 * time.Second
 	// maxRefusals bounds the remembered refusals, at about 50 bytes each. Half of it is what one
 	// owner of gates refuses within refusalTTL at 3,000 refusals per second.
 	maxRefusals = 1 << 15
 )
 
-// RefusalHistory remembers for a while which requests were refused a slot, so that their retries are
-// recognized: an attempt does not refer to the previous one. The zero value is empty. It is not
-// safe for concurrent use.
+// RefusalHistory records for a while which requests were refused a slot, so that their retries are
+// recognized: an attempt does not refer to the previous one. The zero value is empty. It is not safe
+// for concurrent use.
 //
-// In a surge half of the requests for a slot are retries, whose answers are late whenever they
-// come. Served in turn with the others they make these late too, until every request is refused
-// once and then served late. See Ask.Late.
+// In a surge half of the requests for a slot are retries, whose responses are late in any case. If
+// they were served in turn with the others, these would be late too, until every request is refused
+// once and then served late. See Request.Late.
 type RefusalHistory struct {
 	// recent holds the refusals since recentSince, and older those of the interval before.
 	recent, older map[uint64]refusal
@@ -31,7 +31,7 @@
 }
 
 // Note records that an attempt at a request was refused at now. The subject is the same for all
-// attempts at a request, and zero if the request can't be told from others.
+// attempts at a request, and zero if the request can't be distinguished from others.
 func (r *RefusalHistory) Note(subject uint64, attempt uint64, now time.Duration) {
 	if subject == 0 {
 		return
--- a/internal/decide/gate/throttle_test.go
+++ b/internal/decide/gate/throttle_test.go
@@ -9,9 +9,9 @@
 )
 
 // runThrottle offers perSecond requests per second for the given duration to a service that grants
-// capacity per second. It returns how many asked for a slot and how many were granted one in the
+// capacity per second. It returns how many requested a slot and how many were granted one in the
 // second half.
-func runThrottle(t *Throttle, perSecond, capacity int, duration time.Duration, from time.Duration) (asked, granted int) {
+func runThrottle(t *Throttle, perSecond, capacity int, duration time.Duration, from time.Duration) (requested, granted int) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	gap := time.Second / time.Duration(perSecond)
 	available := 0.0
@@ -23,7 +23,7 @@
 				available--
 			}
 			if now > from+duration/2 {
-				asked++
+				requested++
 				if grant {
 					granted++
 				}
@@ -31,17 +31,17 @@
 		}
 		t.Note(now, grant)
 	}
-	return asked, granted
+	return requested, granted
 }
 
 // Guards against slot requests that grow with the load: at twenty times the capacity, about twice
-// as many are let through as are granted, and the whole capacity is used.
+// as many slots are requested as are granted, and the whole capacity is used.
 func TestThrottleBoundsRequestsUnderOverload(t *testing.T) {
 	for _, load := range []int{200, 1000, 2000} {
 		var throttle Throttle
-		asked, granted := runThrottle(&throttle, load, 100, 20*time.Second, 0)
+		requested, granted := runThrottle(&throttle, load, 100, 20*time.Second, 0)
 		require.InDelta(t, 1000, granted, 50, "at %d requests per second", load)
-		require.Less(t, asked, 2300, "at %d requests per second", load)
+		require.Less(t, requested, 2300, "at %d requests per second", load)
 	}
 }
 
@@ -49,10 +49,10 @@
 // seconds after slots have become free again.
 func TestThrottlePassesAllWithinCapacity(t *testing.T) {
 	var throttle Throttle
-	asked, granted := runThrottle(&throttle, 90, 100, 10*time.Second, 0)
-	require.InDelta(t, asked, granted, 5)
-	require.InDelta(t, 450, asked, 5)
+	requested, granted := runThrottle(&throttle, 90, 100, 10*time.Second, 0)
+	require.InDelta(t, requested, granted, 5)
+	require.InDelta(t, 450, requested, 5)
 	runThrottle(&throttle, 1000, 100, 10*time.Second, 10*time.Second)
-	asked, _ = runThrottle(&throttle, 90, 1000, 4*time.Second, 20*time.Second)
-	require.InDelta(t, 180, asked, 5)
+	requested, _ = runThrottle(&throttle, 90, 1000, 4*time.Second, 20*time.Second)
+	require.InDelta(t, 180, requested, 5)
 }
--- a/internal/decide/gate/timeouts.go
+++ b/internal/decide/gate/timeouts.go
@@ -8,8 +8,8 @@
 const (
 	// timeoutSamples is the number of most recent timeouts that are kept.
 	timeoutSamples = 256
-	// minTimeoutSamples is the number of timeouts that must be seen before shorter ones are judged,
-	// and after which the baseline is computed anew. One router of three hundred may see only one
+	// minTimeoutSamples is the number of timeouts after which the baseline is computed, at first and
+	// again each time. One router of three hundred may see only one
 	// request of a kind per second.
 	minTimeoutSamples = 8
 	// baselineQuantile is the share of timeouts that may be below the baseline: callers also retry
@@ -20,40 +20,40 @@
 	lateMarginShare = 0.3
 )
 
-// TimeoutBaseline tracks the timeouts that callers of a route usually set. A refused caller that retries sets
-// what is left of its timeout, and so reveals that it has waited before: its answer will be late in
-// any case. The zero value has no samples.
+// TimeoutBaseline tracks the timeouts that callers of a route usually set. A refused caller that
+// retries sets the rest of its timeout, which shows that it has already waited and that its response
+// will be late in any case. The zero value has no samples.
 type TimeoutBaseline struct {
 	samples  [timeoutSamples]time.Duration
 	count    int
 	baseline time.Duration
 }
 
-// Note adds the timeout of a request that came while no request was refused.
-func (u *TimeoutBaseline) Note(timeout time.Duration) {
+// Note adds the timeout of a request that arrived while no request was refused.
+func (t *TimeoutBaseline) Note(timeout time.Duration) {
 	if timeout <= 0 {
 		return
 	}
-	u.samples[u.count%timeoutSamples] = timeout
-	u.count++
-	if u.count%minTimeoutSamples == 0 {
-		u.baseline = u.computeBaseline()
+	t.samples[t.count%timeoutSamples] = timeout
+	t.count++
+	if t.count%minTimeoutSamples == 0 {
+		t.baseline = t.computeBaseline()
 	}
 }
 
 // computeBaseline returns the timeout that all but a few samples reach.
-func (u *TimeoutBaseline) computeBaseline() time.Duration {
-	sorted := slices.Clone(u.samples[:min(u.count, timeoutSamples)])
+func (t *TimeoutBaseline) computeBaseline() time.Duration {
+	sorted := slices.Clone(t.samples[:min(t.count, timeoutSamples)])
 	slices.Sort(sorted)
 	return sorted[int(baselineQuantile*float64(len(sorted)))]
 }
 
-// Late reports whether a request with this timeout comes from a caller that has waited too long to
-// be answered on time. Timeouts differ between callers; only one below those of quiet times is sure
-// to be a remainder.
-func (u *TimeoutBaseline) Late(timeout, objective time.Duration) bool {
-	if u.baseline == 0 || timeout <= 0 {
+// Late reports whether a request with this timeout is a retry of a caller that has waited too long
+// to get its response on time. Timeouts differ between callers; only one below the baseline is
+// certain to be the rest of a longer one.
+func (t *TimeoutBaseline) Late(timeout, objective time.Duration) bool {
+	if t.baseline == 0 || timeout <= 0 {
 		return false
 	}
-	return timeout < u.baseline-time.Duration(lateMarginShare*float64(objective))
+	return timeout < t.baseline-time.Duration(lateMarginShare*float64(objective))
 }
--- a/internal/decide/gate/wait.go
+++ b/internal/decide/gate/wait.go
@@ -4,10 +4,10 @@
 
 const (
 	// startShare is the share of the objective within which a request must have a slot to be on
-	// time; the rest is for the engine to begin its answer.
+	// time; the rest is for the engine to begin its response.
 	startShare = 0.6
 	// unpromptedWaitShare is the share of the objective for which a request without a prompt waits
-	// at one engine before the next one is asked.
+	// at one engine before a slot at the next one is requested.
 	unpromptedWaitShare = 0.2
 	// DefaultObjective is the latency objective of routes that set none.
 	DefaultObjective = time.Second
@@ -27,12 +27,12 @@
 	return time.Duration(startShare * float64(objectiveOrDefault(objective)))
 }
 
-// MaxWait returns how long a request may wait at the i-th of the n engines that are asked for a
-// slot, given its age since arrival and the route's objective.
+// MaxWait returns how long a request may wait for a slot at the i-th of n candidate engines, given
+// its age since arrival and the route's objective.
 //
-// A request with a prompt waits at the engine that holds it for all of its time. Any other engine
+// A request with a prompt waits for all of its time at the engine that caches it. Any other engine
 // would have to fetch the prompt, over links that carry one prompt at a time, so the request goes
-// there only if a slot is free. While all engines are full, moving between them helps no request.
+// there only if a slot is free. While all engines are full, moving on to another one gains nothing.
 func MaxWait(prompted bool, i, n int, objective, age time.Duration) time.Duration {
 	remaining := max(StartWithin(objective)-age, 0)
 	switch {
@@ -45,7 +45,7 @@
 }
 
 // coldWaitShare is the share of the objective for which a request waits for a cold engine while
-// other engines would take it at once.
+// other engines would serve it at once.
 const coldWaitShare = 0.1
 
 // ColdWait returns how long a request on a route with the given objective may wait for a cold
--- a/internal/decide/limit/cache.go
+++ b/internal/decide/limit/cache.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// requestTimeout is after how long a request to the owner without an answer counts as failed.
+	// requestTimeout is after how long a request to the owner without a reply counts as failed.
 	requestTimeout = time.Second
 	// prefetchHorizon is the length of future demand for which a router requests tokens.
 	prefetchHorizon = time.Second
@@ -27,13 +27,13 @@
 	retryJitter = 0.5
 )
 
-// Decision is the decision of Take.
+// Decision is the result of Take.
 type Decision struct {
 	// OK admits the request; the caller must call Done when it ends.
 	OK bool
-	// NeedRefill tells the caller to send a request to the owner, see Ask. With OK it may do so in
-	// the background. Without OK and Err the request is undecided: the caller must call Take again
-	// once the owner has answered or the request to it has failed.
+	// NeedRefill means that a request must be sent to the owner, see NewRequest; with OK, this may
+	// be done in the background. Without OK and Err the request is undecided: Take must be called
+	// again once the owner has replied or the request to it has failed.
 	NeedRefill bool
 	// Err is a *RateError or a *ConcurrencyError; the request did not run.
 	Err error
@@ -43,7 +43,7 @@
 type CacheConfig struct {
 	// Self is this router's name in requests to owners.
 	Self string
-	// Limits returns an account's limits according to the configuration in force.
+	// Limits returns an account's limits according to the active configuration.
 	Limits func(account string) Limits
 	// Rand adds jitter to waits; nil means no jitter.
 	Rand *rand.Rand
@@ -147,8 +147,8 @@
 	}
 }
 
-// NewRequest returns the request to send to the account's owner; ok is false while an earlier one is
-// pending. The caller must pass the outcome of every request to Fill or Failed.
+// NewRequest returns the request to send to the account's owner; ok is false while an earlier one
+// is pending. The caller must pass the outcome of every request to Fill or Failed.
 func (c *Cache) NewRequest(now time.Time, account string) (req GrantRequest, ok bool) {
 	s := c.state(account)
 	c.expire(now, s)
@@ -162,7 +162,7 @@
 	s.requestedAt = now
 	s.heldAtRequest = s.slots
 	s.wantTokens = max(0, int(math.Ceil(s.demandRate*prefetchHorizon.Seconds()))+1-s.tokens)
-	s.wantSlots = max(0, s.inUse+s.blocked+s.spareSlots()-s.slots)
+	s.wantSlots = max(0, s.inUse+s.blocked+s.extraSlots()-s.slots)
 	s.blocked = 0
 	return GrantRequest{
 		Report:     Report{Router: c.cfg.Self, Seq: s.pendingSeq, Held: s.slots},
@@ -171,11 +171,11 @@
 	}, true
 }
 
-// Fill applies the owner's answer and reports whether it belongs to the pending request.
+// Fill applies the owner's reply and reports whether it belongs to the pending request.
 func (c *Cache) Fill(now time.Time, account string, b Batch) bool {
 	s, ok := c.accounts[account]
 	if !ok || s.pendingSeq == 0 || s.pendingSeq != b.Seq {
-		// The request was given up before this answer came. The owner learns from the next request
+		// The request was aborted before this reply arrived. The owner learns from the next request
 		// that these slots were never used.
 		return false
 	}
@@ -204,7 +204,7 @@
 	return true
 }
 
-// Failed records that a request to the owner got no answer. Without a lease the router falls back
+// Failed records that a request to the owner got no reply. Without a lease the router falls back
 // to its static share.
 func (c *Cache) Failed(now time.Time, account string, seq uint64) {
 	s, ok := c.accounts[account]
@@ -214,14 +214,14 @@
 	s.failRequest(now, c)
 }
 
-// Due returns, in order, the accounts whose owner should be asked now to keep a lease. It drops the
+// Due returns, in order, the accounts whose lease must be renewed with their owner now. It drops the
 // state of idle accounts.
 func (c *Cache) Due(now time.Time) []string {
 	var due []string
 	for account, s := range c.accounts {
 		c.expire(now, s)
 		if s.idle(now) {
-			// The owner takes unused slots back when the lease expires.
+			// The owner reclaims unused slots when the lease expires.
 			delete(c.accounts, account)
 			continue
 		}
@@ -233,8 +233,8 @@
 	return due
 }
 
-// OwnerChanged makes the account due at once, so that its new owner learns what this router holds and
-// can end its warm-up.
+// OwnerChanged makes the account due at once, so that its new owner learns what this router holds
+// and can end its warm-up.
 func (c *Cache) OwnerChanged(now time.Time, account string) {
 	s, ok := c.accounts[account]
 	if !ok {
@@ -246,12 +246,12 @@
 }
 
 // slotLimit returns how many requests may be unfinished at this router: the leased slots or,
-// without a lease, the static share. A single lost answer must not activate the static share, since
+// without a lease, the static share. A single lost reply must not activate the static share, since
 // the other routers still hold the whole limit.
 func (c *Cache) slotLimit(now time.Time, account string, lim Limits, s *accountState) int {
 	if s.leased(now) && s.overLimit {
-		// A busy router never has an idle slot to give back. If it reused each slot that becomes
-		// free, a fleet above the limit would stay there.
+		// A busy router never has an idle slot to release. If it reused each slot that becomes free,
+		// a fleet above the limit would stay there.
 		return min(s.slots, s.target)
 	}
 	if s.leased(now) {
@@ -318,7 +318,7 @@
 	return s
 }
 
-// expire drops what has run out: tokens, the lease, and a request without an answer.
+// expire drops what has expired: tokens, the lease, and a request without a reply.
 func (c *Cache) expire(now time.Time, s *accountState) {
 	if now.After(s.tokenExpiry) {
 		s.tokens = 0
@@ -331,7 +331,7 @@
 	}
 }
 
-// failRequest ends the pending request without an answer.
+// failRequest ends the pending request without a reply.
 func (s *accountState) failRequest(now time.Time, c *Cache) {
 	s.pendingSeq = 0
 	if s.failures == 0 {
@@ -354,7 +354,7 @@
 // ownerLost reports whether the last request to the owner failed.
 func (s *accountState) ownerLost() bool { return s.failures > 0 }
 
-// refuse refuses a request, or leaves it undecided if an answer of the owner could still admit it.
+// refuse refuses a request, or leaves it undecided if a reply of the owner could still admit it.
 func (s *accountState) refuse(now, notBefore time.Time, err error) Decision {
 	if s.ownerLost() {
 		return Decision{NeedRefill: s.pendingSeq == 0 && !now.Before(s.ownerRetryAt), Err: err}
@@ -374,8 +374,8 @@
 	return low && s.canRequest(now, s.tokensRetryAt) || s.renewalDue(now)
 }
 
-// canRequest reports whether a pending request, or one that may be sent now, could bring what is
-// missing.
+// canRequest reports whether a pending request, or one that may be sent now, could yield the missing
+// tokens or slots.
 func (s *accountState) canRequest(now, notBefore time.Time) bool {
 	if s.pendingSeq != 0 {
 		return true
@@ -404,13 +404,13 @@
 	s.demand = 0
 }
 
-// spareSlots returns the number of idle slots to keep for the next requests.
-func (s *accountState) spareSlots() int { return max(1, s.inUse/4) }
+// extraSlots returns the number of idle slots to retain for the next requests.
+func (s *accountState) extraSlots() int { return max(1, s.inUse/4) }
 
-// releaseIdleSlots gives up idle slots. This router stops using them at once, before the owner can
+// releaseIdleSlots releases idle slots. This router stops using them at once, before the owner can
 // learn of it and lease them to another router.
 func (s *accountState) releaseIdleSlots() {
-	keep := s.inUse + s.spareSlots()
+	keep := s.inUse + s.extraSlots()
 	if (s.contended || s.overLimit) && keep > s.target {
 		keep = max(s.inUse, s.target)
 	}
@@ -420,7 +420,7 @@
 }
 
 // refillFallback refills the fallback bucket up to now. The bucket starts once, with at most one
-// request per router: if it started anew with each lost answer, the account could exceed its limit
+// request per router: if it started anew with each lost reply, the account could exceed its limit
 // on a bad network.
 func (s *accountState) refillFallback(now time.Time, lim Limits, routers float64) {
 	burstShare := lim.burst() / routers
--- a/internal/decide/limit/ledger.go
+++ b/internal/decide/limit/ledger.go
@@ -41,7 +41,7 @@
 	warmUpEnd     time.Time
 }
 
-// NewLedger returns the ledger of an account. A router that takes over an account passes the other
+// NewLedger returns the ledger of an account. A router that becomes the owner of an account passes the other
 // live routers: until each has reported, or a full lease has passed, the ledger grants half of the
 // limits. A ttl of 0 means DefaultTTL.
 func NewLedger(now time.Time, limits Limits, ttl time.Duration, live []string) *Ledger {
@@ -89,7 +89,7 @@
 	return len(l.holders) == 0 && l.tokens >= l.limits.burst() && !l.WarmingUp(now)
 }
 
-// Report records what a router holds. It reports whether r is stale, that is, a later report came
+// Report records what a router holds. It reports whether r is stale, that is, a later report arrived
 // first.
 func (l *Ledger) Report(now time.Time, r Report) (stale bool) {
 	l.advance(now)
@@ -110,8 +110,7 @@
 	return false
 }
 
-// Grant answers a request for tokens and slots. A repeated request gets the answer of the first
-// one.
+// Grant handles a request for tokens and slots. A repeated request gets the reply to the first one.
 func (l *Ledger) Grant(now time.Time, req GrantRequest) Batch {
 	if h, ok := l.holders[req.Router]; ok && h.seq == req.Seq && h.lastBatch.Seq == req.Seq {
 		return h.lastBatch
@@ -174,7 +173,7 @@
 
 // grantSlots leases up to want slots. A router gets all free slots up to its fair share, and half
 // of them beyond it: idle slots are lent, but a surge at one router leaves some for the next router
-// that asks.
+// that requests any.
 func (l *Ledger) grantSlots(now time.Time, h *holder, want int) int {
 	if l.limits.Concurrency <= 0 || want <= 0 {
 		return 0
@@ -192,7 +191,7 @@
 }
 
 // grantTokens takes up to want tokens from the bucket, but no more than half of its level, so that
-// some are left for the next router that asks.
+// some are left for the next router that requests any.
 func (l *Ledger) grantTokens(want int) int {
 	if l.limits.Rate <= 0 || want <= 0 {
 		return 0
--- a/internal/decide/limit/limit.go
+++ b/internal/decide/limit/limit.go
@@ -3,7 +3,7 @@
 // One router owns an account and keeps its Ledger. Every router has a Cache that spends what the
 // owners have granted in advance, so that most requests need no message. Tokens for the rate are
 // spent once; slots for the concurrency are leased and renewed. When an owner is lost, each router
-// falls back to a small static share until the new owner answers.
+// falls back to a small static share until the new owner replies.
 //
 // Types in this package are not safe for concurrent use and read no clock; the caller passes the
 // time, which must not run backwards.
@@ -26,7 +26,7 @@
 type Limits struct {
 	// Rate is in requests per second; 0 means no limit.
 	Rate float64
-	// Burst is how many requests may come at once; 0 means one second's worth.
+	// Burst is how many requests may arrive at once; 0 means one second's worth.
 	Burst int
 	// Concurrency limits unfinished requests; 0 means no limit.
 	Concurrency int
@@ -40,14 +40,14 @@
 	return max(l.Rate, 1)
 }
 
-// Report tells an owner what a router holds of an account. It renews the router's lease. After a
+// Report informs an owner of what a router holds of an account. It renews the router's lease. After a
 // change of owner the new owner rebuilds its ledger from the reports.
 type Report struct {
 	// Router is the name of the holder, which changes when the router restarts.
 	Router string
 	// Seq increases with each report or request of the router.
 	Seq uint64
-	// Held is the number of slots the router keeps. It must have stopped using the others before it
+	// Held is the number of slots the router retains. It must have stopped using the others before it
 	// sends the report.
 	Held int
 }
@@ -59,18 +59,18 @@
 	WantSlots  int
 }
 
-// Batch is an owner's answer to an Ask.
+// Batch is an owner's reply to a GrantRequest.
 type Batch struct {
 	// Seq repeats the sequence number of the request.
 	Seq uint64
-	// Stale means that a later report of the router came first; the batch grants nothing and renews
+	// Stale means that a later report of the router arrived first; the batch grants nothing and renews
 	// nothing.
 	Stale bool
 	// Tokens and Slots are granted on top of what the router holds.
 	Tokens int
 	Slots  int
 	// Target is the router's fair share of the slots. Tight means that other routers wait for
-	// slots, and that idle ones beyond Target must be given back.
+	// slots, and that idle ones beyond Target must be released.
 	Target int
 	Tight  bool
 	// Over means that more slots are leased than the limit allows, which can happen after a change
@@ -78,7 +78,8 @@
 	Over bool
 	// TTL is the length of the lease, which the router counts from when it sent the request.
 	TTL time.Duration
-	// RetryAfter is when to ask again if fewer tokens were granted than wanted.
+	// RetryAfter is how long to wait before the next request if fewer tokens were granted than
+	// wanted.
 	RetryAfter time.Duration
 }
 
--- a/internal/decide/limit/limit_test.go
+++ b/internal/decide/limit/limit_test.go
@@ -23,7 +23,7 @@
 	return GrantRequest{Report{router, seq, held}, tokens, slots}
 }
 
-// Guards against slots or tokens that are granted twice or never come back: the ledger must count
+// Guards against slots or tokens that are granted twice or never returned: the ledger must count
 // what routers hold, not the messages they send.
 func TestLedgerCountsWhatRoutersHold(t *testing.T) {
 	lim := Limits{Rate: 10, Burst: 20, Concurrency: 20}
@@ -94,7 +94,7 @@
 }
 
 // Guards against an account that is shut out, or not limited, while its owner is lost: requests to
-// the owner fail, the lease expires, and later a new owner answers. Meanwhile each router uses its
+// the owner fail, the lease expires, and later a new owner replies. Meanwhile each router uses its
 // static share.
 func TestCacheFallsBackToStaticShareWithoutOwner(t *testing.T) {
 	live := []string{"r0", "r1", "r2"}
@@ -140,11 +140,11 @@
 	lim  Limits
 	// demand is the rate of requests per second at each router.
 	demand []float64
-	// changeAt is when a new owner takes over, in seconds, 0 for never. Each router learns of it
+	// changeAt is when a new owner replaces the old one, in seconds, 0 for never. Each router learns of it
 	// within spread seconds; the old owner is lost, or stays with oldOwnerStays.
 	changeAt, spread float64
 	oldOwnerStays    bool
-	// lossRate is the share of answers that are lost until lossEnd.
+	// lossRate is the share of replies that are lost until lossEnd.
 	lossRate float64
 }
 
@@ -168,7 +168,7 @@
 	failedSeq                uint64
 }
 
-// run simulates the scenario in steps of 10 ms; an answer takes one step.
+// run simulates the scenario in steps of 10 ms; a reply takes one step.
 func (sc scenario) run(seed uint64) result {
 	rnd := rand.New(rand.NewPCG(seed, 5))
 	var live []string
@@ -322,7 +322,7 @@
 	assert.Equal(t, 60, bySlots.peak)
 }
 
-// Guards against leasing more slots than the limit through random requests, lost answers and
+// Guards against leasing more slots than the limit through random requests, lost replies and
 // expired leases while the owner stays the same: routers never hold more slots than the ledger
 // counts.
 func TestLeasedSlotsNeverExceedTheLimit(t *testing.T) {
--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -15,23 +15,23 @@
 // have got at the upstream.
 type Outcome uint8
 
-// Values of Known.
+// Values of Outcome.
 const (
 	// NotSent means that no byte of the request left the router.
 	NotSent Outcome = iota
 	// RefusedBeforeExecuting means that the upstream refused the request in a protocol that
 	// guarantees that nothing was executed.
 	RefusedBeforeExecuting
-	// SentNoReply means that something was sent and the answer is missing, cut short, or a 5xx. The
+	// SentNoReply means that something was sent and the response is missing, truncated, or a 5xx. The
 	// upstream may have executed the request: a 5xx can come from a step after the work.
 	SentNoReply
-	// FirstByteDelivered means that the caller has received a part of the answer.
+	// FirstByteDelivered means that the caller has received a part of the response.
 	FirstByteDelivered
 )
 
 // Ran returns what the caller is told about the execution of the request.
-func (k Outcome) Ran() apierr.Ran {
-	switch k {
+func (o Outcome) Ran() apierr.Ran {
+	switch o {
 	case NotSent, RefusedBeforeExecuting:
 		return apierr.RanNo
 	case FirstByteDelivered:
@@ -51,12 +51,12 @@
 	Idempotent bool
 	// Known is what is known about this attempt.
 	Known Outcome
-	// Earlier is the maximum Known of the earlier attempts. A request whose second attempt was not
-	// sent may still have run in its first.
+	// Earlier is the maximum outcome of the earlier attempts. A request whose second attempt was not
+	// sent may still have been executed in its first.
 	Earlier Outcome
-	// Resumable means that the answer's stream can be continued.
+	// Resumable means that the response's stream can be resumed.
 	Resumable bool
-	// Alternate means that another upstream can take the request.
+	// Alternate means that another upstream can serve the request.
 	Alternate bool
 	// Remaining is the time left until the caller's deadline.
 	Remaining time.Duration
@@ -64,7 +64,7 @@
 	NotBefore time.Duration
 }
 
-// strongest returns the maximum Known of all attempts.
+// strongest returns the maximum outcome of all attempts.
 func (a *Attempt) strongest() Outcome { return max(a.Known, a.Earlier) }
 
 // Action is what to do after a failed attempt.
@@ -142,7 +142,7 @@
 }
 
 // NewPolicy returns a policy that draws on the budget. The random source spreads the delays, since
-// callers that failed together must not return together.
+// callers whose requests failed together must not retry together.
 func NewPolicy(cfg Config, budget *Budget, rnd *rand.Rand) *Policy {
 	if cfg.MaxAttempts <= 0 {
 		cfg.MaxAttempts = DefaultMaxAttempts
@@ -159,7 +159,7 @@
 	return &Policy{cfg: cfg, budget: budget, rand: rnd}
 }
 
-// Decide returns what to do after a failed attempt. If it grants a retry, it has taken it from the
+// Decide returns what to do after a failed attempt. A retry that it grants is already taken from the
 // budget.
 func (p *Policy) Decide(now time.Time, a Attempt) Decision {
 	if reason, denied := unsafeToRetry(&a); denied {
@@ -173,7 +173,7 @@
 		return giveUp(&a, ReasonDeadline)
 	}
 	// A resume does not draw on the budget: it adds no work at the engine, and without it the
-	// caller is left with half an answer.
+	// caller is left with a truncated response.
 	if decision.Action != Resume && !p.budget.Spend(now) {
 		return giveUp(&a, ReasonBudget)
 	}
@@ -184,7 +184,7 @@
 func unsafeToRetry(a *Attempt) (Reason, bool) {
 	outcome := a.strongest()
 	if outcome == FirstByteDelivered {
-		// A second answer would differ from the part that was delivered.
+		// A second response would differ from the part that was delivered.
 		return ReasonDelivered, !a.Resumable
 	}
 	if outcome == SentNoReply && !a.Idempotent {
--- a/internal/edge/callers/callers.go
+++ b/internal/edge/callers/callers.go
@@ -8,7 +8,7 @@
 //
 // For each new connection beyond the limit, the connection that has been idle for longest is
 // closed. Connections with requests in progress are never closed. If all connections are busy, new
-// ones are closed before a request is read, which tells callers that none was executed.
+// ones are closed before a request is read, so that callers know that none was executed.
 package callers
 
 import (
--- a/internal/edge/catalog/catalog_test.go
+++ b/internal/edge/catalog/catalog_test.go
@@ -39,7 +39,7 @@
 }
 
 // Guards against a router that loses engines, or keeps removed ones, after it queries the changes
-// since a version whose removals the other router has discarded: the answer must be a full update.
+// since a version whose removals the other router has discarded: the reply must be a full update.
 func TestSinceReturnsFullUpdateForDiscardedRemovals(t *testing.T) {
 	s, _ := NewEngineSet().Apply(EngineUpdate{Full: true, Upto: 10, Present: []Engine{engine("keep", 5), engine("gone", 6)}}, 0)
 	s, _ = s.Apply(EngineUpdate{Since: 10, Upto: 11, Removed: []Removal{{"gone", 11}}}, 0)
@@ -77,7 +77,7 @@
 	require.Equal(t, uint64(10), next.Upto)
 }
 
-// Guards against an interruption of the whole service with the first answer after a store outage of
+// Guards against an interruption of the whole service with the first reply after a store outage of
 // some seconds: engines could not renew their entries and register again within two seconds.
 func TestEngineWithoutEntryAfterStoreOutageIsDoubtfulForTwoSeconds(t *testing.T) {
 	const minOutage = 2400 * time.Millisecond
--- a/internal/edge/catalog/evacuation.go
+++ b/internal/edge/catalog/evacuation.go
@@ -10,7 +10,7 @@
 // of such an order.
 type Evacuation struct {
 	Site string
-	// Active is set while the order is in force, and false once it was withdrawn.
+	// Active is true while the order is active, and false once it was withdrawn.
 	Active bool
 	// Revision is the store's version of the change. Of two changes to a site, the one with the
 	// higher revision is newer.
@@ -38,7 +38,7 @@
 	bySite map[string]Evacuation
 }
 
-// maxEndedEvacuations bounds the ended evacuations that are kept. One is needed only until all
+// maxEndedEvacuations bounds the ended evacuations that are retained. One is needed only until all
 // routers have received it.
 const maxEndedEvacuations = 256
 
--- a/internal/edge/catalog/snapshot.go
+++ b/internal/edge/catalog/snapshot.go
@@ -8,7 +8,7 @@
 	Config *Config
 	// ConfigAsOf is the boot time at which the latest call was sent that confirmed Config as the
 	// newest version. The age counted from the sending is an upper bound, regardless of how long
-	// the answer took.
+	// the reply took.
 	ConfigAsOf time.Duration
 	// Evacuations is confirmed by the same calls as Config.
 	Evacuations Evacuations
@@ -85,7 +85,7 @@
 //
 // If no router could read the store for at least minOutage, the entries of running engines may have
 // expired because the engines could not renew them. Removing these engines would stop the service
-// with the first answer after an outage, so they stay in service until they had time to register
+// with the first reply after an outage, so they stay in service until they had time to register
 // again. An outage seen by some routers only does not count, because the others confirmed the
 // engines meanwhile. Neither does a time in which this router received no updates while no reader
 // failed: its own links failed then, not the store. sinceReadFailure is the time since a reader
--- a/internal/edge/choose/choose.go
+++ b/internal/edge/choose/choose.go
@@ -1,7 +1,7 @@
 // Package choose selects the engine that serves a request. It keeps no state: the known state of
 // the engines and the random source are arguments.
 //
-// Engines that take no requests are filtered out, the rest are ranked, and the first is selected.
+// Engines that accept no requests are filtered out, the rest are ranked, and the first is selected.
 // Requests with a prompt rank engines by a rendezvous hash of the prompt's shared prefix, so that
 // all routers send the same prompt to the same engine without coordination and that engine's cache
 // holds it. A bound on the load sends the excess of a popular prompt to the next engine in the same
@@ -49,16 +49,16 @@
 	// Draining is set for engines that get no new requests. Other engines can still fetch from their
 	// cache.
 	Draining bool
-	// RecentlyAdded is set for engines that were recently added or restarted with an empty cache, so that
-	// other engines hold the prompts that now map to them. Came is the time when this happened, by
+	// RecentlyAdded is set for engines that were recently added or restarted with an empty cache, so
+	// that other engines have cached the prompts that now map to them. AddedAt is the time when this happened, by
 	// the same clock for all engines.
 	RecentlyAdded bool
 	AddedAt       time.Duration
-	// Cold is set for engines that can serve few requests a second. They get a request only after a
-	// grant.
+	// Cold is set for engines that can serve few requests a second. They are sent a request only
+	// after the owner of their gate has granted a slot.
 	Cold bool
-	// Share is the part of its normal load that the engine may get, from 0 to 1: 0 while it is
-	// ejected and less than 1 while it returns from an ejection.
+	// Share is the share of its normal load that the engine may get, from 0 to 1: 0 while it is
+	// ejected and less than 1 while it recovers from an ejection.
 	Share float64
 }
 
@@ -75,17 +75,17 @@
 	return e.RecentlyAdded && e.AddedAt > other.AddedAt-simultaneousStart
 }
 
-// HasFreeSlot reports whether the engine takes requests and has a free slot.
+// HasFreeSlot reports whether the engine accepts requests and has a free slot.
 func (e Engine) HasFreeSlot() bool {
 	return !e.Draining && !e.Cold && e.Share > 0 && e.InFlight < max(e.Slots, 1)
 }
 
 // Placement is the selected engine for a prompt and the engine to fetch its cache from.
 type Placement struct {
-	// Engine is the index of the selected engine, or None.
+	// Engine is the index of the selected engine, or NoEngine.
 	Engine int
 	// Holder is the index of the engine, other than the selected one, that most likely has the
-	// prompt in its cache, or None. It may be leaving or over its load bound.
+	// prompt in its cache, or NoEngine. It may be draining or over its load bound.
 	Holder int
 	// Moved is set if the selected engine is not the first in the prompt's order or was recently
 	// added, so that the prompt is more likely cached at Holder.
@@ -95,9 +95,9 @@
 // NoEngine is the index that stands for no engine.
 const NoEngine = -1
 
-// PlacePrompt selects an engine for a prompt whose shared prefix hashes to key. It selects the first
-// engine in the prompt's order that stays within the load bound, or the least loaded one if none
-// does. The order depends only on the key and the engines present.
+// PlacePrompt selects an engine for a prompt whose shared prefix hashes to key: the first engine in
+// the rendezvous order of the key that stays within the load bound, or the least loaded one if none
+// does. The order depends only on the key and the set of engines.
 func PlacePrompt(engines []Engine, key uint64, rng *rand.Rand) Placement {
 	candidates := usableEngines(engines)
 	if len(candidates) == 0 {
@@ -110,10 +110,10 @@
 	return PlacementAt(engines, engine, key)
 }
 
-// PlacementAt returns the placement of a prompt at an engine that is already selected. The holder is the
-// first other engine in the prompt's order that can serve its cache. If the selected engine is
-// the first in that order and was recently added, engines that were added with it or later are used
-// only if there is no other.
+// PlacementAt returns the placement of a prompt at an engine that is already selected. The holder is
+// the first other engine in the prompt's order that can serve its cache. If the selected engine is
+// the first in that order and was recently added, an engine that was added with it or later becomes
+// the holder only if there is no other.
 func PlacementAt(engines []Engine, engine int, key uint64) Placement {
 	order := ranked(engines, key)
 	out := Placement{Engine: engine, Holder: NoEngine}
@@ -129,7 +129,7 @@
 	return out
 }
 
-// firstMatch returns the first element of order for which ok holds, or None.
+// firstMatch returns the first element of order for which ok holds, or NoEngine.
 func firstMatch(order []int, ok func(int) bool) int {
 	if at := slices.IndexFunc(order, ok); at >= 0 {
 		return order[at]
@@ -137,10 +137,10 @@
 	return NoEngine
 }
 
-// crowdedUtilization is the part of a service's slots in use from which on its requests must
-// acquire a slot before they are sent. Load reports are a few tenths of a second old, in which a
-// surge can take as many slots again. Acquiring a slot costs a round trip.
-const crowdedUtilization = 0.4
+// congestedUtilization is the share of a service's slots in use from which on its requests must
+// acquire a slot before they are sent. Load reports are a few tenths of a second old, and a surge
+// can occupy as many slots again in that time. Acquiring a slot costs a round trip.
+const congestedUtilization = 0.4
 
 // Crowded reports whether requests to the service must acquire a slot before they are sent.
 func Crowded(engines []Engine) bool {
@@ -149,7 +149,7 @@
 		inFlight += engines[i].InFlight
 		slots += engines[i].Slots
 	}
-	return slots > 0 && float64(inFlight) >= crowdedUtilization*float64(slots)
+	return slots > 0 && float64(inFlight) >= congestedUtilization*float64(slots)
 }
 
 // extraInFlight is the number of requests beyond its slots that an engine may be sent. They are in
@@ -166,37 +166,37 @@
 }
 
 const (
-	// maxAlternatives is the number of engines to ask for a slot after the first one. Each of them
-	// costs a round trip and finds slots that the load reports don't show.
-	maxAlternatives = 2
-	// alternativeSample is the number of engines compared for each alternative. Routers have the
-	// same load reports and would all select the same engine if each compared all of them.
-	alternativeSample = 3
+	// maxFurtherCandidates is the number of engines at which a slot is requested after the first one.
+	// Each of them costs a round trip and finds slots that the load reports don't show.
+	maxFurtherCandidates = 2
+	// candidateSample is the number of engines compared for each further candidate. Routers have
+	// the same load reports and would all select the same engine if each compared all of them.
+	candidateSample = 3
 )
 
-// PromptCandidates returns the indexes of the engines to ask for a slot, in order, for a prompt whose
-// shared prefix hashes to key: the engine that Prompted selects within the load bound, then less
-// loaded ones from random samples.
+// PromptCandidates returns the indexes of the engines at which to request a slot, in order, for a
+// prompt whose shared prefix hashes to key: the engine that PlacePrompt selects within the load
+// bound, then the least loaded ones of random samples.
 func PromptCandidates(engines []Engine, key uint64, rng *rand.Rand) []int {
 	var out []int
 	candidates := usableEngines(engines)
 	if preferred := firstWithinBound(engines, ranked(engines, key), loadBound(engines)); preferred != NoEngine {
 		out = append(out, preferred)
 	}
-	return withAlternatives(out, engines, candidates, rng)
+	return withFurtherCandidates(out, engines, candidates, rng)
 }
 
-// PlainCandidates returns the indexes of the engines to ask for a slot, in order, for a request
-// without a prompt.
+// PlainCandidates returns the indexes of the engines at which to request a slot, in order, for a
+// request without a prompt.
 func PlainCandidates(engines []Engine, rng *rand.Rand) []int {
-	return withAlternatives(nil, engines, usableEngines(engines), rng)
+	return withFurtherCandidates(nil, engines, usableEngines(engines), rng)
 }
 
-func withAlternatives(out []int, engines []Engine, candidates []int, rng *rand.Rand) []int {
+func withFurtherCandidates(out []int, engines []Engine, candidates []int, rng *rand.Rand) []int {
 	rest := slices.DeleteFunc(slices.Clone(candidates), func(i int) bool { return slices.Contains(out, i) })
 	rng.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
-	for len(out) <= maxAlternatives && len(rest) > 0 {
-		best := leastLoaded(engines, rest[:min(alternativeSample, len(rest))], rng)
+	for len(out) <= maxFurtherCandidates && len(rest) > 0 {
+		best := leastLoaded(engines, rest[:min(candidateSample, len(rest))], rng)
 		out = append(out, best)
 		rest = slices.DeleteFunc(rest, func(i int) bool { return i == best })
 	}
@@ -223,7 +223,7 @@
 // prefilled at another engine anyway.
 const minPromptShare = 0.5
 
-// firstWithinBound returns the first engine in order that stays within the bound, or None.
+// firstWithinBound returns the first engine in order that stays within the bound, or NoEngine.
 func firstWithinBound(engines []Engine, order []int, bound float64) int {
 	for _, i := range order {
 		e := engines[i]
@@ -234,7 +234,7 @@
 	return NoEngine
 }
 
-// PickPlain selects an engine for a request without a prompt, or returns None.
+// PickPlain selects an engine for a request without a prompt, or returns NoEngine.
 func PickPlain(engines []Engine, rng *rand.Rand) int {
 	candidates := usableEngines(engines)
 	if len(candidates) == 0 {
@@ -255,8 +255,8 @@
 	return candidates[:min(plainSample, len(candidates))]
 }
 
-// WithoutCold returns a copy of the engines in which cold ones are marked as leaving: they get no
-// requests, and other engines may fetch from their cache.
+// WithoutCold returns a copy of the engines in which cold ones are marked as draining: they get no
+// requests, but other engines may fetch from their cache.
 func WithoutCold(engines []Engine) []Engine {
 	out := slices.Clone(engines)
 	for i := range out {
@@ -265,7 +265,7 @@
 	return out
 }
 
-// AllCold reports whether there are engines that take requests and all of them are cold.
+// AllCold reports whether there are engines that accept requests and all of them are cold.
 func AllCold(engines []Engine) bool {
 	cold := false
 	for _, e := range engines {
@@ -280,7 +280,7 @@
 	return cold
 }
 
-// usableEngines returns the indexes of the engines that are neither leaving nor ejected. If all are
+// usableEngines returns the indexes of the engines that are neither draining nor ejected. If all are
 // ejected, it ignores ejections: the cause is then outside the engines, and refusing all requests
 // would make it worse.
 func usableEngines(engines []Engine) []int {
@@ -301,10 +301,10 @@
 }
 
 // loadBound returns the maximum number of requests in flight at an engine that is selected by
-// prompt. It follows the mean of the engines that take requests, or of the whole service if that is
-// lower: operators count leaving engines too, which empty while the others fill. The fewer engines
-// take requests, the more each of them gets from other routers before load reports arrive, and the
-// more the bound is reduced to leave room for these.
+// prompt. It follows the mean load of the engines that accept requests, or of the whole service if
+// that is lower: the operators' limit counts draining engines too, whose load falls while that of
+// the others rises. The fewer engines accept requests, the more requests other routers send to each
+// of them before load reports arrive, so the bound is reduced by a margin for these.
 func loadBound(engines []Engine) float64 {
 	mean, activeFraction := serviceLoad(engines)
 	factor, slack := loadFactor, float64(loadSlack)
@@ -315,9 +315,9 @@
 	return math.Max(factor*mean+slack, 1)
 }
 
-// serviceLoad returns the mean load, with one more request, of the engines that take requests, or
-// of these and the leaving ones if that is lower. activeFraction is the part of both that takes
-// requests. If all engines are ejected, they count as taking requests.
+// serviceLoad returns the mean load, with one more request, of the engines that accept requests, or
+// of these and the draining ones if that is lower. activeFraction is the fraction of both that
+// accepts requests. If all engines are ejected, they count as accepting requests.
 func serviceLoad(engines []Engine) (mean, activeFraction float64) {
 	var active, draining, ejected loadSum
 	for _, e := range engines {
--- a/internal/edge/choose/choose_test.go
+++ b/internal/edge/choose/choose_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// Guards against prefilling again what a leaving engine has in its cache: it gets no requests but
+// Guards against prefilling again what a draining engine has in its cache: it gets no requests but
 // is still the holder.
 func TestLeavingEngineIsOnlyHolder(t *testing.T) {
 	engines := testEngines(9)
@@ -88,7 +88,7 @@
 }
 
 // Guards against exceeding the load bound for prompts while an engine within it exists, and against
-// selecting a leaving engine, under any loads.
+// selecting a draining engine, under any loads.
 func TestPromptStaysWithinLoadBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := testEngines(rapid.IntRange(1, 12).Draw(t, "n"))
@@ -135,7 +135,7 @@
 }
 
 // Guards against more than twice the mean load at the remaining engines after a third of the
-// engines of a service starts leaving at once.
+// engines of a service starts draining at once.
 func TestLoadStaysWithinOperatorsLimitWhileManyEnginesLeave(t *testing.T) {
 	engines := testEngines(60)
 	for i := range 20 {
@@ -167,7 +167,7 @@
 }
 
 // Guards against a small service that uses only a third of its slots while all of its engines but
-// one leave: the last one may use all of its slots.
+// one drain: the last one may use all of its slots.
 func TestLastEngineOfServiceMayUseAllItsSlots(t *testing.T) {
 	engines := testEngines(3)
 	for i := range engines {
@@ -180,7 +180,7 @@
 	require.LessOrEqual(t, float64(engines[0].InFlight), 2*float64(engines[0].InFlight)/3+3)
 }
 
-// Guards against asking gates for slots at a service whose engines are all ejected and none is
+// Guards against requesting slots at a service whose engines are all ejected and none is
 // cold.
 func TestEjectedEnginesAreNotCold(t *testing.T) {
 	engines := testEngines(3)
--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -18,7 +18,7 @@
 	Address string
 }
 
-// Query describes a caller that queries router addresses.
+// Query is a caller's query for router addresses.
 type Query struct {
 	// Host is the host name that the caller wants to reach.
 	Host   string
@@ -33,7 +33,7 @@
 }
 
 const (
-	// maxAddresses bounds the addresses in an answer. Callers use no more.
+	// maxAddresses bounds the addresses in a response. Callers use no more.
 	maxAddresses = 64
 	// minLocalRouters is the number of routers from which on a site's callers are sent only to the
 	// routers of their site. With one, callers would have no router left after its loss.
@@ -42,7 +42,7 @@
 
 // Resolve returns the addresses that the router named self returns to a caller: the routers of the
 // caller's site, or all routers if the site has fewer than minLocalRouters. Traffic between sites
-// has a cost, and a local router answers faster. The answer has at least one address unless routers
+// has a cost, and a local router responds faster. The response has at least one address unless routers
 // is empty.
 func Resolve(self string, routers []Router, query Query, ttl time.Duration) Response {
 	var local []Router
@@ -64,12 +64,13 @@
 	return out
 }
 
-// sampleRouters returns at most maxAddresses of the routers. It may reorder the slice. Each router
-// named self selects a different sample: if all returned the same 64 routers, these would serve all
-// callers of a site that has lost its own routers, a load for the routers of four sites. The sample
+// sampleRouters returns at most maxAddresses of the routers. It may reorder the slice. The sample
+// depends on self, the name of the responding router: if all returned the same 64 routers, these
+// would serve all callers of a site that has lost its own routers, a load for the routers of four
+// sites. The sample
 // is selected by rendezvous hashing, so that a router that is added or removed changes only one
-// address of an answer. Callers close their connections to addresses that are no longer in the
-// answer.
+// address of a response. Callers close their connections to addresses that are no longer in the
+// response.
 func sampleRouters(self string, routers []Router) []Router {
 	if len(routers) <= maxAddresses {
 		return routers
--- a/internal/edge/entry/entry_test.go
+++ b/internal/edge/entry/entry_test.go
@@ -31,31 +31,31 @@
 
 // Guards against overloading some routers after a site has lost all of its own: when each router
 // returned the first 64 of the remaining 236 by name, which were all in one site, a quarter of the
-// routers answered late.
+// routers responded late.
 func TestClientsOfLostSiteAreSpreadOverAllRouters(t *testing.T) {
-	const remaining, asked = 236, 236
+	const remaining, queried = 236, 236
 	var sites []string
 	for i := range remaining {
 		sites = append(sites, fmt.Sprint("site ", i%4))
 	}
 	all := routers(sites...)
-	answersByAddress := make(map[string]int)
-	for i := range asked {
+	responsesByAddress := make(map[string]int)
+	for i := range queried {
 		for _, a := range Resolve(all[i].Name, all, Query{Site: "lost"}, time.Second).Addresses {
-			answersByAddress[a]++
+			responsesByAddress[a]++
 		}
 	}
-	// Each router is in 64 of 236 answers on average. The tolerance is five standard deviations of
+	// Each router is in 64 of 236 responses on average. The tolerance is five standard deviations of
 	// a binomial distribution.
-	mean := float64(asked) * maxAddresses / remaining
+	mean := float64(queried) * maxAddresses / remaining
 	for _, r := range all {
-		require.InDelta(t, mean, answersByAddress[r.Address], 5*math.Sqrt(mean*(1-mean/asked)), r.Name)
+		require.InDelta(t, mean, responsesByAddress[r.Address], 5*math.Sqrt(mean*(1-mean/queried)), r.Name)
 	}
 }
 
 // Guards against closing connections to routers that remain: removing a router must remove its own
-// address from an answer and no other, because callers close connections to addresses that are no
-// longer in the answer.
+// address from a response and no other, because callers close connections to addresses that are no
+// longer in the response.
 func TestRouterThatLeavesRemovesOnlyItsOwnAddress(t *testing.T) {
 	all := routers(make([]string, 100)...)
 	query := Query{}
--- a/internal/edge/feed/contacts.go
+++ b/internal/edge/feed/contacts.go
@@ -19,7 +19,7 @@
 }
 
 // Contacts accesses a short list of routers in the platform's store. The seeds in a router's
-// settings may be gone, or may start later than the router after a power loss. Without another way
+// settings may have left the fleet, or may start later than the router after a power loss. Without another way
 // to find the fleet, 300 routers starting at once would each read everything from the store, and a
 // router whose seeds were all replaced would never find the others.
 type Contacts struct {
@@ -64,7 +64,7 @@
 
 const (
 	// maxContacts is the length of the list if the fleet has enough routers. After a power loss
-	// some of them are up at any moment. Each of them reads everything from the store.
+	// some of them are up at any moment. Each of them reads all data from the store.
 	maxContacts = 16
 	// rewriteShare is the share of the list that must be missing before the list is rewritten.
 	rewriteShare = 0.25
--- a/internal/edge/feed/exchange.go
+++ b/internal/edge/feed/exchange.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// resetAcked makes the next report a complete one. It is called after a failed call, when it is
-// unknown whether the parent got the report.
+// resetAcked makes the next report a full one. It is called after a failed call, when it is unknown
+// whether the parent received the report.
 func (e *parentExchange) resetAcked() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -100,7 +100,7 @@
 // router of the fleet.
 //
 // The parent depends only on the set of live routers and always precedes this router in an order
-// that all routers compute alike. The parent of catalog pulls changes while the store is lost, and
+// that all routers compute in the same way. The parent of catalog pulls changes while the store is lost, and
 // routers may then pull from each other in a cycle. Load sums carried along such cycles grew to
 // hundreds of times the real load within seconds, so that every engine seemed full.
 func (f *Follower) loadsParent() (Peer, bool) {
@@ -145,8 +145,8 @@
 	return parent, ok
 }
 
-// notifyGone tells the previous parent that this router left it. If the call fails, the reports
-// held by that parent expire.
+// notifyGone notifies the previous parent that this router has another one. If the call fails, the
+// reports held by that parent expire.
 func (f *Follower) notifyGone(ctx context.Context, previous Peer) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
--- a/internal/edge/feed/feed_test.go
+++ b/internal/edge/feed/feed_test.go
@@ -138,7 +138,7 @@
 	})
 }
 
-// Guards against a late configuration when the store rejects only the reader, or does not answer
+// Guards against a late configuration when the store rejects only the reader, or does not reply
 // it, while it serves the other routers. The reader reports this and the next router reads.
 func TestReaderRejectedByStoreIsReplaced(t *testing.T) {
 	for _, silent := range []bool{false, true} {
--- a/internal/edge/feed/fleet_test.go
+++ b/internal/edge/feed/fleet_test.go
@@ -54,8 +54,8 @@
 	s.changed = make(chan struct{})
 }
 
-// answer simulates the failures of the store.
-func (s *fakeStore) answer(ctx context.Context) error {
+// simulateFailure counts a call, and blocks or fails it if the test has set so.
+func (s *fakeStore) simulateFailure(ctx context.Context) error {
 	s.calls.Add(1)
 	s.mu.Lock()
 	down, silent := s.down, s.silent
@@ -72,7 +72,7 @@
 
 // Get implements platform.Table.
 func (s *fakeStore) Get(ctx context.Context, _ platform.Use, table, key string) (platform.Row, error) {
-	if err := s.answer(ctx); err != nil {
+	if err := s.simulateFailure(ctx); err != nil {
 		return platform.Row{}, err
 	}
 	s.mu.Lock()
@@ -86,7 +86,7 @@
 
 // Commit implements platform.Table.
 func (s *fakeStore) Commit(ctx context.Context, _ platform.Use, writes ...platform.Write) ([]platform.Row, error) {
-	if err := s.answer(ctx); err != nil {
+	if err := s.simulateFailure(ctx); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
@@ -106,7 +106,7 @@
 }
 
 func (s *fakeStore) ReadConfig(ctx context.Context) (ConfigRead, error) {
-	if err := s.answer(ctx); err != nil {
+	if err := s.simulateFailure(ctx); err != nil {
 		return ConfigRead{}, err
 	}
 	s.mu.Lock()
@@ -133,7 +133,7 @@
 }
 
 func (s *fakeStore) wait(ctx context.Context, since uint64, wait time.Duration) error {
-	if err := s.answer(ctx); err != nil {
+	if err := s.simulateFailure(ctx); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -173,7 +173,7 @@
 }
 
 func (s *fakeStore) ReadEngines(ctx context.Context) (catalog.EngineUpdate, error) {
-	if err := s.answer(ctx); err != nil {
+	if err := s.simulateFailure(ctx); err != nil {
 		return catalog.EngineUpdate{}, err
 	}
 	s.mu.Lock()
@@ -213,7 +213,7 @@
 	ctx  context.Context
 	live []Peer
 	cut  sync.Map
-	// gone holds the routers that all others know to be gone.
+	// gone holds the routers that all others know to have left.
 	gone   sync.Map
 	nodes  map[string]*fakeNode
 	origin time.Time
--- a/internal/edge/feed/follower.go
+++ b/internal/edge/feed/follower.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// pullWait is how long a pull is held. Each level of the tree adds it to the age of the catalog
-	// and of the loads. Twice as much leaves too little of a bound of one second: routers then read
-	// the store themselves (4,000 calls in a scenario of 34 s with 88 routers, instead of 1,100).
+	// pullWait is how long the reply to a pull is held. Each level of the tree adds it to the age of
+	// the catalog and of the loads. Twice as much leaves too little of a bound of one second:
+	// routers then read the store themselves (4,000 calls in a scenario of 34 s with 88 routers, instead of 1,100).
 	pullWait = 150 * time.Millisecond
 	// pullTimeout bounds a whole pull: its wait and one TCP retransmission.
 	pullTimeout = pullWait + 350*time.Millisecond
-	// newParentGrace is how long a new parent may return old data: it may first have to find out
+	// newParentGrace is how long a new parent may return old data: it may first have to determine
 	// that it is the reader.
 	newParentGrace = 400 * time.Millisecond
 	// retryPause is the pause after a failed pull.
@@ -67,8 +67,8 @@
 	// storeLostAt is the boot time at which a reader, this router or another, is last known to have
 	// failed to reach the store.
 	storeLostAt atomic.Int64
-	// lastAnswerAt is the boot time of the last answer from another router.
-	lastAnswerAt atomic.Int64
+	// lastReplyAt is the boot time of the last reply from another router.
+	lastReplyAt atomic.Int64
 	// failures holds the routers that could not reach the store as of a boot time.
 	failures atomic.Pointer[knownFailures]
 }
@@ -86,8 +86,8 @@
 	return out
 }
 
-// storeLostMemory is how long a failure of a reader counts. By then the next reader has failed too,
-// or its data has arrived.
+// storeLostMemory is how long a failure of a reader counts. After that, the next reader has failed
+// too, or its data has arrived.
 const storeLostMemory = 2 * time.Second
 
 // LostAgo returns the time since a reader is last known to have failed to reach the store.
@@ -98,15 +98,15 @@
 // StoreDown reports whether the data of this router is old because the store cannot be reached.
 func (f *Follower) StoreDown() bool { return f.LostAgo() < storeLostMemory }
 
-// maxAnswerAge is the age of the last answer from another router up to which its report on the
-// store counts. It covers two pulls, one of which may be lost.
-const maxAnswerAge = 2 * pullTimeout
+// maxReplyAge is the age of the last reply from another router up to which its report on the store
+// counts. It covers two pulls, one of which may be lost.
+const maxReplyAge = 2 * pullTimeout
 
-// ReportedStoreLost reports whether other routers report the store as unreachable and still answer. The
-// report of a router that went silent does not count: this router may be the only one left that can
-// notice when the store is reachable again.
+// ReportedStoreLost reports whether other routers report the store as unreachable and still reply.
+// The report of a router that no longer replies does not count: this router may be the only one left
+// that can notice when the store is reachable again.
 func (f *Follower) ReportedStoreLost() bool {
-	return f.StoreDown() && f.Clock()-time.Duration(f.lastAnswerAt.Load()) < maxAnswerAge
+	return f.StoreDown() && f.Clock()-time.Duration(f.lastReplyAt.Load()) < maxReplyAge
 }
 
 // recordStoreLost records that a reader failed to reach the store at a boot time.
@@ -221,7 +221,7 @@
 	f.failedPulls = 0
 }
 
-// handleResult applies the result of a pull and checks the router that sent it. It returns the
+// handleResult applies the result of a pull and checks the router that replied. It returns the
 // error of the pull.
 func (f *Follower) handleResult(ctx context.Context, result pullResult) error {
 	if result.err != nil {
@@ -230,7 +230,7 @@
 		f.Statuses.resetSent()
 		return result.err
 	}
-	f.lastAnswerAt.Store(int64(f.Clock()))
+	f.lastReplyAt.Store(int64(f.Clock()))
 	f.parentStoreLost = result.reply.StoreLost
 	f.Roster.HandleRosterReply(result.to.Address, result.reply.Roster)
 	if result.args.Loads != nil && result.reply.Loads != nil {
@@ -280,14 +280,14 @@
 }
 
 // maxFailedPulls is how many consecutive pulls may fail before the parent is distrusted. A single
-// failure may be a lost packet or a cut connection.
+// failure may be a lost packet or a closed connection.
 const maxFailedPulls = 2
 
 // recordFailedPull counts a failed pull and distrusts the parent at the limit.
 func (f *Follower) recordFailedPull(parent Peer, err error) {
 	f.failedPulls++
 	if f.failedPulls >= maxFailedPulls {
-		f.distrustRouter(parent, reasonNoAnswer, err)
+		f.distrustRouter(parent, reasonNoReply, err)
 	}
 }
 
@@ -343,7 +343,7 @@
 	case reply.StoreLost:
 		f.distrustRouter(parent, reasonStoreLost, nil)
 	case f.StoreDown():
-		// A reader further up failed. The routers next to it select another one.
+		// A reader further up the tree failed. The routers that pull from it select another one.
 	case f.isStale(reply):
 		f.distrustRouter(parent, reasonStale, nil)
 	}
@@ -365,7 +365,7 @@
 
 // Logged reasons for distrusting a source.
 const (
-	reasonNoAnswer  = "no answer"
+	reasonNoReply   = "no answer"
 	reasonCycle     = "circle"
 	reasonStoreLost = "store lost"
 	reasonStale     = "stale"
--- a/internal/edge/feed/join.go
+++ b/internal/edge/feed/join.go
@@ -12,39 +12,39 @@
 )
 
 // A starting router requests everything it lacks from a seed: the configuration, the engines and
-// the members. If no seed answers at once, it reads a list of contacts from the store and asks
+// the members. If no seed replies at once, it reads a list of contacts from the store and calls
 // those. Seeds and contacts read the store themselves. Otherwise 300 routers starting at once would
 // make 4,000 store calls and know each other only after 25 seconds; with seeds and contacts they
 // know each other within a second.
 const (
-	// joinCallTimeout bounds one call: ten times what a router on the smallest VM takes to answer
-	// while it answers a hundred others.
+	// joinCallTimeout bounds one call: ten times what a router on the smallest VM takes to reply
+	// while it replies to a hundred others.
 	joinCallTimeout = 300 * time.Millisecond
 	// joinRetryPause is the pause between calls to routers that refuse connections. Processes that
 	// start together become ready some tens of milliseconds apart.
 	joinRetryPause = 25 * time.Millisecond
-	// nextCallDelay is how long a call may go unanswered before another router is called too, so
+	// nextCallDelay is how long a call may go without a reply before another router is called too, so
 	// that an unresponsive router does not delay the join. With a shorter delay each router of a
 	// starting fleet would call all seeds and slow them down further.
 	nextCallDelay = 100 * time.Millisecond
 	// maxJoinCalls limits concurrent calls.
 	maxJoinCalls = 6
 	// contactsDelay is how long seeds are called before the contacts are read: four times the time
-	// of an answer, and little compared to how long requests may wait.
+	// of a reply, and little compared to how long requests may wait.
 	contactsDelay = 40 * time.Millisecond
 	// joinDeadline is how long a router tries to join before it continues alone, or with the
 	// routers it reached if they have no catalog either. firstStartJoinDeadline applies instead
 	// where the whole fleet starts for the first time: there are no contacts and no callers yet.
 	joinDeadline           = 600 * time.Millisecond
 	firstStartJoinDeadline = 3 * time.Second
-	// memberExchangePeriod is how long after its start a router keeps asking for new members, and
+	// memberExchangePeriod is how long after its start a router requests new members, and
 	// memberExchangeInterval how often. It learns of routers that start later from its parent,
 	// which it may not know yet.
 	memberExchangePeriod   = 3 * time.Second
 	memberExchangeInterval = 300 * time.Millisecond
-	// SettleTime is how long after its start a router that reached others may consider itself the
-	// reader of the store. Before that it may know only a few of the routers starting with it. By
-	// then the seeds have read the store for the fleet.
+	// SettleTime is the time after its start from which on a router that reached others may consider
+	// itself the reader of the store. Earlier it may know only a few of the routers starting with
+	// it. By then the seeds have read the store for the fleet.
 	SettleTime = 500 * time.Millisecond
 )
 
@@ -64,7 +64,7 @@
 	StartOptions
 	startedAt time.Duration
 	state     atomic.Int32
-	// joinedVia is the address of the router that answered first, contacts those of the list.
+	// joinedVia is the address of the router that replied first, contacts those of the list.
 	joinedVia, contacts atomic.Value
 }
 
@@ -81,7 +81,7 @@
 const (
 	// stateJoining means that the router is contacting others.
 	stateJoining int32 = iota
-	// stateJoined means that another router has answered.
+	// stateJoined means that another router has replied.
 	stateJoined
 	// stateReading means that the router reads the store without waiting for others, because it is
 	// a seed or a contact or reached no other router.
@@ -199,7 +199,7 @@
 	}()
 }
 
-// handleResult processes the result of a call. A router that answered is called again at once,
+// handleResult processes the result of a call. A router that replied is called again at once,
 // since its data may be incomplete and grows while the fleet starts. One that failed goes to the
 // end of the queue.
 func (j *joinRun) handleResult(ctx context.Context, result pullResult) {
@@ -220,7 +220,7 @@
 	j.callNext(ctx)
 }
 
-// readContacts reads the list of contacts if no router has answered yet.
+// readContacts reads the list of contacts if no router has replied yet.
 func (j *joinRun) readContacts(ctx context.Context) {
 	if j.follower.Start.state.Load() != stateJoining {
 		return
@@ -234,7 +234,7 @@
 }
 
 // queueContacts puts the contacts ahead of the seeds. A router that is a contact itself reads the
-// store, since others ask it. So does one that finds an empty list, which means that no router has
+// store, since others call it. So does one that finds an empty list, which means that no router has
 // written one.
 func (j *joinRun) queueContacts(list []Contact) {
 	selfListed := slices.ContainsFunc(list, func(c Contact) bool { return c.Name == j.follower.Self.Name })
@@ -265,8 +265,8 @@
 const MeetMethod = RelayName + ".Meet"
 
 // Meet handles an exchange of members. It is called by net/rpc; the error is always nil.
-func (r *Relay) Meet(ask membership.RosterRequest, reply *membership.RosterReply) error {
-	*reply = r.Roster.HandleRosterRequest(ask)
+func (r *Relay) Meet(request membership.RosterRequest, reply *membership.RosterReply) error {
+	*reply = r.Roster.HandleRosterRequest(request)
 	return nil
 }
 
@@ -282,8 +282,8 @@
 	}
 }
 
-// memberExchangeTarget returns the address for the i-th exchange: the router that answered first,
-// since each other one would send all members again. If none has answered, it cycles through the
+// memberExchangeTarget returns the address for the i-th exchange: the router that replied first,
+// since each other one would send all members again. If none has replied, it cycles through the
 // seeds and contacts.
 func (s *Start) memberExchangeTarget(i int) (string, bool) {
 	if address, ok := s.joinedVia.Load().(string); ok {
--- a/internal/edge/feed/join_test.go
+++ b/internal/edge/feed/join_test.go
@@ -69,10 +69,10 @@
 	delete(r.links, address)
 }
 
-func (r *fakeRoster) HandleRosterRequest(ask membership.RosterRequest) membership.RosterReply {
+func (r *fakeRoster) HandleRosterRequest(request membership.RosterRequest) membership.RosterReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.detector.HandleRosterRequest(ask)
+	return r.detector.HandleRosterRequest(request)
 }
 
 func (f *fakeFleet) newStart(self Peer) *Start {
@@ -316,7 +316,7 @@
 }
 
 // Guards against a fleet that does not serve after a power loss because the seeds are unresponsive.
-// Each router continues alone after the deadline, since none can tell it of the others.
+// Each router continues alone after the deadline, since none can inform it of the others.
 func TestFleetStartsWithUnresponsiveSeeds(t *testing.T) {
 	runStartingFleet(t, 30, func(f *startingFleet, live []Peer) {
 		for _, seed := range f.seeds {
--- a/internal/edge/feed/loads.go
+++ b/internal/edge/feed/loads.go
@@ -6,7 +6,7 @@
 )
 
 // loadLifetime is how long a load report of another router counts. Pulls arrive several times a
-// second. If three are missed, the router is considered gone, and its requests with it.
+// second. If three are missed, the router is considered dead and its requests ended.
 const loadLifetime = 1500 * time.Millisecond
 
 // Loads combines the loads of this router with those reported by others. It is safe for concurrent
@@ -26,7 +26,7 @@
 	return &Loads{own: own, children: make(map[string]*receivedReport)}
 }
 
-// FromChild applies the report of a router that pulls from this one. It returns false if a complete
+// FromChild applies the report of a router that pulls from this one. It returns false if a full
 // report is needed.
 func (l *Loads) FromChild(from string, report LoadReport, now time.Duration) bool {
 	l.mu.Lock()
@@ -42,7 +42,7 @@
 }
 
 // FromParent applies the report of the parent on the rest of the fleet. It returns false if a
-// complete report is needed.
+// full report is needed.
 func (l *Loads) FromParent(report LoadReport, now time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/edge/feed/pack.go
+++ b/internal/edge/feed/pack.go
@@ -118,7 +118,7 @@
 }
 
 // configUpdate returns the packed update from an older configuration to c. A nil old returns a
-// complete one. Errors: ErrMalformed.
+// full one. Errors: ErrMalformed.
 func (p *packer) configUpdate(c, old *catalog.Config) (*PackedConfig, error) {
 	base := uint64(0)
 	if old != nil {
--- a/internal/edge/feed/parent.go
+++ b/internal/edge/feed/parent.go
@@ -18,7 +18,7 @@
 }
 
 const (
-	// minDistrust is how long a router that did not answer or returned stale data is first skipped.
+	// minDistrust is how long a router that did not reply or returned stale data is first skipped.
 	// It covers a restart.
 	minDistrust = 2 * time.Second
 	// maxDistrust bounds the doubling for a router that fails each time it is retried. Each retry
@@ -34,7 +34,7 @@
 	distrustMemory = 10 * time.Second
 )
 
-// Distrust records the routers that did not answer or returned stale data, and until when they are
+// Distrust records the routers that did not reply or returned stale data, and until when they are
 // skipped. It is not safe for concurrent use.
 type Distrust map[string]distrustEntry
 
@@ -45,7 +45,7 @@
 	storeLost bool
 }
 
-// Add distrusts a router that did not answer or returned stale data, starting at now, for twice as
+// Add distrusts a router that did not reply or returned stale data, starting at now, for twice as
 // long as last time. It has no effect on a router that is already distrusted.
 func (d Distrust) Add(name string, now time.Duration) {
 	if !d.trusted(name, now) {
@@ -75,7 +75,7 @@
 }
 
 // Failures returns the routers known to be unable to reach the store, to be reported to others. If
-// each router had to find out by itself, all of them would call a store that is down.
+// each router had to detect this by itself, all of them would call a store that is down.
 func (d Distrust) Failures(now time.Duration) []Failure {
 	var out []Failure
 	for name, entry := range d {
@@ -116,16 +116,16 @@
 // store.
 //
 // The routers form a tree of two levels. In each site, all routers pull from the first trusted
-// router of the site, in an order that all compute alike; those with the fastest links come first
-// for that reason. The first router of the fleet reads the store, and the first routers of the
+// router of the site, in an order that all compute in the same way. The routers with the fastest
+// links precede the others in it, because the first ones send the most. The first router of the fleet reads the store, and the first routers of the
 // other sites pull from it. So store calls do not grow with the fleet, each byte crosses between
 // sites once per site, and routers that are lost or stale are skipped without an election. Routers
-// with different views may pull from each other in a cycle. Their data then grows old, they
+// with different views may pull from each other in a cycle. Their data then becomes stale, they
 // distrust each other, and one of them reads the store.
 //
 // A router that cannot reach the store distrusts itself and pulls from the next one. While the
-// store is down for all, the order applies as if all were trusted: one router keeps trying, and the
-// others add no calls.
+// store is down for all, the order applies as if all were trusted: one router retries, and the
+// others make no calls.
 func ParentOf(self Peer, live []Peer, d Distrust, now time.Duration) (Peer, bool) {
 	if d.storeDown(now) {
 		d = nil
--- a/internal/edge/feed/publish.go
+++ b/internal/edge/feed/publish.go
@@ -32,7 +32,7 @@
 }
 
 // maxPastConfigs is how many past configurations are kept to compute incremental updates. A router
-// whose configuration is older gets a complete one.
+// whose configuration is older gets a full one.
 const maxPastConfigs = 16
 
 // PastConfig returns a past configuration, or nil if it is no longer kept.
--- a/internal/edge/feed/reader.go
+++ b/internal/edge/feed/reader.go
@@ -20,8 +20,8 @@
 	failurePause    = 150 * time.Millisecond
 	maxFailurePause = time.Second
 	// storeLostReadAfter is the age of the catalog above which a router reads the store itself
-	// although other routers report the store as lost. By then six of them have tried or are about
-	// to, and not all routers should call a store that is down.
+	// although other routers report the store as lost. By then maxFailedReaders of them have tried
+	// or are about to, and not all routers should call a store that is down.
 	storeLostReadAfter = 20 * time.Second
 	// maxOwnReadPause bounds the doubling of the pauses of a router that reads for itself without
 	// being the reader.
@@ -31,20 +31,20 @@
 	idlePollInterval  = 50 * time.Millisecond
 	startPollInterval = 5 * time.Millisecond
 	// probeWait and probeTimeout apply to the first call of a router that became the reader. A
-	// healthy store answers it at once. A router cut off from the store is detected in half the
-	// time of a watch, so that several of them in a row do not use up the time allowed for a
+	// healthy store replies at once. A router that cannot reach the store is detected in half the
+	// time of a watch, so that several of them in a row do not exceed the time allowed for a
 	// change. Each failure doubles the timeout up to maxCallTimeout, because the store may be slow
 	// for all routers.
 	probeWait      = time.Millisecond
 	probeTimeout   = 500 * time.Millisecond
 	maxCallTimeout = 2 * time.Second
-	// storeLostAfter is how long the store must fail before another router may try. One lost packet
-	// or a moment of overload does not justify a change.
+	// storeLostAfter is how long the store must fail before another router becomes the reader. One
+	// lost packet or a short overload does not justify a change.
 	storeLostAfter = 100 * time.Millisecond
 )
 
-// Reader reads the store while this router is the reader, or when it has not heard from any other
-// router for too long.
+// Reader reads the store while this router is the reader, or when the data from the other routers is
+// too old.
 type Reader struct {
 	Board *Board
 	Store Store
@@ -113,7 +113,7 @@
 	schedule := newCallSchedule()
 	for ctx.Err() == nil {
 		if !r.shouldRead(which) {
-			// Earlier failures say nothing about the store by now.
+			// Earlier failures no longer indicate the state of the store.
 			r.downSince[which].Store(0)
 			schedule = newCallSchedule()
 			pause.For(ctx, r.pollInterval())
@@ -132,7 +132,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		r.recordFailure(which, err, schedule.answered)
+		r.recordFailure(which, err, schedule.lastOK)
 		pause.For(ctx, schedule.failed(r.maxPause()))
 	}
 }
@@ -146,9 +146,9 @@
 
 // callSchedule holds the timeouts and pauses of consecutive calls to the store.
 type callSchedule struct {
-	// answered is set if the last call succeeded.
-	answered bool
-	// timeout bounds the next call unless the last one was answered. pause follows its failure.
+	// lastOK is set if the last call succeeded.
+	lastOK bool
+	// timeout bounds the next call unless the last one succeeded. pause follows its failure.
 	timeout, pause time.Duration
 }
 
@@ -156,7 +156,7 @@
 
 // next returns how long the next call may be held and its timeout.
 func (s *callSchedule) next(t Timing) (hold, timeout time.Duration) {
-	if s.answered {
+	if s.lastOK {
 		return t.Watch, t.Watch + watchSlack
 	}
 	return probeWait, s.timeout
@@ -164,15 +164,15 @@
 
 func (s *callSchedule) succeeded() {
 	*s = newCallSchedule()
-	s.answered = true
+	s.lastOK = true
 }
 
 // failed returns the pause before the next call.
 func (s *callSchedule) failed(maxPause time.Duration) time.Duration {
-	if !s.answered {
+	if !s.lastOK {
 		s.timeout = min(2*s.timeout, maxCallTimeout)
 	}
-	s.answered = false
+	s.lastOK = false
 	wait := s.pause
 	s.pause = min(2*s.pause, maxPause)
 	return wait
@@ -209,20 +209,20 @@
 	return age > r.Timing().OwnReadAfter
 }
 
-// recordSuccess records that the store answered.
+// recordSuccess records that the store replied.
 func (r *Reader) recordSuccess(which int) {
 	if since := r.downSince[which].Swap(0); since != 0 {
 		r.Log.Info("store regained", "watch", watchNames[which], "down_for", r.Clock()-time.Duration(since))
 	}
 }
 
-// recordFailure records a failed call. The store counts as lost at once if it has not answered
-// since this router began to read it.
-func (r *Reader) recordFailure(which int, err error, answered bool) {
+// recordFailure records a failed call. The store counts as lost at once if no call has
+// succeeded since this router began to read it.
+func (r *Reader) recordFailure(which int, err error, lastOK bool) {
 	now := r.Clock()
 	r.failedAt.Store(int64(now))
 	since := now
-	if !answered {
+	if !lastOK {
 		since -= storeLostAfter
 	}
 	if r.downSince[which].CompareAndSwap(0, int64(since)) {
--- a/internal/edge/feed/relay.go
+++ b/internal/edge/feed/relay.go
@@ -15,11 +15,11 @@
 // RelayName is the name under which a Relay is registered with net/rpc.
 const RelayName = "Feed"
 
-// maxPullWait bounds the time for which a pull may ask to be held.
+// maxPullWait bounds the time for which a pull may request its reply to be held.
 const maxPullWait = time.Second
 
 // storeLostCheckInterval is how often a router that holds a pull checks whether it lost the store.
-// The requesting router then finds another source sooner.
+// The requesting router can then select another source sooner.
 const storeLostCheckInterval = 50 * time.Millisecond
 
 // PullArgs requests what is newer than the data of the requesting router.
@@ -51,16 +51,16 @@
 	// Config is the update from the requested version, or nil if that is the newest one.
 	Config        *PackedConfig
 	ConfigVersion uint64
-	// ConfigAge is the age of the last confirmation when the reply was made.
+	// ConfigAge is the age of the last confirmation when the reply was created.
 	ConfigAge time.Duration
 	// Evacuations holds all known evacuations if the requesting router may lack any of them, and is
 	// empty otherwise. ConfigAge applies to it too.
 	Evacuations catalog.EvacuationUpdate
 	// Engines is the update from the requested version. If that version is too old, AllEngines
-	// holds the complete list.
+	// holds the full list.
 	Engines    catalog.EngineUpdate
 	AllEngines *PackedEngines
-	// EnginesAge is the age of the last confirmation when the reply was made.
+	// EnginesAge is the age of the last confirmation when the reply was created.
 	EnginesAge time.Duration
 	// StoreLost means that the replying router is the reader and cannot reach the store.
 	StoreLost bool
@@ -80,7 +80,7 @@
 	Loads *LoadReply
 }
 
-// Relay answers the pulls of other routers from the board.
+// Relay replies to the pulls of other routers from the board.
 type Relay struct {
 	Board    *Board
 	Loads    *Loads
@@ -95,7 +95,7 @@
 	Failures func() []Failure
 	// Chain names the routers through which the catalog of this router arrives.
 	Chain func() []string
-	// Done is closed when pulls must no longer be held.
+	// Done is closed when replies to pulls must no longer be held.
 	Done <-chan struct{}
 	Log  *log.Logger
 
--- a/internal/edge/feed/report.go
+++ b/internal/edge/feed/report.go
@@ -65,12 +65,12 @@
 type LoadReport struct {
 	// Seq numbers the state that the receiver holds after applying this report, and Base the state
 	// that it must hold before. A report contains only changes; an entry with a zero load removes
-	// an engine. With a Base of zero the report is complete.
+	// an engine. With a Base of zero the report is full.
 	Base, Seq uint64
 	Engines   map[string]EngineLoad
 }
 
-// add adds a report that was made age ago.
+// add adds a report that was created age ago.
 func (r *LoadReport) add(o LoadReport, age time.Duration) {
 	for id, l := range o.Engines {
 		l.Evidence = l.Evidence.After(age)
@@ -101,11 +101,11 @@
 
 // next returns the report that takes the other router from the state have to the current one, and
 // records it as sent. If have is not the last state sent, because the other router restarted or a
-// report was lost, the report is complete.
+// report was lost, the report is full.
 func (s *reportState) next(have uint64, current LoadReport, now time.Duration) LoadReport {
 	if s.seq == 0 || have != s.seq {
 		// A random number does not match one from before a restart of this router. Half of the
-		// range is left for counting up.
+		// range remains for later increments.
 		s.seq = rand.Uint64()>>1 | 1
 		s.engines = current.Engines
 		s.sentAt = make(map[string]time.Duration, len(current.Engines))
--- a/internal/edge/feed/report_test.go
+++ b/internal/edge/feed/report_test.go
@@ -29,7 +29,7 @@
 			relay.Loads = NewLoads(func() map[string]EngineLoad { return map[string]EngineLoad{} })
 			var sent, got bytes.Buffer
 			up, down := gob.NewEncoder(&sent), gob.NewEncoder(&got)
-			var asks reporter
+			var childReporter reporter
 			acked, have := uint64(0), uint64(0)
 			pull := func() {
 				var reply PullReply
@@ -37,7 +37,7 @@
 				fleet.advance(pullWait, now)
 				own.advance(pullWait, now)
 				relay.Loads.FromParent(LoadReport{Engines: fleet.loads(now)}, now)
-				args.Loads = &LoadArgs{From: "child", Have: have, Report: asks.report("parent", acked, engines, now, func() LoadReport {
+				args.Loads = &LoadArgs{From: "child", Have: have, Report: childReporter.report("parent", acked, engines, now, func() LoadReport {
 					return LoadReport{Engines: own.loads(now)}
 				})}
 				require.NoError(b, relay.Pull(args, &reply))
--- a/internal/edge/feed/restart_test.go
+++ b/internal/edge/feed/restart_test.go
@@ -70,7 +70,7 @@
 	f.stop(parent.Name)
 	time.Sleep(2 * time.Second)
 	f.cut.Store(child.Name, true)
-	// A pull sent before the cut is still answered.
+	// A pull sent before the cut still gets a reply.
 	time.Sleep(2 * pullWait)
 	change()
 	time.Sleep(100 * time.Millisecond)
--- a/internal/edge/feed/start_bench_test.go
+++ b/internal/edge/feed/start_bench_test.go
@@ -25,13 +25,13 @@
 		var encoded []byte
 		b.Run(name+"/asked", func(b *testing.B) {
 			for b.Loop() {
-				encoded = encodedAnswer(b, asked, newFakeRoster(Peer{Name: "new", Address: "new", Site: "site-0"}))
+				encoded = encodedReply(b, asked, newFakeRoster(Peer{Name: "new", Address: "new", Site: "site-0"}))
 			}
 			b.ReportMetric(float64(len(encoded)), "B-down/start")
 		})
 		b.Run(name+"/starting", func(b *testing.B) {
 			for b.Loop() {
-				applyAnswer(b, encoded, size.routers, size.engines, size.routes)
+				applyReply(b, encoded, size.routers, size.engines, size.routes)
 			}
 		})
 	}
@@ -60,8 +60,8 @@
 	return newFakeRoster(p).RosterRequest("anybody").Rows[0]
 }
 
-// encodedAnswer returns the encoded reply to a starting router.
-func encodedAnswer(b *testing.B, asked *Relay, starting *fakeRoster) []byte {
+// encodedReply returns the encoded reply to a starting router.
+func encodedReply(b *testing.B, asked *Relay, starting *fakeRoster) []byte {
 	var reply PullReply
 	var out bytes.Buffer
 	require.NoError(b, asked.Pull(PullArgs{From: "new", Wait: pullWait, Roster: starting.RosterRequest("asked")}, &reply))
@@ -69,8 +69,8 @@
 	return out.Bytes()
 }
 
-// applyAnswer decodes and applies the encoded reply.
-func applyAnswer(b *testing.B, encoded []byte, routers, engines, routes int) {
+// applyReply decodes and applies the encoded reply.
+func applyReply(b *testing.B, encoded []byte, routers, engines, routes int) {
 	var reply PullReply
 	require.NoError(b, gob.NewDecoder(bytes.NewReader(encoded)).Decode(&reply))
 	roster := newFakeRoster(Peer{Name: "new", Address: "new", Site: "site-0"})
--- a/internal/edge/feed/status.go
+++ b/internal/edge/feed/status.go
@@ -17,30 +17,30 @@
 	// StateNotReady means that the router has no sufficiently recent configuration.
 	StateNotReady State = "not ready"
 	StateLeaving  State = "leaving"
-	// StateStoreLost means that the router serves requests but cannot reach the store, or hears
-	// that no router can.
+	// StateStoreLost means that the router serves requests but cannot reach the store, or was
+	// informed that no router can.
 	StateStoreLost State = "store lost"
 	// StateNotHeard means that the router is a member from which no status has arrived.
 	StateNotHeard State = "not heard"
 )
 
-// Status describes a router for operators. Ages are as of the time at which the status was made.
+// Status describes a router for operators. Ages are as of the time at which the status was created.
 type Status struct {
 	Router string `json:"router"`
 	Site   string `json:"site"`
 	State  State  `json:"state"`
-	// Settings is the digest of the settings in force, SettingsAge the time since they took effect.
+	// Settings is the digest of the active settings, SettingsAge the time since they took effect.
 	Settings    string        `json:"settings"`
 	SettingsAge time.Duration `json:"settings_age"`
 	// Waiting lists the fields of the settings file that take effect at a restart. Problem
 	// describes an invalid file and is empty if there is none.
 	Waiting []string `json:"waiting,omitempty"`
 	Problem string   `json:"problem,omitempty"`
-	// Config is the version of the configuration in force, ConfigAge the time since it was last
+	// Config is the version of the active configuration, ConfigAge the time since it was last
 	// confirmed. Both are zero for none.
 	Config    uint64        `json:"config"`
 	ConfigAge time.Duration `json:"config_age"`
-	// Evacuated lists the sites whose engines get no requests from the router by an operator's
+	// Evacuated lists the sites whose engines the router sends no requests because of an operator's
 	// order.
 	Evacuated []string `json:"evacuated,omitempty"`
 	// Version is the version of the program, UpFor the uptime of the process. Boot distinguishes
@@ -48,7 +48,7 @@
 	Version string        `json:"version"`
 	UpFor   time.Duration `json:"up_for"`
 	Boot    uint64        `json:"boot"`
-	// Age is the time since the router made this status.
+	// Age is the time since the router created this status.
 	Age time.Duration `json:"age"`
 }
 
@@ -160,8 +160,8 @@
 	return out
 }
 
-// resetSent makes the next update a complete one. It is called after a failed pull, when it is
-// unknown whether the parent got the last update.
+// resetSent makes the next update a full one. It is called after a failed pull, when it is
+// unknown whether the parent received the last update.
 func (s *Statuses) resetSent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,7 +186,7 @@
 
 // Fleet is the state of the whole fleet as determined by one router.
 type Fleet struct {
-	// SeenBy is the router that was queried, ToldBy the one that supplied the list.
+	// SeenBy is the router that was queried, ToldBy the one whose list it is.
 	SeenBy   string   `json:"seen_by"`
 	ToldBy   string   `json:"told_by"`
 	Statuses []Status `json:"routers"`
@@ -197,7 +197,7 @@
 
 // Fleet returns the statuses of all members. It requests them from the router at the top of the
 // pull tree, which receives all of them, or from the next routers in the order if that call fails.
-// Members without a status are listed as StateUnheard.
+// Members without a status are listed as StateNotHeard.
 func (f *Follower) Fleet(ctx context.Context) Fleet {
 	out := Fleet{SeenBy: f.Self.Name, ToldBy: f.Self.Name}
 	chain := f.Chain()
--- a/internal/edge/flow/client.go
+++ b/internal/edge/flow/client.go
@@ -12,12 +12,12 @@
 	"github.com/zeebo/errs"
 )
 
-// Errors of Asker.Ask.
+// Errors of Client.Acquire.
 var (
 	// ErrRefused means that the owner refused the request: it would have to wait too long for a
-	// slot, or the engine takes no more requests.
+	// slot, or the engine accepts no more requests.
 	ErrRefused = errs.Class("slot refused")
-	// ErrOwnerUnreachable means that the owner of the engine's gate can't be asked.
+	// ErrOwnerUnreachable means that the owner of the engine's gate can't be called.
 	ErrOwnerUnreachable = errs.Class("gate owner unreachable")
 	// ErrCanceled means that the request's context ended before the decision: the caller left, or
 	// its deadline passed.
@@ -25,20 +25,19 @@
 )
 
 const (
-	// callMargin is how much longer than the request's wait an owner may take to answer. It covers
+	// callMargin is how much longer than the request's wait an owner may take to reply. It covers
 	// the retransmission of a packet.
 	callMargin = 250 * time.Millisecond
-	// ownerCooldown is how long an owner that gave no answer is not asked again.
+	// ownerCooldown is how long an owner that did not reply is not called again.
 	ownerCooldown = 2 * time.Second
 	// releaseDelay is how long a release is delayed to be sent together with others to the same
-	// owner. The slot stands idle meanwhile, which is little compared with the seconds it was in
-	// use.
+	// owner. The slot is idle meanwhile, which is little compared with the seconds it was in use.
 	releaseDelay = 3 * time.Millisecond
 	// releaseTimeout bounds a release call.
 	releaseTimeout = time.Second
 )
 
-// Options configures an Asker.
+// Options configures a Client.
 type Options struct {
 	Self  string
 	Owner *Owner
@@ -61,7 +60,7 @@
 	pendingReleases map[feed.Peer][]LeaseRef
 }
 
-// NewClient returns an Asker.
+// NewClient returns a Client.
 func NewClient(o Options) *Client {
 	return &Client{
 		Options: o, owners: ownerCache{live: o.Live, engines: o.Engines},
@@ -69,15 +68,15 @@
 	}
 }
 
-// Permit is a slot at an engine. It must be released exactly once.
+// Permit is the granted right to a slot at an engine. It must be released exactly once.
 type Permit struct {
 	owner  feed.Peer
 	engine string
 	id     string
 }
 
-// Acquire requests a slot and waits for the decision. It fails with ErrRefused, ErrOwnerUnreachable or
-// ErrCanceled. If the owner refused the request, the answer has the details.
+// Acquire requests a slot and waits for the decision. Errors: ErrRefused, ErrOwnerUnreachable,
+// ErrCanceled. If the owner refused the request, the reply has the details.
 func (c *Client) Acquire(ctx context.Context, req SlotRequest) (*Permit, Answer, error) {
 	now := c.Clock()
 	owner, ok := c.owners.ownerOf(req.Engine, now)
@@ -93,41 +92,41 @@
 	return c.acquireRemote(ctx, permit, req)
 }
 
-func (c *Client) result(ctx context.Context, permit *Permit, answer Answer) (*Permit, Answer, error) {
-	if answer.Granted {
-		return permit, answer, nil
+func (c *Client) result(ctx context.Context, permit *Permit, reply Answer) (*Permit, Answer, error) {
+	if reply.Granted {
+		return permit, reply, nil
 	}
 	if ctx.Err() != nil {
-		return nil, answer, ErrCanceled.Wrap(ctx.Err())
+		return nil, reply, ErrCanceled.Wrap(ctx.Err())
 	}
-	return nil, answer, ErrRefused.New("engine %s, predicted wait %s", permit.engine, answer.Wait)
+	return nil, reply, ErrRefused.New("engine %s, predicted wait %s", permit.engine, reply.Wait)
 }
 
 // acquireRemote requests a slot from another router. Canceling the call would close the connection
-// with the calls of other requests on it. When ctx ends, it therefore returns but waits for the
-// answer in the background, and releases the slot if it was granted.
+// with the calls of other requests on it. When ctx ends, acquireRemote therefore returns, waits
+// for the reply in the background, and releases the slot if it was granted.
 func (c *Client) acquireRemote(ctx context.Context, permit *Permit, req SlotRequest) (*Permit, Answer, error) {
 	type outcome struct {
-		answer Answer
-		err    error
+		reply Answer
+		err   error
 	}
 	done := make(chan outcome, 1)
 	go func() {
 		callCtx, cancel := context.WithTimeout(context.Background(), req.MaxWait+callMargin)
 		defer cancel()
 		var out outcome
-		out.err = c.Call(callCtx, permit.owner, AskMethod, req, &out.answer)
+		out.err = c.Call(callCtx, permit.owner, AskMethod, req, &out.reply)
 		done <- out
 	}()
 	select {
 	case out := <-done:
 		if out.err != nil {
-			return nil, Answer{}, c.handleNoAnswer(permit, out.err)
+			return nil, Answer{}, c.handleNoReply(permit, out.err)
 		}
-		return c.result(ctx, permit, out.answer)
+		return c.result(ctx, permit, out.reply)
 	case <-ctx.Done():
 		go func() {
-			if out := <-done; out.err == nil && out.answer.Granted {
+			if out := <-done; out.err == nil && out.reply.Granted {
 				c.Release(permit)
 			}
 		}()
@@ -135,9 +134,9 @@
 	}
 }
 
-// handleNoAnswer starts the cooldown of an owner that gave no answer. It also releases the slot,
-// which the owner may have granted.
-func (c *Client) handleNoAnswer(permit *Permit, err error) error {
+// handleNoReply starts the cooldown of an owner that did not reply. It also releases the slot, which
+// the owner may have granted.
+func (c *Client) handleNoReply(permit *Permit, err error) error {
 	now := c.Clock()
 	c.mu.Lock()
 	firstFailure := now >= c.cooldownUntil[permit.owner.Name]
--- a/internal/edge/flow/flow_test.go
+++ b/internal/edge/flow/flow_test.go
@@ -86,7 +86,7 @@
 }
 
 // Guards against sending several requests to an engine with one slot when routers see the free slot
-// at the same moment: all of them ask the same owner, which counts.
+// at the same moment: all of them request it from the same owner, which counts.
 func TestOneSlotIsNotGrantedTwice(t *testing.T) {
 	runInFleet(t, func(f *fakeFleet, owner string, others []string) {
 		ctx := context.Background()
@@ -100,9 +100,9 @@
 		}()
 		time.Sleep(100 * time.Millisecond)
 		require.Empty(t, granted)
-		_, answer, err := f.clients[owner].Acquire(ctx, newRequest(1, 10*time.Millisecond))
+		_, reply, err := f.clients[owner].Acquire(ctx, newRequest(1, 10*time.Millisecond))
 		require.True(t, ErrRefused.Has(err))
-		require.Positive(t, answer.Wait)
+		require.Positive(t, reply.Wait)
 		f.clients[others[0]].Release(first)
 		time.Sleep(10 * time.Millisecond)
 		require.Len(t, granted, 1)
@@ -111,7 +111,7 @@
 }
 
 // Guards against slots that stay idle after a caller left while its request was waiting, or before
-// the owner's answer arrived: a slot granted to it is released.
+// the owner's reply arrived: a slot granted to it is released.
 func TestSlotIsReleasedAfterCallerLeft(t *testing.T) {
 	runInFleet(t, func(f *fakeFleet, owner string, others []string) {
 		first, _, err := f.clients[others[0]].Acquire(context.Background(), newRequest(1, time.Second))
@@ -129,8 +129,8 @@
 }
 
 // Guards against requests of a service that all hang while an owner is frozen: a call is given up
-// shortly after the request's maximum wait, and the owner is not asked again for a while. Such
-// requests are sent without asking.
+// shortly after the request's maximum wait, and the owner is not called again for a while. Such
+// requests are sent without a slot.
 func TestUnresponsiveOwnerIsNotAskedForAWhile(t *testing.T) {
 	runInFleet(t, func(f *fakeFleet, owner string, others []string) {
 		f.silent[owner] = true
@@ -179,17 +179,17 @@
 		require.NoError(t, err)
 		req := newRequest(1, 10*time.Millisecond)
 		req.Subject, req.Attempt, req.Slack = 7, 1, 300*time.Millisecond
-		_, answer, err := f.clients[others[0]].Acquire(context.Background(), req)
+		_, reply, err := f.clients[others[0]].Acquire(context.Background(), req)
 		require.True(t, ErrRefused.Has(err))
-		require.False(t, answer.Late)
+		require.False(t, reply.Late)
 		time.Sleep(time.Second)
 		order := make(chan uint64, 2)
 		wait := func(router string, attempt, subject uint64) {
 			req := newRequest(1, 10*time.Second)
 			req.Subject, req.Attempt, req.Slack = subject, attempt, 300*time.Millisecond
-			p, answer, err := f.clients[router].Acquire(context.Background(), req)
+			p, reply, err := f.clients[router].Acquire(context.Background(), req)
 			require.NoError(t, err)
-			require.Equal(t, attempt == 2, answer.Late)
+			require.Equal(t, attempt == 2, reply.Late)
 			order <- attempt
 			time.Sleep(time.Second)
 			f.clients[router].Release(p)
--- a/internal/edge/flow/owner.go
+++ b/internal/edge/flow/owner.go
@@ -1,9 +1,9 @@
 // Package flow is the flow control between routers: it determines which router owns the gate of
-// which engine, and lets the other routers ask it.
+// which engine, and lets the other routers request slots from the owner.
 //
-// While engines have free slots, requests are sent without asking. Once a service fills up, each
-// request asks the router that owns the engine for a slot: it is granted one, waits there, or is
-// refused at once; see package gate.
+// While engines have free slots, requests are sent without a permit. Once a service fills up, the
+// router requests a slot for each request from the owner of the engine's gate, which grants it,
+// queues the request, or refuses it at once; see package gate.
 package flow
 
 import (
@@ -21,10 +21,10 @@
 	// UrgencyClasses is the number of urgency classes.
 	UrgencyClasses = 10
 	// settleInterval is how often waiting requests are checked: a hundredth of the time within
-	// which answers should begin.
+	// which responses should begin.
 	settleInterval = 5 * time.Millisecond
-	// idleGateTTL is how long an unused gate is kept. Its estimate of the drain rate is outdated by
-	// then.
+	// idleGateTTL is how long an unused gate is retained. After that, its estimate of the drain rate
+	// is outdated.
 	idleGateTTL = 10 * time.Second
 	// peakWindow is how long the peak number of leases of a gate is remembered. Load reports are up
 	// to this old; a lease that they count may have ended since.
@@ -45,7 +45,7 @@
 type Owner struct {
 	clock        Clock
 	reportedLoad func(engine string) ReportedLoad
-	// outOfService reports whether an engine takes no more requests.
+	// outOfService reports whether an engine accepts no more requests.
 	outOfService func(engine string) bool
 
 	mu      sync.Mutex
@@ -72,7 +72,7 @@
 }
 
 // NewOwner returns an Owner. reportedLoad returns an engine's load according to reports, and
-// outOfService reports whether the engine takes no more requests.
+// outOfService reports whether the engine accepts no more requests.
 func NewOwner(clock Clock, reportedLoad func(engine string) ReportedLoad, outOfService func(engine string) bool) *Owner {
 	return &Owner{clock: clock, reportedLoad: reportedLoad, outOfService: outOfService, gates: make(map[string]*ownedGate), wakeup: make(chan struct{}, 1)}
 }
@@ -89,8 +89,8 @@
 	Urgency int
 	// Weight is the work of the request; see package forward.
 	Weight int64
-	// Subject is the same for all attempts at the request, or zero if they can't be told apart from
-	// others. Attempt identifies this attempt. Slack is how long after the first attempt the
+	// Subject is the same for all attempts at the request, or zero if they can't be distinguished
+	// from others. Attempt identifies this attempt. Slack is how long after the first attempt the
 	// request may start and still be on time. Late means that this attempt can't be on time, as far
 	// as the sender knows.
 	Subject uint64
@@ -104,7 +104,7 @@
 	Pace gate.Pace
 }
 
-// Answer is the owner's answer to an Ask.
+// Answer is the owner's reply to a SlotRequest.
 type Answer struct {
 	Granted bool
 	// Wait is how long the request would have had to wait. It is set on a refusal.
@@ -114,8 +114,8 @@
 	Late bool
 }
 
-// Acquire requests a slot from a gate of this router. It returns once there is a decision, which takes
-// MaxWait at most, or when the context ends.
+// Acquire requests a slot from a gate of this router. It returns once there is a decision, which
+// takes MaxWait at most, or when the context ends.
 func (o *Owner) Acquire(ctx context.Context, req SlotRequest) Answer {
 	decision, late, decided := o.submit(req)
 	if decided != nil {
@@ -130,7 +130,7 @@
 
 // submit passes a request to its gate and reports whether it is late. The channel is nil if the
 // decision is immediate.
-func (o *Owner) submit(req SlotRequest) (v gate.Decision, late bool, decided chan gate.Decision) {
+func (o *Owner) submit(req SlotRequest) (immediate gate.Decision, late bool, decided chan gate.Decision) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.clock()
@@ -157,10 +157,10 @@
 	return gate.Decision{}, late, decided
 }
 
-// recordDecision remembers a refusal, so that a retry of the request is recognized. The caller must
+// recordDecision records a refusal, so that a retry of the request is recognized. The caller must
 // hold o.mu.
-func (o *Owner) recordDecision(req SlotRequest, v gate.Decision, now time.Duration) {
-	if v.Granted {
+func (o *Owner) recordDecision(req SlotRequest, decision gate.Decision, now time.Duration) {
+	if decision.Granted {
 		o.refused.Forget(req.Subject)
 		return
 	}
@@ -223,23 +223,23 @@
 	now := o.clock()
 	g.updatePeak(now)
 	if !g.Gate.Release(at(now), id) {
-		// The sender gave up the request, and its release arrived before the decision was made.
+		// The sender aborted the request, and its release arrived before the decision was made.
 		g.Withdraw(at(now), id)
-		g.abandon(id)
+		g.abort(id)
 	}
 	o.settle(engine, g, now)
 }
 
-// abandon ends a waiting request that its sender has given up. Without a decision, the call that
-// waits for it here would never return.
-func (g *ownedGate) abandon(id string) {
+// abort ends a waiting request that its sender has aborted. Without a decision, the call that waits
+// for it here would never return.
+func (g *ownedGate) abort(id string) {
 	if w, ok := g.waiting[id]; ok {
 		delete(g.waiting, id)
 		w.decided <- gate.Decision{ID: id}
 	}
 }
 
-// RouterGone ends the leases and waiting requests of a router that is gone.
+// RouterGone ends the leases and waiting requests of a router that has left or died.
 func (o *Owner) RouterGone(router string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -248,7 +248,7 @@
 		g.DropHolder(at(now), router)
 		for id, w := range g.waiting {
 			if w.req.From == router {
-				g.abandon(id)
+				g.abort(id)
 			}
 		}
 		o.settle(engine, g, now)
@@ -262,14 +262,14 @@
 	if o.outOfService(engine) {
 		settle = g.RefuseAll
 	}
-	for _, v := range settle(at(now)) {
-		w, ok := g.waiting[v.ID]
+	for _, decision := range settle(at(now)) {
+		w, ok := g.waiting[decision.ID]
 		if !ok {
 			continue
 		}
-		delete(g.waiting, v.ID)
-		o.recordDecision(w.req, v, now)
-		w.decided <- v
+		delete(g.waiting, decision.ID)
+		o.recordDecision(w.req, decision, now)
+		w.decided <- decision
 	}
 	g.updatePeak(now)
 }
--- a/internal/edge/flow/owners.go
+++ b/internal/edge/flow/owners.go
@@ -11,7 +11,7 @@
 
 const (
 	// enginesPerOwner is the average number of engines per owner. While a surge lasts, each router
-	// keeps a connection to each owner, and each engine's gate is asked about fifty times per
+	// keeps a connection to each owner, and each engine's gate receives about fifty requests per
 	// second.
 	enginesPerOwner = 4
 	// ownersTTL is how long a list of owners is cached.
@@ -24,7 +24,7 @@
 )
 
 // SelectOwners returns the routers that own gates, selected from the live ones for the given number
-// of engines. It selects those with the best links, which have the most to spare.
+// of engines. It selects those with the best links, which have the most free bandwidth.
 func SelectOwners(live []feed.Peer, engines int) []feed.Peer {
 	n := min(max((engines+enginesPerOwner-1)/enginesPerOwner, 1), len(live))
 	sorted := slices.Clone(live)
--- a/internal/edge/flow/service.go
+++ b/internal/edge/flow/service.go
@@ -20,7 +20,7 @@
 // Empty is an empty reply.
 type Empty struct{}
 
-// Service answers calls of other routers. Its methods are called by net/rpc and never return an
+// Service handles calls of other routers. Its methods are called by net/rpc and never return an
 // error.
 type Service struct{ Owner *Owner }
 
--- a/internal/edge/forward/attempttimeout.go
+++ b/internal/edge/forward/attempttimeout.go
@@ -11,52 +11,54 @@
 	"github.com/zeebo/errs"
 )
 
-// errAttemptTimeout ends an attempt at an engine that takes much longer to answer than the engines
+// errAttemptTimeout ends an attempt at an engine that takes much longer to respond than the engines
 // of its service usually do.
 var errAttemptTimeout = errs.Class("attempt timeout")
 
-// answerTimes records how long answers take, by service. It is safe for concurrent use.
-type answerTimes struct {
+// responseTimes records how long responses take, by service. It is safe for concurrent use.
+type responseTimes struct {
 	mu        sync.Mutex
 	byService map[string]*health.Latency
 }
 
-func newAnswerTimes() *answerTimes { return &answerTimes{byService: make(map[string]*health.Latency)} }
+func newResponseTimes() *responseTimes {
+	return &responseTimes{byService: make(map[string]*health.Latency)}
+}
 
-// record adds the time to an answer, or to an attempt's timeout.
-func (a *answerTimes) record(service string, took time.Duration) {
+// record adds the time to a response, or to an attempt's timeout.
+func (a *responseTimes) record(service string, took time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.pace(service).Observe(took)
+	a.latency(service).Observe(took)
 }
 
-func (a *answerTimes) attemptTimeout(service string, objective time.Duration) time.Duration {
+func (a *responseTimes) attemptTimeout(service string, objective time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.pace(service).SilenceTimeout(objective)
+	return a.latency(service).SilenceTimeout(objective)
 }
 
-// pace returns the answer times of a service. The caller holds the mutex.
-func (a *answerTimes) pace(service string) *health.Latency {
-	pace := a.byService[service]
-	if pace == nil {
-		pace = &health.Latency{}
-		a.byService[service] = pace
+// latency returns the response times of a service. The caller holds the mutex.
+func (a *responseTimes) latency(service string) *health.Latency {
+	latency := a.byService[service]
+	if latency == nil {
+		latency = &health.Latency{}
+		a.byService[service] = latency
 	}
-	return pace
+	return latency
 }
 
 // withAttemptTimeout returns a context that is canceled with errAttemptTimeout as its cause if the
-// engine does not answer in time and the request can go to another engine. Otherwise an engine that
-// hangs, or whose answer was lost, would use up the time of a request that another engine could
-// serve at once. Only idempotent requests have an attempt timeout: the work that an engine has done
-// for a stream costs much more than a second short answer. The returned function stops the timer
-// and must be called once the engine has answered.
+// engine does not respond in time and the request can go to another engine. Otherwise an engine
+// that hangs, or whose response was lost, would use up the time of a request that another engine
+// could serve at once. Only idempotent requests have an attempt timeout: for a stream, the work that
+// the first engine has done costs much more than a second short response. The returned function
+// stops the timer and must be called once the engine has responded.
 func (x *exchange) withAttemptTimeout(ctx context.Context, e catalog.Engine) (context.Context, func()) {
 	if x.route.Kind != catalog.Idempotent || x.executed+1 >= x.route.Attempts {
 		return ctx, func() {}
 	}
-	timeout := x.f.answerTimes.attemptTimeout(e.Service, x.route.Objective)
+	timeout := x.f.responseTimes.attemptTimeout(e.Service, x.route.Objective)
 	if timeout <= 0 || timeout >= x.remaining() {
 		return ctx, func() {}
 	}
@@ -65,7 +67,7 @@
 	excluded[e.ID] = true
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(timeout, func() {
-		// The budget is checked last, because a successful Spend uses it up.
+		// The budget is checked last, because a successful Spend takes a retry from it.
 		if x.f.Engines.HasFreeSlot(snapshot, e.Service, excluded) && x.f.Budget.Spend(e.Service, x.f.Clock()) {
 			cancel(errAttemptTimeout.New("no answer within %s", timeout))
 		}
--- a/internal/edge/forward/budget.go
+++ b/internal/edge/forward/budget.go
@@ -7,8 +7,8 @@
 	"damaskrouter.example/damaskrouter/internal/decide/retry"
 )
 
-// RetryBudgetLimits limit how many sends beyond the first send of each request the whole fleet may make
-// to one service.
+// RetryBudgetLimits limit the sends of the whole fleet to one service beyond the first send of each
+// request.
 type RetryBudgetLimits struct {
 	// Ratio is the allowed share of the requests in a window. Slack is the number of sends allowed
 	// in addition.
@@ -19,16 +19,16 @@
 }
 
 // budgetMargin is the share of the limits that the routers use. Their counts are not aligned with
-// the windows of whoever checks the limits.
+// the windows in which operators check the limits.
 const budgetMargin = 0.7
 
 // minRouters is the minimum number of routers by which the slack is divided. A router that knows of
 // fewer has most likely not discovered the others yet.
 const minRouters = 6
 
-// RetryBudgets holds one router's share of the fleet's retry budget for each service. Each router uses
-// the ratio of its own requests and an equal part of the slack, which keeps the sum within the
-// limits for any traffic split without communication. It is safe for concurrent use.
+// RetryBudgets holds one router's share of the fleet's retry budget for each service. Each router
+// applies the ratio to its own requests and gets an equal share of the slack, which keeps the sum
+// within the limits for any traffic split without communication. It is safe for concurrent use.
 type RetryBudgets struct {
 	limits  func() RetryBudgetLimits
 	routers func() int
@@ -37,8 +37,8 @@
 	byService map[string]*retry.Budget
 }
 
-// NewRetryBudgets returns full budgets. The function limits returns the limits in force, and routers the
-// number of routers that share them.
+// NewRetryBudgets returns full budgets. The function limits returns the active limits, and routers
+// the number of routers that share them.
 func NewRetryBudgets(limits func() RetryBudgetLimits, routers func() int) *RetryBudgets {
 	return &RetryBudgets{limits: limits, routers: routers, byService: make(map[string]*retry.Budget)}
 }
--- a/internal/edge/forward/cold_test.go
+++ b/internal/edge/forward/cold_test.go
@@ -62,7 +62,7 @@
 }
 
 // Guards against a burst of requests at engines that have just started. They get no more than their
-// rate, and the other engines take the rest without delay.
+// rate, and the other engines serve the rest without delay.
 func TestColdEnginesAreRateLimited(t *testing.T) {
 	withTestRouter(t, 4, func(tr *testRouter) {
 		tr.snapshot = coldSnapshot(4, 2, 5)
--- a/internal/edge/forward/engines.go
+++ b/internal/edge/forward/engines.go
@@ -14,7 +14,7 @@
 	"damaskrouter.example/damaskrouter/internal/edge/health"
 )
 
-// Balancer tracks the requests of this router at each engine and how they end, and chooses engines
+// Balancer tracks the requests of this router at each engine and how they end, and selects engines
 // for requests. It is safe for concurrent use.
 type Balancer struct {
 	site string
@@ -27,9 +27,10 @@
 
 	mu       sync.Mutex
 	ownLoads map[string]*ownLoad
-	// ejected holds the IDs of ejected engines, so that Review returns only changes.
+	// ejected holds the IDs of ejected engines, so that EjectionChanges returns only
+	// changes.
 	ejected map[string]bool
-	// promptCaches records which engines this router has sent which prompt parts.
+	// promptCaches records which prompt parts this router has sent to which engines.
 	promptCaches promptCaches
 	// states holds the last observation of each engine by ID. knownSince is the boot time at which
 	// this router first knew any engine.
@@ -53,7 +54,7 @@
 	record           health.Record
 }
 
-// NewBalancer returns an Engines for a router in a site. The function others returns the loads
+// NewBalancer returns a Balancer for a router in a site. The function others returns the loads
 // reported by the other routers, by engine ID.
 func NewBalancer(site string, others func() map[string]feed.EngineLoad, clock func() time.Duration, rng *rand.Rand) *Balancer {
 	return &Balancer{
@@ -98,7 +99,7 @@
 // Choice is the engine selected for a request.
 type Choice struct {
 	Engine catalog.Engine
-	// FetchFrom is the address of an engine from whose cache the chosen one should fetch the
+	// FetchFrom is the address of an engine from whose cache the selected one should fetch the
 	// missing parts of the prompt, or empty. Fetching takes less time and load than processing the
 	// prompt again.
 	FetchFrom string
@@ -152,25 +153,24 @@
 }
 
 // fetchSource returns the address of the engine to fetch the prompt from, or an empty string if the
-// chosen engine has the longest part already, because asking another engine costs a few
-// milliseconds. It tries in this order: the engine to which this router last sent the longest part,
+// selected engine has the longest part already, because a fetch costs a few milliseconds. It tries in this order: the engine to which this router last sent the longest part,
 // the engine that had the prompt before according to the hash order, and the engines to which this
 // router last sent shorter parts. If none qualifies, it falls back to the first other engine of the
 // hash order. The caller holds the mutex.
 func (p *Balancer) fetchSource(engines []catalog.Engine, candidates []choose.Engine, placement choose.Placement, shared []string, now time.Duration) string {
-	chosen := engines[placement.Engine].ID
+	selected := engines[placement.Engine].ID
 	longest := len(shared) - 1
-	if p.promptCaches.contains(chosen, shared[longest], now) {
+	if p.promptCaches.contains(selected, shared[longest], now) {
 		return ""
 	}
-	if address, ok := p.sourceAddress(engines, candidates, chosen, shared[longest], now); ok {
+	if address, ok := p.sourceAddress(engines, candidates, selected, shared[longest], now); ok {
 		return address
 	}
 	if placement.Holder != choose.NoEngine && placement.Moved {
 		return engines[placement.Holder].Address
 	}
-	for i := longest - 1; i >= 0 && !p.promptCaches.contains(chosen, shared[i], now); i-- {
-		if address, ok := p.sourceAddress(engines, candidates, chosen, shared[i], now); ok {
+	for i := longest - 1; i >= 0 && !p.promptCaches.contains(selected, shared[i], now); i-- {
+		if address, ok := p.sourceAddress(engines, candidates, selected, shared[i], now); ok {
 			return address
 		}
 	}
@@ -180,11 +180,11 @@
 	return engines[placement.Holder].Address
 }
 
-// sourceAddress returns the address of the engine, other than the chosen one, to which this router
+// sourceAddress returns the address of the engine, other than the selected one, to which this router
 // last sent the part. It returns false for an ejected engine: a request would wait for an engine
 // that does not respond. The caller holds the mutex.
-func (p *Balancer) sourceAddress(engines []catalog.Engine, candidates []choose.Engine, chosen, part string, now time.Duration) (string, bool) {
-	holder, ok := p.promptCaches.otherEngine(chosen, part, now)
+func (p *Balancer) sourceAddress(engines []catalog.Engine, candidates []choose.Engine, selected, part string, now time.Duration) (string, bool) {
+	holder, ok := p.promptCaches.otherEngine(selected, part, now)
 	if !ok {
 		return "", false
 	}
@@ -308,7 +308,7 @@
 	return flow.ReportedLoad{Unleased: max(load.InFlight-load.Leased, 0), Leased: load.Leased}
 }
 
-// RecordOutcome records whether a request at an engine ended well.
+// RecordOutcome records whether a request at an engine succeeded.
 func (p *Balancer) RecordOutcome(engine string, good bool) {
 	now := p.clock()
 	p.mu.Lock()
@@ -324,8 +324,8 @@
 	Evidence health.Evidence
 }
 
-// EjectionChanges drops the state of removed engines, and returns the engines that were ejected or restored
-// since the last call.
+// EjectionChanges drops the state of removed engines, and returns the engines that were ejected or
+// restored since the last call.
 func (p *Balancer) EjectionChanges(s *catalog.Snapshot) []EjectionChange {
 	others := p.otherLoads()
 	now := p.clock()
--- a/internal/edge/forward/forward_test.go
+++ b/internal/edge/forward/forward_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a stream that is cut when a draining router stops, because it was accepted seconds
+// Guards against a stream that is truncated when a draining router stops, because it was accepted seconds
 // after draining began and lasts longer than the time left. Late requests are accepted only if
 // their timeout fits.
 func TestDrainingRouterAcceptsOnlyRequestsThatCanFinish(t *testing.T) {
@@ -59,7 +59,7 @@
 
 // Guards against more retries to a service than the fleet's limit, for any split of the traffic
 // over the routers, when all of them retry whenever they may. This includes the time after a start,
-// when each router knows no other: its share is sized for all routers.
+// when no router knows any other: the shares are sized for minRouters at least.
 func TestFleetRetryBudgetHoldsForAnyTrafficSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(6, 90).Draw(t, "routers")
--- a/internal/edge/forward/forwarder.go
+++ b/internal/edge/forward/forwarder.go
@@ -35,7 +35,7 @@
 	Codec   Codec
 	Conns   *engineconn.Pool
 	Engines *Balancer
-	// Places requests permits.
+	// Places requests permits from the owners of gates.
 	Places *flow.Client
 	Budget *RetryBudgets
 	Log    *log.Logger
@@ -46,7 +46,7 @@
 	// rejected. A newer version may contain the route or key, and callers treat the rejection as
 	// final.
 	FreshFor func() time.Duration
-	// Settings returns an identifier of the settings in force for log lines. The default returns an
+	// Settings returns an identifier of the active settings for log lines. The default returns an
 	// empty string.
 	Settings func() string
 	// StoreLost reports whether the configuration is old because the store is unreachable, not
@@ -59,13 +59,13 @@
 // Forwarder is the http.Handler for callers' requests.
 type Forwarder struct {
 	Options
-	// draining is nil until Leave is called.
+	// draining is nil until Drain is called.
 	draining atomic.Pointer[drainState]
 	inFlight atomic.Int64
 	// servedLogLimiter limits the log lines about successful requests.
 	servedLogLimiter *rate.Limiter
 	stats            *Stats
-	answerTimes      *answerTimes
+	responseTimes    *responseTimes
 	overloads        overloads
 	throttles        throttles
 	callerTimeouts   callerTimeouts
@@ -77,7 +77,7 @@
 		o.Settings = func() string { return "" }
 	}
 	return &Forwarder{
-		Options: o, stats: newStats(), answerTimes: newAnswerTimes(), servedLogLimiter: rate.NewLimiter(servedLogsPerSecond, servedLogsPerSecond),
+		Options: o, stats: newStats(), responseTimes: newResponseTimes(), servedLogLimiter: rate.NewLimiter(servedLogsPerSecond, servedLogsPerSecond),
 		overloads:      overloads{random: rand.Float64, byService: make(map[string]*gate.Overload)},
 		throttles:      throttles{random: rand.Float64, byKey: make(map[throttleKey]*gate.Throttle)},
 		callerTimeouts: callerTimeouts{byRoute: make(map[string]*gate.TimeoutBaseline)},
@@ -104,8 +104,8 @@
 }
 
 // acceptAllShare is the share of the drain timeout during which every request is accepted, because
-// callers keep using an old address for some seconds. A long stream that started later would be cut
-// off.
+// callers keep using an old address for some seconds. A long stream that started later would be
+// truncated.
 const acceptAllShare = 0.3
 
 // accepts reports whether a request that arrives at the boot time now and may take up to limit is
@@ -115,7 +115,7 @@
 	return elapsed <= time.Duration(acceptAllShare*float64(d.timeout)) || elapsed+limit <= d.timeout
 }
 
-// ServeHTTP forwards one request. It panics with http.ErrAbortHandler to cut the connection if a
+// ServeHTTP forwards one request. It panics with http.ErrAbortHandler to close the connection if a
 // response that has begun can't be completed.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.inFlight.Add(1)
@@ -153,19 +153,19 @@
 	// send it.
 	executed int
 	sends    int
-	// deniedPermits counts the permit requests that gave no usable permit. predictedWait is the
-	// wait that the last answer predicted.
+	// deniedPermits counts the permit requests that yielded no usable permit. predictedWait is the
+	// wait that the last reply predicted.
 	deniedPermits int
 	predictedWait time.Duration
 	// late means that the caller has retried after a refusal, too late to meet the route's
 	// objective.
 	late     bool
 	excluded map[string]bool
-	// engineFailure is an engine's own error response. The caller gets it if no other engine gives
+	// engineFailure is an engine's own error response. The caller gets it if no other engine sends
 	// a better one.
 	engineFailure *engineFailure
-	// answered is set once any byte of a response may have gone to the caller.
-	answered  bool
+	// responded is set once any byte of a response may have gone to the caller.
+	responded bool
 	firstByte time.Duration
 	outcome   Reason
 	status    int
@@ -247,16 +247,16 @@
 func (x *exchange) callerDisconnected() bool { return x.r.Context().Err() != nil }
 
 // refuse ends a request that no engine has served. It passes on an engine's own error response if
-// there is one, and sends the refusal otherwise. If a response has begun, it cuts the connection,
+// there is one, and sends the refusal otherwise. If a response has begun, it closes the connection,
 // so that the response does not look complete.
 func (x *exchange) refuse(refusal *Refusal) {
 	x.outcome = refusal.Reason
-	if x.answered {
+	if x.responded {
 		x.aborted = true
 		return
 	}
 	if x.engineFailure != nil {
-		x.writeAnswer(x.engineFailure.status, x.engineFailure.header, x.engineFailure.body)
+		x.writeResponse(x.engineFailure.status, x.engineFailure.header, x.engineFailure.body)
 		return
 	}
 	x.status = refusal.Status
--- a/internal/edge/forward/permit.go
+++ b/internal/edge/forward/permit.go
@@ -11,9 +11,9 @@
 	"damaskrouter.example/damaskrouter/internal/edge/flow"
 )
 
-// chooseFirst finds the engine for the first send: directly while the service has spare capacity,
-// and by requesting a permit otherwise. It returns a choice that must be passed to Engines.Done, or
-// a refusal; if there is no engine, the refusal is last.
+// chooseFirst selects the engine for the first send: directly while the service has free capacity,
+// and by requesting a permit otherwise. It returns a choice that must be passed to Balancer.Done, or
+// a refusal, which is last if there is no engine.
 func (x *exchange) chooseFirst(last *Refusal) (Choice, *Refusal) {
 	var shared []string
 	if x.route.Prompted {
@@ -33,7 +33,7 @@
 	return Choice{}, last
 }
 
-// requestPermit requests a permit at one candidate engine after the other.
+// requestPermit requests a permit for one candidate engine after the other.
 func (x *exchange) requestPermit(service string, plan Plan, shared []string) (Choice, *Refusal) {
 	ctx, cancel := context.WithTimeout(x.r.Context(), x.remaining())
 	defer cancel()
@@ -50,8 +50,8 @@
 		if plan.Warm {
 			maxWait = min(maxWait, gate.ColdWait(x.route.Objective))
 		}
-		permit, answer, err := x.f.Places.Acquire(ctx, x.permitRequest(candidate, plan, maxWait))
-		x.late = x.late || answer.Late
+		permit, reply, err := x.f.Places.Acquire(ctx, x.permitRequest(candidate, plan, maxWait))
+		x.late = x.late || reply.Late
 		refused = refused || flow.ErrRefused.Has(err)
 		switch {
 		case err == nil && x.stillAccepts(candidate.Choice.Engine):
@@ -67,9 +67,9 @@
 			return Choice{}, x.timeoutRefusal()
 		}
 		x.deniedPermits++
-		x.predictedWait = answer.Wait
+		x.predictedWait = reply.Wait
 		if x.late && x.route.Prompted && refused {
-			// At another engine, the late request would take a permit that an on-time request can
+			// At another engine, the late request would occupy a slot that an on-time request can
 			// still use.
 			break
 		}
@@ -116,8 +116,9 @@
 	return out
 }
 
-// chooseWithoutPermit chooses an engine by the known loads, as with spare capacity. It is used if
-// no owner of a gate could be reached, or if only cold engines were asked and others are available.
+// chooseWithoutPermit selects an engine by the known loads, as with free capacity. It is used if no
+// owner of a gate could be reached, or if a permit was requested only for a cold engine while others
+// are available.
 func (x *exchange) chooseWithoutPermit() (Choice, *Refusal) {
 	if choice, ok := x.pickEngine(); ok {
 		return choice, nil
@@ -136,20 +137,20 @@
 func (l *callerTimeouts) record(route string, limit time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	usual := l.byRoute[route]
-	if usual == nil {
-		usual = &gate.TimeoutBaseline{}
-		l.byRoute[route] = usual
+	baseline := l.byRoute[route]
+	if baseline == nil {
+		baseline = &gate.TimeoutBaseline{}
+		l.byRoute[route] = baseline
 	}
-	usual.Note(limit)
+	baseline.Note(limit)
 }
 
 // isLate reports whether a caller with this timeout has retried too late to be served on time.
 func (l *callerTimeouts) isLate(route string, limit, objective time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	usual := l.byRoute[route]
-	return usual != nil && usual.Late(limit, objective)
+	baseline := l.byRoute[route]
+	return baseline != nil && baseline.Late(limit, objective)
 }
 
 // overloads records since when each service has refused requests. It is safe for concurrent use.
--- a/internal/edge/forward/permit_test.go
+++ b/internal/edge/forward/permit_test.go
@@ -73,8 +73,7 @@
 	}
 }
 
-// While there is spare capacity, requests are sent without a permit, which costs a message each
-// way.
+// While there is free capacity, requests are sent without a permit, which would cost a round trip.
 func TestNoPermitRequestedWithFreeCapacity(t *testing.T) {
 	withTestRouter(t, 3, func(tr *testRouter) {
 		tr.setOtherLoads(10)
@@ -86,9 +85,9 @@
 	})
 }
 
-// Guards against callers that wait for seconds and disconnect while engines work on late answers,
-// when more requests arrive than permits become free. A request that could only start too late is
-// refused within its objective, with a promise that it did not execute and a time to retry.
+// Guards against callers that wait for seconds and disconnect while engines work on late responses,
+// when more requests arrive than slots become free. A request that could only start too late is
+// refused within its objective, with a guarantee that it did not execute and a time to retry.
 func TestRequestRefusedWithoutPermitInTime(t *testing.T) {
 	withTestRouter(t, 3, func(tr *testRouter) {
 		tr.setOtherLoads(80)
@@ -105,7 +104,7 @@
 }
 
 // Guards against refusing a request whose preferred engine is full while another one has capacity.
-// The other engine is asked and grants a permit at once.
+// A permit for the other engine is granted at once.
 func TestPromptMovesToEngineWithFreeCapacity(t *testing.T) {
 	withTestRouter(t, 3, func(tr *testRouter) {
 		tr.setOtherLoads(80)
--- a/internal/edge/forward/plan.go
+++ b/internal/edge/forward/plan.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// congestedFor is how long requests of a service keep requesting permits after it was last
+	// congestedFor is how long requests of a service still need permits after it was last
 	// congested. Without it, a service close to the threshold would switch back and forth.
 	congestedFor = 2 * time.Second
 	// meanHoldWeight is the weight of the newest request in the mean time that requests occupy an
@@ -18,19 +18,19 @@
 	meanHoldWeight = 1.0 / 32
 )
 
-// Plan is the result of choosing an engine. If Ask is empty, the request goes to Choice. Otherwise
-// a permit must be requested from the engines in Ask, in order.
+// Plan is the result of selecting an engine. If Ask is empty, the request goes to Choice. Otherwise
+// a permit must be requested for the engines in Ask, in order.
 type Plan struct {
 	Choice Choice
 	Ask    []PermitCandidate
-	// Warm means that the engine in Ask is cold and others are not. If it grants no permit, the
+	// Warm means that the engine in Ask is cold and others are not. If no permit is granted, the
 	// request goes to the others without one.
 	Warm bool
 	// Hold is the mean time that a request of the service occupies an engine.
 	Hold time.Duration
 }
 
-// PermitCandidate is an engine at which a permit can be requested.
+// PermitCandidate is an engine for which a permit can be requested.
 type PermitCandidate struct {
 	Choice Choice
 	// MaxInFlight is how many requests the engine may have in progress at once.
@@ -39,8 +39,8 @@
 	Pace gate.Pace
 }
 
-// Plan chooses an engine of the service, or the engines to request a permit from if the service is
-// congested or the chosen engine is cold. shared are the IDs of the prompt parts that other
+// Plan selects an engine of the service, or the engines to request a permit for if the service is
+// congested or the selected engine is cold. shared are the IDs of the prompt parts that other
 // requests may have too, in order. Plan skips the engines in excluded and returns false if there is
 // no engine left. If Ask is empty, Plan has counted the request, and Done must be called with
 // Choice.
@@ -72,7 +72,7 @@
 	return plan, len(plan.Ask) > 0
 }
 
-// permitOrder returns the indexes of the engines to request a permit from, in order.
+// permitOrder returns the indexes of the engines to request a permit for, in order.
 func (p *Balancer) permitOrder(candidates []choose.Engine, shared []string) []int {
 	if len(shared) == 0 {
 		return choose.PlainCandidates(candidates, p.rng)
@@ -88,8 +88,8 @@
 	return now < p.congestedUntil[service]
 }
 
-// candidateChoice returns the choice of the i-th engine, to be used if it grants a permit. The
-// caller holds the mutex.
+// candidateChoice returns the choice of the i-th engine, to be used if a permit for it is granted.
+// The caller holds the mutex.
 func (p *Balancer) candidateChoice(engines []catalog.Engine, candidates []choose.Engine, i int, shared []string, now time.Duration) Choice {
 	choice := Choice{Engine: engines[i]}
 	if len(shared) > 0 {
@@ -99,7 +99,7 @@
 	return choice
 }
 
-// StartLeased counts a request at an engine that has granted a permit, until Done is called.
+// StartLeased counts a request at an engine for which a permit was granted, until Done is called.
 func (p *Balancer) StartLeased(choice Choice, shared []string) Choice {
 	now := p.clock()
 	p.mu.Lock()
--- a/internal/edge/forward/promptcache.go
+++ b/internal/edge/forward/promptcache.go
@@ -9,8 +9,8 @@
 const (
 	// maxPromptCacheEntries limits the recorded prompt parts. An entry takes about 150 bytes.
 	maxPromptCacheEntries = 16384
-	// promptCacheTTL is how long an engine is assumed to keep a part that was sent to it. Caches of
-	// current engines turn over in about a minute.
+	// promptCacheTTL is how long an engine is assumed to cache a part that was sent to it. The
+	// caches of current engines are replaced within about a minute.
 	promptCacheTTL = 30 * time.Second
 	// startupSettleTime is how long after first knowing any engines a router treats each new engine
 	// as one that was there before. After an outage of the store, engines register again within two
@@ -18,7 +18,7 @@
 	startupSettleTime = 2 * time.Second
 )
 
-// promptCaches records which engines this router has sent which prompt parts. It is not safe for
+// promptCaches records which prompt parts this router has sent to which engines. It is not safe for
 // concurrent use.
 type promptCaches struct {
 	// sentAt is the boot time at which a part was last sent to an engine. lastEngine is the engine
@@ -53,8 +53,8 @@
 // remove drops the state of a removed engine.
 func (h promptCaches) remove(engine string) { delete(h.emptiedAt, engine) }
 
-// otherEngine returns the engine that the part was last sent to, if that engine still has it and is
-// not the given one.
+// otherEngine returns the engine that the part was last sent to, if that engine still caches it and
+// is not the given one.
 func (h promptCaches) otherEngine(engine, part string, now time.Duration) (string, bool) {
 	last, ok := h.lastEngine.Get(part)
 	if !ok || last == engine || !h.contains(last, part, now) {
--- a/internal/edge/forward/promptcache_test.go
+++ b/internal/edge/forward/promptcache_test.go
@@ -46,8 +46,8 @@
 }
 
 // Guards against processing a shared prompt part again at each engine. If the prompt is new but its
-// first part is not, the engine fetches from one that has that part, not from one that has nothing
-// of the prompt.
+// first part is not, the engine fetches from one that has cached that part, not from one that
+// has cached nothing of the prompt.
 func TestNewPromptFetchesSharedPartFromEngineThatHasIt(t *testing.T) {
 	p := newPromptPicker(t)
 	s := newSnapshot(5)
@@ -62,9 +62,9 @@
 	}
 }
 
-// Guards against processing prompts again when an engine is added and takes over prompts of others.
-// It is told which engine had them, by routers that have sent the prompt and by those that have
-// not.
+// Guards against processing prompts again when prompts of other engines map to an added engine.
+// Requests to it name the engine that cached the prompt, from routers that have sent the prompt and
+// from those that have not.
 func TestAddedEngineFetchesFromPreviousEngine(t *testing.T) {
 	p := newPromptPicker(t)
 	before := newSnapshot(5)
@@ -90,8 +90,8 @@
 	require.Positive(t, moved)
 }
 
-// Guards against requests that hang at a healthy engine, because it is told to fetch the prompt
-// from the engine that held it, has failed and is ejected.
+// Guards against requests that hang at a healthy engine, because it is to fetch the prompt from
+// the engine that cached it, which has failed and is ejected.
 func TestNoFetchFromEjectedEngine(t *testing.T) {
 	p := newPromptPicker(t)
 	s := newSnapshot(5)
@@ -105,7 +105,7 @@
 }
 
 // Guards against slow requests at an engine that has restarted under the same ID with an empty
-// cache, and at engines told to fetch prompts from it. Its cached prompts and its failures from
+// cache, and at engines that are to fetch prompts from it. Its cached prompts and its failures from
 // before the restart must be discarded.
 func TestRestartedEngineHasEmptyCache(t *testing.T) {
 	for name, restart := range map[string]func(*catalog.Engine){
--- a/internal/edge/forward/refusal.go
+++ b/internal/edge/forward/refusal.go
@@ -38,8 +38,8 @@
 type Refusal struct {
 	Status int
 	Reason Reason
-	// Ran tells whether the request may have executed. Status codes 408, 421, 429 and 503 promise
-	// that it did not.
+	// Ran states whether the request may have executed. Status codes 408, 421, 429 and 503
+	// guarantee that it did not.
 	Ran apierr.Ran
 	// RetryAfter is how long the caller should wait before a retry; zero sends no suggestion.
 	RetryAfter time.Duration
@@ -52,11 +52,11 @@
 	retrySoon = 100 * time.Millisecond
 	// retryLater is for engines that are full or gone.
 	retryLater = 250 * time.Millisecond
-	// retryStoreLost is for an unreachable store, which takes seconds to return.
+	// retryStoreLost is for an unreachable store, whose outages last seconds.
 	retryStoreLost = 700 * time.Millisecond
 )
 
-// notExecuted returns a refusal which promises that the request has not executed and will not.
+// notExecuted returns a refusal that guarantees that the request has not executed and will not.
 func notExecuted(reason Reason, retryAfter time.Duration) *Refusal {
 	return &Refusal{Status: http.StatusServiceUnavailable, Reason: reason, Ran: apierr.RanNo, RetryAfter: retryAfter}
 }
--- a/internal/edge/forward/relay.go
+++ b/internal/edge/forward/relay.go
@@ -9,16 +9,16 @@
 	"damaskrouter.example/damaskrouter/internal/edge/catalog"
 )
 
-// maxBufferedAnswer limits the answers that are read completely before they are passed on, in
-// bytes. Until something is passed on, a broken answer can be replaced by that of another engine or
-// by an error response.
-const maxBufferedAnswer = 1 << 20
+// maxBufferedResponse limits the responses that are read completely before they are relayed, in
+// bytes. Until something is relayed, an incomplete response can be replaced by that of another
+// engine or by an error response.
+const maxBufferedResponse = 1 << 20
 
-// relayBuffered reads the complete answer and passes it on.
-func (x *exchange) relayBuffered(e catalog.Engine, answer *engineconn.Response) sendResult {
-	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedAnswer))
-	if err == nil && len(body) == maxBufferedAnswer {
-		return x.relayUnbuffered(answer, body)
+// relayBuffered reads the complete response and relays it.
+func (x *exchange) relayBuffered(e catalog.Engine, response *engineconn.Response) sendResult {
+	body, err := io.ReadAll(io.LimitReader(response, maxBufferedResponse))
+	if err == nil && len(body) == maxBufferedResponse {
+		return x.relayUnbuffered(response, body)
 	}
 	if err != nil {
 		if refusal := x.handleReadError(e, err); refusal != nil {
@@ -26,17 +26,17 @@
 		}
 		return x.retryIfAllowed(maybeExecuted(http.StatusBadGateway, ReasonBadAnswer))
 	}
-	if answer.Status < http.StatusInternalServerError {
+	if response.Status < http.StatusInternalServerError {
 		x.f.Engines.RecordOutcome(e.ID, true)
-		x.writeAnswer(answer.Status, answer.Header, body)
+		x.writeResponse(response.Status, response.Header, body)
 		return sendResult{action: actionDone}
 	}
 	x.f.Engines.RecordOutcome(e.ID, false)
-	x.engineFailure = &engineFailure{answer.Status, answer.Header, body}
+	x.engineFailure = &engineFailure{response.Status, response.Header, body}
 	return x.retryIfAllowed(maybeExecuted(http.StatusBadGateway, ReasonEngineFailure))
 }
 
-// handleReadError returns the refusal that ends a request whose answer broke off, or nil if the
+// handleReadError returns the refusal that ends a request whose response was truncated, or nil if the
 // engine is at fault and the request may go to another engine.
 func (x *exchange) handleReadError(e catalog.Engine, err error) *Refusal {
 	switch {
@@ -57,8 +57,8 @@
 	body   []byte
 }
 
-// writeAnswer passes on an answer that was read completely.
-func (x *exchange) writeAnswer(status int, header http.Header, body []byte) {
+// writeResponse relays a response that was read completely.
+func (x *exchange) writeResponse(status int, header http.Header, body []byte) {
 	x.writeHeader(status, header)
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	x.w.WriteHeader(status)
@@ -66,18 +66,17 @@
 	_, _ = x.w.Write(body)
 }
 
-// relayUnbuffered passes on an answer that is too long to buffer. start is the part that was
-// already read.
-func (x *exchange) relayUnbuffered(answer *engineconn.Response, start []byte) sendResult {
-	x.writeHeader(answer.Status, answer.Header)
-	if answer.Length >= 0 {
-		x.w.Header().Set("Content-Length", strconv.FormatInt(answer.Length, 10))
+// relayUnbuffered relays a response that is too long to buffer. start is what was already read.
+func (x *exchange) relayUnbuffered(response *engineconn.Response, start []byte) sendResult {
+	x.writeHeader(response.Status, response.Header)
+	if response.Length >= 0 {
+		x.w.Header().Set("Content-Length", strconv.FormatInt(response.Length, 10))
 	}
-	x.w.WriteHeader(answer.Status)
+	x.w.WriteHeader(response.Status)
 	if _, err := x.w.Write(start); err != nil {
 		return sendResult{action: actionStop, refusal: x.disconnectRefusal()}
 	}
-	if _, err := io.Copy(x.w, answer); err != nil {
+	if _, err := io.Copy(x.w, response); err != nil {
 		return sendResult{action: actionStop, refusal: maybeExecuted(http.StatusBadGateway, ReasonBadAnswer)}
 	}
 	return sendResult{action: actionDone}
@@ -91,7 +90,7 @@
 	if connection != "" {
 		x.w.Header().Set("Connection", connection)
 	}
-	x.answered = true
+	x.responded = true
 	x.status = status
 	x.firstByte = x.f.Clock() - x.started
 }
--- a/internal/edge/forward/request.go
+++ b/internal/edge/forward/request.go
@@ -1,5 +1,5 @@
-// Package forward forwards requests from callers to engines and relays the answers: it finds the
-// route and the account, chooses an engine, sends the request and passes the answer on.
+// Package forward forwards requests from callers to engines: it finds the route and the account,
+// selects an engine, sends the request and relays the response.
 package forward
 
 import (
@@ -20,7 +20,7 @@
 	Tokens int
 }
 
-// Request holds the fields of a caller's request that the router uses. Everything else is passed on
+// Request holds the fields of a caller's request that the router uses. Everything else is forwarded
 // unchanged.
 type Request struct {
 	// ID identifies this request. Each attempt of a caller has its own.
@@ -31,15 +31,16 @@
 	Timeout time.Duration
 	// Prompt lists the parts of the prompt in order.
 	Prompt []Part
-	// PromptTokens is the length of the prompt, and OutputTokens the maximum length of the answer;
+	// PromptTokens is the length of the prompt, and OutputTokens the maximum length of the response;
 	// zero if not stated.
 	PromptTokens, OutputTokens int
 	// LastEvent is the ID of the event after which the caller resumes a stream, or empty.
 	LastEvent string
 }
 
-// SharedParts returns the IDs of the prompt parts that other requests may have too, in order. If
-// there are several parts, the last one belongs to this request or its session alone.
+// SharedParts returns the IDs of the prompt parts that other requests may have too, in order: all
+// parts but the last, which is specific to this request or its session, or the only part if there is
+// just one.
 func (r *Request) SharedParts() []string {
 	shared := r.Prompt
 	if len(shared) > 1 {
@@ -53,8 +54,8 @@
 }
 
 // RetryKey returns a key that is the same for all attempts at the request, or zero if there is
-// none. Attempts have different IDs, but the last part of the prompt belongs to the request or its
-// session alone.
+// none. Attempts have different IDs, but the last part of the prompt is specific to the request or
+// its session.
 func (r *Request) RetryKey() uint64 {
 	if len(r.Prompt) < 2 {
 		return 0
@@ -91,13 +92,13 @@
 	FetchFrom string
 }
 
-// Reply is the routing information in the header of an engine's answer.
+// Reply is the routing information in the header of an engine's response.
 type Reply struct {
-	// RequestID is the ID of the request that the answer belongs to.
+	// RequestID is the ID of the request that the response belongs to.
 	RequestID string
-	// Sealed answers carry the engine's proof that it generated them.
+	// Sealed responses carry the engine's proof that it generated them.
 	Sealed bool
-	// NotExecuted is the engine's promise that it did not execute the request.
+	// NotExecuted means that the engine guarantees that it did not execute the request.
 	NotExecuted bool
 	// WrongEngine means that the address belongs to a different engine.
 	WrongEngine bool
@@ -112,9 +113,9 @@
 	// EngineHeader returns the header to send to an engine. It contains the caller's header without
 	// the fields that concern only the caller's connection and those that only the router may set.
 	EngineHeader(caller http.Header, r *Request, s EngineRequestInfo) http.Header
-	// Reply reads the header of an engine's answer.
+	// Reply reads the header of an engine's response.
 	Reply(status int, h http.Header) Reply
-	// CallerHeader writes the header of an engine's answer to the caller's response.
+	// CallerHeader writes the header of an engine's response to the caller's response.
 	CallerHeader(dst http.Header, engine http.Header)
 	// Refusal writes the header of a response that the router generates.
 	Refusal(dst http.Header, requestID string)
--- a/internal/edge/forward/send.go
+++ b/internal/edge/forward/send.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// maxUnreachable is how many unreachable engines are tried.
+	// maxUnreachable is how many unreachable engines are tried before the request is refused.
 	maxUnreachable = 4
 	// maxEngineRefusals is how many engines may refuse a request before it is refused to the
 	// caller.
@@ -28,7 +28,7 @@
 type nextAction uint8
 
 const (
-	// actionDone means that the caller has the answer.
+	// actionDone means that the caller has the response.
 	actionDone nextAction = iota
 	// actionTryNext means that the request goes to another engine.
 	actionTryNext
@@ -36,7 +36,7 @@
 	actionStop
 )
 
-// forward sends the request until it is answered or nothing more may be tried. It returns the
+// forward sends the request until a response was relayed or no further attempt is allowed. It returns the
 // refusal to send, or nil.
 func (x *exchange) forward() *Refusal {
 	x.excluded = make(map[string]bool)
@@ -104,8 +104,8 @@
 	return maybeExecuted(http.StatusGatewayTimeout, ReasonTimeout)
 }
 
-// chooseEngine returns the engine for the next send. Retries need no permit: they have waited
-// already, and the retry budget limits them.
+// chooseEngine returns the engine for the next send. Retries need no permit: they have already
+// waited, and the retry budget limits them.
 func (x *exchange) chooseEngine(last *Refusal) (Choice, *Refusal) {
 	if x.executed == 0 {
 		return x.chooseFirst(last)
@@ -116,7 +116,7 @@
 	return Choice{}, last
 }
 
-// pickEngine chooses an engine of one of the route's services by the known loads.
+// pickEngine selects an engine of one of the route's services by the known loads.
 func (x *exchange) pickEngine() (Choice, bool) {
 	var shared []string
 	if x.route.Prompted {
@@ -165,15 +165,15 @@
 // sendResult is the result of one attempt.
 type sendResult struct {
 	action nextAction
-	// unsent means that nothing left the router. refused means that the engine promised not to have
-	// executed the request.
+	// unsent means that nothing left the router. refused means that the engine guarantees that
+	// it did not execute the request.
 	unsent, refused bool
 	// budgetSpent means that the retry budget has already been charged for the next send.
 	budgetSpent bool
 	refusal     *Refusal
 }
 
-// send sends the request to an engine and relays its answer.
+// send sends the request to an engine and relays its response.
 func (x *exchange) send(choice Choice) sendResult {
 	e := choice.Engine
 	defer x.f.Engines.Done(choice)
@@ -187,29 +187,29 @@
 	defer cancel()
 	ctx, stopTimer := x.withAttemptTimeout(ctx, e)
 	sentAt := x.f.Clock()
-	answer, err := x.f.Conns.Send(ctx, engineTarget(e), x.engineRequest(choice, ""))
+	response, err := x.f.Conns.Send(ctx, engineTarget(e), x.engineRequest(choice, ""))
 	stopTimer()
 	waited := x.f.Clock() - sentAt
 	if err != nil {
 		return x.handleSendError(ctx, e, err, waited)
 	}
-	defer answer.Close()
-	reply := x.f.Codec.Reply(answer.Status, answer.Header)
+	defer response.Close()
+	reply := x.f.Codec.Reply(response.Status, response.Header)
 	if reply.NotExecuted {
-		return x.handleEngineRefusal(e, answer, reply)
+		return x.handleEngineRefusal(e, response, reply)
 	}
 	x.executed++
 	if x.route.Kind != catalog.Streaming {
-		x.f.answerTimes.record(e.Service, waited)
+		x.f.responseTimes.record(e.Service, waited)
 	}
 	if !reply.Sealed || reply.Encoded {
 		x.f.Engines.RecordOutcome(e.ID, false)
 		return x.retryIfAllowed(maybeExecuted(http.StatusBadGateway, ReasonBadAnswer))
 	}
-	if x.route.Kind == catalog.Streaming && answer.Status < http.StatusMultipleChoices {
-		return x.relayStream(ctx, e, answer)
+	if x.route.Kind == catalog.Streaming && response.Status < http.StatusMultipleChoices {
+		return x.relayStream(ctx, e, response)
 	}
-	return x.relayBuffered(e, answer)
+	return x.relayBuffered(e, response)
 }
 
 func engineTarget(e catalog.Engine) engineconn.Target {
@@ -217,12 +217,12 @@
 }
 
 func (x *exchange) engineRequest(choice Choice, lastEvent string) *engineconn.Request {
-	sending := EngineRequestInfo{
+	info := EngineRequestInfo{
 		Engine: choice.Engine, FetchFrom: choice.FetchFrom,
 		Remaining: x.remaining(), Urgency: engineUrgency, LastEvent: lastEvent,
 	}
 	if x.account != nil {
-		sending.Account = x.account.Name
+		info.Account = x.account.Name
 	}
 	maxIdle := maxIdleNonRepeatable
 	if x.route.Repeatable() {
@@ -230,7 +230,7 @@
 	}
 	return &engineconn.Request{
 		Method: x.r.Method, Target: x.requestTarget(), Host: x.r.Host,
-		Header: x.f.Codec.EngineHeader(x.r.Header, &x.req, sending),
+		Header: x.f.Codec.EngineHeader(x.r.Header, &x.req, info),
 		Body:   x.body, MaxIdle: maxIdle, MaxIdleConns: x.idleConnLimit(choice.Engine.Service),
 		Matches: func(h http.Header) bool {
 			id := x.f.Codec.Reply(0, h).RequestID
@@ -267,10 +267,10 @@
 	return x.r.URL.RequestURI()
 }
 
-// engineUrgency is the urgency of all requests at engines. The order is decided before requests are
-// sent; an engine that preempts one request for another delays both. At four times the usual load,
-// 1,100 requests were preempted in 8 s with different urgencies, and 0.705 of the benefit was
-// earned in the worst seconds. With gates and a single urgency none were preempted, and 0.85 was
+// engineUrgency is the priority of all requests at engines. The gates decide the order before
+// requests are sent; an engine that preempts one request for another delays both. At four times the usual load,
+// 1,100 requests were preempted in 8 s with different priorities, and 0.705 of the benefit was
+// earned in the worst seconds. With gates and a single priority none were preempted, and 0.85 was
 // earned.
 const engineUrgency = 5
 
@@ -284,7 +284,7 @@
 	return x.account.Priority*urgencyStep + min(x.route.Priority, urgencyStep-1)
 }
 
-// handleSendError decides what to do after an attempt without an answer.
+// handleSendError decides what to do after an attempt without a response.
 func (x *exchange) handleSendError(ctx context.Context, e catalog.Engine, err error, waited time.Duration) sendResult {
 	unsent := engineconn.ErrNotSent.Has(err)
 	if !unsent {
@@ -318,7 +318,7 @@
 // handleAttemptTimeout decides what to do after an attempt that timed out; see withAttemptTimeout.
 func (x *exchange) handleAttemptTimeout(e catalog.Engine, unsent bool, waited time.Duration) sendResult {
 	x.f.Engines.RecordOutcome(e.ID, false)
-	x.f.answerTimes.record(e.Service, waited)
+	x.f.responseTimes.record(e.Service, waited)
 	x.f.stats.recordAttemptTimeout()
 	refusal := maybeExecuted(http.StatusBadGateway, ReasonNoAnswer)
 	if unsent && x.executed == 0 {
@@ -335,17 +335,18 @@
 	return sendResult{action: actionStop, refusal: refusal}
 }
 
-// handleEngineRefusal decides what to do after an engine's promise that it did not execute the
-// request.
-func (x *exchange) handleEngineRefusal(e catalog.Engine, answer *engineconn.Response, reply Reply) sendResult {
-	x.logAttempt(e, errEngineRefused.New("status %d", answer.Status), 0)
+// handleEngineRefusal decides what to do after an engine refused the request, which guarantees that
+// it did not execute it.
+func (x *exchange) handleEngineRefusal(e catalog.Engine, response *engineconn.Response, reply Reply) sendResult {
+	x.logAttempt(e, errEngineRefused.New("status %d", response.Status), 0)
 	if reply.WrongEngine {
-		// The failure keeps other requests away from the address until the store has the new owner.
+		// The failure keeps other requests from the address until the store lists the engine that
+		// now has it.
 		x.f.Engines.RecordOutcome(e.ID, false)
 	}
 	// Reading the body allows the connection to be reused. Its content is not needed.
-	_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxBufferedAnswer))
-	if answer.Status == http.StatusBadRequest {
+	_, _ = io.Copy(io.Discard, io.LimitReader(response, maxBufferedResponse))
+	if response.Status == http.StatusBadRequest {
 		return sendResult{action: actionStop, refusal: rejected(http.StatusBadRequest, ReasonMalformed)}
 	}
 	refusal := notExecuted(ReasonRefused, retryLater)
--- a/internal/edge/forward/stream.go
+++ b/internal/edge/forward/stream.go
@@ -20,9 +20,9 @@
 // eventEnd is the empty line that ends an event.
 var eventEnd = []byte("\n\n")
 
-// eventSplitter splits a stream into complete events and records the ID of the last one. An engine
-// may break off in the middle of an event; a partial event followed by another engine's events
-// would corrupt the response.
+// eventSplitter splits a stream into complete events and records the ID of the last one. An engine's
+// response may end in the middle of an event; a partial event followed by another engine's events
+// would corrupt the response to the caller.
 type eventSplitter struct {
 	pending []byte
 	lastID  string
@@ -50,12 +50,12 @@
 	}
 }
 
-// relayStream passes a stream on, event by event. If the route allows it, a broken stream resumes
-// at another engine after the last complete event.
-func (x *exchange) relayStream(ctx context.Context, e catalog.Engine, answer *engineconn.Response) sendResult {
+// relayStream relays a stream, event by event. If the route allows it, a truncated stream resumes at
+// another engine after the last complete event.
+func (x *exchange) relayStream(ctx context.Context, e catalog.Engine, response *engineconn.Response) sendResult {
 	splitter := &eventSplitter{lastID: x.req.LastEvent}
 	for {
-		err := x.copyEvents(answer, splitter)
+		err := x.copyEvents(response, splitter)
 		if err == nil {
 			x.f.Engines.RecordOutcome(e.ID, true)
 			return x.endStream(splitter)
@@ -63,39 +63,39 @@
 		if refusal := x.handleReadError(e, err); refusal != nil {
 			return sendResult{action: actionStop, refusal: refusal}
 		}
-		if !x.answered {
+		if !x.responded {
 			return x.retryIfAllowed(maybeExecuted(http.StatusBadGateway, ReasonStreamBroken))
 		}
 		splitter.pending = nil
-		next, nextAnswer, release := x.resume(ctx, e, splitter.lastID)
-		if nextAnswer == nil {
+		next, nextResponse, release := x.resume(ctx, e, splitter.lastID)
+		if nextResponse == nil {
 			return sendResult{action: actionStop, refusal: maybeExecuted(http.StatusBadGateway, ReasonStreamBroken)}
 		}
 		defer release()
-		e, answer = next, nextAnswer
+		e, response = next, nextResponse
 	}
 }
 
 // endStream checks that a stream that ended normally did not end within an event or without any
 // event.
 func (x *exchange) endStream(splitter *eventSplitter) sendResult {
-	if len(splitter.pending) > 0 || !x.answered {
+	if len(splitter.pending) > 0 || !x.responded {
 		return sendResult{action: actionStop, refusal: maybeExecuted(http.StatusBadGateway, ReasonStreamBroken)}
 	}
 	return sendResult{action: actionDone}
 }
 
-// copyEvents passes on events until the stream ends. Errors: errCallerLeft, engineconn.ErrCut,
+// copyEvents relays events until the stream ends. Errors: errCallerLeft, engineconn.ErrTruncated,
 // engineconn.ErrMalformed.
-func (x *exchange) copyEvents(answer *engineconn.Response, splitter *eventSplitter) error {
+func (x *exchange) copyEvents(response *engineconn.Response, splitter *eventSplitter) error {
 	control := http.NewResponseController(x.w)
 	buf := make([]byte, streamBufferSize)
 	for {
-		n, err := answer.Read(buf)
+		n, err := response.Read(buf)
 		if whole := splitter.add(buf[:n]); len(whole) > 0 {
-			if !x.answered {
-				x.writeHeader(answer.Status, answer.Header)
-				x.w.WriteHeader(answer.Status)
+			if !x.responded {
+				x.writeHeader(response.Status, response.Header)
+				x.w.WriteHeader(response.Status)
 			}
 			if _, writeErr := x.w.Write(whole); writeErr != nil {
 				return errCallerLeft.Wrap(writeErr)
@@ -116,11 +116,11 @@
 	}
 }
 
-// resume continues a broken stream at another engine, if the route and the retry budget allow it.
-// If an engine refuses, it tries the next one. The returned function closes the answer and ends the
-// count of the request.
-func (x *exchange) resume(ctx context.Context, broken catalog.Engine, lastID string) (catalog.Engine, *engineconn.Response, func()) {
-	x.excluded[broken.ID] = true
+// resume continues a truncated stream at another engine, if the route and the retry budget allow it.
+// If an engine refuses, it tries the next one. The returned function closes the response and ends
+// the count of the request.
+func (x *exchange) resume(ctx context.Context, truncated catalog.Engine, lastID string) (catalog.Engine, *engineconn.Response, func()) {
+	x.excluded[truncated.ID] = true
 	for range maxEngineRefusals {
 		if !x.mayResume(lastID) {
 			break
@@ -130,10 +130,10 @@
 			break
 		}
 		e := choice.Engine
-		answer, refused := x.sendResume(ctx, choice, lastID)
-		if answer != nil {
-			return e, answer, func() {
-				answer.Close()
+		response, refused := x.sendResume(ctx, choice, lastID)
+		if response != nil {
+			return e, response, func() {
+				response.Close()
 				x.f.Engines.Done(choice)
 			}
 		}
@@ -147,20 +147,20 @@
 }
 
 // mayResume reports whether the stream may resume after the event. The reason for a refusal does
-// not matter, because a response that has begun is cut in any case.
+// not matter, because a response that has begun is truncated in any case.
 func (x *exchange) mayResume(lastID string) bool {
 	return x.route.Repeatable() && x.executed < x.route.Attempts && lastID != "" && x.checkBeforeSend(x.disconnectRefusal()) == nil
 }
 
-// sendResume requests the events after lastID from an engine. If there is no answer to relay, it
-// returns nil and whether the engine has not executed the request.
-func (x *exchange) sendResume(ctx context.Context, choice Choice, lastID string) (answer *engineconn.Response, refused bool) {
+// sendResume requests the events after lastID from an engine. If there is no response to relay, it
+// returns nil and reports whether the engine is known not to have executed the request.
+func (x *exchange) sendResume(ctx context.Context, choice Choice, lastID string) (response *engineconn.Response, refused bool) {
 	e := choice.Engine
 	if !x.f.Budget.Spend(e.Service, x.f.Clock()) {
 		return nil, false
 	}
 	x.sends++
-	answer, err := x.f.Conns.Send(ctx, engineTarget(e), x.engineRequest(choice, lastID))
+	response, err := x.f.Conns.Send(ctx, engineTarget(e), x.engineRequest(choice, lastID))
 	if err != nil {
 		x.f.Engines.RecordOutcome(e.ID, false)
 		x.logAttempt(e, err, 0)
@@ -170,17 +170,17 @@
 		}
 		return nil, unsent
 	}
-	reply := x.f.Codec.Reply(answer.Status, answer.Header)
+	reply := x.f.Codec.Reply(response.Status, response.Header)
 	if reply.NotExecuted {
-		x.handleEngineRefusal(e, answer, reply)
-		answer.Close()
+		x.handleEngineRefusal(e, response, reply)
+		response.Close()
 		return nil, true
 	}
 	x.executed++
-	if answer.Status != http.StatusOK || !reply.Sealed || reply.Encoded {
+	if response.Status != http.StatusOK || !reply.Sealed || reply.Encoded {
 		x.f.Engines.RecordOutcome(e.ID, false)
-		answer.Close()
+		response.Close()
 		return nil, false
 	}
-	return answer, false
+	return response, false
 }
--- a/internal/edge/forward/throttle.go
+++ b/internal/edge/forward/throttle.go
@@ -14,7 +14,7 @@
 	late    bool
 }
 
-// throttles decide which requests may request a permit. It is safe for concurrent use.
+// throttles decides for which requests a permit is requested. It is safe for concurrent use.
 type throttles struct {
 	mu     sync.Mutex
 	random func() float64
--- a/internal/edge/health/health.go
+++ b/internal/edge/health/health.go
@@ -1,7 +1,7 @@
 // Package health detects failing engines by the outcomes of their requests. It keeps no clock:
 // evidence and the time are arguments.
 //
-// It uses no health probes, because an engine may answer them and fail its requests, or the
+// It uses no health probes, because an engine may pass them and fail its requests, or the
 // reverse. One router of many sees too few requests to tell a failing engine from chance, so
 // routers add up their evidence. Evidence is a pair of exponentially decaying counts, and the
 // counts of different routers can be added.
@@ -88,8 +88,8 @@
 	ejectionExcess = 0.5
 )
 
-// LoadShares returns the part of its normal load that each engine of a service should get, from 0 to 1,
-// in the order of the evidence. It compares each engine with the rest of its service: if all fail
+// LoadShares returns the share of its normal load that each engine of a service should get, from 0
+// to 1, in the order of the evidence. It compares each engine with the rest of its service: if all fail
 // alike, the cause is elsewhere, and ejecting some would only move their load to the others.
 func LoadShares(evidence []Evidence) []float64 {
 	var total Evidence
--- a/internal/edge/health/latency.go
+++ b/internal/edge/health/latency.go
@@ -3,45 +3,44 @@
 import "time"
 
 const (
-	// newestWeight is the weight of the newest answer in the moving average.
+	// newestWeight is the weight of the newest response in the moving average.
 	newestWeight = 1.0 / 16
-	// minAnswers is the number of answers from which on the average is used.
-	minAnswers = 5
-	// patienceFactor is the time that an engine may take, as a multiple of the average. All but one
-	// or two in a hundred answers of a healthy service are faster, and a request sent again after
+	// minResponses is the number of responses from which on the average is used.
+	minResponses = 5
+	// silenceFactor is the time that an engine may take, as a multiple of the average. All but one
+	// or two in a hundred responses of a healthy service are faster, and a request sent again after
 	// that time still meets its objective in most cases.
-	patienceFactor = 3
+	silenceFactor = 3
 	// minObjectiveShare is the part of the objective that every engine may take: a service whose
-	// answers are fast on average has slow ones too.
+	// responses are fast on average has slow ones too.
 	minObjectiveShare = 0.5
 )
 
-// Latency is the moving average of the response times of a service. The zero value has no answers. It
-// is not safe for concurrent use.
+// Latency is the moving average of the response times of a service. The zero value has no responses.
+// It is not safe for concurrent use.
 type Latency struct {
-	mean    time.Duration
-	answers int
+	mean      time.Duration
+	responses int
 }
 
-// Observe adds the response time of an answer, or the time after which the router stopped waiting for
-// one. The latter makes the average follow if all engines are slow, so that later requests wait
-// long enough.
-func (p *Latency) Observe(took time.Duration) {
-	p.answers++
-	if p.answers == 1 {
-		p.mean = took
+// Observe adds the time to a response, or the time after which the router stopped waiting for one.
+// The latter raises the average if all engines are slow, so that later requests wait long enough.
+func (l *Latency) Observe(took time.Duration) {
+	l.responses++
+	if l.responses == 1 {
+		l.mean = took
 		return
 	}
-	p.mean += time.Duration(newestWeight * float64(took-p.mean))
+	l.mean += time.Duration(newestWeight * float64(took-l.mean))
 }
 
-// SilenceTimeout returns the time to wait for an engine before a request is sent to another one; zero
-// means no limit. It follows the service's response times, because a fixed limit would give up all
-// requests of a service that is only busy. objective is the service's latency objective, or zero if
-// it has none. SilenceTimeout returns the objective until there are minAnswers answers.
-func (p *Latency) SilenceTimeout(objective time.Duration) time.Duration {
-	if p.answers < minAnswers {
+// SilenceTimeout returns the time to wait for an engine before a request is sent to another one;
+// zero means no limit. It follows the service's response times, because a fixed limit would abort
+// all requests of a service that is only busy. objective is the service's latency objective, or
+// zero if it has none; it is returned until there are minResponses responses.
+func (l *Latency) SilenceTimeout(objective time.Duration) time.Duration {
+	if l.responses < minResponses {
 		return objective
 	}
-	return max(patienceFactor*p.mean, time.Duration(minObjectiveShare*float64(objective)))
+	return max(silenceFactor*l.mean, time.Duration(minObjectiveShare*float64(objective)))
 }
--- a/internal/edge/health/latency_test.go
+++ b/internal/edge/health/latency_test.go
@@ -8,38 +8,38 @@
 )
 
 // Guards against the collapse of a service under load: if all of its engines become slow and
-// requests are given up and sent again, the load rises further. Patience follows the response
-// times, including those of requests that were given up.
+// requests are aborted and sent again, the load rises further. The silence timeout follows the
+// response times, including the waits of aborted requests.
 func TestPatienceFollowsSlowService(t *testing.T) {
 	const objective = 100 * time.Millisecond
-	var p Latency
+	var l Latency
 	for range 100 {
-		p.Observe(20 * time.Millisecond)
+		l.Observe(20 * time.Millisecond)
 	}
-	require.Equal(t, 60*time.Millisecond, p.SilenceTimeout(objective))
-	givenUp := 0
+	require.Equal(t, 60*time.Millisecond, l.SilenceTimeout(objective))
+	aborted := 0
 	for range 100 {
 		took := 300 * time.Millisecond
-		if patience := p.SilenceTimeout(objective); patience < took {
-			took = patience
-			givenUp++
+		if timeout := l.SilenceTimeout(objective); timeout < took {
+			took = timeout
+			aborted++
 		}
-		p.Observe(took)
+		l.Observe(took)
 	}
-	require.Less(t, givenUp, 25)
-	require.Greater(t, p.SilenceTimeout(objective), 300*time.Millisecond)
+	require.Less(t, aborted, 25)
+	require.Greater(t, l.SilenceTimeout(objective), 300*time.Millisecond)
 }
 
-// Guards against suspecting an engine after few answers, or after fast ones only: without enough
-// answers, patience is the objective, or unlimited if there is none, and fast answers do not reduce
-// it below half of the objective.
+// Guards against suspecting an engine after few responses, or after fast ones only: without enough
+// responses, the silence timeout is the objective, or unlimited if there is none, and fast responses
+// do not reduce it below half of the objective.
 func TestPatienceWithFewOrFastAnswers(t *testing.T) {
-	var p Latency
-	require.Equal(t, time.Second, p.SilenceTimeout(time.Second))
-	require.Zero(t, p.SilenceTimeout(0))
-	for range minAnswers {
-		p.Observe(time.Millisecond)
+	var l Latency
+	require.Equal(t, time.Second, l.SilenceTimeout(time.Second))
+	require.Zero(t, l.SilenceTimeout(0))
+	for range minResponses {
+		l.Observe(time.Millisecond)
 	}
-	require.Equal(t, 500*time.Millisecond, p.SilenceTimeout(time.Second))
-	require.Equal(t, patienceFactor*time.Millisecond, p.SilenceTimeout(0))
+	require.Equal(t, 500*time.Millisecond, l.SilenceTimeout(time.Second))
+	require.Equal(t, silenceFactor*time.Millisecond, l.SilenceTimeout(0))
 }
--- a/internal/edge/node/apply.go
+++ b/internal/edge/node/apply.go
@@ -11,7 +11,7 @@
 	"github.com/charmbracelet/log"
 )
 
-// activeSettings are the settings in force at a router. It is immutable.
+// activeSettings are the active settings of a router. It is immutable.
 type activeSettings struct {
 	settings *settings.Settings
 	// digest allows a comparison with the settings of other routers; since is the boot time
@@ -22,18 +22,18 @@
 	pendingRestart []string
 }
 
-// settings returns the settings in force.
+// settings returns the active settings.
 func (r *Router) settings() *settings.Settings { return r.active.Load().settings }
 
 // Watch applies changes of the settings file until the context ends. Initial is the content with
-// which the router was made; a value from hangups requests an immediate check of the file.
+// which the router was created; a value from hangups requests an immediate check of the file.
 func (r *Router) Watch(ctx context.Context, file string, initial []byte, hangups <-chan os.Signal) {
 	w := &settings.Watcher{File: file, Apply: r.Apply, Log: r.log}
 	r.watcher.Store(w)
 	w.Run(ctx, initial, hangups)
 }
 
-// Apply puts changed settings in force without interrupting requests. Changes that take effect only
+// Apply activates changed settings without interrupting requests. Changes that take effect only
 // at a restart are logged and not applied. It must not be called concurrently.
 func (r *Router) Apply(given *settings.Settings) {
 	before := r.active.Load()
@@ -63,7 +63,7 @@
 	r.log.Info("settings read", "settings", next.digest, "changed", len(live), "wait_for_restart", len(pending))
 }
 
-// propagate passes changes to the components that don't read the settings at each use.
+// propagate applies changes to the components that don't read the settings at each use.
 func (r *Router) propagate(changes []settings.Change, current *settings.Settings) {
 	for _, c := range changes {
 		switch c.Path {
@@ -95,14 +95,15 @@
 func (r *Router) setLogLevel(name string) {
 	level, err := log.ParseLevel(name)
 	if err != nil {
-		// Not expected: the settings are checked, and allow only names that the library knows.
+		// Not expected: checked settings allow only levels that the library supports.
 		r.logApplyError("log_level", err)
 		return
 	}
 	r.log.SetLevel(level)
 }
 
-// limitMemory sets the memory limit near which the garbage collector works harder.
+// limitMemory sets the soft memory limit of the Go runtime, near which the garbage collector runs
+// more often.
 func (r *Router) limitMemory() {
 	debug.SetMemoryLimit(int64(memoryShare * float64(r.settings().Limits.MemoryMB) * (1 << 20)))
 }
--- a/internal/edge/node/metrics.go
+++ b/internal/edge/node/metrics.go
@@ -45,7 +45,7 @@
 	return out
 }
 
-// settingsMetrics describes the settings in force. Problem stays until the file is corrected, and
+// settingsMetrics describes the active settings. Problem stays until the file is corrected, and
 // WaitForRestart until the restart.
 type settingsMetrics struct {
 	Digest         string   `json:"digest"`
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -36,7 +36,7 @@
 	// addressTTL is how long callers may cache the addresses of routers. A router
 	// that leaves gets no more requests after it.
 	addressTTL = 2 * time.Second
-	// leaseShare is the part of the bound for revoked keys for which a
+	// leaseShare is the share of the bound for revoked keys for which a
 	// configuration may be used after its last confirmation. The rest covers
 	// the time between the check and the send, and late notifications by watches
 	// of the store.
@@ -51,12 +51,12 @@
 	maxHeaderBytes = 64 << 10
 	// reviewInterval is how often the engines are compared with one another.
 	reviewInterval = 500 * time.Millisecond
-	// memoryShare is the part of the VM's memory near which the garbage
-	// collector works harder; the rest is for buffers of the kernel.
+	// memoryShare is the share of the VM's memory that is set as the soft memory
+	// limit; the rest is for buffers of the kernel.
 	memoryShare = 0.7
 )
 
-// Platform holds the parts that the adapter of the platform provides.
+// Platform holds the components that the adapter of the platform provides.
 type Platform struct {
 	Codec          forward.Codec
 	Store          func(address string) Store
@@ -66,7 +66,7 @@
 
 // Router is a running router.
 type Router struct {
-	// active are the settings in force.
+	// active are the active settings.
 	active atomic.Pointer[activeSettings]
 	// watcher watches the settings file; nil until Watch is called.
 	watcher  atomic.Pointer[settings.Watcher]
@@ -108,7 +108,7 @@
 	wg          sync.WaitGroup
 }
 
-// New assembles a router; Start makes it serve.
+// New assembles a router, which serves once Start is called.
 func New(initial *settings.Settings, platform Platform, logger *log.Logger) *Router {
 	r := &Router{platform: platform, log: logger.With("router", initial.Name), createdAt: bootclock.Now(), bootID: rand.Uint64()}
 	r.active.Store(&activeSettings{settings: initial, digest: initial.Digest(), since: bootclock.Now()})
@@ -122,7 +122,7 @@
 }
 
 // changeBound returns how long a change of the configuration, an engine or an evacuation may take
-// to be in force at all routers.
+// to be active at all routers.
 func (r *Router) changeBound() time.Duration {
 	b := r.settings().Bounds
 	bound := min(b.Config, b.Drain)
@@ -200,7 +200,7 @@
 	})
 }
 
-// refusesRequests reports whether an engine is known and takes no more requests.
+// refusesRequests reports whether an engine is known and accepts no more requests.
 func (r *Router) refusesRequests(engine string) bool {
 	snapshot := r.board.Snapshot()
 	e, known := snapshot.Engines.ByID[engine]
@@ -283,8 +283,8 @@
 	}
 }
 
-// openMounts serves each handler at its address in the settings in force. It tries all of them; the
-// errors are joined.
+// openMounts serves each handler at its address in the active settings. It tries all of them and
+// joins the errors.
 func (r *Router) openMounts() error {
 	var errs []error
 	for _, m := range r.mounts {
@@ -339,7 +339,7 @@
 }
 
 // resolve answers a caller's query for addresses of routers. A router that
-// leaves names only the others, or itself if it knows no other.
+// leaves returns only the others, or itself if it knows no other.
 func (r *Router) resolve(q entry.Query) entry.Response {
 	var routers []entry.Router
 	for _, p := range r.liveRouters() {
--- a/internal/edge/node/peers.go
+++ b/internal/edge/node/peers.go
@@ -113,8 +113,8 @@
 	// contactPeriod is how often a seed that is not a live member is contacted by gossip
 	// packets. Routers that start together must find one another within seconds.
 	contactPeriod = time.Second
-	// contactDelay is how long after the start the packets begin to do so. By then calls
-	// have contacted the seeds; their replies list all members at once.
+	// contactDelay is how long after the start these packets begin. By then calls have
+	// contacted the seeds; the replies list all members at once.
 	contactDelay = time.Second
 )
 
@@ -152,7 +152,7 @@
 // joined.
 func (r *Router) logMemberEvent(e membership.Event) {
 	if e.Type == membership.EventDead || e.Type == membership.EventJoined {
-		// A process that is gone releases no permits, and one that joins holds none.
+		// A dead process releases no permits, and one that joins holds none.
 		r.gateOwner.RouterGone(e.Member.Name)
 	}
 	if e.Type == membership.EventJoined && !r.start.Settled(bootclock.Now()) {
--- a/internal/edge/node/status.go
+++ b/internal/edge/node/status.go
@@ -64,11 +64,11 @@
 	SettingsMethod = operatorServiceName + ".Settings"
 )
 
-// OperatorService answers other routers on behalf of operators. Its methods are called by net/rpc;
+// OperatorService handles calls of other routers on behalf of operators. Its methods are called by net/rpc;
 // their errors are always nil.
 type OperatorService struct{ router *Router }
 
-// SettingsArgs requests the settings in force.
+// SettingsArgs requests the active settings.
 type SettingsArgs struct{}
 
 // SettingsReply is the reply to SettingsArgs: all fields, without the values of secrets.
@@ -78,7 +78,7 @@
 	Fields []settings.Field `json:"fields"`
 }
 
-// Settings returns the settings in force.
+// Settings returns the active settings.
 func (o *OperatorService) Settings(_ SettingsArgs, reply *SettingsReply) error {
 	active := o.router.active.Load()
 	*reply = SettingsReply{Router: o.router.self.Name, Digest: active.digest, Fields: active.settings.Fields()}
@@ -102,7 +102,7 @@
 	})
 }
 
-// settingsOf returns the settings in force at a router, by default at this one. Errors: Error.
+// settingsOf returns the active settings of a router, by default of this one. Errors: Error.
 func (r *Router) settingsOf(ctx context.Context, name string) (SettingsReply, error) {
 	var reply SettingsReply
 	if name == "" || name == r.self.Name {
--- a/internal/edge/settings/fields.go
+++ b/internal/edge/settings/fields.go
@@ -86,7 +86,7 @@
 	return out
 }
 
-// Digest returns a hash of the settings that routers share. Routers with equal digests behave alike.
+// Digest returns a hash of the settings that routers share. Routers with equal digests behave in the same way.
 // Fields that differ between routers, such as names and addresses, and the values of secrets are not
 // part of it.
 func (s *Settings) Digest() string {
@@ -111,8 +111,8 @@
 	return out
 }
 
-// Effective returns the settings in force after a running router is given new ones: the new values,
-// except for fields that take effect only at a restart, which keep the running values.
+// Effective returns the active settings after a running router applies new ones: the new values,
+// except for fields that take effect only at a restart, which keep the old values.
 func Effective(running, given *Settings) *Settings {
 	out := *given
 	kept := leaves(reflect.ValueOf(running).Elem(), "")
--- a/internal/edge/settings/settings.go
+++ b/internal/edge/settings/settings.go
@@ -82,29 +82,29 @@
 	MaxFiles int `yaml:"max_files" validate:"min=64" scope:"own"`
 	// LinkMbps is the bandwidth of the network link, in megabits per second.
 	LinkMbps float64 `yaml:"link_mbps" validate:"gt=0" scope:"own" apply:"restart"`
-	// CPUShare is the part of a core that the process may use.
+	// CPUShare is the share of a core that the process may use.
 	CPUShare float64 `yaml:"cpu_share" validate:"gt=0" scope:"own"`
 }
 
-// Bounds are the times and ratios that the fleet must keep to. Durations are from 1 ms to 24 h.
+// Bounds are the times and ratios that the fleet must not exceed. Durations are from 1 ms to 24 h.
 type Bounds struct {
 	// Revoke is how long a revoked API key may still be accepted.
 	Revoke Milliseconds `yaml:"revoke_ms" validate:"duration"`
-	// Config is how long a change of the configuration may take to be in
-	// force, and Drain how long a draining engine may get new requests.
+	// Config is how long a change of the configuration may take to become
+	// active, and Drain how long a draining engine may get new requests.
 	Config Milliseconds `yaml:"config_ms" validate:"duration"`
 	Drain  Milliseconds `yaml:"drain_ms" validate:"duration"`
 	// Evacuate is how long the engines of an evacuated site may get new requests. The
 	// default is the value of Drain.
 	Evacuate Milliseconds `yaml:"evacuate_ms" validate:"omitempty,duration"`
 	// ColdOver and ColdSlack limit the requests to a cold engine: in any second it gets at
-	// most ColdOver times the rate that its service names, plus ColdSlack requests. The
+	// most ColdOver times the rate that its service specifies, plus ColdSlack requests. The
 	// defaults are 1 and 0.
 	ColdOver  float64 `yaml:"cold_over" validate:"omitempty,min=0"`
 	ColdSlack float64 `yaml:"cold_slack" validate:"omitempty,min=0"`
 	// Beat is the interval at which engines renew their entries in the store.
 	Beat Milliseconds `yaml:"beat_ms" validate:"duration"`
-	// Stop is how long the process may run after it was told to stop.
+	// Stop is how long the process may run after the signal to stop.
 	Stop Seconds `yaml:"stop_s" validate:"duration"`
 	// RetryRatio, RetrySlack and RetryWindow limit the attempts that a service may
 	// get beyond the first one of each request.
--- a/internal/edge/settings/watch.go
+++ b/internal/edge/settings/watch.go
@@ -28,7 +28,7 @@
 // Watcher applies changes of a settings file. A file that is not usable changes nothing.
 type Watcher struct {
 	File string
-	// Apply puts checked settings in force. It is called only by the goroutine of Run.
+	// Apply activates checked settings. It is called only by the goroutine of Run.
 	Apply func(*Settings)
 	Log   *log.Logger
 
@@ -97,7 +97,7 @@
 	w.Apply(s)
 }
 
-// reject records and logs the problem, once for each content. The settings in force stay.
+// reject records and logs the problem, once for each content. The active settings stay.
 func (w *Watcher) reject(content []byte, err error) {
 	text := err.Error()
 	if previous := w.problem.Swap(&text); previous != nil && *previous == text && bytes.Equal(content, w.lastContent) {
@@ -107,8 +107,8 @@
 	w.Log.Warn("settings changed and are not usable; those before stay in force", "file", w.File, "cause", err)
 }
 
-// ParseComplete parses settings that may be incompletely written: the last line must end with a newline.
-// Errors: ErrIncomplete, ErrRead, ErrField.
+// ParseComplete parses settings that may be incompletely written: the last line must end with a
+// newline. Errors: ErrIncomplete, ErrRead, ErrField.
 func ParseComplete(data []byte) (*Settings, error) {
 	if !bytes.HasSuffix(data, []byte("\n")) {
 		return nil, ErrIncomplete.New("the file does not end with the end of a line")
