--- a/internal/fleet/gossip/roster.go
+++ b/internal/fleet/gossip/roster.go
@@ -7,8 +7,8 @@
 const maxLinks = 8
 
 // RosterRequest returns the next request of a roster exchange with the router at an address. Each
-// request must be followed by HandleRosterReply or RosterRequestFailed. Like the other roster methods it
-// waits for the owner goroutine and must not be called from a callback.
+// request must be followed by HandleRosterReply or RosterRequestFailed. Like the other roster
+// methods it waits for the owner goroutine and must not be called from a callback.
 func (d *Driver) RosterRequest(address string) membership.RosterRequest {
 	var request membership.RosterRequest
 	d.runAndWait(func() {
@@ -23,8 +23,8 @@
 	return request
 }
 
-// HandleRosterReply processes the reply to the last RosterRequest for an address. When it returns, the
-// snapshot contains the rows of the reply.
+// HandleRosterReply processes the reply to the last RosterRequest for an address. When it returns,
+// the snapshot contains the rows of the reply.
 func (d *Driver) HandleRosterReply(address string, reply membership.RosterReply) {
 	d.runAndWait(func() {
 		if link := d.links[address]; link != nil {
@@ -45,7 +45,7 @@
 	return reply
 }
 
-// evictLinks makes room for another link. The next exchange over an evicted link compares the
+// evictLinks drops links until another one can be added. The next exchange over an evicted link compares the
 // tables again.
 func (d *Driver) evictLinks() {
 	for address := range d.links {
--- a/internal/fleet/membership/roster.go
+++ b/internal/fleet/membership/roster.go
@@ -2,7 +2,7 @@
 
 // Packets spread membership changes slowly, to limit their bytes: after 300 routers started at
 // once, it took 25 seconds until each knew all others, and meanwhile loads, budgets and duties
-// were divided wrongly. Routers that call one another anyway therefore exchange changed rows
+// were divided incorrectly. Routers that call one another anyway therefore exchange changed rows
 // along with these calls. A change then reaches every router within a few calls and costs each
 // router the bytes of one row. Packets still detect failures, and cover for exchanges that did
 // not take place.
@@ -73,8 +73,8 @@
 	d.mergeRows(reply.From, reply.Rows)
 }
 
-// RosterRequestFailed resets a link after a request without a reply. It is unknown whether the request
-// arrived, so its rows are sent again.
+// RosterRequestFailed resets a link after a request without a reply. It is unknown whether the
+// request arrived, so its rows are sent again.
 func (d *Detector) RosterRequestFailed(l *RosterLink) {
 	// The router may have been replaced by another instance.
 	*l = RosterLink{}
@@ -168,8 +168,7 @@
 	r.changedRevision = d.revision
 	r.learnedFrom = d.mergingFrom
 	if r == d.self {
-		// The own row is this router's answer to what others report, so it is sent to them as
-		// well.
+		// The router's own row may refute what others report, so it is sent to them as well.
 		r.learnedFrom = 0
 	}
 }
