--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -1,4 +1,4 @@
-// Package node assembles a router that serves clients on a platform, and runs
+// Package node assembles a router that serves callers on a platform, and runs
 // its life cycle: start, serve, leave, stop.
 package node
 
@@ -33,16 +33,16 @@
 var Error = errs.Class("router")
 
 const (
-	// addressTTL is how long clients may cache the addresses of routers. A router
+	// addressTTL is how long callers may cache the addresses of routers. A router
 	// that leaves gets no more requests after it.
 	addressTTL = 2 * time.Second
-	// leaseShare is the part of the bound for revoked keys for which a
+	// leaseShare is the share of the bound for revoked keys for which a
 	// configuration may be used after its last confirmation. The rest covers
 	// the time between the check and the send, and late notifications by watches
 	// of the store.
 	leaseShare = 0.7
-	// idleTimeout is how long a client's connection may be idle before it is
-	// closed. It exceeds the longest idle time after which operators allow a client
+	// idleTimeout is how long a caller's connection may be idle before it is
+	// closed. It exceeds the longest idle time after which operators allow a caller
 	// to reuse a connection.
 	idleTimeout = 2 * time.Minute
 	// headerTimeout bounds the time to receive the header of a request.
@@ -51,12 +51,12 @@
 	maxHeaderBytes = 64 << 10
 	// reviewInterval is how often the engines are compared with one another.
 	reviewInterval = 500 * time.Millisecond
-	// memoryShare is the part of the VM's memory near which the garbage
-	// collector works harder; the rest is for buffers of the kernel.
+	// memoryShare is the share of the VM's memory that is set as the soft memory
+	// limit; the rest is for buffers of the kernel.
 	memoryShare = 0.7
 )
 
-// Platform holds the parts that the adapter of the platform provides.
+// Platform holds the components that the adapter of the platform provides.
 type Platform struct {
 	Codec          forward.Codec
 	Store          func(address string) Store
@@ -66,7 +66,7 @@
 
 // Router is a running router.
 type Router struct {
-	// active are the settings in force.
+	// active are the active settings.
 	active atomic.Pointer[activeSettings]
 	// watcher watches the settings file; nil until Watch is called.
 	watcher  atomic.Pointer[settings.Watcher]
@@ -100,21 +100,21 @@
 	livePeers atomic.Pointer[[]feed.Peer]
 
 	servers servers
-	// clientLimit limits the connections of clients.
-	clientLimit *callers.Limit
+	// callerLimit limits the connections of callers.
+	callerLimit *callers.Limit
 	leaving     atomic.Bool
 	ctx         context.Context
 	cancel      context.CancelFunc
 	wg          sync.WaitGroup
 }
 
-// New assembles a router; Start makes it serve.
+// New assembles a router, which serves once Start is called.
 func New(initial *settings.Settings, platform Platform, logger *log.Logger) *Router {
 	r := &Router{platform: platform, log: logger.With("router", initial.Name), createdAt: bootclock.Now(), bootID: rand.Uint64()}
 	r.active.Store(&activeSettings{settings: initial, digest: initial.Digest(), since: bootclock.Now()})
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	r.self = feed.Peer{
-		Name: initial.Name, Site: initial.Site, Address: r.peerAddress(r.clientAddress()), Link: uint64(initial.Limits.LinkMbps),
+		Name: initial.Name, Site: initial.Site, Address: r.peerAddress(r.callerAddress()), Link: uint64(initial.Limits.LinkMbps),
 	}
 	r.assembleFeed()
 	r.assembleForwarder()
@@ -122,7 +122,7 @@
 }
 
 // changeBound returns how long a change of the configuration, an engine or an evacuation may take
-// to be in force at all routers.
+// to be active at all routers.
 func (r *Router) changeBound() time.Duration {
 	b := r.settings().Bounds
 	bound := min(b.Config, b.Drain)
@@ -142,7 +142,7 @@
 func (r *Router) timing() feed.Timing { return feed.TimingFor(r.changeBound()) }
 
 func (r *Router) assembleFeed() {
-	r.clientLimit = callers.New(r.maxClientConns)
+	r.callerLimit = callers.New(r.maxCallerConns)
 	r.start = r.newStart()
 	r.store = newStoreProxy(r.platform.Store, r.settings().Store)
 	contacts := feed.Contacts{Table: r.store}
@@ -200,7 +200,7 @@
 	})
 }
 
-// refusesRequests reports whether an engine is known and takes no more requests.
+// refusesRequests reports whether an engine is known and accepts no more requests.
 func (r *Router) refusesRequests(engine string) bool {
 	snapshot := r.board.Snapshot()
 	e, known := snapshot.Engines.ByID[engine]
@@ -241,9 +241,9 @@
 	r.goRun(r.logFleetSize)
 	r.goRun(r.reviewEngines)
 	r.goRun(r.gateOwner.Run)
-	clientServer := r.newServer(r.forwarder)
-	r.clientLimit.Attach(clientServer)
-	if err := r.servers.open(r, listenerClients, r.settings().Listen.Callers, clientServer); err != nil {
+	callerServer := r.newServer(r.forwarder)
+	r.callerLimit.Attach(callerServer)
+	if err := r.servers.open(r, listenerCallers, r.settings().Listen.Callers, callerServer); err != nil {
 		return err
 	}
 	r.mounts = r.newMounts()
@@ -252,7 +252,7 @@
 
 // The names of the listeners in logs.
 const (
-	listenerClients   = "callers"
+	listenerCallers   = "callers"
 	listenerDirectory = "directory"
 	listenerReady     = "ready"
 	listenerControl   = "control"
@@ -283,8 +283,8 @@
 	}
 }
 
-// openMounts serves each handler at its address in the settings in force. It tries all of them; the
-// errors are joined.
+// openMounts serves each handler at its address in the active settings. It tries all of them and
+// joins the errors.
 func (r *Router) openMounts() error {
 	var errs []error
 	for _, m := range r.mounts {
@@ -338,23 +338,23 @@
 	return now
 }
 
-// resolve answers a client's query for addresses of routers. A router that
-// leaves names only the others, or itself if it knows no other.
+// resolve answers a caller's query for addresses of routers. A router that
+// leaves returns only the others, or itself if it knows no other.
 func (r *Router) resolve(q entry.Query) entry.Response {
 	var routers []entry.Router
 	for _, p := range r.liveRouters() {
 		if p.Name == r.self.Name && r.leaving.Load() {
 			continue
 		}
-		routers = append(routers, entry.Router{Name: p.Name, Site: p.Site, Address: r.clientAddressOf(p.Address)})
+		routers = append(routers, entry.Router{Name: p.Name, Site: p.Site, Address: r.callerAddressOf(p.Address)})
 	}
 	if len(routers) == 0 {
-		routers = []entry.Router{{Name: r.self.Name, Site: r.self.Site, Address: r.clientAddress()}}
+		routers = []entry.Router{{Name: r.self.Name, Site: r.self.Site, Address: r.callerAddress()}}
 	}
 	return entry.Resolve(r.self.Name, routers, q, min(addressTTL, time.Duration(r.settings().Bounds.MaxTTL)))
 }
 
-// ready reports whether requests of clients can be served.
+// ready reports whether requests of callers can be served.
 func (r *Router) ready() bool {
 	snapshot := r.board.Snapshot()
 	return !r.leaving.Load() && snapshot.Config != nil && snapshot.ConfigAge(bootclock.Now()) < r.keyLease()
--- a/internal/edge/node/peers.go
+++ b/internal/edge/node/peers.go
@@ -26,8 +26,8 @@
 	return net.JoinHostPort(host, strconv.Itoa(r.settings().Listen.PortRange[0]))
 }
 
-// clientAddress returns the address at which clients reach this router.
-func (r *Router) clientAddress() string {
+// callerAddress returns the address at which callers reach this router.
+func (r *Router) callerAddress() string {
 	_, port, err := net.SplitHostPort(r.settings().Listen.Callers)
 	if r.settings().Listen.Advertise == "" || err != nil {
 		return r.settings().Listen.Callers
@@ -35,9 +35,9 @@
 	return net.JoinHostPort(r.settings().Listen.Advertise, port)
 }
 
-// clientAddressOf returns the address at which the router with a peer address
-// serves clients, or an empty string if an address is malformed.
-func (r *Router) clientAddressOf(peerAddress string) string {
+// callerAddressOf returns the address at which the router with a peer address
+// serves callers, or an empty string if an address is malformed.
+func (r *Router) callerAddressOf(peerAddress string) string {
 	host, _, err := net.SplitHostPort(peerAddress)
 	_, port, portErr := net.SplitHostPort(r.settings().Listen.Callers)
 	if err != nil || portErr != nil {
@@ -80,7 +80,7 @@
 	r.gossip, err = gossip.Listen(gossip.Config{
 		Listen: listen,
 		Self: membership.Member{
-			Name: r.self.Name, Address: r.self.Address, HTTP: r.clientAddress(), Site: r.self.Site,
+			Name: r.self.Name, Address: r.self.Address, HTTP: r.callerAddress(), Site: r.self.Site,
 			Link: r.self.Link,
 		},
 		Options: r.gossipOptions(),
@@ -113,8 +113,8 @@
 	// contactPeriod is how often a seed that is not a live member is contacted by gossip
 	// packets. Routers that start together must find one another within seconds.
 	contactPeriod = time.Second
-	// contactDelay is how long after the start the packets begin to do so. By then calls
-	// have contacted the seeds; their replies list all members at once.
+	// contactDelay is how long after the start these packets begin. By then calls have
+	// contacted the seeds; the replies list all members at once.
 	contactDelay = time.Second
 )
 
@@ -152,7 +152,7 @@
 // joined.
 func (r *Router) logMemberEvent(e membership.Event) {
 	if e.Type == membership.EventDead || e.Type == membership.EventJoined {
-		// A process that is gone releases no permits, and one that joins holds none.
+		// A dead process releases no permits, and one that joins holds none.
 		r.gateOwner.RouterGone(e.Member.Name)
 	}
 	if e.Type == membership.EventJoined && !r.start.Settled(bootclock.Now()) {
--- a/internal/edge/settings/settings.go
+++ b/internal/edge/settings/settings.go
@@ -35,7 +35,7 @@
 	// Seeds are control addresses of other routers, "ip:port". They may be out
 	// of date.
 	Seeds []string `yaml:"seeds" validate:"dive,hostport"`
-	// FirstStart means that the whole fleet starts for the first time and has no clients yet.
+	// FirstStart means that the whole fleet starts for the first time and has no callers yet.
 	// A router then waits longer for others before it reads the store itself. The default is
 	// false.
 	FirstStart bool `yaml:"first_start" scope:"own"`
@@ -57,12 +57,12 @@
 
 // Listen holds the listen addresses of the router, "ip:port".
 type Listen struct {
-	// Callers is the address that serves the requests of clients.
+	// Callers is the address that serves the requests of callers.
 	Callers   string `yaml:"callers" validate:"required,hostport" scope:"own" apply:"restart"`
 	Ready     string `yaml:"ready" validate:"required,hostport" scope:"own"`
 	Directory string `yaml:"directory" validate:"required,hostport" scope:"own"`
 	Control   string `yaml:"control" validate:"required,hostport" scope:"own"`
-	// Advertise is the IP address at which clients and other routers reach this VM, on the
+	// Advertise is the IP address at which callers and other routers reach this VM, on the
 	// same ports. The default is the IP address of Callers; it differs behind network address
 	// translation.
 	Advertise string `yaml:"advertise" validate:"omitempty,ip" scope:"own" apply:"restart"`
@@ -77,41 +77,41 @@
 type Limits struct {
 	// MemoryMB is the memory that the process may use, in megabytes.
 	MemoryMB int64 `yaml:"memory_mb" validate:"min=16" scope:"own"`
-	// MaxFiles is the maximum number of open file descriptors; connections of clients take at
+	// MaxFiles is the maximum number of open file descriptors; connections of callers take at
 	// most four tenths of them.
 	MaxFiles int `yaml:"max_files" validate:"min=64" scope:"own"`
 	// LinkMbps is the bandwidth of the network link, in megabits per second.
 	LinkMbps float64 `yaml:"link_mbps" validate:"gt=0" scope:"own" apply:"restart"`
-	// CPUShare is the part of a core that the process may use.
+	// CPUShare is the share of a core that the process may use.
 	CPUShare float64 `yaml:"cpu_share" validate:"gt=0" scope:"own"`
 }
 
-// Bounds are the times and ratios that the fleet must keep to. Durations are from 1 ms to 24 h.
+// Bounds are the times and ratios that the fleet must not exceed. Durations are from 1 ms to 24 h.
 type Bounds struct {
 	// Revoke is how long a revoked API key may still be accepted.
 	Revoke Milliseconds `yaml:"revoke_ms" validate:"duration"`
-	// Config is how long a change of the configuration may take to be in
-	// force, and Drain how long a draining engine may get new requests.
+	// Config is how long a change of the configuration may take to become
+	// active, and Drain how long a draining engine may get new requests.
 	Config Milliseconds `yaml:"config_ms" validate:"duration"`
 	Drain  Milliseconds `yaml:"drain_ms" validate:"duration"`
 	// Evacuate is how long the engines of an evacuated site may get new requests. The
 	// default is the value of Drain.
 	Evacuate Milliseconds `yaml:"evacuate_ms" validate:"omitempty,duration"`
 	// ColdOver and ColdSlack limit the requests to a cold engine: in any second it gets at
-	// most ColdOver times the rate that its service names, plus ColdSlack requests. The
+	// most ColdOver times the rate that its service specifies, plus ColdSlack requests. The
 	// defaults are 1 and 0.
 	ColdOver  float64 `yaml:"cold_over" validate:"omitempty,min=0"`
 	ColdSlack float64 `yaml:"cold_slack" validate:"omitempty,min=0"`
 	// Beat is the interval at which engines renew their entries in the store.
 	Beat Milliseconds `yaml:"beat_ms" validate:"duration"`
-	// Stop is how long the process may run after it was told to stop.
+	// Stop is how long the process may run after the signal to stop.
 	Stop Seconds `yaml:"stop_s" validate:"duration"`
 	// RetryRatio, RetrySlack and RetryWindow limit the attempts that a service may
 	// get beyond the first one of each request.
 	RetryRatio  float64 `yaml:"retry_ratio" validate:"min=0"`
 	RetrySlack  float64 `yaml:"retry_slack" validate:"min=0"`
 	RetryWindow Seconds `yaml:"retry_window_s" validate:"duration"`
-	// MaxTTL is the longest time that clients cache an address.
+	// MaxTTL is the longest time that callers cache an address.
 	MaxTTL Seconds `yaml:"max_ttl_s" validate:"duration"`
 }
 
