--- a/internal/base/engineconn/conn.go
+++ b/internal/base/engineconn/conn.go
@@ -79,9 +79,9 @@
 // abort closes a connection whose request has no response. If the peer has not
 // acknowledged all data, the rest is discarded and the connection reset:
 // otherwise the kernel would keep sending, and an engine that was unreachable
-// would receive the request seconds after everyone gave it up. If all data has
-// arrived, an ordinary close tells the engine to stop working, even if packets
-// are lost.
+// would receive the request seconds after it was aborted. If all data has
+// arrived, an ordinary close signals the engine to stop the execution, even if
+// packets are lost.
 func (c *conn) abort() {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	if ok && c.hasUnackedData(tcp) {
@@ -92,7 +92,7 @@
 }
 
 // hasUnackedData reports whether the peer has yet to acknowledge data. It also
-// reports true if the kernel fails to tell for an open connection.
+// reports true if the kernel does not report this for an open connection.
 func (c *conn) hasUnackedData(tcp *net.TCPConn) bool {
 	raw, err := tcp.SyscallConn()
 	if err != nil {
--- a/internal/base/engineconn/pool.go
+++ b/internal/base/engineconn/pool.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// defaultIdleTimeout is how long an idle connection is kept if the engine
+	// defaultIdleTimeout is how long an idle connection is kept open if the engine
 	// names no timeout.
 	defaultIdleTimeout = 8 * time.Second
 	// idleTimeoutMargin is subtracted from the timeout that the engine names, so
@@ -144,9 +144,9 @@
 	return p.opts.MaxAge > 0 && now-c.openedAt >= p.opts.MaxAge
 }
 
-// CloseIdle closes the idle connections to an engine. If one connection has gone
-// dead, the others most likely have too, and each would cost a request its time
-// limit.
+// CloseIdle closes the idle connections to an engine. If one connection is
+// dead, the others most likely are too, and each would cost a request its
+// timeout.
 func (p *Pool) CloseIdle(engine string) {
 	p.mu.Lock()
 	conns := p.idle[engine]
@@ -158,7 +158,7 @@
 }
 
 // sweep removes and returns the connections that were idle for longer than their
-// timeout, such as those to engines that are gone. The caller holds the mutex
+// timeout, such as those to removed engines. The caller holds the mutex
 // and closes them.
 func (p *Pool) sweep() (expired []*conn) {
 	now := p.opts.Clock()
--- a/internal/base/engineconn/send.go
+++ b/internal/base/engineconn/send.go
@@ -52,7 +52,7 @@
 }
 
 // nothingSent reports whether no byte of the request has left or will leave:
-// either no write was started, or the kernel refused the first one as a whole,
+// either no write was started, or the kernel rejected the first one completely,
 // as on a connection that the peer has reset. A write that was interrupted by
 // closing the connection on this side may have handed bytes over, whatever count
 // it returns. It must be called after done is closed.
@@ -241,8 +241,8 @@
 }
 
 // Close ends the exchange. The connection returns to the pool if the response was
-// read to its end, the request was written whole, and the engine keeps the
-// connection open too.
+// read to its end, the request was written completely, and the engine keeps
+// the connection open too.
 func (a *Response) Close() {
 	if a.stopAbort() && a.complete && a.keepAlive && a.write.finished() {
 		a.pool.putIdle(a.engine, a.conn, a.maxConns)
--- a/internal/base/engineconn/send_test.go
+++ b/internal/base/engineconn/send_test.go
@@ -239,7 +239,7 @@
 	})
 }
 
-// Guards against an engine that executes a request seconds after everyone gave it up:
+// Guards against an engine that executes a request seconds after it was aborted:
 // unacknowledged data must be discarded with the connection.
 func TestAbortedRequestDoesNotArriveLater(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/decide/gate/gate.go
+++ b/internal/decide/gate/gate.go
@@ -1,4 +1,4 @@
-// Package gate implements admission control for one engine. The router that owns the engine keeps
+// Package gate implements admission control for one engine. The router that owns the engine holds
 // its Gate.
 //
 // Routers that decide independently on reports of each other's load all see the same free slot, all
@@ -28,7 +28,7 @@
 	// DefaultWindow is the time constant over which the drain rate is averaged. A surge lasts
 	// seconds, and an engine frees ten slots within a few tenths of a second.
 	DefaultWindow = time.Second
-	// reservedShare is the share of the service that goes to the class below the most urgent
+	// reservedShare is the share of the service reserved for the class below the most urgent
 	// waiting one, so that no class is starved while a surge lasts.
 	reservedShare = 0.05
 	// maxWaiting bounds the queue of one gate. Requests are normally refused by their predicted
@@ -72,7 +72,7 @@
 	// Until is when the lease expires unless it is released before.
 	Until time.Time
 	// Hold is the mean time for which such requests hold a slot, as far as the requester knows. It
-	// is used until the gate has seen leases end.
+	// is used until the first lease of the gate was released.
 	Hold time.Duration
 	// Pace bounds the rate of requests to the engine, as far as the requester knows.
 	Pace Pace
--- a/internal/decide/gate/timeouts.go
+++ b/internal/decide/gate/timeouts.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// timeoutSamples is the number of most recent timeouts that are kept.
+	// timeoutSamples is the number of most recent timeouts that are retained.
 	timeoutSamples = 256
 	// minTimeoutSamples is the number of timeouts after which the baseline is computed, at first and
 	// again each time. One router of three hundred may see only one
--- a/internal/decide/limit/cache.go
+++ b/internal/decide/limit/cache.go
@@ -420,7 +420,7 @@
 }
 
 // refillFallback refills the fallback bucket up to now. The bucket starts once, with at most one
-// request per router: if it started anew with each lost reply, the account could exceed its limit
+// request per router: if it started again with each lost reply, the account could exceed its limit
 // on a bad network.
 func (s *accountState) refillFallback(now time.Time, lim Limits, routers float64) {
 	burstShare := lim.burst() / routers
--- a/internal/decide/limit/limit.go
+++ b/internal/decide/limit/limit.go
@@ -1,6 +1,6 @@
 // Package limit bounds each client account's request rate and concurrency across the fleet.
 //
-// One router owns an account and keeps its Ledger. Every router has a Cache that spends what the
+// One router owns an account and holds its Ledger. Every router has a Cache that spends what the
 // owners have granted in advance, so that most requests need no message. Tokens for the rate are
 // spent once; slots for the concurrency are leased and renewed. When an owner is lost, each router
 // falls back to a small static share until the new owner replies.
--- a/internal/decide/prefix/evidence.go
+++ b/internal/decide/prefix/evidence.go
@@ -95,7 +95,7 @@
 	// Views are those of the engines whose cache events this router follows.
 	Views []*View
 	// Current reports the current incarnations. Evidence for any other is dropped,
-	// since its cache is gone.
+	// since its cache no longer exists.
 	Current Incarnations
 }
 
@@ -233,7 +233,7 @@
 	return 1
 }
 
-// add keeps the evidence of the higher value for each engine.
+// add retains the evidence of the higher value for each engine.
 func (s *search) add(e Evidence) {
 	for i := s.start; i < len(s.found); i++ {
 		if s.found[i].Engine != e.Engine {
--- a/internal/decide/prefix/table.go
+++ b/internal/decide/prefix/table.go
@@ -52,7 +52,7 @@
 }
 
 // newTable returns a table sized for capacity entries at a load of loadPercent. A
-// random seed keeps callers, who choose their chat ids, from filling one bucket on
+// random seed prevents callers, who choose their chat ids, from filling one bucket on
 // purpose and so evicting the chats of others. It returns ErrCapacity if capacity isn't
 // positive.
 func newTable[V any](capacity int, seed uint64) (*table[V], error) {
--- a/internal/decide/prefix/view.go
+++ b/internal/decide/prefix/view.go
@@ -71,7 +71,7 @@
 // Apply applies a page of events.
 //
 // Pages may be late, repeated or out of order. A repeated event is ignored: applied
-// after a later eviction, it would restore a prefix that is gone, and chats would miss
+// after a later eviction, it would restore a prefix that is no longer cached, and chats would miss
 // despite a high confidence. A page of the previous incarnation is ignored too, since
 // it would empty the view of the current one.
 func (v *View) Apply(page wire.CacheEvents, now time.Time) {
@@ -92,8 +92,8 @@
 
 // switchIncarnation empties the view for a new incarnation. It rejects the previous one
 // unless maxStaleRun pages of it arrive in a row: then the page that replaced it was
-// the late one, and the view would otherwise keep describing an incarnation that is
-// gone.
+// the late one, and the view would otherwise continue to describe an incarnation that
+// has ended.
 func (v *View) switchIncarnation(incarnation uint64) bool {
 	if incarnation == v.previous && v.previous != 0 {
 		v.staleRun++
@@ -127,7 +127,7 @@
 // skipTo records a gap if events before seq are missing. The missing ones may have been
 // evictions: with unchanged confidence in older entries, chats would be sent to an
 // engine that has evicted their prefix, and miss after each gap. Deleting the entries
-// would lose what mostly still holds.
+// would lose information that is mostly still valid.
 func (v *View) skipTo(seq uint64) {
 	if seq <= v.nextSeq {
 		return
--- a/internal/decide/queue/estimate.go
+++ b/internal/decide/queue/estimate.go
@@ -9,16 +9,16 @@
 	// idleResetWindows is the number of windows that the queue may stay empty before
 	// the last measured rate is discarded as no longer valid for the next backlog.
 	idleResetWindows = 6
-	// warmupShare is the part of a window, in averaged busy time, during which a
+	// warmupShare is the share of a window, in averaged busy time, during which a
 	// backlog without any completed work predicts no wait. It is reached after about
 	// one window.
 	warmupShare = 0.6
-	// priorShare is the part of a window for which a configured rate counts like a
+	// priorShare is the share of a window for which a configured rate counts like a
 	// measured one. The two have equal weight after about a quarter of a window.
 	priorShare = 0.3
-	// minRateShare is the least part of the drain rate that a class is assumed to get.
-	// It keeps a prediction finite where higher classes took the whole rate and nothing
-	// is reserved.
+	// minRateShare is the minimum share of the drain rate that a class is assumed to
+	// get. It keeps a prediction finite where higher classes used the whole rate and
+	// nothing is reserved.
 	minRateShare = 0.01
 	// maxPredictedWait caps a predicted wait, so that sums of times don't overflow.
 	maxPredictedWait = time.Hour
@@ -33,14 +33,14 @@
 type drainEstimator struct {
 	window    time.Duration
 	priorRate float64
-	// minShare is the least part of the drain rate that each class is assumed to get.
+	// minShare is the minimum share of the drain rate that each class is assumed to get.
 	minShare    float64
 	lastUpdate  time.Time
 	busy        bool
 	completed   float64
 	busySeconds float64
 	// dispatched is the decayed weight of the dispatched work by class. What higher
-	// classes take of the drain rate isn't available to lower ones.
+	// classes use of the drain rate isn't available to lower ones.
 	dispatched []float64
 }
 
@@ -126,7 +126,7 @@
 //
 // A backlog that has only just begun predicts no wait, unless a rate was configured.
 // Requests take seconds, so at first none completes; using that as the drain rate would
-// reject work for which a full batch is about to make room.
+// reject work that could start once the first requests of a full batch complete.
 func (e *drainEstimator) drainTime(c Class, work, mean float64) time.Duration {
 	if e.busySeconds <= 0 || work <= 0 {
 		return 0
@@ -141,7 +141,7 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// availableWork returns the completed weight, less what higher classes took of it.
+// availableWork returns the completed weight, less what higher classes used of it.
 func (e *drainEstimator) availableWork(c Class, mean float64) float64 {
 	total := math.Max(e.completed, mean)
 	available := total
--- a/internal/decide/queue/queue.go
+++ b/internal/decide/queue/queue.go
@@ -33,7 +33,7 @@
 	agedShareFactor = 0.1
 	// accountAlpha limits the items of one account to this multiple of the free
 	// capacity. A single account can fill 4/5 of the queue, so that an account which
-	// arrives during another's surge still finds room.
+	// arrives during another's surge can still queue requests.
 	accountAlpha = 4
 	// expireMargin is the factor by which the predicted wait must exceed the remaining
 	// time before a waiting item is expired. Without it each dip of the measured rate
@@ -48,7 +48,7 @@
 )
 
 // namedFillLimits is the share of the queue, by named class, that items of the class
-// and those below it may fill. The rest is kept for higher classes.
+// and those below it may fill. The rest is reserved for higher classes.
 var namedFillLimits = []float64{Urgent: 1, High: 0.9, Normal: 0.8, Batch: 0.6}
 
 // Config configures a Queue. Zero fields take the defaults.
@@ -67,8 +67,8 @@
 	// Rate is the drain rate, in weight per second, assumed for a backlog of which
 	// nothing has completed yet. With zero, a new backlog predicts no wait.
 	Rate float64
-	// Reserve is the part of the service, from 0 to less than 1, that goes to the
-	// second highest class with waiting items. Without it, and unless AgeAfter is
+	// Reserve is the share of the service, from 0 to less than 1, that is reserved for
+	// the second highest class with waiting items. Without it, and unless AgeAfter is
 	// short, a class isn't served at all while work of higher classes fills the pool.
 	Reserve float64
 }
@@ -151,8 +151,8 @@
 // Work returns the total weight of the items that Len counts.
 func (q *Queue) Work() int64 { return q.totalWork }
 
-// Observe records that work of the given weight completed at the pool, which makes room
-// for waiting items.
+// Observe records that work of the given weight completed at the pool, which frees
+// capacity for waiting items.
 func (q *Queue) Observe(now time.Time, weight int64) {
 	q.advance(now)
 	q.drain.recordCompleted(weight)
@@ -368,8 +368,8 @@
 }
 
 // removeUnmeetable removes from the levels, and returns, the entries whose deadline
-// can't be met. It goes through the queue in the order of service and counts only
-// entries that stay, since removing one can save those behind it.
+// can't be met. It visits the entries in the order of service and counts only
+// those that stay, since after the removal of one, later ones may meet their deadlines.
 func (q *Queue) removeUnmeetable(now time.Time) []*entry {
 	var unmeetable []*entry
 	var ahead float64
--- a/internal/decide/queue/queue_test.go
+++ b/internal/decide/queue/queue_test.go
@@ -419,7 +419,7 @@
 }
 
 // A class below the highest one must not starve during a surge: it gets the reserved
-// part of the service, and the higher class the rest.
+// share of the service, and the higher class the rest.
 func TestReservePreventsStarvationOfNextClass(t *testing.T) {
 	q := New(Config{AgeAfter: time.Hour, Reserve: 0.1, Classes: 10, Limit: 2000})
 	for i := range 500 {
--- a/internal/decide/rendezvous/spread.go
+++ b/internal/decide/rendezvous/spread.go
@@ -9,7 +9,7 @@
 // whose load stays within limit, and only then to the others.
 //
 // Plain rendezvous hashing, see Owner, moves fewer keys but, when keys are few, leaves
-// some nodes with none and gives others several times the mean.
+// some nodes with none and assigns several times the mean to others.
 func Spread(dst []int, keys, nodes []uint64, load []int, limit int) []int {
 	dst = dst[:0]
 	for range keys {
--- a/internal/decide/retry/budget.go
+++ b/internal/decide/retry/budget.go
@@ -52,7 +52,7 @@
 	return cfg
 }
 
-// Configure changes the limits from now on. Accumulated retries are kept up to the new burst; a
+// Configure changes the limits from now on. Accumulated retries are retained up to the new burst; a
 // larger burst fills over time.
 func (b *Budget) Configure(now time.Time, cfg BudgetConfig) {
 	b.advance(now)
--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -29,7 +29,7 @@
 	FirstByteDelivered
 )
 
-// Ran returns what the caller is told about the execution of the request.
+// Ran returns what is reported to the caller about the execution of the request.
 func (o Outcome) Ran() apierr.Ran {
 	switch o {
 	case NotSent, RefusedBeforeExecuting:
@@ -72,7 +72,7 @@
 
 // Values of Action.
 const (
-	// GiveUp ends the request; Decision.Ran is what to tell the caller.
+	// GiveUp ends the request; Decision.Ran is what to report to the caller.
 	GiveUp Action = iota
 	// RetryNow sends the request again at once, to another upstream.
 	RetryNow
@@ -92,7 +92,7 @@
 	return actionNames[a]
 }
 
-// Reason is why a request is given up.
+// Reason is why a request is not retried.
 type Reason string
 
 // Values of Reason.
--- a/internal/edge/callers/callers_test.go
+++ b/internal/edge/callers/callers_test.go
@@ -74,7 +74,7 @@
 }
 
 // Guards against executing a request whose response cannot be delivered, because its connection was
-// closed to make room while the request arrived.
+// closed for a new one while the request arrived.
 func TestRequestOnClosedConnectionIsNotServed(t *testing.T) {
 	l := newLimit(1)
 	ran := false
--- a/internal/edge/catalog/config.go
+++ b/internal/edge/catalog/config.go
@@ -129,7 +129,7 @@
 	services map[string]*Service
 }
 
-// NewConfig returns c with its lookup indexes. It keeps c's slices.
+// NewConfig returns c with its lookup indexes. It uses c's slices without copying them.
 func NewConfig(c Config) *Config {
 	out := &c
 	out.byHost = make(map[string][]*Route)
--- a/internal/edge/catalog/engine.go
+++ b/internal/edge/catalog/engine.go
@@ -61,8 +61,8 @@
 	Upto uint64
 	// ByID holds the engines with an entry and the doubtful ones.
 	ByID map[string]Engine
-	// Doubtful holds engines whose entry went missing while the store could not be trusted to hold
-	// it. The value is the boot time until which they stay in service.
+	// Doubtful holds engines whose entry was removed when an outage of the store may have caused it
+	// to expire. The value is the boot time until which they stay in service.
 	Doubtful map[string]time.Duration
 	// Removed lists recent removals, oldest first, for routers that query the changes since a
 	// version.
@@ -75,7 +75,7 @@
 	byService map[string][]Engine
 }
 
-// maxRemovals bounds the removals that are kept. Routers that query changes since an older version
+// maxRemovals bounds the removals that are retained. Routers that query changes since an older version
 // receive the full set. In a fleet of 850 engines that restart one after the other, this many
 // removals take more than an hour.
 const maxRemovals = 256
--- a/internal/edge/catalog/snapshot.go
+++ b/internal/edge/catalog/snapshot.go
@@ -86,9 +86,9 @@
 // If no router could read the store for at least minOutage, the entries of running engines may have
 // expired because the engines could not renew them. Removing these engines would stop the service
 // with the first reply after an outage, so they stay in service until they had time to register
-// again. An outage seen by some routers only does not count, because the others confirmed the
-// engines meanwhile. Neither does a time in which this router received no updates while no reader
-// failed: its own links failed then, not the store. sinceReadFailure is the time since a reader
+// again. An outage that affects only some routers does not count, because the others have confirmed
+// the engines in the meantime. Nor does a period in which this router received no updates while no
+// reader failed: then its own links failed, not the store. sinceReadFailure is the time since a reader
 // last failed.
 func (s *Snapshot) WithEngines(u EngineUpdate, asOf, minOutage, sinceReadFailure time.Duration) (*Snapshot, bool) {
 	if u.Upto < s.Engines.Upto || !s.Engines.Covers(u) {
--- a/internal/edge/choose/choose.go
+++ b/internal/edge/choose/choose.go
@@ -1,4 +1,4 @@
-// Package choose selects the engine that serves a request. It keeps no state: the known state of
+// Package choose selects the engine that serves a request. It holds no state: the known state of
 // the engines and the random source are arguments.
 //
 // Engines that accept no requests are filtered out, the rest are ranked, and the first is selected.
@@ -21,8 +21,8 @@
 const (
 	// loadFactor and loadSlack bound the requests in flight at an engine that is selected by
 	// prompt: loadFactor times the mean of the service, plus loadSlack. Operators require that 97
-	// of 100 requests stay below twice the mean plus three. The lower factor leaves room for
-	// requests that other routers send before their load reports arrive: with 67 routers and a
+	// of 100 requests stay below twice the mean plus three. The lower factor leaves a margin
+	// for requests that other routers send before their load reports arrive: with 67 routers and a
 	// factor of 1.9 that did not count the request being placed, 3.1 of 100 requests exceeded the
 	// operators' limit.
 	loadFactor = 1.8
--- a/internal/edge/feed/board.go
+++ b/internal/edge/feed/board.go
@@ -31,11 +31,11 @@
 	pastConfigs atomic.Pointer[[]*catalog.Config]
 }
 
-// maxPastConfigs is how many past configurations are kept to compute incremental updates. A router
+// maxPastConfigs is how many past configurations are retained to compute incremental updates. A router
 // whose configuration is older gets a full one.
 const maxPastConfigs = 16
 
-// PastConfig returns a past configuration, or nil if it is no longer kept.
+// PastConfig returns a past configuration, or nil if it is no longer retained.
 func (b *Board) PastConfig(version uint64) *catalog.Config {
 	for _, c := range *b.pastConfigs.Load() {
 		if c.Version == version {
--- a/internal/edge/feed/contacts.go
+++ b/internal/edge/feed/contacts.go
@@ -118,7 +118,7 @@
 	contactsTimeout = time.Second
 )
 
-// ContactsUpdater keeps the list of contacts current while this router reads the store.
+// ContactsUpdater updates the list of contacts while this router reads the store.
 type ContactsUpdater struct {
 	Contacts Contacts
 	Reads    func() bool
@@ -134,7 +134,7 @@
 	listed []Contact
 }
 
-// Run keeps the list current until the context is canceled.
+// Run updates the list when needed until the context is canceled.
 func (k *ContactsUpdater) Run(ctx context.Context) {
 	for pause.For(ctx, contactsCheckInterval) {
 		if err := k.update(ctx); err != nil {
--- a/internal/edge/feed/fleet_test.go
+++ b/internal/edge/feed/fleet_test.go
@@ -245,7 +245,7 @@
 	cancel   context.CancelFunc
 }
 
-// stop stops a router and marks it as gone for all others.
+// stop stops a router and marks it as having left for all others.
 func (f *fakeFleet) stop(name string) {
 	f.gone.Store(name, true)
 	f.mu.Lock()
@@ -354,7 +354,7 @@
 	}
 }
 
-// notGone returns the routers not marked as gone.
+// notGone returns the routers that are not marked as having left.
 func (f *fakeFleet) notGone() []Peer {
 	return slices.DeleteFunc(slices.Clone(f.live), func(p Peer) bool {
 		_, gone := f.gone.Load(p.Name)
--- a/internal/edge/feed/follower.go
+++ b/internal/edge/feed/follower.go
@@ -18,7 +18,7 @@
 	// the catalog and of the loads. Twice as much leaves too little of a bound of one second:
 	// routers then read the store themselves (4,000 calls in a scenario of 34 s with 88 routers, instead of 1,100).
 	pullWait = 150 * time.Millisecond
-	// pullTimeout bounds a whole pull: its wait and one TCP retransmission.
+	// pullTimeout bounds a complete pull: its wait and one TCP retransmission.
 	pullTimeout = pullWait + 350*time.Millisecond
 	// newParentGrace is how long a new parent may return old data: it may first have to determine
 	// that it is the reader.
--- a/internal/edge/feed/join.go
+++ b/internal/edge/feed/join.go
@@ -200,7 +200,7 @@
 }
 
 // handleResult processes the result of a call. A router that replied is called again at once,
-// since its data may be incomplete and grows while the fleet starts. One that failed goes to the
+// since its data may be incomplete and grows while the fleet starts. One that failed is put at the
 // end of the queue.
 func (j *joinRun) handleResult(ctx context.Context, result pullResult) {
 	j.inFlight--
--- a/internal/edge/feed/join_test.go
+++ b/internal/edge/feed/join_test.go
@@ -272,7 +272,7 @@
 }
 
 // Guards against a list of contacts that is outdated, concentrated in few sites, or rewritten
-// needlessly. It is rewritten if more than a quarter of it is gone.
+// needlessly. It is rewritten if more than a quarter of its routers have left.
 func TestContactsAreRewrittenWhenManyAreGone(t *testing.T) {
 	live := manyPeers(40)
 	list, rewrite := SelectContacts(nil, live)
--- a/internal/edge/feed/status_test.go
+++ b/internal/edge/feed/status_test.go
@@ -22,7 +22,7 @@
 	return out
 }
 
-// Guards against operators who cannot tell which of 300 routers runs which settings while the
+// Guards against operators who cannot determine which of 300 routers runs which settings while the
 // settings change. Each router sends its digest with its pulls, and any router lists all of them.
 func TestAnyRouterListsSettingsOfFleet(t *testing.T) {
 	for _, n := range []int{8, 89, 295} {
--- a/internal/edge/flow/flow_test.go
+++ b/internal/edge/flow/flow_test.go
@@ -217,8 +217,8 @@
 }
 
 // Guards against memory that grows with each router that dies under load: if a dead router's
-// waiting request, or one that its sender gave up, left the gate without a decision, the call for
-// it would wait for good.
+// waiting request, or one that its sender aborted, left the gate without a decision, the call for
+// it would wait forever.
 func TestQueuedRequestsOfDeadRouterEnd(t *testing.T) {
 	runInFleet(t, func(f *fakeFleet, owner string, others []string) {
 		first, _, err := f.clients[owner].Acquire(context.Background(), newRequest(1, time.Second))
--- a/internal/edge/flow/owner.go
+++ b/internal/edge/flow/owner.go
@@ -41,7 +41,7 @@
 	Unleased, Leased int
 }
 
-// Owner keeps the gates of the engines that this router owns. It is safe for concurrent use.
+// Owner holds the gates of the engines that this router owns. It is safe for concurrent use.
 type Owner struct {
 	clock        Clock
 	reportedLoad func(engine string) ReportedLoad
--- a/internal/edge/flow/owners.go
+++ b/internal/edge/flow/owners.go
@@ -11,7 +11,7 @@
 
 const (
 	// enginesPerOwner is the average number of engines per owner. While a surge lasts, each router
-	// keeps a connection to each owner, and each engine's gate receives about fifty requests per
+	// has a connection to each owner, and each engine's gate receives about fifty requests per
 	// second.
 	enginesPerOwner = 4
 	// ownersTTL is how long a list of owners is cached.
--- a/internal/edge/forward/admit.go
+++ b/internal/edge/forward/admit.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// shouldWait reports whether the reason for the refusal may go away shortly.
+// shouldWait reports whether the reason for the refusal may be resolved shortly.
 func (x *exchange) shouldWait(refusal *Refusal) bool {
 	if refusal == nil {
 		return false
--- a/internal/edge/forward/refusal.go
+++ b/internal/edge/forward/refusal.go
@@ -50,7 +50,7 @@
 const (
 	// retrySoon is for conditions that another router or a short delay resolves.
 	retrySoon = 100 * time.Millisecond
-	// retryLater is for engines that are full or gone.
+	// retryLater is for engines that are full or unavailable.
 	retryLater = 250 * time.Millisecond
 	// retryStoreLost is for an unreachable store, whose outages last seconds.
 	retryStoreLost = 700 * time.Millisecond
--- a/internal/edge/health/health.go
+++ b/internal/edge/health/health.go
@@ -1,8 +1,8 @@
-// Package health detects failing engines by the outcomes of their requests. It keeps no clock:
+// Package health detects failing engines by the outcomes of their requests. It reads no clock:
 // evidence and the time are arguments.
 //
 // It uses no health probes, because an engine may pass them and fail its requests, or the
-// reverse. One router of many sees too few requests to tell a failing engine from chance, so
+// reverse. One router of many sends too few requests to distinguish a failing engine from chance, so
 // routers add up their evidence. Evidence is a pair of exponentially decaying counts, and the
 // counts of different routers can be added.
 package health
@@ -12,8 +12,9 @@
 	"time"
 )
 
-// halfLife is the half-life of evidence. Outages last seconds: a longer half-life would keep
-// recovered engines ejected, and a shorter one would forget a dead engine before it is tried again.
+// halfLife is the half-life of evidence. Outages last seconds: with a longer half-life,
+// recovered engines would stay ejected; with a shorter one, a dead engine would
+// return to service too early.
 const halfLife = 1500 * time.Millisecond
 
 // Evidence is the decayed number of requests at an engine that succeeded and failed. The zero value
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -66,7 +66,7 @@
 
 // Router is a running router.
 type Router struct {
-	// active are the active settings.
+	// active holds the current settings.
 	active atomic.Pointer[activeSettings]
 	// watcher watches the settings file; nil until Watch is called.
 	watcher  atomic.Pointer[settings.Watcher]
@@ -78,24 +78,24 @@
 	createdAt time.Duration
 	bootID    uint64
 
-	store        *storeProxy
-	board        *feed.Board
-	loads        *feed.Loads
-	start        *feed.Start
-	reader       *feed.Reader
-	follower     *feed.Follower
-	statuses     *feed.Statuses
-	keeper       *feed.ContactsUpdater
-	engines      *forward.Balancer
-	gateOwner    *flow.Owner
-	gateClient   *flow.Client
-	forwarder    *forward.Forwarder
-	gossip       *gossip.Driver
-	peerClient   *peer.Caller
-	peerServer   *peer.Server
-	peerCounters peer.Counters
-	mounts       []mount
-	self         feed.Peer
+	store           *storeProxy
+	board           *feed.Board
+	loads           *feed.Loads
+	start           *feed.Start
+	reader          *feed.Reader
+	follower        *feed.Follower
+	statuses        *feed.Statuses
+	contactsUpdater *feed.ContactsUpdater
+	engines         *forward.Balancer
+	gateOwner       *flow.Owner
+	gateClient      *flow.Client
+	forwarder       *forward.Forwarder
+	gossip          *gossip.Driver
+	peerClient      *peer.Caller
+	peerServer      *peer.Server
+	peerCounters    peer.Counters
+	mounts          []mount
+	self            feed.Peer
 	// livePeers is the result of liveRouters; nil until this router has joined.
 	livePeers atomic.Pointer[[]feed.Peer]
 
@@ -164,7 +164,7 @@
 		Timing: r.timing, Start: r.start, Contacts: contacts, Statuses: r.statuses, Live: r.liveRouters, StoreLost: r.reader.StoreLost,
 		Call: r.call,
 	}
-	r.keeper = &feed.ContactsUpdater{Contacts: contacts, Reads: r.follower.Reads, Live: r.liveRouters, Clock: bootclock.Now, Log: r.log}
+	r.contactsUpdater = &feed.ContactsUpdater{Contacts: contacts, Reads: r.follower.Reads, Live: r.liveRouters, Clock: bootclock.Now, Log: r.log}
 }
 
 // call calls a method of another router.
@@ -237,7 +237,7 @@
 	r.goRun(r.board.Run)
 	r.goRun(r.reader.Run)
 	r.goRun(r.follower.Run)
-	r.goRun(r.keeper.Run)
+	r.goRun(r.contactsUpdater.Run)
 	r.goRun(r.logFleetSize)
 	r.goRun(r.reviewEngines)
 	r.goRun(r.gateOwner.Run)
@@ -308,15 +308,15 @@
 	}()
 }
 
-// reviewEngines compares the engines every reviewInterval, and logs which of them are ejected,
-// readmitted, cold or warm again.
+// reviewEngines compares the engines every reviewInterval, and logs which of them were ejected or
+// restored, and which became cold or warm.
 func (r *Router) reviewEngines(ctx context.Context) {
 	cold := map[string]time.Duration{}
 	for pause.For(ctx, reviewInterval) {
 		cold = r.logColdEngines(cold)
-		for _, v := range r.engines.EjectionChanges(r.board.Snapshot()) {
-			r.log.Info("engine judged", "engine", v.Engine, "service", v.Service, "ejected", v.Ejected,
-				"good", v.Evidence.Good, "bad", v.Evidence.Bad)
+		for _, change := range r.engines.EjectionChanges(r.board.Snapshot()) {
+			r.log.Info("engine judged", "engine", change.Engine, "service", change.Service, "ejected", change.Ejected,
+				"good", change.Evidence.Good, "bad", change.Evidence.Bad)
 		}
 	}
 }
--- a/internal/edge/settings/duration.go
+++ b/internal/edge/settings/duration.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The range of all durations. The router can't keep to less than a millisecond, and more than a
+// The range of all durations. The router can't guarantee less than a millisecond, and more than a
 // day is a mistake: a wrong unit, or a number that has overflowed.
 const (
 	minDuration = time.Millisecond
--- a/internal/edge/settings/settings_test.go
+++ b/internal/edge/settings/settings_test.go
@@ -92,7 +92,7 @@
 }
 
 // Routers whose shared settings are equal must have the same digest, whatever their names, addresses
-// and VMs. Otherwise operators can't tell which routers run which settings.
+// and VMs. Otherwise operators can't determine which routers run which settings.
 func TestDigestCoversOnlySharedSettings(t *testing.T) {
 	digest := func(old, new string) string {
 		s, err := Parse([]byte(strings.Replace(validSettings, old, new, 1)))
--- a/internal/fleet/gossip/driver.go
+++ b/internal/fleet/gossip/driver.go
@@ -349,7 +349,7 @@
 	return d.enqueue(func() { d.endpoint.Detector().SetSeeds(seeds) })
 }
 
-// Leave marks this router as leaving. It is still probed and still answers. Errors: ErrBusy.
+// Leave marks this router as leaving. It is still probed and still replies. Errors: ErrBusy.
 func (d *Driver) Leave() error {
 	return d.enqueue(func() { d.endpoint.Detector().Leave() })
 }
--- a/internal/fleet/gossip/errors.go
+++ b/internal/fleet/gossip/errors.go
@@ -33,7 +33,7 @@
 	ReasonUnknownKey
 	// ReasonForged is a packet with a wrong authentication code: forged, truncated or damaged.
 	ReasonForged
-	// ReasonReplayed is a packet that was received before, or is too old to tell.
+	// ReasonReplayed is a packet that was received before, or is too old to be checked.
 	ReasonReplayed
 	// ReasonMalformed is an authentic packet that cannot be decoded.
 	ReasonMalformed
--- a/internal/fleet/gossip/packet_test.go
+++ b/internal/fleet/gossip/packet_test.go
@@ -76,7 +76,7 @@
 }
 
 // A recorded announcement that is sent again later has a valid authentication code, and only
-// its sequence number gives it away. If it were accepted, a dead router would reappear again
+// its sequence number reveals it. If it were accepted, a dead router would reappear again
 // and again.
 func TestReplayedPacketRejected(t *testing.T) {
 	var lines int
--- a/internal/fleet/gossip/scenario_test.go
+++ b/internal/fleet/gossip/scenario_test.go
@@ -86,7 +86,7 @@
 }
 
 // A router restarts repeatedly, faster than a failure is detected, with the same name and
-// address. Only the instance ID tells the restarts apart. Otherwise the new instance is taken
+// address. Only the instance ID distinguishes the restarts. Otherwise the new instance is taken
 // for the old one, or for dead.
 func TestFlappingRouterReplacedEverywhere(t *testing.T) {
 	f := newFleet(t, 9, 1, lan)
--- a/internal/fleet/membership/detector.go
+++ b/internal/fleet/membership/detector.go
@@ -184,7 +184,7 @@
 	return ok && m.To == 0
 }
 
-// sendNotMe answers a packet that is addressed to another instance. Otherwise a replacement VM
+// sendNotMe replies to a packet that is addressed to another instance. Otherwise a replacement VM
 // with the address of an old instance would keep that instance alive by answering its probes.
 func (d *Detector) sendNotMe(from string, m Message) {
 	if _, ok := m.Body.(NotMe); ok || m.To == 0 {
@@ -210,7 +210,7 @@
 	}
 }
 
-// handlePing answers a ping. If the sender regards this router as suspect or dead, the ack
+// handlePing replies to a ping. If the sender regards this router as suspect or dead, the ack
 // always carries its own row, ahead of other pending updates.
 func (d *Detector) handlePing(from string, m Message, b Ping) {
 	for _, u := range m.Updates {
@@ -279,7 +279,7 @@
 	return list[:min(k, len(list))]
 }
 
-// Leave marks this router as leaving. It is still probed and still answers.
+// Leave marks this router as leaving. It is still probed and still replies.
 func (d *Detector) Leave() {
 	if d.self.State == StateLeaving {
 		return
--- a/internal/fleet/membership/message.go
+++ b/internal/fleet/membership/message.go
@@ -57,26 +57,26 @@
 	Kind() Kind
 }
 
-// Ping asks the instance Message.To for an Ack.
+// Ping requests an Ack from the instance Message.To.
 type Ping struct{ Seq uint32 }
 
-// Ack answers a Ping. It is valid only if its sender is the instance that was pinged.
+// Ack is the reply to a Ping. It is valid only if its sender is the instance that was pinged.
 type Ack struct{ Seq uint32 }
 
-// PingRequest asks another member to ping Target.
+// PingRequest requests that another member ping Target.
 type PingRequest struct {
 	Seq     uint32
 	Target  uint64
 	Address string
 }
 
-// RelayAck reports to the requester of a PingRequest that Target answered.
+// RelayAck reports to the requester of a PingRequest that Target replied.
 type RelayAck struct {
 	Seq    uint32
 	Target uint64
 }
 
-// NotMe answers a packet that was addressed to another instance.
+// NotMe is the reply to a packet that was addressed to another instance.
 type NotMe struct {
 	// Wanted is the instance that was addressed.
 	Wanted uint64
@@ -93,7 +93,7 @@
 type Digest struct {
 	Members [DigestBuckets]uint32
 	Items   uint32
-	// Reply marks the answer to a Digest, which is not answered itself.
+	// Reply marks the reply to a Digest, which gets no reply itself.
 	Reply bool
 }
 
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// probeFailed suspects a member that answered neither directly nor through others, and makes
+// probeFailed suspects a member that replied neither directly nor through others, and makes
 // this router a verifier of the suspicion.
 func (d *Detector) probeFailed(r *row) {
 	switch r.State {
@@ -149,7 +149,7 @@
 }
 
 // completeProbe ends the running probe if it matches. The target is compared by instance rather
-// than by address, because an answer of another instance at the same address says nothing about
+// than by address, because a reply of another instance at the same address says nothing about
 // the target.
 func (d *Detector) completeProbe(seq uint32, target uint64) {
 	if p := d.probe; p != nil && p.seq == seq && p.target == target {
--- a/internal/fleet/membership/roster_test.go
+++ b/internal/fleet/membership/roster_test.go
@@ -86,7 +86,7 @@
 }
 
 // A death that only one router detects must reach the others through exchanges, the parent
-// included. Otherwise callers are still directed to a router that is gone.
+// included. Otherwise callers are still directed to a dead router.
 func TestDeathReachesAllRouters(t *testing.T) {
 	fleet := rosterFleet(4)
 	links := make([]RosterLink, 4)
