--- a/internal/base/engineconn/conn.go
+++ b/internal/base/engineconn/conn.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// defaultDialTimeout bounds the opening of a connection, unless Options sets
-	// another bound. Within a site it takes about two milliseconds; a lost packet
-	// costs a second, in which another engine would have responded.
+	// defaultDialTimeout bounds the opening of a connection, unless Options
+	// sets another bound. Within a site it takes about two milliseconds; a lost
+	// packet costs a second, in which another engine would have responded.
 	defaultDialTimeout = 300 * time.Millisecond
-	// userTimeout ends a connection on which the peer acknowledges nothing. A VM
-	// without power neither responds nor resets, and without this bound the request
-	// would wait until its own deadline. On a healthy but lossy link a packet is
-	// sent for the third time after about a second.
+	// userTimeout ends a connection on which the peer acknowledges nothing. A
+	// VM without power neither responds nor resets, and without this bound the
+	// request would wait until its own deadline. On a healthy but lossy link a
+	// packet is sent for the third time after about a second.
 	userTimeout = 1200 * time.Millisecond
 	// Keep-alive probes detect a dead engine while a request waits for its
 	// response and nothing is unacknowledged.
--- a/internal/base/engineconn/errors.go
+++ b/internal/base/engineconn/errors.go
@@ -14,8 +14,8 @@
 	// ErrNoResponse means that the request was sent, wholly or in part, and the
 	// connection ended or its deadline passed before a response began.
 	ErrNoResponse = errs.Class("engine: no answer")
-	// ErrReused wraps ErrNoResponse and ErrMalformed if the connection had carried
-	// another request before: it may have died since, and other idle
+	// ErrReused wraps ErrNoResponse and ErrMalformed if the connection had
+	// carried another request before: it may have died since, and other idle
 	// connections with it.
 	ErrReused = errs.Class("engine: on a reused connection")
 	// ErrMalformed means that the received bytes are not a response to the
--- a/internal/base/engineconn/pool.go
+++ b/internal/base/engineconn/pool.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// defaultIdleTimeout is how long an idle connection is kept open if the engine
-	// names no timeout.
+	// defaultIdleTimeout is how long an idle connection is kept open if the
+	// engine names no timeout.
 	defaultIdleTimeout = 8 * time.Second
 	// idleTimeoutMargin is subtracted from the timeout that the engine names, so
 	// that a connection is not used just as the engine closes it.
@@ -157,8 +157,8 @@
 	}
 }
 
-// sweep removes and returns the connections that were idle for longer than their
-// timeout, such as those to removed engines. The caller holds the mutex
+// sweep removes and returns the connections that were idle for longer than
+// their timeout, such as those to removed engines. The caller holds the mutex
 // and closes them.
 func (p *Pool) sweep() (expired []*conn) {
 	now := p.opts.Clock()
--- a/internal/base/engineconn/send.go
+++ b/internal/base/engineconn/send.go
@@ -15,7 +15,7 @@
 )
 
 // maxStrayResponses is how many responses that belong to no request are skipped
-// on one connection before it is given up.
+// on one connection before it is closed.
 const maxStrayResponses = 2
 
 // maxStrayBody bounds the body of a skipped response, in bytes.
@@ -54,8 +54,8 @@
 // nothingSent reports whether no byte of the request has left or will leave:
 // either no write was started, or the kernel rejected the first one completely,
 // as on a connection that the peer has reset. A write that was interrupted by
-// closing the connection on this side may have handed bytes over, whatever count
-// it returns. It must be called after done is closed.
+// closing the connection on this side may have handed bytes over, whatever
+// count it returns. It must be called after done is closed.
 func (w *requestWrite) nothingSent() bool {
 	if w.written.Load() > 0 {
 		return false
@@ -77,10 +77,10 @@
 	}
 }
 
-// Send sends a request to an engine and returns the response once its header has
-// arrived. The end of the context closes the connection, also while the body is
-// read; most engines then stop working on the request. Errors: ErrNotSent,
-// ErrNoResponse, ErrMalformed.
+// Send sends a request to an engine and returns the response once its header
+// has arrived. The end of the context closes the connection, also while the
+// body is read; most engines then stop working on the request. Errors:
+// ErrNotSent, ErrNoResponse, ErrMalformed.
 func (p *Pool) Send(ctx context.Context, to Target, r *Request) (*Response, error) {
 	c, err := p.connect(ctx, to, r.MaxIdle)
 	if err != nil {
@@ -226,8 +226,8 @@
 }
 
 // Read reads the body. It returns io.EOF if the body is complete: its announced
-// length or its last chunk was read or, if it has neither, the engine closed the
-// connection. Errors: ErrTruncated.
+// length or its last chunk was read or, if it has neither, the engine closed
+// the connection. Errors: ErrTruncated.
 func (a *Response) Read(b []byte) (int, error) {
 	n, err := a.body.Read(b)
 	switch {
@@ -240,8 +240,8 @@
 	return n, ErrTruncated.Wrap(err)
 }
 
-// Close ends the exchange. The connection returns to the pool if the response was
-// read to its end, the request was written completely, and the engine keeps
+// Close ends the exchange. The connection returns to the pool if the response
+// was read to its end, the request was written completely, and the engine keeps
 // the connection open too.
 func (a *Response) Close() {
 	if a.stopAbort() && a.complete && a.keepAlive && a.write.finished() {
--- a/internal/base/engineconn/send_test.go
+++ b/internal/base/engineconn/send_test.go
@@ -78,9 +78,9 @@
 	require.True(t, ErrNotSent.Has(err), "%v", err)
 }
 
-// Guards against a caller getting the response to another request: an engine sends a late
-// second response where the response to the next request on the connection is expected, and
-// whatever arrives first is taken.
+// Guards against a caller getting the response to another request: an engine sends a late second
+// response where the response to the next request on the connection is expected, and whatever
+// arrives first is taken.
 func TestStrayResponseOnReusedConnectionIsSkipped(t *testing.T) {
 	e := newTestEngine(t, func(conn *net.TCPConn, _ int) {
 		reader := bufio.NewReader(conn)
@@ -126,8 +126,8 @@
 	require.Equal(t, "half", string(body))
 }
 
-// Guards against engines working on for callers that have disconnected: the context ends
-// while the engine works or while its response is read, and the connection stays open.
+// Guards against engines working on for callers that have disconnected: the context ends while the
+// engine works or while its response is read, and the connection stays open.
 func TestContextEndClosesConnection(t *testing.T) {
 	closed := make(chan struct{}, 2)
 	e := newTestEngine(t, func(conn *net.TCPConn, n int) {
@@ -239,8 +239,8 @@
 	})
 }
 
-// Guards against an engine that executes a request seconds after it was aborted:
-// unacknowledged data must be discarded with the connection.
+// Guards against an engine that executes a request seconds after it was aborted: unacknowledged
+// data must be discarded with the connection.
 func TestAbortedRequestDoesNotArriveLater(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	aborted, got := make(chan struct{}), make(chan error, 1)
--- a/internal/decide/gate/gate.go
+++ b/internal/decide/gate/gate.go
@@ -2,11 +2,11 @@
 // its Gate.
 //
 // Routers that decide independently on reports of each other's load all see the same free slot, all
-// send a request to it, and learn only some tenths of a second later that it is occupied. The engine
-// then queues requests, preempts running ones, and completes others late. A single router that
-// counts every request at an engine has no such delay, at the cost of one call before each request.
-// Ownership of the engines is spread over many routers, so that none has to handle the calls for all
-// of them.
+// send a request to it, and learn only some tenths of a second later that it is occupied. The
+// engine then queues requests, preempts running ones, and completes others late. A single router
+// that counts every request at an engine has no such delay, at the cost of one call before each
+// request. Ownership of the engines is spread over many routers, so that none has to handle the
+// calls for all of them.
 //
 // A Gate grants a slot to a request, queues it, or refuses it at once if its predicted wait is too
 // long. Order, fairness and the predicted wait come from package queue. A grant is a lease: it ends
--- a/internal/decide/gate/overload.go
+++ b/internal/decide/gate/overload.go
@@ -24,7 +24,8 @@
 // duration of an overload is not known; the best estimate is that it lasts for as long again as it
 // has lasted, and at least for the route's objective. With shorter delays many callers would retry
 // while all slots are still occupied, and callers that retry soon can't be distinguished from new
-// ones; see TimeoutBaseline. The caller stops retrying after remaining; random is a number from 0 to 1.
+// ones; see TimeoutBaseline. The caller stops retrying after remaining; random is a number from 0
+// to 1.
 func (o *Overload) RetryAfter(objective, remaining, now time.Duration, random float64) time.Duration {
 	if o.Over(now) {
 		o.firstRefusal = now
--- a/internal/decide/gate/pace_test.go
+++ b/internal/decide/gate/pace_test.go
@@ -48,8 +48,8 @@
 }
 
 // Guards against a cold engine that gets more requests per second than it can serve, whatever the
-// load, whichever of two concurrent owners of its gate gets the requests, and however long the grants take
-// to arrive.
+// load, whichever of two concurrent owners of its gate gets the requests, and however long the
+// grants take to arrive.
 func TestColdEngineRateIsBoundedAcrossOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const maxPerWindow, slack = 21.5, 5.0
--- a/internal/decide/gate/refusals.go
+++ b/internal/decide/gate/refusals.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// refusalTTL is the minimum time for which a refusal is remembered. Callers wait for a
-	// third of their remaining time at most before they retry, which is rarely longer.
+	// refusalTTL is the minimum time for which a refusal is remembered. Callers wait for a third of
+	// their remaining time at most before they retry, which is rarely longer.
 	refusalTTL = 5 * time.Second
 	// maxRefusals bounds the remembered refusals, at about 50 bytes each. Half of it is what one
 	// owner of gates refuses within refusalTTL at 3,000 refusals per second.
@@ -12,8 +12,8 @@
 )
 
 // RefusalHistory records for a while which requests were refused a slot, so that their retries are
-// recognized: an attempt does not refer to the previous one. The zero value is empty. It is not safe
-// for concurrent use.
+// recognized: an attempt does not refer to the previous one. The zero value is empty. It is not
+// safe for concurrent use.
 //
 // In a surge half of the requests for a slot are retries, whose responses are late in any case. If
 // they were served in turn with the others, these would be late too, until every request is refused
--- a/internal/decide/gate/throttle.go
+++ b/internal/decide/gate/throttle.go
@@ -8,19 +8,20 @@
 const (
 	// throttleWindow is the time constant with which past requests are discounted.
 	throttleWindow = 500 * time.Millisecond
-	// throttleFactor is the ratio of slot requests to grants that is allowed. Above one, owners have a
-	// waiting request for the next free slot.
+	// throttleFactor is the ratio of slot requests to grants that is allowed. Above one, owners
+	// have a waiting request for the next free slot.
 	throttleFactor = 2
-	// throttleSlack is the number of requests allowed in any case, so that a router whose
-	// requests were all refused notices when slots are free again.
+	// throttleSlack is the number of requests allowed in any case, so that a router whose requests
+	// were all refused notices when slots are free again.
 	throttleSlack = 3
 )
 
 // Throttle refuses requests without requesting a slot, based on the outcomes of earlier ones
-// (client-side adaptive throttling). The zero value refuses none. It is not safe for concurrent use.
+// (client-side adaptive throttling). The zero value refuses none. It is not safe for concurrent
+// use.
 //
-// Without it, at several times the engines' capacity a slot for each request is requested from up to
-// three owners and refused by all. These calls saturate the owners' links, grants reach the
+// Without it, at several times the engines' capacity a slot for each request is requested from up
+// to three owners and refused by all. These calls saturate the owners' links, grants reach the
 // requesting routers late, and granted slots stay unused. A refusal here costs no call.
 type Throttle struct {
 	requests, granted float64
@@ -35,8 +36,8 @@
 	return random < excess/(t.requests+1)
 }
 
-// Note counts a request and whether it was granted a slot. A request refused because of ShouldRefuse
-// counts as not granted.
+// Note counts a request and whether it was granted a slot. A request refused because of
+// ShouldRefuse counts as not granted.
 func (t *Throttle) Note(now time.Duration, granted bool) {
 	t.decay(now)
 	t.requests++
--- a/internal/decide/gate/timeouts.go
+++ b/internal/decide/gate/timeouts.go
@@ -8,8 +8,8 @@
 const (
 	// timeoutSamples is the number of most recent timeouts that are retained.
 	timeoutSamples = 256
-	// minTimeoutSamples is the number of timeouts after which the baseline is computed, at first and
-	// again each time. One router of three hundred may see only one
+	// minTimeoutSamples is the number of timeouts that must be recorded before the baseline is
+	// first computed, and between two updates of it. One router of three hundred may get only one
 	// request of a kind per second.
 	minTimeoutSamples = 8
 	// baselineQuantile is the share of timeouts that may be below the baseline: callers also retry
@@ -21,8 +21,8 @@
 )
 
 // TimeoutBaseline tracks the timeouts that callers of a route usually set. A refused caller that
-// retries sets the rest of its timeout, which shows that it has already waited and that its response
-// will be late in any case. The zero value has no samples.
+// retries sets the rest of its timeout, which shows that it has already waited and that its
+// response will be late in any case. The zero value has no samples.
 type TimeoutBaseline struct {
 	samples  [timeoutSamples]time.Duration
 	count    int
--- a/internal/decide/limit/cache.go
+++ b/internal/decide/limit/cache.go
@@ -214,8 +214,8 @@
 	s.failRequest(now, c)
 }
 
-// Due returns, in order, the accounts whose lease must be renewed with their owner now. It drops the
-// state of idle accounts.
+// Due returns, in order, the accounts whose lease must be renewed with their owner now. It drops
+// the state of idle accounts.
 func (c *Cache) Due(now time.Time) []string {
 	var due []string
 	for account, s := range c.accounts {
@@ -250,8 +250,8 @@
 // the other routers still hold the whole limit.
 func (c *Cache) slotLimit(now time.Time, account string, lim Limits, s *accountState) int {
 	if s.leased(now) && s.overLimit {
-		// A busy router never has an idle slot to release. If it reused each slot that becomes free,
-		// a fleet above the limit would stay there.
+		// A busy router never has an idle slot to release. If it reused each slot that becomes
+		// free, a fleet above the limit would stay there.
 		return min(s.slots, s.target)
 	}
 	if s.leased(now) {
@@ -374,8 +374,8 @@
 	return low && s.canRequest(now, s.tokensRetryAt) || s.renewalDue(now)
 }
 
-// canRequest reports whether a pending request, or one that may be sent now, could yield the missing
-// tokens or slots.
+// canRequest reports whether a pending request, or one that may be sent now, could yield the
+// missing tokens or slots.
 func (s *accountState) canRequest(now, notBefore time.Time) bool {
 	if s.pendingSeq != 0 {
 		return true
--- a/internal/decide/limit/ledger.go
+++ b/internal/decide/limit/ledger.go
@@ -41,9 +41,9 @@
 	warmUpEnd     time.Time
 }
 
-// NewLedger returns the ledger of an account. A router that becomes the owner of an account passes the other
-// live routers: until each has reported, or a full lease has passed, the ledger grants half of the
-// limits. A ttl of 0 means DefaultTTL.
+// NewLedger returns the ledger of an account. A router that becomes the owner of an account passes
+// the other live routers: until each has reported, or a full lease has passed, the ledger grants
+// half of the limits. A ttl of 0 means DefaultTTL.
 func NewLedger(now time.Time, limits Limits, ttl time.Duration, live []string) *Ledger {
 	if ttl <= 0 {
 		ttl = DefaultTTL
@@ -89,8 +89,8 @@
 	return len(l.holders) == 0 && l.tokens >= l.limits.burst() && !l.WarmingUp(now)
 }
 
-// Report records what a router holds. It reports whether r is stale, that is, a later report arrived
-// first.
+// Report records what a router holds. It reports whether r is stale, that is, a later report
+// arrived first.
 func (l *Ledger) Report(now time.Time, r Report) (stale bool) {
 	l.advance(now)
 	h, ok := l.holders[r.Router]
--- a/internal/decide/limit/limit.go
+++ b/internal/decide/limit/limit.go
@@ -40,15 +40,15 @@
 	return max(l.Rate, 1)
 }
 
-// Report informs an owner of what a router holds of an account. It renews the router's lease. After a
-// change of owner the new owner rebuilds its ledger from the reports.
+// Report informs an owner of what a router holds of an account. It renews the router's lease. After
+// a change of owner the new owner rebuilds its ledger from the reports.
 type Report struct {
 	// Router is the name of the holder, which changes when the router restarts.
 	Router string
 	// Seq increases with each report or request of the router.
 	Seq uint64
-	// Held is the number of slots the router retains. It must have stopped using the others before it
-	// sends the report.
+	// Held is the number of slots the router retains. It must have stopped using the others before
+	// it sends the report.
 	Held int
 }
 
@@ -63,8 +63,8 @@
 type Batch struct {
 	// Seq repeats the sequence number of the request.
 	Seq uint64
-	// Stale means that a later report of the router arrived first; the batch grants nothing and renews
-	// nothing.
+	// Stale means that a later report of the router arrived first; the batch grants nothing and
+	// renews nothing.
 	Stale bool
 	// Tokens and Slots are granted on top of what the router holds.
 	Tokens int
--- a/internal/decide/limit/limit_test.go
+++ b/internal/decide/limit/limit_test.go
@@ -140,8 +140,8 @@
 	lim  Limits
 	// demand is the rate of requests per second at each router.
 	demand []float64
-	// changeAt is when a new owner replaces the old one, in seconds, 0 for never. Each router learns of it
-	// within spread seconds; the old owner is lost, or stays with oldOwnerStays.
+	// changeAt is when a new owner replaces the old one, in seconds, 0 for never. Each router
+	// learns of it within spread seconds; the old owner is lost, or stays with oldOwnerStays.
 	changeAt, spread float64
 	oldOwnerStays    bool
 	// lossRate is the share of replies that are lost until lossEnd.
--- a/internal/decide/prefix/evidence.go
+++ b/internal/decide/prefix/evidence.go
@@ -94,8 +94,8 @@
 	Recent *Recent
 	// Views are those of the engines whose cache events this router follows.
 	Views []*View
-	// Current reports the current incarnations. Evidence for any other is dropped,
-	// since its cache no longer exists.
+	// Current reports the current incarnations. Evidence for any other is dropped, since
+	// its cache no longer exists.
 	Current Incarnations
 }
 
--- a/internal/decide/prefix/recent.go
+++ b/internal/decide/prefix/recent.go
@@ -76,8 +76,8 @@
 	})
 }
 
-// DropEngine removes the chats served by any incarnation of engine except keep, which
-// is 0 for an engine that was removed.
+// DropEngine removes the chats served by any incarnation of engine except keep, which is
+// 0 for an engine that was removed.
 func (r *Recent) DropEngine(engine, keep uint64) {
 	r.table.sweep(func(_ uint64, e *recentEntry, _ stamp) bool {
 		servedBy := r.incarnations.slots[e.slot].engineIncarnation
--- a/internal/decide/prefix/table.go
+++ b/internal/decide/prefix/table.go
@@ -51,10 +51,9 @@
 	len     int
 }
 
-// newTable returns a table sized for capacity entries at a load of loadPercent. A
-// random seed prevents callers, who choose their chat ids, from filling one bucket on
-// purpose and so evicting the chats of others. It returns ErrCapacity if capacity isn't
-// positive.
+// newTable returns a table sized for capacity entries at a load of loadPercent. A random
+// seed prevents callers, who choose their chat ids, from filling one bucket on purpose
+// and so evicting the chats of others. It returns ErrCapacity if capacity isn't positive.
 func newTable[V any](capacity int, seed uint64) (*table[V], error) {
 	if capacity <= 0 {
 		return nil, ErrCapacity.New("%d", capacity)
--- a/internal/decide/prefix/view.go
+++ b/internal/decide/prefix/view.go
@@ -70,10 +70,10 @@
 
 // Apply applies a page of events.
 //
-// Pages may be late, repeated or out of order. A repeated event is ignored: applied
-// after a later eviction, it would restore a prefix that is no longer cached, and chats would miss
-// despite a high confidence. A page of the previous incarnation is ignored too, since
-// it would empty the view of the current one.
+// Pages may be late, repeated or out of order. A repeated event is ignored: applied after
+// a later eviction, it would restore a prefix that is no longer cached, and chats would
+// miss despite a high confidence. A page of the previous incarnation is ignored too,
+// since it would empty the view of the current one.
 func (v *View) Apply(page wire.CacheEvents, now time.Time) {
 	if page.Incarnation != v.incarnation && !v.switchIncarnation(page.Incarnation) {
 		v.stats.StalePages++
@@ -91,9 +91,9 @@
 }
 
 // switchIncarnation empties the view for a new incarnation. It rejects the previous one
-// unless maxStaleRun pages of it arrive in a row: then the page that replaced it was
-// the late one, and the view would otherwise continue to describe an incarnation that
-// has ended.
+// unless maxStaleRun pages of it arrive in a row: then the page that replaced it was the
+// late one, and the view would otherwise continue to describe an incarnation that has
+// ended.
 func (v *View) switchIncarnation(incarnation uint64) bool {
 	if incarnation == v.previous && v.previous != 0 {
 		v.staleRun++
--- a/internal/decide/queue/estimate.go
+++ b/internal/decide/queue/estimate.go
@@ -9,9 +9,8 @@
 	// idleResetWindows is the number of windows that the queue may stay empty before
 	// the last measured rate is discarded as no longer valid for the next backlog.
 	idleResetWindows = 6
-	// warmupShare is the share of a window, in averaged busy time, during which a
-	// backlog without any completed work predicts no wait. It is reached after about
-	// one window.
+	// warmupShare is the share of a window, in averaged busy time, during which a backlog
+	// without any completed work predicts no wait. It is reached after about one window.
 	warmupShare = 0.6
 	// priorShare is the share of a window for which a configured rate counts like a
 	// measured one. The two have equal weight after about a quarter of a window.
--- a/internal/decide/queue/queue.go
+++ b/internal/decide/queue/queue.go
@@ -47,8 +47,8 @@
 	retryJitter = 0.5
 )
 
-// namedFillLimits is the share of the queue, by named class, that items of the class
-// and those below it may fill. The rest is reserved for higher classes.
+// namedFillLimits is the share of the queue, by named class, that items of the class and
+// those below it may fill. The rest is reserved for higher classes.
 var namedFillLimits = []float64{Urgent: 1, High: 0.9, Normal: 0.8, Batch: 0.6}
 
 // Config configures a Queue. Zero fields take the defaults.
@@ -367,9 +367,9 @@
 	return float64(q.workAbove(c) + q.levels[c].work)
 }
 
-// removeUnmeetable removes from the levels, and returns, the entries whose deadline
-// can't be met. It visits the entries in the order of service and counts only
-// those that stay, since after the removal of one, later ones may meet their deadlines.
+// removeUnmeetable removes from the levels, and returns, the entries whose deadline can't
+// be met. It visits the entries in the order of service and counts only those that stay,
+// since after the removal of one, later ones may meet their deadlines.
 func (q *Queue) removeUnmeetable(now time.Time) []*entry {
 	var unmeetable []*entry
 	var ahead float64
--- a/internal/decide/rendezvous/assign.go
+++ b/internal/decide/rendezvous/assign.go
@@ -3,9 +3,9 @@
 import "container/heap"
 
 // Assign assigns each key to a node with capacity left and writes the indexes of the
-// nodes into dst, in the order of keys; a key for which no capacity is left gets
-// NoOwner. capacity holds the number of keys that each node can own, and is reduced
-// by those assigned.
+// nodes into dst, in the order of keys; a key for which no capacity is left gets NoOwner.
+// capacity holds the number of keys that each node can own, and is reduced by those
+// assigned.
 //
 // Of all pairs of an unassigned key and a node with capacity, the one with the highest
 // score is assigned first. Hence the result doesn't depend on the order of keys or
--- a/internal/decide/retry/budget.go
+++ b/internal/decide/retry/budget.go
@@ -24,8 +24,8 @@
 
 // Budget bounds the retries of one router to a share of its first attempts. When an upstream or a
 // whole site fails, every request fails; retries without a budget would multiply the load on the
-// remaining upstreams, just when they have the least free capacity. A Budget is not safe for concurrent
-// use.
+// remaining upstreams, just when they have the least free capacity. A Budget is not safe for
+// concurrent use.
 type Budget struct {
 	cfg       BudgetConfig
 	tokens    float64
--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -22,8 +22,8 @@
 	// RefusedBeforeExecuting means that the upstream refused the request in a protocol that
 	// guarantees that nothing was executed.
 	RefusedBeforeExecuting
-	// SentNoReply means that something was sent and the response is missing, truncated, or a 5xx. The
-	// upstream may have executed the request: a 5xx can come from a step after the work.
+	// SentNoReply means that something was sent and the response is missing, truncated, or a 5xx.
+	// The upstream may have executed the request: a 5xx can come from a step after the work.
 	SentNoReply
 	// FirstByteDelivered means that the caller has received a part of the response.
 	FirstByteDelivered
@@ -51,8 +51,8 @@
 	Idempotent bool
 	// Known is what is known about this attempt.
 	Known Outcome
-	// Earlier is the maximum outcome of the earlier attempts. A request whose second attempt was not
-	// sent may still have been executed in its first.
+	// Earlier is the maximum outcome of the earlier attempts. A request whose second attempt was
+	// not sent may still have been executed in its first.
 	Earlier Outcome
 	// Resumable means that the response's stream can be resumed.
 	Resumable bool
@@ -159,8 +159,8 @@
 	return &Policy{cfg: cfg, budget: budget, rand: rnd}
 }
 
-// Decide returns what to do after a failed attempt. A retry that it grants is already taken from the
-// budget.
+// Decide returns what to do after a failed attempt. A retry that it grants is already taken from
+// the budget.
 func (p *Policy) Decide(now time.Time, a Attempt) Decision {
 	if reason, denied := unsafeToRetry(&a); denied {
 		return giveUp(&a, reason)
--- a/internal/edge/callers/callers.go
+++ b/internal/edge/callers/callers.go
@@ -3,8 +3,8 @@
 // Callers whose requests are refused retry on new connections and leave the old ones open. In a
 // surge of ten times the usual load, routers ran out of file descriptors within seconds. They could
 // open no connections to engines or to other routers, so slots that other routers' gates had
-// granted them were not released. This lasted for the lifetime of the process, because callers continued
-// to retry. The symptom is failed attempts with the cause "too many open files".
+// granted them were not released. This lasted for the lifetime of the process, because callers
+// continued to retry. The symptom is failed attempts with the cause "too many open files".
 //
 // For each new connection beyond the limit, the connection that has been idle for longest is
 // closed. Connections with requests in progress are never closed. If all connections are busy, new
--- a/internal/edge/catalog/engine.go
+++ b/internal/edge/catalog/engine.go
@@ -75,9 +75,9 @@
 	byService map[string][]Engine
 }
 
-// maxRemovals bounds the removals that are retained. Routers that query changes since an older version
-// receive the full set. In a fleet of 850 engines that restart one after the other, this many
-// removals take more than an hour.
+// maxRemovals bounds the removals that are retained. Routers that query changes since an older
+// version receive the full set. In a fleet of 850 engines that restart one after the other, this
+// many removals take more than an hour.
 const maxRemovals = 256
 
 // NewEngineSet returns an empty set that is older than any version of the store.
--- a/internal/edge/catalog/snapshot.go
+++ b/internal/edge/catalog/snapshot.go
@@ -88,8 +88,8 @@
 // with the first reply after an outage, so they stay in service until they had time to register
 // again. An outage that affects only some routers does not count, because the others have confirmed
 // the engines in the meantime. Nor does a period in which this router received no updates while no
-// reader failed: then its own links failed, not the store. sinceReadFailure is the time since a reader
-// last failed.
+// reader failed: then its own links failed, not the store. sinceReadFailure is the time since a
+// reader last failed.
 func (s *Snapshot) WithEngines(u EngineUpdate, asOf, minOutage, sinceReadFailure time.Duration) (*Snapshot, bool) {
 	if u.Upto < s.Engines.Upto || !s.Engines.Covers(u) {
 		return s, false
--- a/internal/edge/choose/choose.go
+++ b/internal/edge/choose/choose.go
@@ -21,8 +21,8 @@
 const (
 	// loadFactor and loadSlack bound the requests in flight at an engine that is selected by
 	// prompt: loadFactor times the mean of the service, plus loadSlack. Operators require that 97
-	// of 100 requests stay below twice the mean plus three. The lower factor leaves a margin
-	// for requests that other routers send before their load reports arrive: with 67 routers and a
+	// of 100 requests stay below twice the mean plus three. The lower factor leaves a margin for
+	// requests that other routers send before their load reports arrive: with 67 routers and a
 	// factor of 1.9 that did not count the request being placed, 3.1 of 100 requests exceeded the
 	// operators' limit.
 	loadFactor = 1.8
@@ -49,9 +49,9 @@
 	// Draining is set for engines that get no new requests. Other engines can still fetch from their
 	// cache.
 	Draining bool
-	// RecentlyAdded is set for engines that were recently added or restarted with an empty cache, so
-	// that other engines have cached the prompts that now map to them. AddedAt is the time when this happened, by
-	// the same clock for all engines.
+	// RecentlyAdded is set for engines that were recently added or restarted with an empty cache,
+	// so that other engines have cached the prompts that now map to them. AddedAt is the time when
+	// this happened, by the same clock for all engines.
 	RecentlyAdded bool
 	AddedAt       time.Duration
 	// Cold is set for engines that can serve few requests a second. They are sent a request only
@@ -110,10 +110,10 @@
 	return PlacementAt(engines, engine, key)
 }
 
-// PlacementAt returns the placement of a prompt at an engine that is already selected. The holder is
-// the first other engine in the prompt's order that can serve its cache. If the selected engine is
-// the first in that order and was recently added, an engine that was added with it or later becomes
-// the holder only if there is no other.
+// PlacementAt returns the placement of a prompt at an engine that is already selected. The holder
+// is the first other engine in the prompt's order that can serve its cache. If the selected engine
+// is the first in that order and was recently added, an engine that was added with it or later
+// becomes the holder only if there is no other.
 func PlacementAt(engines []Engine, engine int, key uint64) Placement {
 	order := ranked(engines, key)
 	out := Placement{Engine: engine, Holder: NoEngine}
@@ -166,8 +166,8 @@
 }
 
 const (
-	// maxFurtherCandidates is the number of engines at which a slot is requested after the first one.
-	// Each of them costs a round trip and finds slots that the load reports don't show.
+	// maxFurtherCandidates is the number of engines at which a slot is requested after the first
+	// one. Each of them costs a round trip and finds slots that the load reports don't show.
 	maxFurtherCandidates = 2
 	// candidateSample is the number of engines compared for each further candidate. Routers have
 	// the same load reports and would all select the same engine if each compared all of them.
@@ -280,9 +280,9 @@
 	return cold
 }
 
-// usableEngines returns the indexes of the engines that are neither draining nor ejected. If all are
-// ejected, it ignores ejections: the cause is then outside the engines, and refusing all requests
-// would make it worse.
+// usableEngines returns the indexes of the engines that are neither draining nor ejected. If all
+// are ejected, it ignores ejections: the cause is then outside the engines, and refusing all
+// requests would make it worse.
 func usableEngines(engines []Engine) []int {
 	var available, all []int
 	for i, e := range engines {
--- a/internal/edge/choose/choose_test.go
+++ b/internal/edge/choose/choose_test.go
@@ -180,8 +180,7 @@
 	require.LessOrEqual(t, float64(engines[0].InFlight), 2*float64(engines[0].InFlight)/3+3)
 }
 
-// Guards against requesting slots at a service whose engines are all ejected and none is
-// cold.
+// Guards against requesting slots at a service whose engines are all ejected and none is cold.
 func TestEjectedEnginesAreNotCold(t *testing.T) {
 	engines := testEngines(3)
 	require.False(t, AllCold(engines))
--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -42,8 +42,8 @@
 
 // Resolve returns the addresses that the router named self returns to a caller: the routers of the
 // caller's site, or all routers if the site has fewer than minLocalRouters. Traffic between sites
-// has a cost, and a local router responds faster. The response has at least one address unless routers
-// is empty.
+// has a cost, and a local router responds faster. The response has at least one address unless
+// routers is empty.
 func Resolve(self string, routers []Router, query Query, ttl time.Duration) Response {
 	var local []Router
 	for _, r := range routers {
@@ -67,10 +67,9 @@
 // sampleRouters returns at most maxAddresses of the routers. It may reorder the slice. The sample
 // depends on self, the name of the responding router: if all returned the same 64 routers, these
 // would serve all callers of a site that has lost its own routers, a load for the routers of four
-// sites. The sample
-// is selected by rendezvous hashing, so that a router that is added or removed changes only one
-// address of a response. Callers close their connections to addresses that are no longer in the
-// response.
+// sites. The sample is selected by rendezvous hashing, so that a router that is added or removed
+// changes only one address of a response. Callers close their connections to addresses that are no
+// longer in the response.
 func sampleRouters(self string, routers []Router) []Router {
 	if len(routers) <= maxAddresses {
 		return routers
--- a/internal/edge/entry/entry_test.go
+++ b/internal/edge/entry/entry_test.go
@@ -45,8 +45,8 @@
 			responsesByAddress[a]++
 		}
 	}
-	// Each router is in 64 of 236 responses on average. The tolerance is five standard deviations of
-	// a binomial distribution.
+	// Each router is in 64 of 236 responses on average. The tolerance is five standard deviations
+	// of a binomial distribution.
 	mean := float64(queried) * maxAddresses / remaining
 	for _, r := range all {
 		require.InDelta(t, mean, responsesByAddress[r.Address], 5*math.Sqrt(mean*(1-mean/queried)), r.Name)
--- a/internal/edge/feed/board.go
+++ b/internal/edge/feed/board.go
@@ -31,8 +31,8 @@
 	pastConfigs atomic.Pointer[[]*catalog.Config]
 }
 
-// maxPastConfigs is how many past configurations are retained to compute incremental updates. A router
-// whose configuration is older gets a full one.
+// maxPastConfigs is how many past configurations are retained to compute incremental updates. A
+// router whose configuration is older gets a full one.
 const maxPastConfigs = 16
 
 // PastConfig returns a past configuration, or nil if it is no longer retained.
--- a/internal/edge/feed/contacts.go
+++ b/internal/edge/feed/contacts.go
@@ -19,9 +19,9 @@
 }
 
 // Contacts accesses a short list of routers in the platform's store. The seeds in a router's
-// settings may have left the fleet, or may start later than the router after a power loss. Without another way
-// to find the fleet, 300 routers starting at once would each read everything from the store, and a
-// router whose seeds were all replaced would never find the others.
+// settings may have left the fleet, or may start later than the router after a power loss. Without
+// another way to find the fleet, 300 routers starting at once would each read everything from the
+// store, and a router whose seeds were all replaced would never find the others.
 type Contacts struct {
 	Table platform.Table
 }
--- a/internal/edge/feed/exchange.go
+++ b/internal/edge/feed/exchange.go
@@ -100,9 +100,9 @@
 // router of the fleet.
 //
 // The parent depends only on the set of live routers and always precedes this router in an order
-// that all routers compute in the same way. The parent of catalog pulls changes while the store is lost, and
-// routers may then pull from each other in a cycle. Load sums carried along such cycles grew to
-// hundreds of times the real load within seconds, so that every engine seemed full.
+// that all routers compute in the same way. The parent of catalog pulls changes while the store is
+// lost, and routers may then pull from each other in a cycle. Load sums carried along such cycles
+// grew to hundreds of times the real load within seconds, so that every engine seemed full.
 func (f *Follower) loadsParent() (Peer, bool) {
 	return ParentOf(f.Self, f.Live(), nil, f.Clock())
 }
--- a/internal/edge/feed/feed_test.go
+++ b/internal/edge/feed/feed_test.go
@@ -275,8 +275,8 @@
 
 // Guards against a configuration used more than two seconds after its replacement by routers that
 // reach the store. The reader reports the store as lost; then it and the first router of each site
-// are cut off and the configuration changes. That outdated report kept the others from reading
-// while they tried one unreachable router after the other.
+// are cut off and the configuration changes. The outdated report prevented the others from reading
+// while they called one unreachable router after the other.
 func TestOutdatedStoreLostReportDoesNotBlockReading(t *testing.T) {
 	var bad *fakeStore
 	var cut []string
--- a/internal/edge/feed/follower.go
+++ b/internal/edge/feed/follower.go
@@ -14,9 +14,10 @@
 )
 
 const (
-	// pullWait is how long the reply to a pull is held. Each level of the tree adds it to the age of
-	// the catalog and of the loads. Twice as much leaves too little of a bound of one second:
-	// routers then read the store themselves (4,000 calls in a scenario of 34 s with 88 routers, instead of 1,100).
+	// pullWait is how long the reply to a pull is held. Each level of the tree adds it to the age
+	// of the catalog and of the loads. Twice as much leaves too little of a bound of one second:
+	// routers then read the store themselves (4,000 calls in a scenario of 34 s with 88 routers,
+	// instead of 1,100).
 	pullWait = 150 * time.Millisecond
 	// pullTimeout bounds a complete pull: its wait and one TCP retransmission.
 	pullTimeout = pullWait + 350*time.Millisecond
@@ -103,8 +104,8 @@
 const maxReplyAge = 2 * pullTimeout
 
 // ReportedStoreLost reports whether other routers report the store as unreachable and still reply.
-// The report of a router that no longer replies does not count: this router may be the only one left
-// that can notice when the store is reachable again.
+// The report of a router that no longer replies does not count: this router may be the only one
+// left that can notice when the store is reachable again.
 func (f *Follower) ReportedStoreLost() bool {
 	return f.StoreDown() && f.Clock()-time.Duration(f.lastReplyAt.Load()) < maxReplyAge
 }
--- a/internal/edge/feed/join.go
+++ b/internal/edge/feed/join.go
@@ -23,8 +23,8 @@
 	// joinRetryPause is the pause between calls to routers that refuse connections. Processes that
 	// start together become ready some tens of milliseconds apart.
 	joinRetryPause = 25 * time.Millisecond
-	// nextCallDelay is how long a call may go without a reply before another router is called too, so
-	// that an unresponsive router does not delay the join. With a shorter delay each router of a
+	// nextCallDelay is how long a call may go without a reply before another router is called too,
+	// so that an unresponsive router does not delay the join. With a shorter delay each router of a
 	// starting fleet would call all seeds and slow them down further.
 	nextCallDelay = 100 * time.Millisecond
 	// maxJoinCalls limits concurrent calls.
@@ -42,9 +42,9 @@
 	// which it may not know yet.
 	memberExchangePeriod   = 3 * time.Second
 	memberExchangeInterval = 300 * time.Millisecond
-	// SettleTime is the time after its start from which on a router that reached others may consider
-	// itself the reader of the store. Earlier it may know only a few of the routers starting with
-	// it. By then the seeds have read the store for the fleet.
+	// SettleTime is the time after its start from which on a router that reached others may
+	// consider itself the reader of the store. Earlier it may know only a few of the routers
+	// starting with it. By then the seeds have read the store for the fleet.
 	SettleTime = 500 * time.Millisecond
 )
 
--- a/internal/edge/feed/join_test.go
+++ b/internal/edge/feed/join_test.go
@@ -316,7 +316,7 @@
 }
 
 // Guards against a fleet that does not serve after a power loss because the seeds are unresponsive.
-// Each router continues alone after the deadline, since none can inform it of the others.
+// Each router continues alone after the deadline, since none can send it the other members.
 func TestFleetStartsWithUnresponsiveSeeds(t *testing.T) {
 	runStartingFleet(t, 30, func(f *startingFleet, live []Peer) {
 		for _, seed := range f.seeds {
--- a/internal/edge/feed/loads.go
+++ b/internal/edge/feed/loads.go
@@ -41,8 +41,8 @@
 	return ok
 }
 
-// FromParent applies the report of the parent on the rest of the fleet. It returns false if a
-// full report is needed.
+// FromParent applies the report of the parent on the rest of the fleet. It returns false if a full
+// report is needed.
 func (l *Loads) FromParent(report LoadReport, now time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/edge/feed/parent.go
+++ b/internal/edge/feed/parent.go
@@ -117,11 +117,12 @@
 //
 // The routers form a tree of two levels. In each site, all routers pull from the first trusted
 // router of the site, in an order that all compute in the same way. The routers with the fastest
-// links precede the others in it, because the first ones send the most. The first router of the fleet reads the store, and the first routers of the
-// other sites pull from it. So store calls do not grow with the fleet, each byte crosses between
-// sites once per site, and routers that are lost or stale are skipped without an election. Routers
-// with different views may pull from each other in a cycle. Their data then becomes stale, they
-// distrust each other, and one of them reads the store.
+// links precede the others in it, because the first ones send the most. The first router of the
+// fleet reads the store, and the first routers of the other sites pull from it. So store calls do
+// not grow with the fleet, each byte crosses between sites once per site, and routers that are lost
+// or stale are skipped without an election. Routers with different views may pull from each other
+// in a cycle. Their data then becomes stale, they distrust each other, and one of them reads the
+// store.
 //
 // A router that cannot reach the store distrusts itself and pulls from the next one. While the
 // store is down for all, the order applies as if all were trusted: one router retries, and the
--- a/internal/edge/feed/reader.go
+++ b/internal/edge/feed/reader.go
@@ -43,8 +43,8 @@
 	storeLostAfter = 100 * time.Millisecond
 )
 
-// Reader reads the store while this router is the reader, or when the data from the other routers is
-// too old.
+// Reader reads the store while this router is the reader, or when the data from the other routers
+// is too old.
 type Reader struct {
 	Board *Board
 	Store Store
@@ -216,8 +216,8 @@
 	}
 }
 
-// recordFailure records a failed call. The store counts as lost at once if no call has
-// succeeded since this router began to read it.
+// recordFailure records a failed call. The store counts as lost at once if no call has succeeded
+// since this router began to read it.
 func (r *Reader) recordFailure(which int, err error, lastOK bool) {
 	now := r.Clock()
 	r.failedAt.Store(int64(now))
--- a/internal/edge/feed/report_test.go
+++ b/internal/edge/feed/report_test.go
@@ -17,9 +17,9 @@
 )
 
 // BenchmarkPull measures the size of one pull under load: the loads sent by a router and those of
-// the fleet sent back, while no engine is added or removed. Each router pulls once per pullWait. Run with
-// -bench Pull. It reports the bytes that net/rpc sends on a connection on which the types were sent
-// before.
+// the fleet sent back, while no engine is added or removed. Each router pulls once per pullWait.
+// Run with -bench Pull. It reports the bytes that net/rpc sends on a connection on which the types
+// were sent before.
 func BenchmarkPull(b *testing.B) {
 	for _, engines := range []int{9, 60, 850} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
--- a/internal/edge/feed/reporter.go
+++ b/internal/edge/feed/reporter.go
@@ -12,8 +12,8 @@
 const (
 	// intervalPerEntry is the time between two reports per entry.
 	intervalPerEntry = 2 * time.Millisecond
-	// maxReportInterval bounds the time between two reports. One more report can
-	// follow before the last one expires.
+	// maxReportInterval bounds the time between two reports. One more report can follow before the
+	// last one expires.
 	maxReportInterval = 900 * time.Millisecond
 )
 
@@ -31,8 +31,8 @@
 }
 
 // report returns the report due to a router at now, or nil for none. have is the sequence number
-// that the router holds, entries the approximate size of a full report. current builds a
-// full report.
+// that the router holds, entries the approximate size of a full report. current builds a full
+// report.
 func (r *reporter) report(to string, have uint64, entries int, now time.Duration, current func() LoadReport) *LoadReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/edge/feed/status.go
+++ b/internal/edge/feed/status.go
@@ -160,8 +160,8 @@
 	return out
 }
 
-// resetSent makes the next update a full one. It is called after a failed pull, when it is
-// unknown whether the parent received the last update.
+// resetSent makes the next update a full one. It is called after a failed pull, when it is unknown
+// whether the parent received the last update.
 func (s *Statuses) resetSent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/edge/flow/client.go
+++ b/internal/edge/flow/client.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// handleNoReply starts the cooldown of an owner that did not reply. It also releases the slot, which
-// the owner may have granted.
+// handleNoReply starts the cooldown of an owner that did not reply. It also releases the slot,
+// which the owner may have granted.
 func (c *Client) handleNoReply(permit *Permit, err error) error {
 	now := c.Clock()
 	c.mu.Lock()
--- a/internal/edge/flow/owner.go
+++ b/internal/edge/flow/owner.go
@@ -23,8 +23,8 @@
 	// settleInterval is how often waiting requests are checked: a hundredth of the time within
 	// which responses should begin.
 	settleInterval = 5 * time.Millisecond
-	// idleGateTTL is how long an unused gate is retained. After that, its estimate of the drain rate
-	// is outdated.
+	// idleGateTTL is how long an unused gate is retained. After that, its estimate of the drain
+	// rate is outdated.
 	idleGateTTL = 10 * time.Second
 	// peakWindow is how long the peak number of leases of a gate is remembered. Load reports are up
 	// to this old; a lease that they count may have ended since.
--- a/internal/edge/forward/budget.go
+++ b/internal/edge/forward/budget.go
@@ -58,8 +58,8 @@
 }
 
 // budget returns the service's budget, sized for the current number of routers. A router that has
-// just started knows no others; with a size fixed at that time, it would get the whole slack. The caller
-// holds the mutex.
+// just started knows no others; with a size fixed at that time, it would get the whole slack. The
+// caller holds the mutex.
 func (b *RetryBudgets) budget(service string, now time.Duration) *retry.Budget {
 	budget := b.byService[service]
 	if budget == nil {
--- a/internal/edge/forward/cold.go
+++ b/internal/edge/forward/cold.go
@@ -24,10 +24,10 @@
 
 // updateCold updates how long the engine counts as cold: for the period in its entry, and after the
 // end of an evacuation of its site for coldStart, because the caches of the engines may have been
-// emptied during the evacuation, which they report only later. known means that the engine was observed before; a router
-// that has just started does not know when an evacuation ended. entryChanged means that the entry
-// is new or newer than the last one. updateCold reports whether the engine's cache may have been
-// emptied.
+// emptied during the evacuation, which they report only later. known means that the engine was
+// observed before; a router that has just started does not know when an evacuation ended.
+// entryChanged means that the entry is new or newer than the last one. updateCold reports whether
+// the engine's cache may have been emptied.
 func (e *engineState) updateCold(s *catalog.Snapshot, coldStart, now time.Duration, known, entryChanged bool) (emptied bool) {
 	if entryChanged {
 		e.coldUntil = max(e.coldUntil, now+e.engine.ColdFor)
--- a/internal/edge/forward/engines.go
+++ b/internal/edge/forward/engines.go
@@ -27,8 +27,7 @@
 
 	mu       sync.Mutex
 	ownLoads map[string]*ownLoad
-	// ejected holds the IDs of ejected engines, so that EjectionChanges returns only
-	// changes.
+	// ejected holds the IDs of ejected engines, so that EjectionChanges returns only changes.
 	ejected map[string]bool
 	// promptCaches records which prompt parts this router has sent to which engines.
 	promptCaches promptCaches
@@ -110,7 +109,7 @@
 	startedAt time.Duration
 }
 
-// Pick chooses an engine of the service and counts a request to it until Done is called. shared are
+// Pick selects an engine of the service and counts a request to it until Done is called. shared are
 // the IDs of the prompt parts that other requests may have too, in order. Pick skips the engines in
 // excluded, and cold ones, which require a permit. It returns false if there is no engine left.
 func (p *Balancer) Pick(s *catalog.Snapshot, service string, shared []string, excluded map[string]bool) (Choice, bool) {
@@ -123,7 +122,7 @@
 	return p.commit(engines, candidates, p.placement(candidates, shared), shared, now)
 }
 
-// placement chooses among the candidates. The caller holds the mutex.
+// placement selects among the candidates. The caller holds the mutex.
 func (p *Balancer) placement(candidates []choose.Engine, shared []string) choose.Placement {
 	if len(shared) == 0 {
 		return choose.Placement{Engine: choose.PickPlain(candidates, p.rng), Holder: choose.NoEngine}
@@ -153,10 +152,11 @@
 }
 
 // fetchSource returns the address of the engine to fetch the prompt from, or an empty string if the
-// selected engine has the longest part already, because a fetch costs a few milliseconds. It tries in this order: the engine to which this router last sent the longest part,
-// the engine that had the prompt before according to the hash order, and the engines to which this
-// router last sent shorter parts. If none qualifies, it falls back to the first other engine of the
-// hash order. The caller holds the mutex.
+// selected engine has the longest part already, because a fetch costs a few milliseconds. It tries
+// in this order: the engine to which this router last sent the longest part, the engine that had
+// the prompt before according to the hash order, and the engines to which this router last sent
+// shorter parts. If none qualifies, it falls back to the first other engine of the hash order. The
+// caller holds the mutex.
 func (p *Balancer) fetchSource(engines []catalog.Engine, candidates []choose.Engine, placement choose.Placement, shared []string, now time.Duration) string {
 	selected := engines[placement.Engine].ID
 	longest := len(shared) - 1
@@ -180,9 +180,9 @@
 	return engines[placement.Holder].Address
 }
 
-// sourceAddress returns the address of the engine, other than the selected one, to which this router
-// last sent the part. It returns false for an ejected engine: a request would wait for an engine
-// that does not respond. The caller holds the mutex.
+// sourceAddress returns the address of the engine, other than the selected one, to which this
+// router last sent the part. It returns false for an ejected engine: a request would wait for an
+// engine that does not respond. The caller holds the mutex.
 func (p *Balancer) sourceAddress(engines []catalog.Engine, candidates []choose.Engine, selected, part string, now time.Duration) (string, bool) {
 	holder, ok := p.promptCaches.otherEngine(selected, part, now)
 	if !ok {
--- a/internal/edge/forward/forward_test.go
+++ b/internal/edge/forward/forward_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a stream that is truncated when a draining router stops, because it was accepted seconds
-// after draining began and lasts longer than the time left. Late requests are accepted only if
-// their timeout fits.
+// Guards against a stream that is truncated when a draining router stops, because it was accepted
+// seconds after draining began and lasts longer than the time left. Late requests are accepted only
+// if their timeout fits.
 func TestDrainingRouterAcceptsOnlyRequestsThatCanFinish(t *testing.T) {
 	drain := &drainState{startedAt: 100 * time.Second, timeout: 7 * time.Second}
 	for _, tc := range []struct {
--- a/internal/edge/forward/permit.go
+++ b/internal/edge/forward/permit.go
@@ -12,8 +12,8 @@
 )
 
 // chooseFirst selects the engine for the first send: directly while the service has free capacity,
-// and by requesting a permit otherwise. It returns a choice that must be passed to Balancer.Done, or
-// a refusal, which is last if there is no engine.
+// and by requesting a permit otherwise. It returns a choice that must be passed to Balancer.Done,
+// or a refusal, which is last if there is no engine.
 func (x *exchange) chooseFirst(last *Refusal) (Choice, *Refusal) {
 	var shared []string
 	if x.route.Prompted {
@@ -117,8 +117,8 @@
 }
 
 // chooseWithoutPermit selects an engine by the known loads, as with free capacity. It is used if no
-// owner of a gate could be reached, or if a permit was requested only for a cold engine while others
-// are available.
+// owner of a gate could be reached, or if a permit was requested only for a cold engine while
+// others are available.
 func (x *exchange) chooseWithoutPermit() (Choice, *Refusal) {
 	if choice, ok := x.pickEngine(); ok {
 		return choice, nil
--- a/internal/edge/forward/promptcache_test.go
+++ b/internal/edge/forward/promptcache_test.go
@@ -46,8 +46,8 @@
 }
 
 // Guards against processing a shared prompt part again at each engine. If the prompt is new but its
-// first part is not, the engine fetches from one that has cached that part, not from one that
-// has cached nothing of the prompt.
+// first part is not, the engine fetches from one that has cached that part, not from one that has
+// cached nothing of the prompt.
 func TestNewPromptFetchesSharedPartFromEngineThatHasIt(t *testing.T) {
 	p := newPromptPicker(t)
 	s := newSnapshot(5)
--- a/internal/edge/forward/relay.go
+++ b/internal/edge/forward/relay.go
@@ -36,8 +36,8 @@
 	return x.retryIfAllowed(maybeExecuted(http.StatusBadGateway, ReasonEngineFailure))
 }
 
-// handleReadError returns the refusal that ends a request whose response was truncated, or nil if the
-// engine is at fault and the request may go to another engine.
+// handleReadError returns the refusal that ends a request whose response was truncated, or nil if
+// the engine is at fault and the request may go to another engine.
 func (x *exchange) handleReadError(e catalog.Engine, err error) *Refusal {
 	switch {
 	case errCallerLeft.Has(err) || x.callerDisconnected():
--- a/internal/edge/forward/request.go
+++ b/internal/edge/forward/request.go
@@ -31,16 +31,16 @@
 	Timeout time.Duration
 	// Prompt lists the parts of the prompt in order.
 	Prompt []Part
-	// PromptTokens is the length of the prompt, and OutputTokens the maximum length of the response;
-	// zero if not stated.
+	// PromptTokens is the length of the prompt, and OutputTokens the maximum length of the
+	// response; zero if not stated.
 	PromptTokens, OutputTokens int
 	// LastEvent is the ID of the event after which the caller resumes a stream, or empty.
 	LastEvent string
 }
 
 // SharedParts returns the IDs of the prompt parts that other requests may have too, in order: all
-// parts but the last, which is specific to this request or its session, or the only part if there is
-// just one.
+// parts but the last, which is specific to this request or its session, or the only part if there
+// is just one.
 func (r *Request) SharedParts() []string {
 	shared := r.Prompt
 	if len(shared) > 1 {
--- a/internal/edge/forward/send.go
+++ b/internal/edge/forward/send.go
@@ -36,8 +36,8 @@
 	actionStop
 )
 
-// forward sends the request until a response was relayed or no further attempt is allowed. It returns the
-// refusal to send, or nil.
+// forward sends the request until a response was relayed or no further attempt is allowed. It
+// returns the refusal to send, or nil.
 func (x *exchange) forward() *Refusal {
 	x.excluded = make(map[string]bool)
 	unreachable, refusals := 0, 0
@@ -165,8 +165,8 @@
 // sendResult is the result of one attempt.
 type sendResult struct {
 	action nextAction
-	// unsent means that nothing left the router. refused means that the engine guarantees that
-	// it did not execute the request.
+	// unsent means that nothing left the router. refused means that the engine guarantees that it
+	// did not execute the request.
 	unsent, refused bool
 	// budgetSpent means that the retry budget has already been charged for the next send.
 	budgetSpent bool
@@ -268,10 +268,10 @@
 }
 
 // engineUrgency is the priority of all requests at engines. The gates decide the order before
-// requests are sent; an engine that preempts one request for another delays both. At four times the usual load,
-// 1,100 requests were preempted in 8 s with different priorities, and 0.705 of the benefit was
-// earned in the worst seconds. With gates and a single priority none were preempted, and 0.85 was
-// earned.
+// requests are sent; an engine that preempts one request for another delays both. At four times the
+// usual load, 1,100 requests were preempted in 8 s with different priorities, and 0.705 of the
+// benefit was earned in the worst seconds. With gates and a single priority none were preempted,
+// and 0.85 was earned.
 const engineUrgency = 5
 
 // urgencyStep spaces the priorities of accounts, which take precedence over those of routes.
--- a/internal/edge/forward/stream.go
+++ b/internal/edge/forward/stream.go
@@ -20,9 +20,9 @@
 // eventEnd is the empty line that ends an event.
 var eventEnd = []byte("\n\n")
 
-// eventSplitter splits a stream into complete events and records the ID of the last one. An engine's
-// response may end in the middle of an event; a partial event followed by another engine's events
-// would corrupt the response to the caller.
+// eventSplitter splits a stream into complete events and records the ID of the last one. An
+// engine's response may end in the middle of an event; a partial event followed by another engine's
+// events would corrupt the response to the caller.
 type eventSplitter struct {
 	pending []byte
 	lastID  string
@@ -50,8 +50,8 @@
 	}
 }
 
-// relayStream relays a stream, event by event. If the route allows it, a truncated stream resumes at
-// another engine after the last complete event.
+// relayStream relays a stream, event by event. If the route allows it, a truncated stream resumes
+// at another engine after the last complete event.
 func (x *exchange) relayStream(ctx context.Context, e catalog.Engine, response *engineconn.Response) sendResult {
 	splitter := &eventSplitter{lastID: x.req.LastEvent}
 	for {
@@ -116,9 +116,9 @@
 	}
 }
 
-// resume continues a truncated stream at another engine, if the route and the retry budget allow it.
-// If an engine refuses, it tries the next one. The returned function closes the response and ends
-// the count of the request.
+// resume continues a truncated stream at another engine, if the route and the retry budget allow
+// it. If an engine refuses, it tries the next one. The returned function closes the response and
+// ends the count of the request.
 func (x *exchange) resume(ctx context.Context, truncated catalog.Engine, lastID string) (catalog.Engine, *engineconn.Response, func()) {
 	x.excluded[truncated.ID] = true
 	for range maxEngineRefusals {
--- a/internal/edge/health/health.go
+++ b/internal/edge/health/health.go
@@ -1,10 +1,10 @@
 // Package health detects failing engines by the outcomes of their requests. It reads no clock:
 // evidence and the time are arguments.
 //
-// It uses no health probes, because an engine may pass them and fail its requests, or the
-// reverse. One router of many sends too few requests to distinguish a failing engine from chance, so
-// routers add up their evidence. Evidence is a pair of exponentially decaying counts, and the
-// counts of different routers can be added.
+// It uses no health probes, because an engine may pass them and fail its requests, or the reverse.
+// One router of many sends too few requests to distinguish a failing engine from chance, so routers
+// add up their evidence. Evidence is a pair of exponentially decaying counts, and the counts of
+// different routers can be added.
 package health
 
 import (
@@ -12,9 +12,8 @@
 	"time"
 )
 
-// halfLife is the half-life of evidence. Outages last seconds: with a longer half-life,
-// recovered engines would stay ejected; with a shorter one, a dead engine would
-// return to service too early.
+// halfLife is the half-life of evidence. Outages last seconds: with a longer half-life, recovered
+// engines would stay ejected; with a shorter one, a dead engine would return to service too early.
 const halfLife = 1500 * time.Millisecond
 
 // Evidence is the decayed number of requests at an engine that succeeded and failed. The zero value
@@ -90,8 +89,8 @@
 )
 
 // LoadShares returns the share of its normal load that each engine of a service should get, from 0
-// to 1, in the order of the evidence. It compares each engine with the rest of its service: if all fail
-// alike, the cause is elsewhere, and ejecting some would only move their load to the others.
+// to 1, in the order of the evidence. It compares each engine with the rest of its service: if all
+// fail alike, the cause is elsewhere, and ejecting some would only move their load to the others.
 func LoadShares(evidence []Evidence) []float64 {
 	var total Evidence
 	for _, e := range evidence {
--- a/internal/edge/health/health_test.go
+++ b/internal/edge/health/health_test.go
@@ -8,7 +8,8 @@
 )
 
 // Guards against a failing engine that stays in service because one router of many cannot
-// distinguish it from chance: if seven routers see one failure each, the sum of their evidence ejects the engine.
+// distinguish it from chance: if seven routers see one failure each, the sum of their evidence
+// ejects the engine.
 func TestEvidenceOfManyRoutersEjectsEngineThatOneRouterCannot(t *testing.T) {
 	var one Record
 	one.Observe(false, 0)
--- a/internal/edge/health/latency.go
+++ b/internal/edge/health/latency.go
@@ -11,13 +11,13 @@
 	// or two in a hundred responses of a healthy service are faster, and a request sent again after
 	// that time still meets its objective in most cases.
 	silenceFactor = 3
-	// minObjectiveShare is the part of the objective that every engine may take: a service whose
+	// minObjectiveShare is the share of the objective that every engine may take: a service whose
 	// responses are fast on average has slow ones too.
 	minObjectiveShare = 0.5
 )
 
-// Latency is the moving average of the response times of a service. The zero value has no responses.
-// It is not safe for concurrent use.
+// Latency is the moving average of the response times of a service. The zero value has no
+// responses. It is not safe for concurrent use.
 type Latency struct {
 	mean      time.Duration
 	responses int
--- a/internal/edge/health/latency_test.go
+++ b/internal/edge/health/latency_test.go
@@ -31,8 +31,8 @@
 }
 
 // Guards against suspecting an engine after few responses, or after fast ones only: without enough
-// responses, the silence timeout is the objective, or unlimited if there is none, and fast responses
-// do not reduce it below half of the objective.
+// responses, the silence timeout is the objective, or unlimited if there is none, and fast
+// responses do not reduce it below half of the objective.
 func TestPatienceWithFewOrFastAnswers(t *testing.T) {
 	var l Latency
 	require.Equal(t, time.Second, l.SilenceTimeout(time.Second))
--- a/internal/edge/logsink/logsink.go
+++ b/internal/edge/logsink/logsink.go
@@ -30,7 +30,8 @@
 	reportInterval = time.Second
 )
 
-// Sink is an io.Writer that expects one complete line per Write. It is safe for concurrent use.
+// Sink is an io.Writer that expects one complete line per Write. It is safe for
+// concurrent use.
 type Sink struct {
 	out       io.Writer
 	lines     chan []byte
--- a/internal/edge/node/apply.go
+++ b/internal/edge/node/apply.go
@@ -33,8 +33,8 @@
 	w.Run(ctx, initial, hangups)
 }
 
-// Apply activates changed settings without interrupting requests. Changes that take effect only
-// at a restart are logged and not applied. It must not be called concurrently.
+// Apply activates changed settings without interrupting requests. Changes that take effect only at
+// a restart are logged and not applied. It must not be called concurrently.
 func (r *Router) Apply(given *settings.Settings) {
 	before := r.active.Load()
 	next := &activeSettings{settings: settings.Effective(before.settings, given), since: before.since}
--- a/internal/edge/node/leave.go
+++ b/internal/edge/node/leave.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// minDrainShare is the minimum share of the drain timeout for which the router
-	// continues to serve: callers that still use its address are served or sent
-	// to another router, rather than failing to connect.
+	// minDrainShare is the minimum share of the drain timeout for which the router continues to
+	// serve: callers that still use its address are served or sent to another router, rather than
+	// failing to connect.
 	minDrainShare = 0.7
-	// exitMargin is the part of the stop timeout that is reserved for the exit
-	// of the process, which is slow on a small share of a core. If the stop timeout
-	// is short, the margin is exitMarginShare of it: operators count requests that
-	// are truncated before the last sixth of the stop timeout.
+	// exitMargin is the part of the stop timeout that is reserved for the exit of the process,
+	// which is slow on a small share of a core. If the stop timeout is short, the margin is
+	// exitMarginShare of it: operators count requests that are truncated before the last sixth of
+	// the stop timeout.
 	exitMargin      = 900 * time.Millisecond
 	exitMarginShare = 0.125
 	// drainPollInterval is how often the requests in progress are counted.
@@ -28,10 +28,9 @@
 	return stopTimeout - min(exitMargin, time.Duration(exitMarginShare*float64(stopTimeout)))
 }
 
-// Leave takes the router out of service without interrupting requests: it first
-// sends callers to other routers, closes their connections after a response, and
-// lets running requests finish within the drain timeout. It returns early if the
-// context ends.
+// Leave takes the router out of service without interrupting requests: it first sends callers to
+// other routers, closes their connections after a response, and lets running requests finish within
+// the drain timeout. It returns early if the context ends.
 func (r *Router) Leave(ctx context.Context) {
 	start := bootclock.Now()
 	r.leaving.Store(true)
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -1,5 +1,5 @@
-// Package node assembles a router that serves callers on a platform, and runs
-// its life cycle: start, serve, leave, stop.
+// Package node assembles a router that serves callers on a platform, and runs its life cycle:
+// start, serve, leave, stop.
 package node
 
 import (
@@ -33,17 +33,15 @@
 var Error = errs.Class("router")
 
 const (
-	// addressTTL is how long callers may cache the addresses of routers. A router
-	// that leaves gets no more requests after it.
+	// addressTTL is how long callers may cache the addresses of routers. A router that leaves gets
+	// no more requests after it.
 	addressTTL = 2 * time.Second
-	// leaseShare is the share of the bound for revoked keys for which a
-	// configuration may be used after its last confirmation. The rest covers
-	// the time between the check and the send, and late notifications by watches
-	// of the store.
+	// leaseShare is the share of the bound for revoked keys for which a configuration may be used
+	// after its last confirmation. The rest covers the time between the check and the send, and
+	// late notifications by watches of the store.
 	leaseShare = 0.7
-	// idleTimeout is how long a caller's connection may be idle before it is
-	// closed. It exceeds the longest idle time after which operators allow a caller
-	// to reuse a connection.
+	// idleTimeout is how long a caller's connection may be idle before it is closed. It exceeds the
+	// longest idle time after which operators allow a caller to reuse a connection.
 	idleTimeout = 2 * time.Minute
 	// headerTimeout bounds the time to receive the header of a request.
 	headerTimeout = 5 * time.Second
@@ -51,8 +49,8 @@
 	maxHeaderBytes = 64 << 10
 	// reviewInterval is how often the engines are compared with one another.
 	reviewInterval = 500 * time.Millisecond
-	// memoryShare is the share of the VM's memory that is set as the soft memory
-	// limit; the rest is for buffers of the kernel.
+	// memoryShare is the share of the VM's memory that is set as the soft memory limit; the rest is
+	// for buffers of the kernel.
 	memoryShare = 0.7
 )
 
@@ -338,8 +336,8 @@
 	return now
 }
 
-// resolve answers a caller's query for addresses of routers. A router that
-// leaves returns only the others, or itself if it knows no other.
+// resolve answers a caller's query for addresses of routers. A router that leaves returns only the
+// others, or itself if it knows no other.
 func (r *Router) resolve(q entry.Query) entry.Response {
 	var routers []entry.Router
 	for _, p := range r.liveRouters() {
--- a/internal/edge/node/peers.go
+++ b/internal/edge/node/peers.go
@@ -35,8 +35,8 @@
 	return net.JoinHostPort(r.settings().Listen.Advertise, port)
 }
 
-// callerAddressOf returns the address at which the router with a peer address
-// serves callers, or an empty string if an address is malformed.
+// callerAddressOf returns the address at which the router with a peer address serves callers, or an
+// empty string if an address is malformed.
 func (r *Router) callerAddressOf(peerAddress string) string {
 	host, _, err := net.SplitHostPort(peerAddress)
 	_, port, portErr := net.SplitHostPort(r.settings().Listen.Callers)
@@ -113,8 +113,8 @@
 	// contactPeriod is how often a seed that is not a live member is contacted by gossip
 	// packets. Routers that start together must find one another within seconds.
 	contactPeriod = time.Second
-	// contactDelay is how long after the start these packets begin. By then calls have
-	// contacted the seeds; the replies list all members at once.
+	// contactDelay is how long after the start these packets begin. By then calls have contacted
+	// the seeds; the replies list all members at once.
 	contactDelay = time.Second
 )
 
--- a/internal/edge/node/servers.go
+++ b/internal/edge/node/servers.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// callerConnShare is the part of the file descriptors that connections of callers may use. Each
+// callerConnShare is the share of the file descriptors that connections of callers may use. Each
 // request uses another one to an engine; the rest is for files, the store and other routers.
 const callerConnShare = 0.4
 
--- a/internal/edge/node/status.go
+++ b/internal/edge/node/status.go
@@ -64,8 +64,8 @@
 	SettingsMethod = operatorServiceName + ".Settings"
 )
 
-// OperatorService handles calls of other routers on behalf of operators. Its methods are called by net/rpc;
-// their errors are always nil.
+// OperatorService handles calls of other routers on behalf of operators. Its methods are called by
+// net/rpc; their errors are always nil.
 type OperatorService struct{ router *Router }
 
 // SettingsArgs requests the active settings.
--- a/internal/edge/settings/fields.go
+++ b/internal/edge/settings/fields.go
@@ -86,9 +86,9 @@
 	return out
 }
 
-// Digest returns a hash of the settings that routers share. Routers with equal digests behave in the same way.
-// Fields that differ between routers, such as names and addresses, and the values of secrets are not
-// part of it.
+// Digest returns a hash of the settings that routers share. Routers with equal digests behave in
+// the same way. Fields that differ between routers, such as names and addresses, and the values of
+// secrets are not part of it.
 func (s *Settings) Digest() string {
 	h := xxh3.New()
 	for _, f := range s.Fields() {
--- a/internal/edge/settings/settings.go
+++ b/internal/edge/settings/settings.go
@@ -35,9 +35,8 @@
 	// Seeds are control addresses of other routers, "ip:port". They may be out
 	// of date.
 	Seeds []string `yaml:"seeds" validate:"dive,hostport"`
-	// FirstStart means that the whole fleet starts for the first time and has no callers yet.
-	// A router then waits longer for others before it reads the store itself. The default is
-	// false.
+	// FirstStart means that the whole fleet starts for the first time and has no callers yet. A
+	// router then waits longer for others before it reads the store itself. The default is false.
 	FirstStart bool `yaml:"first_start" scope:"own"`
 	// FleetKey is the secret by which routers authenticate each other, 16 bytes or more.
 	FleetKey string `yaml:"fleet_key" validate:"min=16" secret:"yes"`
@@ -62,8 +61,8 @@
 	Ready     string `yaml:"ready" validate:"required,hostport" scope:"own"`
 	Directory string `yaml:"directory" validate:"required,hostport" scope:"own"`
 	Control   string `yaml:"control" validate:"required,hostport" scope:"own"`
-	// Advertise is the IP address at which callers and other routers reach this VM, on the
-	// same ports. The default is the IP address of Callers; it differs behind network address
+	// Advertise is the IP address at which callers and other routers reach this VM, on the same
+	// ports. The default is the IP address of Callers; it differs behind network address
 	// translation.
 	Advertise string `yaml:"advertise" validate:"omitempty,ip" scope:"own" apply:"restart"`
 	// Metrics is the address that serves counters and latencies. By default they are not
@@ -77,8 +76,8 @@
 type Limits struct {
 	// MemoryMB is the memory that the process may use, in megabytes.
 	MemoryMB int64 `yaml:"memory_mb" validate:"min=16" scope:"own"`
-	// MaxFiles is the maximum number of open file descriptors; connections of callers take at
-	// most four tenths of them.
+	// MaxFiles is the maximum number of open file descriptors; connections of callers take at most
+	// four tenths of them.
 	MaxFiles int `yaml:"max_files" validate:"min=64" scope:"own"`
 	// LinkMbps is the bandwidth of the network link, in megabits per second.
 	LinkMbps float64 `yaml:"link_mbps" validate:"gt=0" scope:"own" apply:"restart"`
@@ -90,16 +89,16 @@
 type Bounds struct {
 	// Revoke is how long a revoked API key may still be accepted.
 	Revoke Milliseconds `yaml:"revoke_ms" validate:"duration"`
-	// Config is how long a change of the configuration may take to become
-	// active, and Drain how long a draining engine may get new requests.
+	// Config is how long a change of the configuration may take to become active, and Drain how
+	// long a draining engine may get new requests.
 	Config Milliseconds `yaml:"config_ms" validate:"duration"`
 	Drain  Milliseconds `yaml:"drain_ms" validate:"duration"`
 	// Evacuate is how long the engines of an evacuated site may get new requests. The
 	// default is the value of Drain.
 	Evacuate Milliseconds `yaml:"evacuate_ms" validate:"omitempty,duration"`
-	// ColdOver and ColdSlack limit the requests to a cold engine: in any second it gets at
-	// most ColdOver times the rate that its service specifies, plus ColdSlack requests. The
-	// defaults are 1 and 0.
+	// ColdOver and ColdSlack limit the requests to a cold engine: in any second it gets at most
+	// ColdOver times the rate that its service specifies, plus ColdSlack requests. The defaults are
+	// 1 and 0.
 	ColdOver  float64 `yaml:"cold_over" validate:"omitempty,min=0"`
 	ColdSlack float64 `yaml:"cold_slack" validate:"omitempty,min=0"`
 	// Beat is the interval at which engines renew their entries in the store.
--- a/internal/edge/settings/settings_test.go
+++ b/internal/edge/settings/settings_test.go
@@ -91,8 +91,8 @@
 	require.Equal(t, Field{Path: "fleet_key", Value: redactedValue, Live: true}, seen["fleet_key"])
 }
 
-// Routers whose shared settings are equal must have the same digest, whatever their names, addresses
-// and VMs. Otherwise operators can't determine which routers run which settings.
+// Routers whose shared settings are equal must have the same digest, whatever their names,
+// addresses and VMs. Otherwise operators can't determine which routers run which settings.
 func TestDigestCoversOnlySharedSettings(t *testing.T) {
 	digest := func(old, new string) string {
 		s, err := Parse([]byte(strings.Replace(validSettings, old, new, 1)))
--- a/internal/edge/settings/watch_test.go
+++ b/internal/edge/settings/watch_test.go
@@ -74,8 +74,8 @@
 }
 
 // Guards against a router that runs with a part of its settings: the file is read while it is
-// written, and is empty or ends in the middle of a line or a number. It must be applied only once it
-// is complete; until then the active settings stay.
+// written, and is empty or ends in the middle of a line or a number. It must be applied only once
+// it is complete; until then the active settings stay.
 func TestIncompleteFileIsNotApplied(t *testing.T) {
 	runWatchTest(t, func(w *watchTest) {
 		next := replaceSetting("retry_slack: 58", "retry_slack: 630")
--- a/internal/fleet/gossip/packet_test.go
+++ b/internal/fleet/gossip/packet_test.go
@@ -75,9 +75,8 @@
 	}
 }
 
-// A recorded announcement that is sent again later has a valid authentication code, and only
-// its sequence number reveals it. If it were accepted, a dead router would reappear again
-// and again.
+// A recorded announcement that is sent again later has a valid authentication code, and only its
+// sequence number reveals it. If it were accepted, a dead router would reappear again and again.
 func TestReplayedPacketRejected(t *testing.T) {
 	var lines int
 	receiver := newEndpoint(t, 2, fleetKeys, func(string, ...any) { lines++ })
--- a/internal/fleet/gossip/roster.go
+++ b/internal/fleet/gossip/roster.go
@@ -45,8 +45,8 @@
 	return reply
 }
 
-// evictLinks drops links until another one can be added. The next exchange over an evicted link compares the
-// tables again.
+// evictLinks drops links until another one can be added. The next exchange over an evicted link
+// compares the tables again.
 func (d *Driver) evictLinks() {
 	for address := range d.links {
 		if len(d.links) < maxLinks {
--- a/internal/fleet/gossip/scenario_test.go
+++ b/internal/fleet/gossip/scenario_test.go
@@ -85,9 +85,9 @@
 	require.Zero(t, f.drainEvents(membership.EventDead))
 }
 
-// A router restarts repeatedly, faster than a failure is detected, with the same name and
-// address. Only the instance ID distinguishes the restarts. Otherwise the new instance is taken
-// for the old one, or for dead.
+// A router restarts repeatedly, faster than a failure is detected, with the same name and address.
+// Only the instance ID distinguishes the restarts. Otherwise the new instance is taken for the old
+// one, or for dead.
 func TestFlappingRouterReplacedEverywhere(t *testing.T) {
 	f := newFleet(t, 9, 1, lan)
 	for range 5 {
--- a/internal/fleet/gossip/simnet/simnet.go
+++ b/internal/fleet/gossip/simnet/simnet.go
@@ -1,6 +1,6 @@
 // Package simnet runs gossip endpoints under virtual time on a simulated network that can lose,
-// delay, duplicate and block packets. It starts no goroutines and opens no sockets, and the
-// same seed produces the same run. It is meant for tests and benchmarks.
+// delay, duplicate and block packets. It starts no goroutines and opens no sockets, and the same
+// seed produces the same run. It is meant for tests and benchmarks.
 package simnet
 
 import (
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// probeFailed suspects a member that replied neither directly nor through others, and makes
-// this router a verifier of the suspicion.
+// probeFailed suspects a member that replied neither directly nor through others, and makes this
+// router a verifier of the suspicion.
 func (d *Detector) probeFailed(r *row) {
 	switch r.State {
 	case StateAlive:
@@ -149,8 +149,8 @@
 }
 
 // completeProbe ends the running probe if it matches. The target is compared by instance rather
-// than by address, because a reply of another instance at the same address says nothing about
-// the target.
+// than by address, because a reply of another instance at the same address says nothing about the
+// target.
 func (d *Detector) completeProbe(seq uint32, target uint64) {
 	if p := d.probe; p != nil && p.seq == seq && p.target == target {
 		d.probe = nil
--- a/internal/operate/admin/api/api.go
+++ b/internal/operate/admin/api/api.go
@@ -122,8 +122,8 @@
 	Forbidden []string `json:"forbidden"`
 }
 
-// DiffRequest requests the differences between two versions, or between a version
-// and files. Version 0 means the active version.
+// DiffRequest requests the differences between two versions, or between a
+// version and files. Version 0 means the active version.
 type DiffRequest struct {
 	From  uint64 `json:"from"`
 	To    uint64 `json:"to"`
@@ -146,8 +146,8 @@
 	Withdraw bool `json:"withdraw,omitempty"`
 }
 
-// RollbackRequest requests that the content of an earlier version be accepted as
-// the next version.
+// RollbackRequest requests that the content of an earlier version be accepted
+// as the next version.
 type RollbackRequest struct {
 	To       uint64 `json:"to"`
 	Comment  string `json:"comment"`
--- a/internal/operate/admin/errors.go
+++ b/internal/operate/admin/errors.go
@@ -32,8 +32,8 @@
 	return fmt.Sprintf("admin: %s may not change %d of the changed paths", e.operator, len(e.paths))
 }
 
-// handleError writes the error response of err. All errors are converted here, so
-// that every response states whether the change took effect.
+// handleError writes the error response of err. All errors are converted here,
+// so that every response states whether the change took effect.
 func (s *Server) handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
--- a/internal/store/platform/check.go
+++ b/internal/store/platform/check.go
@@ -35,9 +35,9 @@
 // UTF-8 of at most MaxName bytes. Errors: ErrInvalid.
 //
 // JSON encoding replaces invalid UTF-8 by U+FFFD. Two different keys would then
-// name one row, and the second caller of a non-idempotent service would be informed
-// that its request had already been executed. Such keys are rejected before
-// they are sent.
+// name one row, and the second caller of a non-idempotent service would be
+// informed that its request had already been executed. Such keys are rejected
+// before they are sent.
 func CheckName(table, key string) error {
 	if table == "" || key == "" {
 		return ErrInvalid.New("row %q/%q lacks a table or a key", table, key)
