--- a/internal/decide/limit/limit_test.go
+++ b/internal/decide/limit/limit_test.go
@@ -102,7 +102,7 @@
 	totalSlots := 0
 	for _, self := range live {
 		c := NewCache(CacheConfig{Self: self, Limits: func(string) Limits { return lim }}, live)
-		assert.Equal(t, Decision{NeedRefill: true}, c.Take(epoch, "x"), "undecided until the owner answers")
+		assert.Equal(t, Decision{NeedRefill: true}, c.Take(epoch, "x"), "undecided until the owner replies")
 		req, ok := c.NewRequest(epoch, "x")
 		_, again := c.NewRequest(epoch, "x")
 		require.True(t, ok && !again)
@@ -271,12 +271,12 @@
 		excess float64
 		peak   int
 	}{
-		{scenario{name: "rate, 2 % of answers lost", lim: rate, lossRate: 0.02}, unspent + fallback, 0},
+		{scenario{name: "rate, 2 % of replies lost", lim: rate, lossRate: 0.02}, unspent + fallback, 0},
 		{scenario{name: "rate, owner lost, 3 s", lim: rate, changeAt: 15, spread: 3}, unspent + initial + warmUp + fallback, 0},
 		{scenario{name: "rate, two owners, 3 s", lim: rate, changeAt: 15, spread: 3, oldOwnerStays: true}, unspent + initial + warmUp, 0},
 		{scenario{name: "rate, two owners, 10 s", lim: rate, changeAt: 15, spread: 10, oldOwnerStays: true}, unspent + initial + warmUp + 5*rate.Rate, 0},
 		{scenario{name: "slots, steady", lim: conc}, 0, 60},
-		{scenario{name: "slots, 2 % of answers lost", lim: conc, lossRate: 0.02}, 0, 120},
+		{scenario{name: "slots, 2 % of replies lost", lim: conc, lossRate: 0.02}, 0, 120},
 		{scenario{name: "slots, owner lost, 3 s", lim: conc, changeAt: 15, spread: 3}, 0, 150},
 		{scenario{name: "slots, two owners, 3 s", lim: conc, changeAt: 15, spread: 3, oldOwnerStays: true}, 0, 90},
 		{scenario{name: "slots, two owners, 10 s", lim: conc, changeAt: 15, spread: 10, oldOwnerStays: true}, 0, 180},
--- a/internal/decide/retry/retry_test.go
+++ b/internal/decide/retry/retry_test.go
@@ -112,8 +112,8 @@
 	for _, perSecond := range []int{1, 10, 100, 1000} {
 		b := NewBudget(epoch, BudgetConfig{})
 		retries := 0
-		fresh := 60 * perSecond
-		for i := range fresh {
+		firstAttempts := 60 * perSecond
+		for i := range firstAttempts {
 			now := epoch.Add(time.Duration(i) * time.Second / time.Duration(perSecond))
 			b.RecordFirstAttempt(now)
 			for range 2 {
@@ -122,9 +122,9 @@
 				}
 			}
 		}
-		bound := DefaultBurst + DefaultRatio*float64(fresh) + DefaultMinPerSecond*60
-		t.Logf("%d requests/s for 60 s: %d fresh, %d retries", perSecond, fresh, retries)
+		bound := DefaultBurst + DefaultRatio*float64(firstAttempts) + DefaultMinPerSecond*60
+		t.Logf("%d requests/s for 60 s: %d first attempts, %d retries", perSecond, firstAttempts, retries)
 		assert.LessOrEqual(t, float64(retries), bound)
-		assert.GreaterOrEqual(t, float64(retries), min(bound, float64(2*fresh))*0.95)
+		assert.GreaterOrEqual(t, float64(retries), min(bound, float64(2*firstAttempts))*0.95)
 	}
 }
--- a/internal/edge/choose/choose_test.go
+++ b/internal/edge/choose/choose_test.go
@@ -82,9 +82,9 @@
 func TestNoEngineToSelect(t *testing.T) {
 	require.Equal(t, NoEngine, PickPlain(nil, testRand()))
 	require.Equal(t, NoEngine, PlacePrompt(nil, 1, testRand()).Engine)
-	leaving := testEngines(1)
-	leaving[0].Draining = true
-	require.Equal(t, NoEngine, PlacePrompt(leaving, 1, testRand()).Engine)
+	draining := testEngines(1)
+	draining[0].Draining = true
+	require.Equal(t, NoEngine, PlacePrompt(draining, 1, testRand()).Engine)
 }
 
 // Guards against exceeding the load bound for prompts while an engine within it exists, and against
--- a/internal/edge/feed/pack_test.go
+++ b/internal/edge/feed/pack_test.go
@@ -39,9 +39,9 @@
 	require.True(t, ok)
 	require.ElementsMatch(t, after.Routes, got.Routes)
 
-	whole, err := p.configUpdate(after, nil)
+	full, err := p.configUpdate(after, nil)
 	require.NoError(t, err)
-	require.Zero(t, whole.Base)
+	require.Zero(t, full.Base)
 	next, err := p.configUpdate(configOf(3, 1400), after)
 	require.NoError(t, err)
 	require.Less(t, len(next.Data), 2_000)
--- a/internal/edge/forward/forward_test.go
+++ b/internal/edge/forward/forward_test.go
@@ -39,9 +39,9 @@
 		for i := range n {
 			fmt.Fprintf(&text, "id: %d\ndata: piece %d\n\n", i+1, i+1)
 		}
-		whole := text.String()
+		complete := text.String()
 		rest := rapid.SampledFrom([]string{"", "id: 9\nda", "data: x\n"}).Draw(t, "rest")
-		input := whole + rest
+		input := complete + rest
 		splitter := &eventSplitter{}
 		var out strings.Builder
 		for input != "" {
@@ -49,7 +49,7 @@
 			out.Write(splitter.add([]byte(input[:k])))
 			input = input[k:]
 		}
-		require.Equal(t, whole, out.String())
+		require.Equal(t, complete, out.String())
 		require.Equal(t, rest, string(splitter.pending))
 		if n > 0 {
 			require.Equal(t, fmt.Sprint(n), splitter.lastID)
--- a/internal/edge/forward/permit_test.go
+++ b/internal/edge/forward/permit_test.go
@@ -35,13 +35,13 @@
 		engines := NewBalancer("site", func() map[string]feed.EngineLoad { return tr.otherLoads }, clock, rand.New(rand.NewPCG(1, 2)))
 		tr.owner = flow.NewOwner(clock, engines.KnownLoad, func(string) bool { return false })
 		self := feed.Peer{Name: "self"}
-		places := flow.NewClient(flow.Options{
+		gateClient := flow.NewClient(flow.Options{
 			Self: self.Name, Owner: tr.owner, Clock: clock, Log: log.New(io.Discard),
 			Live: func() []feed.Peer { return []feed.Peer{self} }, Engines: func() int { return n },
 		})
-		engines.SetRelease(places.Release)
+		engines.SetRelease(gateClient.Release)
 		tr.f = New(Options{
-			Snapshot: func() *catalog.Snapshot { return tr.snapshot }, Clock: clock, Engines: engines, Places: places,
+			Snapshot: func() *catalog.Snapshot { return tr.snapshot }, Clock: clock, Engines: engines, Places: gateClient,
 			Log: log.New(io.Discard),
 		})
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/edge/forward/stream.go
+++ b/internal/edge/forward/stream.go
@@ -36,14 +36,14 @@
 	if end < 0 {
 		return nil
 	}
-	whole := s.pending[:end+len(eventEnd)]
-	s.pending = append([]byte(nil), s.pending[len(whole):]...)
-	s.recordLastID(whole)
-	return whole
+	complete := s.pending[:end+len(eventEnd)]
+	s.pending = append([]byte(nil), s.pending[len(complete):]...)
+	s.recordLastID(complete)
+	return complete
 }
 
-func (s *eventSplitter) recordLastID(whole []byte) {
-	for line := range bytes.SplitSeq(whole, []byte("\n")) {
+func (s *eventSplitter) recordLastID(complete []byte) {
+	for line := range bytes.SplitSeq(complete, []byte("\n")) {
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
 			s.lastID = string(bytes.TrimSpace(id))
 		}
@@ -92,12 +92,12 @@
 	buf := make([]byte, streamBufferSize)
 	for {
 		n, err := response.Read(buf)
-		if whole := splitter.add(buf[:n]); len(whole) > 0 {
+		if complete := splitter.add(buf[:n]); len(complete) > 0 {
 			if !x.responded {
 				x.writeHeader(response.Status, response.Header)
 				x.w.WriteHeader(response.Status)
 			}
-			if _, writeErr := x.w.Write(whole); writeErr != nil {
+			if _, writeErr := x.w.Write(complete); writeErr != nil {
 				return errCallerLeft.Wrap(writeErr)
 			}
 			if flushErr := control.Flush(); flushErr != nil {
--- a/internal/edge/node/leave.go
+++ b/internal/edge/node/leave.go
@@ -33,7 +33,7 @@
 // the drain timeout. It returns early if the context ends.
 func (r *Router) Leave(ctx context.Context) {
 	start := bootclock.Now()
-	r.leaving.Store(true)
+	r.draining.Store(true)
 	r.log.Info("leaving", "in_flight", r.forwarder.InFlight())
 	timeout := drainTimeout(time.Duration(r.settings().Bounds.Stop))
 	r.forwarder.Drain(timeout)
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -100,7 +100,7 @@
 	servers servers
 	// callerLimit limits the connections of callers.
 	callerLimit *callers.Limit
-	leaving     atomic.Bool
+	draining    atomic.Bool
 	ctx         context.Context
 	cancel      context.CancelFunc
 	wg          sync.WaitGroup
@@ -341,7 +341,7 @@
 func (r *Router) resolve(q entry.Query) entry.Response {
 	var routers []entry.Router
 	for _, p := range r.liveRouters() {
-		if p.Name == r.self.Name && r.leaving.Load() {
+		if p.Name == r.self.Name && r.draining.Load() {
 			continue
 		}
 		routers = append(routers, entry.Router{Name: p.Name, Site: p.Site, Address: r.callerAddressOf(p.Address)})
@@ -355,7 +355,7 @@
 // ready reports whether requests of callers can be served.
 func (r *Router) ready() bool {
 	snapshot := r.board.Snapshot()
-	return !r.leaving.Load() && snapshot.Config != nil && snapshot.ConfigAge(bootclock.Now()) < r.keyLease()
+	return !r.draining.Load() && snapshot.Config != nil && snapshot.ConfigAge(bootclock.Now()) < r.keyLease()
 }
 
 // Close stops the router at once and waits for its goroutines. For a graceful shutdown, call Leave
--- a/internal/edge/node/status.go
+++ b/internal/edge/node/status.go
@@ -39,7 +39,7 @@
 
 func (r *Router) state() feed.State {
 	switch {
-	case r.leaving.Load():
+	case r.draining.Load():
 		return feed.StateLeaving
 	case !r.ready():
 		return feed.StateNotReady
