--- a/internal/edge/forward/forward_test.go
+++ b/internal/edge/forward/forward_test.go
@@ -58,8 +58,8 @@
 }
 
 // Guards against more retries to a service than the fleet's limit, for any split of the traffic
-// over the routers, when all of them retry whenever they may. This includes the time after a start,
-// when no router knows any other: the shares are sized for minRouters at least.
+// over the routers, when all of them retry whenever they may. This includes a start, when no router
+// knows any other at first: the shares follow the number of known routers.
 func TestFleetRetryBudgetHoldsForAnyTrafficSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(6, 90).Draw(t, "routers")
