--- a/internal/decide/prefix/evidence.go
+++ b/internal/decide/prefix/evidence.go
@@ -94,8 +94,8 @@
 	Recent *RecentChats
 	// Views are those of the engines whose cache events this router follows.
 	Views []*CacheView
-	// Current reports the current incarnations. Evidence for any other is dropped,
-	// since its cache is gone.
+	// Current reports the current incarnations. Evidence for any other is dropped, since
+	// its cache no longer exists.
 	Current Incarnations
 }
 
@@ -233,7 +233,7 @@
 	return 1
 }
 
-// add keeps the evidence of the higher value for each engine.
+// add retains the evidence of the higher value for each engine.
 func (s *search) add(e Evidence) {
 	for i := s.start; i < len(s.found); i++ {
 		if s.found[i].Engine != e.Engine {
--- a/internal/edge/choose/choose_test.go
+++ b/internal/edge/choose/choose_test.go
@@ -82,9 +82,9 @@
 func TestNoEngineToSelect(t *testing.T) {
 	require.Equal(t, NoEngine, PickPlain(nil, testRand()))
 	require.Equal(t, NoEngine, PlacePrompt(nil, 1, testRand()).Engine)
-	leaving := testEngines(1)
-	leaving[0].Draining = true
-	require.Equal(t, NoEngine, PlacePrompt(leaving, 1, testRand()).Engine)
+	draining := testEngines(1)
+	draining[0].Draining = true
+	require.Equal(t, NoEngine, PlacePrompt(draining, 1, testRand()).Engine)
 }
 
 // Guards against exceeding the load bound for prompts while an engine within it exists, and against
@@ -180,8 +180,7 @@
 	require.LessOrEqual(t, float64(engines[0].InFlight), 2*float64(engines[0].InFlight)/3+3)
 }
 
-// Guards against requesting slots at a service whose engines are all ejected and none is
-// cold.
+// Guards against requesting slots at a service whose engines are all ejected and none is cold.
 func TestEjectedEnginesAreNotCold(t *testing.T) {
 	engines := testEngines(3)
 	require.False(t, AllCold(engines))
--- a/internal/edge/feed/contacts.go
+++ b/internal/edge/feed/contacts.go
@@ -19,9 +19,9 @@
 }
 
 // Contacts accesses a short list of routers in the platform's store. The seeds in a router's
-// settings may have left the fleet, or may start later than the router after a power loss. Without another way
-// to find the fleet, 300 routers starting at once would each read everything from the store, and a
-// router whose seeds were all replaced would never find the others.
+// settings may have left the fleet, or may start later than the router after a power loss. Without
+// another way to find the fleet, 300 routers starting at once would each read everything from the
+// store, and a router whose seeds were all replaced would never find the others.
 type Contacts struct {
 	Table platform.Table
 }
@@ -118,7 +118,7 @@
 	contactsTimeout = time.Second
 )
 
-// ContactsUpdater keeps the list of contacts current while this router reads the store.
+// ContactsUpdater updates the list of contacts while this router reads the store.
 type ContactsUpdater struct {
 	Contacts Contacts
 	Reads    func() bool
@@ -134,7 +134,7 @@
 	listed []Contact
 }
 
-// Run keeps the list current until the context is canceled.
+// Run updates the list when needed until the context is canceled.
 func (k *ContactsUpdater) Run(ctx context.Context) {
 	for pause.For(ctx, contactsCheckInterval) {
 		if err := k.update(ctx); err != nil {
--- a/internal/edge/forward/forward_test.go
+++ b/internal/edge/forward/forward_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a stream that is truncated when a draining router stops, because it was accepted seconds
-// after draining began and lasts longer than the time left. Late requests are accepted only if
-// their timeout fits.
+// Guards against a stream that is truncated when a draining router stops, because it was accepted
+// seconds after draining began and lasts longer than the time left. Late requests are accepted only
+// if their timeout fits.
 func TestDrainingRouterAcceptsOnlyRequestsThatCanFinish(t *testing.T) {
 	drain := &drainState{startedAt: 100 * time.Second, timeout: 7 * time.Second}
 	for _, tc := range []struct {
@@ -39,9 +39,9 @@
 		for i := range n {
 			fmt.Fprintf(&text, "id: %d\ndata: piece %d\n\n", i+1, i+1)
 		}
-		whole := text.String()
+		complete := text.String()
 		rest := rapid.SampledFrom([]string{"", "id: 9\nda", "data: x\n"}).Draw(t, "rest")
-		input := whole + rest
+		input := complete + rest
 		splitter := &eventSplitter{}
 		var out strings.Builder
 		for input != "" {
@@ -49,7 +49,7 @@
 			out.Write(splitter.add([]byte(input[:k])))
 			input = input[k:]
 		}
-		require.Equal(t, whole, out.String())
+		require.Equal(t, complete, out.String())
 		require.Equal(t, rest, string(splitter.pending))
 		if n > 0 {
 			require.Equal(t, fmt.Sprint(n), splitter.lastID)
@@ -58,8 +58,8 @@
 }
 
 // Guards against more retries to a service than the fleet's limit, for any split of the traffic
-// over the routers, when all of them retry whenever they may. This includes the time after a start,
-// when no router knows any other: the shares are sized for minRouters at least.
+// over the routers, when all of them retry whenever they may. This includes a start, when no router
+// knows any other at first: the shares follow the number of known routers.
 func TestFleetRetryBudgetHoldsForAnyTrafficSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(6, 90).Draw(t, "routers")
--- a/internal/edge/forward/stream.go
+++ b/internal/edge/forward/stream.go
@@ -20,9 +20,9 @@
 // eventEnd is the empty line that ends an event.
 var eventEnd = []byte("\n\n")
 
-// eventSplitter splits a stream into complete events and records the ID of the last one. An engine's
-// response may end in the middle of an event; a partial event followed by another engine's events
-// would corrupt the response to the caller.
+// eventSplitter splits a stream into complete events and records the ID of the last one. An
+// engine's response may end in the middle of an event; a partial event followed by another engine's
+// events would corrupt the response to the caller.
 type eventSplitter struct {
 	pending []byte
 	lastID  string
@@ -36,22 +36,22 @@
 	if end < 0 {
 		return nil
 	}
-	whole := s.pending[:end+len(eventEnd)]
-	s.pending = append([]byte(nil), s.pending[len(whole):]...)
-	s.recordLastID(whole)
-	return whole
+	complete := s.pending[:end+len(eventEnd)]
+	s.pending = append([]byte(nil), s.pending[len(complete):]...)
+	s.recordLastID(complete)
+	return complete
 }
 
-func (s *eventSplitter) recordLastID(whole []byte) {
-	for line := range bytes.SplitSeq(whole, []byte("\n")) {
+func (s *eventSplitter) recordLastID(complete []byte) {
+	for line := range bytes.SplitSeq(complete, []byte("\n")) {
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
 			s.lastID = string(bytes.TrimSpace(id))
 		}
 	}
 }
 
-// relayStream relays a stream, event by event. If the route allows it, a truncated stream resumes at
-// another engine after the last complete event.
+// relayStream relays a stream, event by event. If the route allows it, a truncated stream resumes
+// at another engine after the last complete event.
 func (x *exchange) relayStream(ctx context.Context, e catalog.Engine, response *engineconn.Response) sendResult {
 	splitter := &eventSplitter{lastID: x.req.LastEvent}
 	for {
@@ -92,12 +92,12 @@
 	buf := make([]byte, streamBufferSize)
 	for {
 		n, err := response.Read(buf)
-		if whole := splitter.add(buf[:n]); len(whole) > 0 {
+		if complete := splitter.add(buf[:n]); len(complete) > 0 {
 			if !x.responded {
 				x.writeHeader(response.Status, response.Header)
 				x.w.WriteHeader(response.Status)
 			}
-			if _, writeErr := x.w.Write(whole); writeErr != nil {
+			if _, writeErr := x.w.Write(complete); writeErr != nil {
 				return errCallerLeft.Wrap(writeErr)
 			}
 			if flushErr := control.Flush(); flushErr != nil {
@@ -116,9 +116,9 @@
 	}
 }
 
-// resume continues a truncated stream at another engine, if the route and the retry budget allow it.
-// If an engine refuses, it tries the next one. The returned function closes the response and ends
-// the count of the request.
+// resume continues a truncated stream at another engine, if the route and the retry budget allow
+// it. If an engine refuses, it tries the next one. The returned function closes the response and
+// ends the count of the request.
 func (x *exchange) resume(ctx context.Context, truncated catalog.Engine, lastID string) (catalog.Engine, *engineconn.Response, func()) {
 	x.excluded[truncated.ID] = true
 	for range maxEngineRefusals {
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -1,5 +1,5 @@
-// Package node assembles a router that serves callers on a platform, and runs
-// its life cycle: start, serve, leave, stop.
+// Package node assembles a router that serves callers on a platform, and runs its life cycle:
+// start, serve, leave, stop.
 package node
 
 import (
@@ -33,17 +33,15 @@
 var Error = errs.Class("router")
 
 const (
-	// addressTTL is how long callers may cache the addresses of routers. A router
-	// that leaves gets no more requests after it.
+	// addressTTL is how long callers may cache the addresses of routers. A router that leaves gets
+	// no more requests after it.
 	addressTTL = 2 * time.Second
-	// leaseShare is the share of the bound for revoked keys for which a
-	// configuration may be used after its last confirmation. The rest covers
-	// the time between the check and the send, and late notifications by watches
-	// of the store.
+	// leaseShare is the share of the bound for revoked keys for which a configuration may be used
+	// after its last confirmation. The rest covers the time between the check and the send, and
+	// late notifications by watches of the store.
 	leaseShare = 0.7
-	// idleTimeout is how long a caller's connection may be idle before it is
-	// closed. It exceeds the longest idle time after which operators allow a caller
-	// to reuse a connection.
+	// idleTimeout is how long a caller's connection may be idle before it is closed. It exceeds the
+	// longest idle time after which operators allow a caller to reuse a connection.
 	idleTimeout = 2 * time.Minute
 	// headerTimeout bounds the time to receive the header of a request.
 	headerTimeout = 5 * time.Second
@@ -51,8 +49,8 @@
 	maxHeaderBytes = 64 << 10
 	// reviewInterval is how often the engines are compared with one another.
 	reviewInterval = 500 * time.Millisecond
-	// memoryShare is the share of the VM's memory that is set as the soft memory
-	// limit; the rest is for buffers of the kernel.
+	// memoryShare is the share of the VM's memory that is set as the soft memory limit; the rest is
+	// for buffers of the kernel.
 	memoryShare = 0.7
 )
 
@@ -66,7 +64,7 @@
 
 // Router is a running router.
 type Router struct {
-	// active are the active settings.
+	// active holds the current settings.
 	active atomic.Pointer[activeSettings]
 	// watcher watches the settings file; nil until Watch is called.
 	watcher  atomic.Pointer[settings.Watcher]
@@ -78,31 +76,31 @@
 	createdAt time.Duration
 	bootID    uint64
 
-	store        *storeProxy
-	board        *feed.Board
-	loads        *feed.Loads
-	start        *feed.Start
-	reader       *feed.Reader
-	follower     *feed.Follower
-	statuses     *feed.Statuses
-	keeper       *feed.ContactsUpdater
-	engines      *forward.Balancer
-	gateOwner    *flow.Owner
-	gateClient   *flow.Client
-	forwarder    *forward.Forwarder
-	gossip       *gossip.Driver
-	peerClient   *peer.Caller
-	peerServer   *peer.Server
-	peerCounters peer.Counters
-	mounts       []mount
-	self         feed.Peer
+	store           *storeProxy
+	board           *feed.Board
+	loads           *feed.Loads
+	start           *feed.Start
+	reader          *feed.Reader
+	follower        *feed.Follower
+	statuses        *feed.Statuses
+	contactsUpdater *feed.ContactsUpdater
+	engines         *forward.Balancer
+	gateOwner       *flow.Owner
+	gateClient      *flow.Client
+	forwarder       *forward.Forwarder
+	gossip          *gossip.Driver
+	peerClient      *peer.Caller
+	peerServer      *peer.Server
+	peerCounters    peer.Counters
+	mounts          []mount
+	self            feed.Peer
 	// livePeers is the result of liveRouters; nil until this router has joined.
 	livePeers atomic.Pointer[[]feed.Peer]
 
 	servers servers
 	// callerLimit limits the connections of callers.
 	callerLimit *callers.Limit
-	leaving     atomic.Bool
+	draining    atomic.Bool
 	ctx         context.Context
 	cancel      context.CancelFunc
 	wg          sync.WaitGroup
@@ -164,7 +162,7 @@
 		Timing: r.timing, Start: r.start, Contacts: contacts, Statuses: r.statuses, Live: r.liveRouters, StoreLost: r.reader.StoreLost,
 		Call: r.call,
 	}
-	r.keeper = &feed.ContactsUpdater{Contacts: contacts, Reads: r.follower.Reads, Live: r.liveRouters, Clock: bootclock.Now, Log: r.log}
+	r.contactsUpdater = &feed.ContactsUpdater{Contacts: contacts, Reads: r.follower.Reads, Live: r.liveRouters, Clock: bootclock.Now, Log: r.log}
 }
 
 // call calls a method of another router.
@@ -237,7 +235,7 @@
 	r.goRun(r.board.Run)
 	r.goRun(r.reader.Run)
 	r.goRun(r.follower.Run)
-	r.goRun(r.keeper.Run)
+	r.goRun(r.contactsUpdater.Run)
 	r.goRun(r.logFleetSize)
 	r.goRun(r.reviewEngines)
 	r.goRun(r.gateOwner.Run)
@@ -308,15 +306,15 @@
 	}()
 }
 
-// reviewEngines compares the engines every reviewInterval, and logs which of them are ejected,
-// readmitted, cold or warm again.
+// reviewEngines compares the engines every reviewInterval, and logs which of them were ejected or
+// restored, and which became cold or warm.
 func (r *Router) reviewEngines(ctx context.Context) {
 	cold := map[string]time.Duration{}
 	for pause.For(ctx, reviewInterval) {
 		cold = r.logColdEngines(cold)
-		for _, v := range r.engines.EjectionChanges(r.board.Snapshot()) {
-			r.log.Info("engine judged", "engine", v.Engine, "service", v.Service, "ejected", v.Ejected,
-				"good", v.Evidence.Good, "bad", v.Evidence.Bad)
+		for _, change := range r.engines.EjectionChanges(r.board.Snapshot()) {
+			r.log.Info("engine judged", "engine", change.Engine, "service", change.Service, "ejected", change.Ejected,
+				"good", change.Evidence.Good, "bad", change.Evidence.Bad)
 		}
 	}
 }
@@ -338,12 +336,12 @@
 	return now
 }
 
-// resolve answers a caller's query for addresses of routers. A router that
-// leaves returns only the others, or itself if it knows no other.
+// resolve answers a caller's query for addresses of routers. A router that leaves returns only the
+// others, or itself if it knows no other.
 func (r *Router) resolve(q entry.Query) entry.Response {
 	var routers []entry.Router
 	for _, p := range r.liveRouters() {
-		if p.Name == r.self.Name && r.leaving.Load() {
+		if p.Name == r.self.Name && r.draining.Load() {
 			continue
 		}
 		routers = append(routers, entry.Router{Name: p.Name, Site: p.Site, Address: r.callerAddressOf(p.Address)})
@@ -357,7 +355,7 @@
 // ready reports whether requests of callers can be served.
 func (r *Router) ready() bool {
 	snapshot := r.board.Snapshot()
-	return !r.leaving.Load() && snapshot.Config != nil && snapshot.ConfigAge(bootclock.Now()) < r.keyLease()
+	return !r.draining.Load() && snapshot.Config != nil && snapshot.ConfigAge(bootclock.Now()) < r.keyLease()
 }
 
 // Close stops the router at once and waits for its goroutines. For a graceful shutdown, call Leave
--- a/internal/edge/node/status.go
+++ b/internal/edge/node/status.go
@@ -39,7 +39,7 @@
 
 func (r *Router) state() feed.State {
 	switch {
-	case r.leaving.Load():
+	case r.draining.Load():
 		return feed.StateLeaving
 	case !r.ready():
 		return feed.StateNotReady
@@ -64,8 +64,8 @@
 	SettingsMethod = operatorServiceName + ".Settings"
 )
 
-// OperatorService handles calls of other routers on behalf of operators. Its methods are called by net/rpc;
-// their errors are always nil.
+// OperatorService handles calls of other routers on behalf of operators. Its methods are called by
+// net/rpc; their errors are always nil.
 type OperatorService struct{ router *Router }
 
 // SettingsArgs requests the active settings.
