--- a/client/client.go
+++ b/client/client.go
@@ -1,7 +1,7 @@
-// Package client is the callers' library for a damaskrouter fleet. It asks
-// the fleet which router address to use, caches the reply for its TTL, tries
+// Package client is the callers' library for a damaskrouter fleet. It requests
+// the router address to use from the fleet, caches the reply for its TTL, tries
 // the alternate addresses when the first one fails, and resumes a streamed
-// response on another router when a connection breaks or falls silent.
+// response on another router when a connection breaks or stalls.
 package client
 
 import (
@@ -134,7 +134,7 @@
 }
 
 // Locate returns the router addresses to use for a chat, best first. An empty
-// chat asks for any lightly loaded router. If no address gives a usable reply,
+// chat selects any lightly loaded router. If no address returns a usable reply,
 // it returns ErrNoRouter, which wraps the error of the last address.
 func (c *Client) Locate(ctx context.Context, chat, model string) ([]string, error) {
 	return c.locate(ctx, locateQuery{chat: chat, model: model})
@@ -273,8 +273,8 @@
 	req.Header.Set("Authorization", "Bearer "+c.opts.Key)
 }
 
-// decodeRefusal decodes a router's typed error. Any other body says nothing
-// about execution, so it gives ErrOutcomeUnknown.
+// decodeRefusal decodes a router's typed error. Any other body proves nothing
+// about execution, so it yields ErrOutcomeUnknown.
 func decodeRefusal(resp *http.Response) error {
 	var body struct {
 		Error *apierr.Error `json:"error"`
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -132,7 +132,7 @@
 }
 
 // Guards against retries of a request that every router would refuse, and against
-// clients that stay on a draining router.
+// callers that stay on a draining router.
 func TestOnlyDrainingOrUnreadyRouterIsRetried(t *testing.T) {
 	for code, retried := range map[apierr.Code]bool{
 		apierr.CodeDraining: true, apierr.CodeNotReady: true, apierr.CodeQueueFull: false, apierr.CodeUnauthorized: false,
--- a/client/stream.go
+++ b/client/stream.go
@@ -76,7 +76,7 @@
 func (s *stream) attemptAt(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// A connection can go silent for good while new ones work, and reads from it
+	// A connection can stall forever while new ones work, and reads from it
 	// would block forever. Each event and heartbeat resets the timer.
 	idleTimer := time.AfterFunc(s.conv.c.opts.IdleGap, cancel)
 	defer idleTimer.Stop()
--- a/internal/lab/bench/fleet/churn.go
+++ b/internal/lab/bench/fleet/churn.go
@@ -54,11 +54,11 @@
 	}
 }
 
-// drainAndStop stops the engine as planned: the VM list shows it as leaving,
+// drainAndStop stops the engine as planned: the VM list shows it as draining,
 // and the engine stops when it has finished its requests.
 func (e *Engine) drainAndStop(ctx context.Context) {
 	e.endService()
-	e.markLeaving()
+	e.markDraining()
 	e.Drain()
 	// The drain outlives the end of the load; otherwise it would abort the last requests.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), drainTimeout)
--- a/internal/lab/bench/fleet/engine.go
+++ b/internal/lab/bench/fleet/engine.go
@@ -82,7 +82,7 @@
 	e.fleet.store.Remove(platform.TableVMs, e.vm.Name)
 }
 
-func (e *Engine) markLeaving() {
+func (e *Engine) markDraining() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.vm.State = platform.VMDraining
--- a/internal/lab/bench/measure/measure_test.go
+++ b/internal/lab/bench/measure/measure_test.go
@@ -47,7 +47,7 @@
 	require.InDelta(t, 10.0/30, measure.ReuseBound(trace, capacity), 1e-9)
 }
 
-func TestReuseIgnoresBrokenTurns(t *testing.T) {
+func TestReuseIgnoresIncompleteTurns(t *testing.T) {
 	broken := turn("a", 3, 10)
 	broken.Broken = true
 	broken.Cached = 10
@@ -71,11 +71,11 @@
 			length[chat] = (length[chat] + 10) % 50
 		}
 		bound := measure.ReuseBound(trace, []measure.Capacity{{At: at(-1), Tokens: engines * capacity}})
-		for _, place := range []func(measure.Access) int{
+		for _, pickEngine := range []func(measure.Access) int{
 			func(measure.Access) int { return rng.IntN(engines) },
 			func(a measure.Access) int { return int(a.Chat[len(a.Chat)-1]) % engines },
 		} {
-			reuse := simulateLRU(trace, engines, capacity, place)
+			reuse := simulateLRU(trace, engines, capacity, pickEngine)
 			require.Positive(t, reuse)
 			require.LessOrEqual(t, reuse, bound+1e-9)
 		}
@@ -84,24 +84,24 @@
 
 // simulateLRU returns the reuse of separate caches of whole chats with least
 // recently used eviction.
-func simulateLRU(trace []measure.Access, engines, capacity int, place func(measure.Access) int) float64 {
+func simulateLRU(trace []measure.Access, engines, capacity int, pickEngine func(measure.Access) int) float64 {
 	caches := make([][]measure.Access, engines)
 	done := make([]measure.Access, 0, len(trace))
 	for _, a := range trace {
-		i := place(a)
-		kept := caches[i][:0:0]
+		i := pickEngine(a)
+		cached := caches[i][:0:0]
 		for _, c := range caches[i] {
 			if c.Chat == a.Chat {
 				a.Cached = min(c.After, a.Earlier)
 				continue
 			}
-			kept = append(kept, c)
+			cached = append(cached, c)
 		}
-		kept = append(kept, a)
-		for totalTokens(kept) > capacity {
-			kept = kept[1:]
+		cached = append(cached, a)
+		for totalTokens(cached) > capacity {
+			cached = cached[1:]
 		}
-		caches[i] = kept
+		caches[i] = cached
 		done = append(done, a)
 	}
 	return measure.Reuse(done)
--- a/internal/lab/bench/report/html.go
+++ b/internal/lab/bench/report/html.go
@@ -22,8 +22,8 @@
 	plotWidth  = 20 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
 	barWidth   = 18
-	// legendRoom scales the axis so that a share of 1 ends below the legend.
-	legendRoom = 1.25
+	// legendMargin scales the axis so that a share of 1 ends below the legend.
+	legendMargin = 1.25
 )
 
 // pageData is the input of the page template.
@@ -82,7 +82,7 @@
 	p := plot.New()
 	p.Title.Text = "Cache reuse of returning turns"
 	p.Y.Label.Text = "share of prompt tokens"
-	p.Y.Min, p.Y.Max = 0, legendRoom
+	p.Y.Min, p.Y.Max = 0, legendMargin
 	var measured, bound plotter.Values
 	for _, r := range results {
 		measured = append(measured, r.CacheReuse)
--- a/internal/lab/bench/report/table.go
+++ b/internal/lab/bench/report/table.go
@@ -49,13 +49,13 @@
 // largestClass returns the percentiles of the class with the most samples:
 // percentiles of several histograms cannot be merged.
 func largestClass(byClass map[string]measure.Percentiles) measure.Percentiles {
-	var most measure.Percentiles
+	var largest measure.Percentiles
 	for _, p := range byClass {
-		if p.Count > most.Count {
-			most = p
+		if p.Count > largest.Count {
+			largest = p
 		}
 	}
-	return most
+	return largest
 }
 
 // writeDetails writes the latencies by class and the failures of one run.
--- a/internal/lab/bench/run/result.go
+++ b/internal/lab/bench/run/result.go
@@ -88,7 +88,7 @@
 	return res
 }
 
-// checkExecutions compares what callers were told with what upstreams executed.
+// checkExecutions compares the responses to callers with the upstreams' records of executions.
 func (r *runner) checkExecutions() {
 	c := &r.tally.counts
 	executed := make(map[string]bool)
--- a/internal/lab/bench/run/run.go
+++ b/internal/lab/bench/run/run.go
@@ -1,7 +1,7 @@
 // Package run executes one experiment: it starts a fleet, runs the workload's
 // chats and calls through the client library, stops and restarts engines,
-// checks every response against the expected one, and compares what callers
-// were told with the upstreams' own records.
+// checks every response against the expected one, and compares the responses
+// to callers with the upstreams' own records.
 package run
 
 import (
--- a/internal/lab/bench/workload/chat.go
+++ b/internal/lab/bench/workload/chat.go
@@ -59,8 +59,8 @@
 	if a == nil {
 		return 0
 	}
-	usual := float64(w.Chats.Open) * a.Share / w.totalShare()
-	return int(math.Round(usual * max(0, w.Surge.Factor-1)))
+	baseline := float64(w.Chats.Open) * a.Share / w.totalShare()
+	return int(math.Round(baseline * max(0, w.Surge.Factor-1)))
 }
 
 // StartDelay returns the time from the start of the load to the first message
--- a/internal/lab/capacity/board_test.go
+++ b/internal/lab/capacity/board_test.go
@@ -165,7 +165,7 @@
 
 // BenchmarkOwnersMoved removes a share of the target's routers, as in the loss of
 // a rack, a site or a region, and counts the engines and accounts whose owner
-// changes. The time is that of the snapshot and of the books that one remaining
+// changes. The time is that of the snapshot and of the ledgers that one remaining
 // router opens.
 func BenchmarkOwnersMoved(b *testing.B) {
 	f := newFleet(b, capacity.Target())
--- a/internal/lab/capacity/permits_test.go
+++ b/internal/lab/capacity/permits_test.go
@@ -56,17 +56,17 @@
 	}
 }
 
-// BenchmarkBook measures one permit acquired and released in the book of an
+// BenchmarkLedger measures one permit acquired and released in the ledger of an
 // engine that has granted some permits, and one report of the engine on them.
-func BenchmarkBook(b *testing.B) {
+func BenchmarkLedger(b *testing.B) {
 	for _, held := range []int{0, 50, 200, 1000} {
 		now := time.Now()
-		book := permit.NewLedger(now, permit.Config{MaxBatch: 1 << 20, Bound: 100}, 1, nil)
+		ledger := permit.NewLedger(now, permit.Config{MaxBatch: 1 << 20, Bound: 100}, 1, nil)
 		ids := make([]string, held)
 		for i := range ids {
 			ids[i] = uuid.NewString()
 			r := permit.Request{ID: ids[i], Holder: "r", Weight: 1500, PoolTotal: 1 << 40, PoolEngines: 1}
-			_, err := book.Acquire(now, r)
+			_, err := ledger.Acquire(now, r)
 			require.NoError(b, err)
 		}
 		b.Run(fmt.Sprintf("acquire-release/held=%d", held), func(b *testing.B) {
@@ -74,15 +74,15 @@
 			for b.Loop() {
 				n++
 				id := strconv.Itoa(n)
-				_, err := book.Acquire(now, permit.Request{ID: id, Holder: "r", Weight: 1500, PoolTotal: 1 << 40, PoolEngines: 1})
+				_, err := ledger.Acquire(now, permit.Request{ID: id, Holder: "r", Weight: 1500, PoolTotal: 1 << 40, PoolEngines: 1})
 				require.NoError(b, err)
-				book.Release(now, id)
+				ledger.Release(now, id)
 			}
 		})
 		b.Run(fmt.Sprintf("report/held=%d", held), func(b *testing.B) {
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
-				book.ApplyEngineReport(now, permit.EngineLoad{Incarnation: 1, Count: held, Weight: int64(held) * 1500, IDs: ids})
+				ledger.ApplyEngineReport(now, permit.EngineLoad{Incarnation: 1, Count: held, Weight: int64(held) * 1500, IDs: ids})
 			}
 		})
 	}
@@ -187,8 +187,8 @@
 	}
 }
 
-// BenchmarkTakeDigest decodes and applies one digest of two engines.
-func BenchmarkTakeDigest(b *testing.B) {
+// BenchmarkApplyDigest decodes and applies one digest of two engines.
+func BenchmarkApplyDigest(b *testing.B) {
 	perSize(b, func(b *testing.B, f *capacity.Fleet) {
 		ctx := benchContext(b)
 		owner := f.Start(ctx, self)
--- a/internal/lab/capacity/relay_test.go
+++ b/internal/lab/capacity/relay_test.go
@@ -81,13 +81,13 @@
 }
 
 func newTraffic(b *testing.B, bd *board.Board, adm *admission.Admission) *traffic.Server {
-	facts, err := admission.NewCacheIndex(admission.DefaultRecentChats, 1)
+	cacheIndex, err := admission.NewCacheIndex(admission.DefaultRecentChats, 1)
 	require.NoError(b, err)
 	codec, err := token.NewCodec(token.Key{ID: 1, Secret: []byte(strings.Repeat("s", token.MinSecretBytes))})
 	require.NoError(b, err)
 	fake := platformtest.New()
 	return traffic.New(traffic.Options{
-		Board: bd, Admitter: adm, Facts: facts, Name: self, Tokens: codec,
+		Board: bd, Admitter: adm, Facts: cacheIndex, Name: self, Tokens: codec,
 		Quota:    quota.New(quota.Options{Board: bd, Self: self, Instance: 1, Rand: rand.New(rand.NewPCG(1, 1))}),
 		Upstream: upstream.New(upstream.Options{}),
 		Claims:   claim.New(fake, fake.Objects(), self, uuid.NewString),
@@ -95,7 +95,7 @@
 	})
 }
 
-// stream requests an answer from the URL and reads it completely.
+// stream requests a streamed response from the URL and reads it to the end.
 func (r *relayBench) stream(b *testing.B, url string, n int) {
 	body, err := json.Marshal(wire.ChatRequest{
 		Model: "model-0", Stream: true, MaxTokens: answerTokens,
@@ -114,13 +114,13 @@
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
-	answer, err := io.ReadAll(resp.Body)
-	if err != nil || resp.StatusCode != http.StatusOK || !bytes.Contains(answer, []byte(wire.DoneMarker)) {
-		b.Error("incomplete answer", resp.StatusCode, err, len(answer))
+	response, err := io.ReadAll(resp.Body)
+	if err != nil || resp.StatusCode != http.StatusOK || !bytes.Contains(response, []byte(wire.DoneMarker)) {
+		b.Error("incomplete response", resp.StatusCode, err, len(response))
 	}
 }
 
-// BenchmarkRelay streams answers at the target's token rate, directly from the
+// BenchmarkRelay streams responses at the target's token rate, directly from the
 // engines and through one router, with clients and engines in the same process.
 // The difference is the router's own processor time and memory.
 func BenchmarkRelay(b *testing.B) {
@@ -188,14 +188,14 @@
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-// BenchmarkFactsMemory measures the memory for a router's facts about chats and
-// about the caches of the engines that it owns, with all tables full.
-func BenchmarkFactsMemory(b *testing.B) {
+// BenchmarkCacheIndexMemory measures the memory of a router's index of recent chats and
+// of the caches of the engines that it owns, with all tables full.
+func BenchmarkCacheIndexMemory(b *testing.B) {
 	for _, owned := range []int{0, 2, 4, 8} {
 		b.Run(fmt.Sprintf("owned=%d", owned), func(b *testing.B) {
 			var total float64
 			for b.Loop() {
-				total = heapSize(func() any { return fullFacts(b, owned) })
+				total = heapSize(func() any { return fullCacheIndex(b, owned) })
 			}
 			b.ReportMetric(total, "heap-B")
 			b.ReportMetric(0, "ns/op")
@@ -203,26 +203,26 @@
 	}
 }
 
-func fullFacts(b *testing.B, owned int) *admission.CacheIndex {
-	facts, err := admission.NewCacheIndex(admission.DefaultRecentChats, 1)
+func fullCacheIndex(b *testing.B, owned int) *admission.CacheIndex {
+	cacheIndex, err := admission.NewCacheIndex(admission.DefaultRecentChats, 1)
 	require.NoError(b, err)
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range admission.DefaultRecentChats {
-		facts.RecordServed(rng.Uint64(), randomPlace(rng))
+		cacheIndex.RecordServed(rng.Uint64(), randomLocation(rng))
 	}
 	const viewPrefixes, pageSize = 20_000, 500
 	for e := range uint64(owned) {
-		_, err := facts.Follow(e + 1)
+		_, err := cacheIndex.Follow(e + 1)
 		require.NoError(b, err)
 		for after := uint64(0); after < viewPrefixes; after += pageSize {
-			facts.Apply(e+1, eventPage(after, pageSize))
+			cacheIndex.Apply(e+1, eventPage(after, pageSize))
 		}
 	}
-	return facts
+	return cacheIndex
 }
 
 // randomPlace returns the place of a random chat at one of the target's engines.
-func randomPlace(rng *rand.Rand) prefix.Location {
+func randomLocation(rng *rand.Rand) prefix.Location {
 	return prefix.Location{
 		Engine:      1 + rng.Uint64N(uint64(capacity.Target().Engines)),
 		Incarnation: 1,
--- a/internal/lab/capacity/store_test.go
+++ b/internal/lab/capacity/store_test.go
@@ -283,8 +283,8 @@
 		b.Error("claim was not granted", err)
 		return
 	}
-	answer := claim.Response{Status: http.StatusOK, ContentType: "application/json", Body: []byte(`{"receipt":"1"}`)}
-	if err := store.Finish(context.Background(), out.Claim, answer); err != nil {
+	response := claim.Response{Status: http.StatusOK, ContentType: "application/json", Body: []byte(`{"receipt":"1"}`)}
+	if err := store.Finish(context.Background(), out.Claim, response); err != nil {
 		b.Error(err)
 	}
 }
--- a/internal/lab/faultkit/network.go
+++ b/internal/lab/faultkit/network.go
@@ -207,7 +207,7 @@
 	pending []byte
 }
 
-// Cut closes the connection and discards the bytes under way. Both ends get an error.
+// Cut closes the connection and discards the bytes in transit. Both ends get an error.
 func (c *Conn) Cut() {
 	c.mu.Lock()
 	c.cut = true
--- a/internal/lab/faultkit/router.go
+++ b/internal/lab/faultkit/router.go
@@ -58,7 +58,7 @@
 	store       *store
 	vmList      *vmList
 	upstream    *upstream.Client
-	engineFacts *admission.CacheIndex
+	cacheIndex  *admission.CacheIndex
 	quota       *quota.Quota
 	server      *http.Server
 	peerServer  *peer.Server
@@ -101,11 +101,11 @@
 func (r *Router) buildParts() error {
 	rng := rand.New(rand.NewPCG(seedFromName(r.Name), r.cluster.Seed))
 	caller := r.newPeerCaller()
-	facts, err := admission.NewCacheIndex(admission.DefaultRecentChats, rng.Uint64())
+	cacheIndex, err := admission.NewCacheIndex(admission.DefaultRecentChats, rng.Uint64())
 	if err != nil {
 		return err
 	}
-	r.engineFacts = facts
+	r.cacheIndex = cacheIndex
 	r.Admission = admission.New(admission.Options{
 		Board: r.Board, Caller: caller, Self: r.Name, Instance: 1, Rand: rng,
 	})
@@ -121,7 +121,7 @@
 	r.Claims = claim.New(claim.NewBatcher(r.store, maxClaimBatch),
 		objects{r.cluster.Platform.Objects(), r.Gate}, r.Name, r.cluster.newClaimToken)
 	r.Traffic = traffic.New(traffic.Options{
-		Board: r.Board, Admitter: r.Admission, Facts: facts, Upstream: r.upstream, Claims: r.Claims,
+		Board: r.Board, Admitter: r.Admission, Facts: cacheIndex, Upstream: r.upstream, Claims: r.Claims,
 		Quota: r.quota, Tokens: tokens, Log: discardLogger(), Name: r.Name,
 	})
 	return nil
@@ -139,10 +139,10 @@
 	r.Configs.Provision()
 	vms := &controller.VMs{Board: r.Board, List: r.vmList, Caller: caller, Self: r.Name, Log: discardLogger()}
 	engines := &controller.Engines{
-		Board: r.Board, Upstream: r.upstream, Admission: r.Admission, Facts: r.engineFacts, Log: discardLogger(),
+		Board: r.Board, Upstream: r.upstream, Admission: r.Admission, Facts: r.cacheIndex, Log: discardLogger(),
 	}
 	r.vmController = vms
-	handoff := &controller.Handoff{Board: r.Board, Upstream: r.upstream, Facts: r.engineFacts, Log: discardLogger()}
+	handoff := &controller.Handoff{Board: r.Board, Upstream: r.upstream, Facts: r.cacheIndex, Log: discardLogger()}
 	for _, f := range []func(context.Context){
 		r.Board.Run, r.Configs.Run, vms.Run, engines.Run, r.quota.Run, handoff.Run,
 	} {
@@ -216,7 +216,7 @@
 
 // AssumeLive adds live routers that no call reaches, as the router assumes for some
 // seconds after it has lost others. Their HTTP address is this router's own, so that
-// redirected callers come back to it.
+// redirected callers reach it again.
 func (r *Router) AssumeLive(names ...string) {
 	r.Board.UpdateWait(func(s *board.State) {
 		for _, name := range names {
--- a/internal/lab/model/engine.go
+++ b/internal/lab/model/engine.go
@@ -34,7 +34,7 @@
 // execution is a request at an engine.
 type execution struct {
 	request      *Request
-	urgency      int
+	priority     int
 	arrived      time.Duration
 	prefillLeft  int
 	generated    int
@@ -69,12 +69,12 @@
 func (e *Engine) InFlight() int { return len(e.waiting) + len(e.batch) }
 
 // arrive accepts a request, or returns false if the queue is full.
-func (e *Engine) arrive(r *Request, urgency int, fetchFrom *Engine) bool {
+func (e *Engine) arrive(r *Request, priority int, fetchFrom *Engine) bool {
 	if len(e.waiting) >= e.config.QueueLimit {
 		return false
 	}
 	now := e.sim.Now()
-	x := &execution{request: r, urgency: urgency, arrived: now}
+	x := &execution{request: r, priority: priority, arrived: now}
 	ready := now + e.scale(e.config.StartDelay)
 	if tokens := e.fetchableTokens(r, fetchFrom); tokens > 0 {
 		e.linkFreeAt = max(e.linkFreeAt, now) + time.Duration(tokens)*e.config.FetchPerToken
@@ -101,7 +101,7 @@
 		return
 	}
 	at := len(e.waiting)
-	for at > 0 && e.waiting[at-1].urgency > x.urgency {
+	for at > 0 && e.waiting[at-1].priority > x.priority {
 		at--
 	}
 	e.waiting = slices.Insert(e.waiting, at, x)
@@ -125,7 +125,7 @@
 func (e *Engine) admit() {
 	for len(e.waiting) > 0 {
 		x := e.waiting[0]
-		if !e.makeRoom(x) {
+		if !e.ensureCapacity(x) {
 			return
 		}
 		e.waiting = e.waiting[1:]
@@ -146,14 +146,14 @@
 	e.batch = append(e.batch, x)
 }
 
-// makeRoom reports whether there is a slot and memory for the request, after preempting
+// ensureCapacity reports whether there is a slot and memory for the request, after preempting
 // less urgent ones and evicting cached segments as needed.
-func (e *Engine) makeRoom(x *execution) bool {
+func (e *Engine) ensureCapacity(x *execution) bool {
 	if e.config.Plain {
 		return len(e.batch) < e.config.Slots
 	}
 	for len(e.batch) >= e.config.Slots || e.pinned()+x.request.UniqueTokens+x.generated > e.config.MemoryTokens {
-		if !e.preempt(x.urgency) {
+		if !e.preempt(x.priority) {
 			return false
 		}
 	}
@@ -172,21 +172,21 @@
 
 // preempt moves the newest of the least urgent requests from the batch back to the
 // queue. It returns false if none is less urgent than urgency.
-func (e *Engine) preempt(urgency int) bool {
+func (e *Engine) preempt(priority int) bool {
 	victim := -1
 	for i, x := range e.batch {
-		if victim < 0 || x.urgency >= e.batch[victim].urgency {
+		if victim < 0 || x.priority >= e.batch[victim].priority {
 			victim = i
 		}
 	}
-	if victim < 0 || e.batch[victim].urgency <= urgency {
+	if victim < 0 || e.batch[victim].priority <= priority {
 		return false
 	}
 	x := e.batch[victim]
 	e.batch = slices.Delete(e.batch, victim, victim+1)
 	e.cache.unpin(x.request.Prompt)
 	at := 0
-	for at < len(e.waiting) && e.waiting[at].urgency < x.urgency {
+	for at < len(e.waiting) && e.waiting[at].priority < x.priority {
 		at++
 	}
 	e.waiting = slices.Insert(e.waiting, at, x)
--- a/internal/lab/model/gated.go
+++ b/internal/lab/model/gated.go
@@ -15,9 +15,9 @@
 	routerRoundTrip = 2 * time.Millisecond
 	// urgencyClasses is the number of urgency classes of a gate.
 	urgencyClasses = 10
-	// engineUrgency is the urgency at engines of all requests that Gated sends.
-	engineUrgency = 5
-	// congestedFor is how long requests still ask for permits after the engines were
+	// enginePriority is the priority at engines of all requests that Gated sends.
+	enginePriority = 5
+	// congestedFor is how long requests still need permits after the engines were
 	// last congested.
 	congestedFor = 2 * time.Second
 	// outputTokenWeight is the weight of a response token, in prompt tokens.
@@ -66,19 +66,19 @@
 
 // request sets the number of permits of an engine's gate, requests one, and returns the
 // ID of the request.
-func (g *engineGates) request(engine, permits int, ask gate.Request, onDecision func(gate.Decision)) string {
+func (g *engineGates) request(engine, permits int, req gate.Request, onDecision func(gate.Decision)) string {
 	g.lastID++
-	ask.ID = strconv.Itoa(g.lastID)
+	req.ID = strconv.Itoa(g.lastID)
 	now := g.sim.Now()
 	g.byEngine[engine].SetSlots(permits)
-	decision, waits := g.byEngine[engine].Acquire(toTime(now), ask)
+	decision, waits := g.byEngine[engine].Acquire(toTime(now), req)
 	if !waits {
 		onDecision(decision)
-		return ask.ID
+		return req.ID
 	}
-	g.waiting[ask.ID] = &permitRequest{engine: engine, onDecision: onDecision}
+	g.waiting[req.ID] = &permitRequest{engine: engine, onDecision: onDecision}
 	g.scheduleSettle()
-	return ask.ID
+	return req.ID
 }
 
 // settleInterval is the interval at which waiting permit requests are re-evaluated.
@@ -137,7 +137,7 @@
 	congestedUntil time.Duration
 	meanDuration   time.Duration
 	overload       gate.Overload
-	// timeouts holds the usual timeouts of callers, by class.
+	// timeouts holds the baselines of the callers' timeouts, by class.
 	timeouts map[int]*gate.TimeoutBaseline
 }
 
@@ -192,7 +192,7 @@
 		return
 	}
 	p.gates.withoutPermit[engine]++
-	p.router.Send(req, engine, engineUrgency, fetchFrom)
+	p.router.Send(req, engine, enginePriority, fetchFrom)
 }
 
 // requestPermit requests a permit from the candidates in turn, from the i-th on.
@@ -209,7 +209,7 @@
 		p.refuse(req)
 		return
 	}
-	ask := gate.Request{
+	permitReq := gate.Request{
 		Holder: strconv.Itoa(p.router.Index), Account: strconv.Itoa(req.Account), Class: queue.Class(req.Class.Urgency), Late: late,
 		Weight: int64(req.UniqueTokens + outputTokenWeight*req.OutputTokens), Latest: toTime(now + routerRoundTrip/2 + wait), Hold: p.meanDuration,
 	}
@@ -219,7 +219,7 @@
 			return
 		}
 		var id string
-		id = p.gates.request(engine, permits[i], ask, func(decision gate.Decision) {
+		id = p.gates.request(engine, permits[i], permitReq, func(decision gate.Decision) {
 			id = decision.ID
 			delete(p.waiting, req)
 			sim.After(routerRoundTrip/2, func() { p.handleDecision(req, candidates, permits, i, decision) })
@@ -242,7 +242,7 @@
 		if req.hasPrompt() {
 			fetchFrom = FetchSource(p.holders, req, choose.PlacementAt(EngineStates(p.router), engine, req.prefixKey()))
 		}
-		p.router.Send(req, engine, engineUrgency, fetchFrom)
+		p.router.Send(req, engine, enginePriority, fetchFrom)
 	default:
 		p.requestPermit(req, candidates, permits, i+1)
 	}
--- a/internal/lab/model/simulation.go
+++ b/internal/lab/model/simulation.go
@@ -124,7 +124,7 @@
 
 // Send sends a request to an engine, which fetches the missing segments of its prompt
 // from the engine fetchFrom, or from none if that is negative.
-func (r *Router) Send(req *Request, engine, urgency, fetchFrom int) {
+func (r *Router) Send(req *Request, engine, priority, fetchFrom int) {
 	sim := r.sim
 	r.InFlight[engine]++
 	req.sentBy, req.engine, req.state, req.sentAt = r, engine, sent, sim.Now()
@@ -141,7 +141,7 @@
 			sim.requestEnded(req, e, false)
 			return
 		}
-		if e.arrive(req, urgency, source) {
+		if e.arrive(req, priority, source) {
 			return
 		}
 		sim.After(networkDelay, func() { r.rejected(req, engine) })
--- a/internal/lab/standin/engine/http.go
+++ b/internal/lab/standin/engine/http.go
@@ -41,7 +41,7 @@
 	r.GET(PathStats, e.getStats)
 	r.POST(PathFaults, e.postFault)
 	r.DELETE(PathFaults, e.deleteFaults)
-	r.POST(PathLeave, e.postLeave)
+	r.POST(PathLeave, e.postDrain)
 	r.POST(PathRestart, e.postRestart)
 	return e.guard(r)
 }
@@ -226,7 +226,7 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-func (e *Engine) postLeave(c echo.Context) error {
+func (e *Engine) postDrain(c echo.Context) error {
 	e.Drain()
 	return c.NoContent(http.StatusNoContent)
 }
--- a/internal/lab/standin/service/http.go
+++ b/internal/lab/standin/service/http.go
@@ -41,7 +41,7 @@
 	r.GET(PathStats, s.getStats)
 	r.POST(PathFaults, s.postFault)
 	r.DELETE(PathFaults, s.deleteFaults)
-	r.POST(PathLeave, s.postLeave)
+	r.POST(PathLeave, s.postDrain)
 	return r
 }
 
@@ -193,7 +193,7 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-func (s *Service) postLeave(c echo.Context) error {
+func (s *Service) postDrain(c echo.Context) error {
 	s.Drain()
 	return c.NoContent(http.StatusNoContent)
 }
--- a/internal/lab/standin/service/service.go
+++ b/internal/lab/standin/service/service.go
@@ -1,5 +1,5 @@
 // Package service is a stand-in for a service: it issues receipts, logs key
-// handovers and answers look-ups. Its stats count every execution, so that
+// handovers and responds to look-ups. Its stats count every execution, so that
 // tests detect a double execution independently of the router.
 package service
 
@@ -16,8 +16,8 @@
 	// Name and Incarnation are the service's identity; 0 means incarnation 1.
 	Name        string
 	Incarnation uint64
-	// Deduplicates makes the service answer a repeated Idempotency-Key with the
-	// stored reply, without executing the call again.
+	// Deduplicates makes the service return the stored response for a repeated
+	// Idempotency-Key, without executing the call again.
 	Deduplicates bool
 	// Latency is the duration of an execution.
 	Latency time.Duration
@@ -54,7 +54,7 @@
 	// Records lists the executions in order.
 	Records []Record `json:"records"`
 	// Lookups counts idempotent calls, Refused calls refused before execution,
-	// Deduplicated calls answered with a stored reply.
+	// Deduplicated calls for which a stored response was returned.
 	Lookups      int `json:"lookups"`
 	Refused      int `json:"refused"`
 	Deduplicated int `json:"deduplicated"`
--- a/internal/operate/admin/api/failure.go
+++ b/internal/operate/admin/api/failure.go
@@ -14,7 +14,7 @@
 type Failure struct {
 	Code    apierr.Code `json:"code"`
 	Message string      `json:"message"`
-	// Ran tells whether the change took effect or may take effect.
+	// Ran states whether the change took effect or may take effect.
 	Ran          apierr.Ran `json:"ran"`
 	RetryAfterMS int64      `json:"retry_after_ms,omitempty"`
 	RequestID    string     `json:"request_id,omitempty"`
--- a/internal/operate/admin/errors.go
+++ b/internal/operate/admin/errors.go
@@ -33,7 +33,7 @@
 }
 
 // handleError writes the error response of err. All errors are converted here, so
-// that every response tells whether the change took effect.
+// that every response states whether the change took effect.
 func (s *Server) handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
--- a/internal/operate/admin/fixed_use.go
+++ b/internal/operate/admin/fixed_use.go
@@ -6,7 +6,7 @@
 	"damaskrouter.example/damaskrouter/internal/store/platform"
 )
 
-// fixedUse implements the Table that Charged returns.
+// fixedUse implements the Table that WithUse returns.
 type fixedUse struct {
 	table platform.Table
 	use   platform.Use
--- a/internal/operate/admin/status.go
+++ b/internal/operate/admin/status.go
@@ -23,7 +23,7 @@
 		return err
 	}
 	for _, r := range st.Routers {
-		// A leaving router may exit before it applies the version, and the
+		// A draining router may exit before it applies the version, and the
 		// change would never become complete.
 		if r.State == api.RouterLive && r.ConfigVersion < st.Version {
 			st.Lagging = append(st.Lagging, r.Name)
--- a/internal/secure/keys/keys_test.go
+++ b/internal/secure/keys/keys_test.go
@@ -100,10 +100,10 @@
 		assert.False(t, again)
 		assert.Equal(t, Stats{Reloads: 1}, r.Stats())
 	}
-	fresh, err := dialAndPing(t, addr, client.PeerClient("r1"))
+	newConn, err := dialAndPing(t, addr, client.PeerClient("r1"))
 	require.NoError(t, err)
 	serial := func(c *tls.Conn) string { return c.ConnectionState().PeerCertificates[0].SerialNumber.String() }
-	assert.NotEqual(t, serial(old), serial(fresh))
+	assert.NotEqual(t, serial(old), serial(newConn))
 	assert.NoError(t, ping(old))
 	retiredClient := client.PeerClient("r1")
 	retiredClient.Certificates = retired.PeerClient("r1").Certificates
--- a/internal/secure/secret/secret_test.go
+++ b/internal/secure/secret/secret_test.go
@@ -298,13 +298,13 @@
 	ping(old)
 	generateCerts(t, f.dir, f.now)
 	require.NoError(t, f.Check())
-	fresh := dial()
-	ping(fresh)
+	newConn := dial()
+	ping(newConn)
 	ping(old)
 	serial := func(c *tls.Conn) string { return c.ConnectionState().PeerCertificates[0].SerialNumber.String() }
-	assert.NotEqual(t, serial(old), serial(fresh))
-	assert.Equal(t, "http/1.1", fresh.ConnectionState().NegotiatedProtocol)
-	assert.EqualValues(t, tls.VersionTLS13, fresh.ConnectionState().Version)
+	assert.NotEqual(t, serial(old), serial(newConn))
+	assert.Equal(t, "http/1.1", newConn.ConnectionState().NegotiatedProtocol)
+	assert.EqualValues(t, tls.VersionTLS13, newConn.ConnectionState().Version)
 	assert.EqualValues(t, 2, f.Status().Reloads, "caller certificate and peer certificate")
 }
 
--- a/internal/secure/token/key.go
+++ b/internal/secure/token/key.go
@@ -24,7 +24,7 @@
 type Key struct {
 	// ID identifies the key in tokens.
 	ID byte
-	// Secret holds at least MinSecret random bytes.
+	// Secret holds at least MinSecretBytes random bytes.
 	Secret []byte
 }
 
--- a/internal/serve/admission/admission.go
+++ b/internal/serve/admission/admission.go
@@ -5,7 +5,7 @@
 // this router and the last known loads of the engines. The exact count of an
 // engine's unfinished requests is kept by the engine's owner: one router, which
 // all routers derive from the same view of the fleet without exchanging
-// messages. Type permitBooks holds the counts of the engines that this router
+// messages. Type permitLedgers holds the counts of the engines that this router
 // owns; other routers request permits over RPC. Callers are directed to the
 // owner of their chat's preferred engine, so most permits need no message.
 package admission
@@ -63,7 +63,7 @@
 	once sync.Once
 }
 
-// Release returns the permit. Only the first call of Release or GiveUp has an
+// Release returns the permit. Only the first call of Release or Abort has an
 // effect.
 func (g *Grant) Release() {
 	g.once.Do(func() { g.a.releasePermit(g.ID) })
@@ -116,7 +116,7 @@
 type Admission struct {
 	opts         Options
 	holder       string
-	books        *permitBooks
+	ledgers      *permitLedgers
 	held         *heldPermits
 	releases     *releaseQueue
 	health       *health
@@ -145,7 +145,7 @@
 	}
 	a := &Admission{opts: o, holder: board.HolderName(o.Self, o.Instance), schedulers: make(map[groupKey]*scheduler), rng: o.Rand}
 	a.ctx, a.stop = context.WithCancel(context.Background())
-	a.books = newPermitBooks(a)
+	a.ledgers = newPermitLedgers(a)
 	a.held = newHeldPermits()
 	a.releases = newReleaseQueue(a)
 	a.health = newHealth()
@@ -252,12 +252,12 @@
 	return out
 }
 
-// Sync applies a new snapshot: it opens the books of engines that this router
+// Sync applies a new snapshot: it opens the ledgers of engines that this router
 // now owns and closes those of engines that it no longer owns. Waiting requests
 // are tried again.
 func (a *Admission) Sync(snap *board.Snapshot) {
 	now := time.Now()
-	a.books.sync(now, snap)
+	a.ledgers.sync(now, snap)
 	a.health.sync(now, snap)
 	a.ownerChanges.update(snap)
 	for _, s := range a.allSchedulers() {
--- a/internal/serve/admission/admission_test.go
+++ b/internal/serve/admission/admission_test.go
@@ -104,7 +104,7 @@
 
 func ownerOf(nodes map[string]*node, engine string) (owner, other *node) {
 	for _, n := range nodes {
-		if n.admission.books.find(rendezvous.ID(engine)) != nil {
+		if n.admission.ledgers.find(rendezvous.ID(engine)) != nil {
 			owner = n
 		} else {
 			other = n
@@ -119,7 +119,7 @@
 }
 
 func (n *node) permitCount(engine string) int {
-	load, _ := n.admission.books.load(time.Now(), rendezvous.ID(engine))
+	load, _ := n.admission.ledgers.load(time.Now(), rendezvous.ID(engine))
 	return load.Count
 }
 
--- a/internal/serve/admission/facts.go
+++ b/internal/serve/admission/cacheindex.go
@@ -35,7 +35,7 @@
 	incarnations map[uint64]uint64
 }
 
-// NewCacheIndex returns an empty Facts with room for the given number of recent
+// NewCacheIndex returns an empty CacheIndex with capacity for the given number of recent
 // chats.
 func NewCacheIndex(chats int, seed uint64) (*CacheIndex, error) {
 	epoch := time.Now()
@@ -52,54 +52,54 @@
 	}, nil
 }
 
-// Incarnation implements prefix.Incarnations; the caller holds f.mu.
-func (f *CacheIndex) Incarnation(engine uint64) (uint64, bool) {
-	i, ok := f.incarnations[engine]
+// Incarnation implements prefix.Incarnations; the caller holds c.mu.
+func (c *CacheIndex) Incarnation(engine uint64) (uint64, bool) {
+	i, ok := c.incarnations[engine]
 	return i, ok
 }
 
 // SetIncarnation sets the current incarnation of an engine. Evidence from other
 // incarnations becomes invalid.
-func (f *CacheIndex) SetIncarnation(engine, incarnation uint64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.incarnations[engine] = incarnation
+func (c *CacheIndex) SetIncarnation(engine, incarnation uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.incarnations[engine] = incarnation
 }
 
 // RecordServed records that a chat's prefix is now cached at an engine.
-func (f *CacheIndex) RecordServed(chat uint64, p prefix.Location) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if _, ok := f.incarnations[p.Engine]; !ok {
-		f.incarnations[p.Engine] = p.Incarnation
+func (c *CacheIndex) RecordServed(chat uint64, p prefix.Location) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if _, ok := c.incarnations[p.Engine]; !ok {
+		c.incarnations[p.Engine] = p.Incarnation
 	}
 	// An error means that the engine table is full. That costs only speed: the
 	// chat is then placed by its hint or its hash.
-	_ = f.recent.Record(chat, p, time.Now())
+	_ = c.recent.Record(chat, p, time.Now())
 }
 
 // Evidence returns the engines believed to cache a prefix of the request, at
 // most maxEvidence.
-func (f *CacheIndex) Evidence(q prefix.Query) []placement.Evidence {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (c *CacheIndex) Evidence(q prefix.Query) []placement.Evidence {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	q.Now = time.Now()
 	if q.Hint != nil {
-		if _, ok := f.incarnations[q.Hint.Engine]; !ok {
+		if _, ok := c.incarnations[q.Hint.Engine]; !ok {
 			// The hint is the only source for this engine here. If the
 			// incarnation is outdated, the engine's owner rejects the permit
 			// request.
-			f.incarnations[q.Hint.Engine] = q.Hint.Incarnation
+			c.incarnations[q.Hint.Engine] = q.Hint.Incarnation
 		}
 	}
-	locator := prefix.Locator{Recent: f.recent, Views: f.viewList, Current: f}
-	f.scratch = locator.Evidence(f.scratch[:0], q)
-	n := min(len(f.scratch), maxEvidence)
+	locator := prefix.Locator{Recent: c.recent, Views: c.viewList, Current: c}
+	c.scratch = locator.Evidence(c.scratch[:0], q)
+	n := min(len(c.scratch), maxEvidence)
 	out := make([]placement.Evidence, 0, n)
-	for _, e := range f.scratch[:n] {
+	for _, e := range c.scratch[:n] {
 		out = append(out, placement.Evidence{
 			Engine:       e.Engine,
-			Incarnation:  f.incarnations[e.Engine],
+			Incarnation:  c.incarnations[e.Engine],
 			CachedTokens: e.CachedTokens,
 			Confidence:   e.Confidence,
 		})
@@ -109,52 +109,52 @@
 
 // Follow starts a view of an engine's cache if there is none, and returns the
 // sequence number of the next cache event to fetch.
-func (f *CacheIndex) Follow(engine uint64) (next uint64, err error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	v := f.views[engine]
+func (c *CacheIndex) Follow(engine uint64) (next uint64, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	v := c.views[engine]
 	if v == nil {
-		if v, err = prefix.NewCacheView(engine, maxViewPrefixes, f.seed, f.epoch); err != nil {
+		if v, err = prefix.NewCacheView(engine, maxViewPrefixes, c.seed, c.epoch); err != nil {
 			return 0, err
 		}
-		f.views[engine] = v
-		f.rebuildViewList()
+		c.views[engine] = v
+		c.rebuildViewList()
 	}
 	return v.NextSeq(), nil
 }
 
 // Unfollow drops the view of an engine that this router no longer owns.
-func (f *CacheIndex) Unfollow(engine uint64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.views, engine)
-	f.rebuildViewList()
+func (c *CacheIndex) Unfollow(engine uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.views, engine)
+	c.rebuildViewList()
 }
 
-func (f *CacheIndex) rebuildViewList() {
-	f.viewList = f.viewList[:0]
-	for _, v := range f.views {
-		f.viewList = append(f.viewList, v)
+func (c *CacheIndex) rebuildViewList() {
+	c.viewList = c.viewList[:0]
+	for _, v := range c.views {
+		c.viewList = append(c.viewList, v)
 	}
 }
 
 // Apply applies a page of an engine's cache events.
-func (f *CacheIndex) Apply(engine uint64, page wire.CacheEvents) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if v := f.views[engine]; v != nil {
+func (c *CacheIndex) Apply(engine uint64, page wire.CacheEvents) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if v := c.views[engine]; v != nil {
 		v.Apply(page, time.Now())
-		f.incarnations[engine] = v.Incarnation()
+		c.incarnations[engine] = v.Incarnation()
 	}
 }
 
 // RecentChats returns up to limit chats that an engine served recently, so that their
 // cached prefixes can be exported.
-func (f *CacheIndex) RecentChats(engine, incarnation uint64, limit int) []RecentChat {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (c *CacheIndex) RecentChats(engine, incarnation uint64, limit int) []RecentChat {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var out []RecentChat
-	f.recent.Visit(engine, incarnation, time.Now(), func(chat uint64, p prefix.Location, age time.Duration) {
+	c.recent.Visit(engine, incarnation, time.Now(), func(chat uint64, p prefix.Location, age time.Duration) {
 		if len(out) < limit {
 			out = append(out, RecentChat{Chat: chat, Place: p, Age: age})
 		}
@@ -171,12 +171,12 @@
 }
 
 // Prune drops the incarnations of engines that are no longer in the snapshot.
-func (f *CacheIndex) Prune(snap *board.Snapshot) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for id := range f.incarnations {
+func (c *CacheIndex) Prune(snap *board.Snapshot) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for id := range c.incarnations {
 		if _, ok := snap.EngineByID(id); !ok {
-			delete(f.incarnations, id)
+			delete(c.incarnations, id)
 		}
 	}
 }
--- a/internal/serve/admission/digest.go
+++ b/internal/serve/admission/digest.go
@@ -113,7 +113,7 @@
 	defer s.mu.Unlock()
 	var out []EngineLoad
 	for id, k := range s.loads {
-		load, ok := s.a.books.load(now, id)
+		load, ok := s.a.ledgers.load(now, id)
 		if !ok {
 			continue
 		}
@@ -226,7 +226,7 @@
 		if len(out) >= maxForwardLoads {
 			break
 		}
-		if _, own := s.a.books.load(now, id); own || now.Sub(k.updatedAt) > maxForwardAge {
+		if _, own := s.a.ledgers.load(now, id); own || now.Sub(k.updatedAt) > maxForwardAge {
 			continue
 		}
 		out = append(out, k.EngineLoad)
--- a/internal/serve/admission/engines.go
+++ b/internal/serve/admission/engines.go
@@ -25,7 +25,7 @@
 	if s == nil {
 		return
 	}
-	owned := a.books.applyEngineReport(now, e.ID, permit.EngineLoad{
+	owned := a.ledgers.applyEngineReport(now, e.ID, permit.EngineLoad{
 		Incarnation: st.Incarnation,
 		Age:         time.Duration(st.ReportAgeMS) * time.Millisecond,
 		Count:       st.Running + st.Queued,
@@ -43,13 +43,13 @@
 // since the report was made can't be subtracted from it.
 func (a *Admission) EngineState(e *board.Engine, st wire.EngineStatus) {
 	s := a.schedulerOfEngine(a.opts.Board.Snapshot(), e)
-	if s == nil || a.books.find(e.ID) == nil {
+	if s == nil || a.ledgers.find(e.ID) == nil {
 		return
 	}
 	s.recordStatus(time.Now(), e, st)
 }
 
-// recordStatus records the parts of a report that the permit book doesn't keep.
+// recordStatus records the parts of a report that the permit ledger doesn't keep.
 func (s *scheduler) recordStatus(now time.Time, e *board.Engine, st wire.EngineStatus) {
 	s.mu.Lock()
 	k := s.loads[e.ID]
@@ -117,7 +117,7 @@
 // Admitted returns the number of admitted, unfinished requests of an engine as
 // last reported by its owner; ok is false if no load is known.
 func (a *Admission) Admitted(engine uint64) (n int, ok bool) {
-	if load, own := a.books.load(time.Now(), engine); own {
+	if load, own := a.ledgers.load(time.Now(), engine); own {
 		return load.Count, true
 	}
 	for _, s := range a.allSchedulers() {
@@ -161,17 +161,17 @@
 // if the transfer fails.
 //
 // Two cases need this. When a router dies, so does the owner of its callers'
-// engines; until the fleet notices, seconds later, those callers would be told
-// that their response is lost although the engine still has it. Or a router has
+// engines; until the fleet notices, seconds later, those callers would get
+// an error for a lost response although the engine still has it. Or a router has
 // relayed the rest of the stream into a connection that the network has
 // dropped, and has returned the permit. Reading existing output adds no work to
 // the engine. The engine's own report counts the stream, and the next holder
-// report corrects the owner's book. An engine that no longer has the stream, or
-// was restarted, says so.
+// report corrects the owner's ledger. An engine that no longer has the stream, or
+// was restarted, returns an error.
 func (s *scheduler) transferPermit(ctx context.Context, c selection, id string) (weight int64) {
 	if c.owner.Name == s.a.opts.Self {
 		r := permit.Request{ID: id, Holder: s.a.holder, Incarnation: c.incarnation}
-		p, _ := s.a.books.transfer(time.Now(), c.engine.ID, r)
+		p, _ := s.a.ledgers.transfer(time.Now(), c.engine.ID, r)
 		return p.Weight
 	}
 	if _, err := s.call(ctx, c, id, AcquireArgs{Incarnation: c.incarnation, Transfer: true}); err != nil {
@@ -192,7 +192,7 @@
 	if s := a.scheduler(h.group); s != nil {
 		defer s.recordFinished(h)
 	}
-	if out, _, owned := a.books.release(time.Now(), h.engine, id, a.holder); owned {
+	if out, _, owned := a.ledgers.release(time.Now(), h.engine, id, a.holder); owned {
 		return out != permit.Moved
 	}
 	return a.abortRemote(ctx, h, id)
@@ -218,7 +218,7 @@
 }
 
 // Reports returns this router's unfinished requests by owner and engine. Owners
-// compare the reports with their books, which reveals releases that were lost
+// compare the reports with their ledgers, which reveals releases that were lost
 // and permits that a new owner doesn't know.
 func (a *Admission) Reports() map[string]ReportArgs {
 	snap := a.opts.Board.Snapshot()
--- a/internal/serve/admission/health.go
+++ b/internal/serve/admission/health.go
@@ -11,7 +11,7 @@
 // Observation is the outcome of one request at an engine.
 type Observation = outlier.Observation
 
-// health detects gray failures of engines: those that answer health probes but
+// health detects gray failures of engines: those that respond to health probes but
 // stall their streams. Each router uses only its own observations.
 type health struct {
 	mu        sync.Mutex
@@ -27,7 +27,7 @@
 	}
 }
 
-// sync adds new engines to the detectors and removes those that left.
+// sync adds new engines to the detectors and removes those that are no longer listed.
 func (h *health) sync(now time.Time, snap *board.Snapshot) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/serve/admission/metrics.go
+++ b/internal/serve/admission/metrics.go
@@ -27,7 +27,7 @@
 	// owner could not be reached.
 	AdoptedUnconfirmed atomic.Int64
 	// Reconciled counts permits that reports added to or removed from the
-	// books.
+	// ledgers.
 	Reconciled atomic.Int64
 }
 
--- a/internal/serve/admission/releasequeue.go
+++ b/internal/serve/admission/releasequeue.go
@@ -62,7 +62,7 @@
 // owner returns the owner of an engine. An engine that has left the fleet has
 // none, and its permits ended with it. If the engine is missing only from this
 // router's view, its owner ends the permits by the engine's report, once their
-// holder has been silent for long enough.
+// holder has not reported for long enough.
 func (q *releaseQueue) owner(engine uint64) (board.Router, bool) {
 	snap := q.a.opts.Board.Snapshot()
 	return snap.EngineOwner(engine)
@@ -148,10 +148,10 @@
 	}
 }
 
-// releaseAtOwner releases a permit in this router's own books or at the
+// releaseAtOwner releases a permit in this router's own ledgers or at the
 // engine's owner.
 func (a *Admission) releaseAtOwner(engine uint64, id string) {
-	if _, key, owned := a.books.release(time.Now(), engine, id, a.holder); owned {
+	if _, key, owned := a.ledgers.release(time.Now(), engine, id, a.holder); owned {
 		a.wakeScheduler(key)
 		return
 	}
@@ -169,7 +169,7 @@
 // releaseOwned ends a permit of an engine that this router owns; the result is
 // false if it doesn't.
 func (a *Admission) releaseOwned(now time.Time, p ReleasedPermit, holder string) (permit.Outcome, bool) {
-	out, key, ok := a.books.release(now, p.Engine, p.ID.String(), holder)
+	out, key, ok := a.ledgers.release(now, p.Engine, p.ID.String(), holder)
 	if ok && out == permit.Released {
 		a.wakeScheduler(key)
 	}
--- a/internal/serve/admission/remote.go
+++ b/internal/serve/admission/remote.go
@@ -26,9 +26,9 @@
 
 // Outcomes of a permit request.
 const (
-	// Granted means that the owner's book counts the permit.
+	// Granted means that the owner's ledger counts the permit.
 	Granted AcquireResult = iota + 1
-	// Full means that the engine has no room according to its owner's count.
+	// Full means that the engine is full according to its owner's count.
 	Full
 	// NotOwner means that the called router doesn't own the engine, or has no
 	// report of it yet.
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// applyReport applies a holder's report to the engine's book, once per
+// applyReport applies a holder's report to the engine's ledger, once per
 // incarnation.
 func (a *Admission) applyReport(now time.Time, engine uint64, args ReportArgs, list []ReportedPermit) {
 	byIncarnation := make(map[uint64][]permit.HeldRequest)
@@ -165,7 +165,7 @@
 		byIncarnation[0] = nil
 	}
 	for incarnation, permits := range byIncarnation {
-		a.books.applyHolderReport(now, engine, permit.HolderReport{
+		a.ledgers.applyHolderReport(now, engine, permit.HolderReport{
 			Holder: args.Holder, Seq: args.Seq, Incarnation: incarnation, Held: permits,
 		})
 	}
@@ -189,7 +189,7 @@
 func (s *scheduler) serveAcquire(now time.Time, args AcquireArgs) (permit.Permit, error) {
 	r := permit.Request{ID: args.ID.String(), Holder: args.Holder, Incarnation: args.Incarnation, Weight: args.Weight}
 	if args.Transfer {
-		return s.a.books.transfer(now, args.Engine, r)
+		return s.a.ledgers.transfer(now, args.Engine, r)
 	}
 	snap := s.a.opts.Board.Snapshot()
 	group := snap.Group(s.key.pool, s.key.region)
--- a/internal/serve/admission/scheduler.go
+++ b/internal/serve/admission/scheduler.go
@@ -91,12 +91,12 @@
 func (s *scheduler) prune(snap *board.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	gone := func(id uint64) bool {
+	removed := func(id uint64) bool {
 		_, ok := snap.EngineByID(id)
 		return !ok
 	}
-	maps.DeleteFunc(s.loads, func(id uint64, _ loadRecord) bool { return gone(id) })
-	maps.DeleteFunc(s.reported, func(id uint64, _ EngineLoad) bool { return gone(id) })
+	maps.DeleteFunc(s.loads, func(id uint64, _ loadRecord) bool { return removed(id) })
+	maps.DeleteFunc(s.reported, func(id uint64, _ EngineLoad) bool { return removed(id) })
 }
 
 func (s *scheduler) wake() {
@@ -261,7 +261,7 @@
 	if now.Before(k.deniedUntil) {
 		out.Running = max(out.Running, out.MaxBatch)
 	}
-	if load, ok := s.a.books.load(now, e.ID); ok {
+	if load, ok := s.a.ledgers.load(now, e.ID); ok {
 		out.Load = load.Weight
 		out.Running = load.Count
 		if !known {
@@ -278,16 +278,16 @@
 // load the requesting router assumed.
 func (s *scheduler) acquireOwned(now time.Time, pool *placement.Pool, i int, r permit.Request) (permit.Permit, error) {
 	e := &pool.Engines[i]
-	census := placement.SumLoad(pool.Engines)
-	lump, err := placement.Admit(e, r.Weight, census, pool.Bound)
+	poolLoad := placement.SumLoad(pool.Engines)
+	overBound, err := placement.Admit(e, r.Weight, poolLoad, pool.Bound)
 	if err != nil {
 		return permit.Permit{}, err
 	}
-	r.PoolTotal = census.Total
-	r.PoolEngines = census.N
-	r.LeastLoaded = lump
-	p, err := s.a.books.acquire(now, e.ID, pool.Bound, r)
-	if err == nil && lump {
+	r.PoolTotal = poolLoad.Total
+	r.PoolEngines = poolLoad.N
+	r.LeastLoaded = overBound
+	p, err := s.a.ledgers.acquire(now, e.ID, pool.Bound, r)
+	if err == nil && overBound {
 		s.a.Metrics.Lumps.Add(1)
 	}
 	return p, err
--- a/internal/serve/admission/waiting.go
+++ b/internal/serve/admission/waiting.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// dispatch places waiting requests in order until no engine has room. It
+// dispatch places waiting requests in order until all engines are full. It
 // reports whether any remain.
 func (s *scheduler) dispatch() (remaining bool) {
 	for {
@@ -206,8 +206,8 @@
 	s.head = w
 }
 
-// deliver sends the outcome to the waiter. A caller that has left meanwhile no
-// longer reads it, so its grant is released here.
+// deliver sends the outcome to the waiter. A caller that has disconnected meanwhile
+// no longer reads it, so its grant is released here.
 func (s *scheduler) deliver(w *waiter, out outcome) {
 	w.result <- out
 	if w.ctx.Err() == nil {
--- a/internal/serve/apierr/apierr.go
+++ b/internal/serve/apierr/apierr.go
@@ -1,5 +1,5 @@
 // Package apierr defines the errors that the router returns to callers and
-// operators. Each one says what went wrong, whether the request ran, and when
+// operators. Each one states the cause, whether the request was executed, and when
 // the caller may retry.
 //
 // Internal packages return their own typed errors. The HTTP layers translate
@@ -63,7 +63,7 @@
 type Error struct {
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
-	// Ran says whether the request was executed.
+	// Ran states whether the request was executed.
 	Ran Ran `json:"ran"`
 	// RetryAfter is how long the caller should wait before it retries. Zero
 	// means that a retry is pointless or needs no wait.
--- a/internal/serve/board/ownership.go
+++ b/internal/serve/board/ownership.go
@@ -14,7 +14,7 @@
 
 // ownership is the mapping of engines to the live routers that own them. Each router computes it
 // from the live routers and the engines of each group. Routers with different views of the fleet
-// may disagree; the permit books allow for that.
+// may disagree; the permit ledgers allow for that.
 //
 // It is computed again only if one of these inputs has changed, because most snapshots are
 // published for other reasons and the computation takes milliseconds in a large fleet.
--- a/internal/serve/controller/engines.go
+++ b/internal/serve/controller/engines.go
@@ -121,7 +121,7 @@
 }
 
 // brief reports whether the next report may omit the request IDs. They are most of a report and are
-// needed only to find requests that the permit books don't contain.
+// needed only to find requests that the permit ledgers don't contain.
 func (g *Engines) brief(name string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/serve/controller/handoff.go
+++ b/internal/serve/controller/handoff.go
@@ -121,7 +121,7 @@
 }
 
 // nextEngine returns the engine that is first in the chat's rendezvous order without from. All
-// routers select it without a message once from has left.
+// routers select it without a message once from is no longer listed.
 func (h *Handoff) nextEngine(from board.Engine, chat uint64) (board.Engine, bool) {
 	g := h.Board.Snapshot().Group(from.Pool, from.Region)
 	if g == nil {
--- a/internal/serve/httperr/httperr.go
+++ b/internal/serve/httperr/httperr.go
@@ -15,8 +15,8 @@
 )
 
 // From returns the *apierr.Error in err's chain. Errors of echo that arise
-// before a handler runs become typed ones that say that the request did not
-// run. Any other error becomes an internal error with unknown execution.
+// before a handler runs become typed ones that state that the request was not
+// executed. Any other error becomes an internal error with unknown execution.
 func From(err error) *apierr.Error {
 	var httpErr *echo.HTTPError
 	if !errors.As(err, &httpErr) {
--- a/internal/serve/httperr/httperr_test.go
+++ b/internal/serve/httperr/httperr_test.go
@@ -13,9 +13,9 @@
 )
 
 // A handler that fails in an unforeseen way proves nothing about execution.
-// Reported as "did not run", the failure would make callers repeat a request
-// that ran.
-func TestFromReportsNotRunOnlyIfProven(t *testing.T) {
+// Reported as "not executed", the failure would make callers repeat a request
+// that was executed.
+func TestFromReportsNotExecutedOnlyIfProven(t *testing.T) {
 	for _, c := range []struct {
 		err  error
 		code apierr.Code
--- a/internal/serve/quota/owner.go
+++ b/internal/serve/quota/owner.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// reportDeadRouters reports to the ledgers which routers have left the fleet.
+// reportDeadRouters marks the routers that are no longer in the fleet as dead in the ledgers.
 func (q *Quota) reportDeadRouters(snap *board.Snapshot) {
 	known := make(map[string]bool, len(snap.Routers))
 	for _, r := range snap.Routers {
--- a/internal/serve/router/provision.go
+++ b/internal/serve/router/provision.go
@@ -58,7 +58,7 @@
 }
 
 func (r *Router) provisionAdmission(rng *rand.Rand, instance uint64) (err error) {
-	if r.facts, err = admission.NewCacheIndex(admission.DefaultRecentChats, rng.Uint64()); err != nil {
+	if r.cacheIndex, err = admission.NewCacheIndex(admission.DefaultRecentChats, rng.Uint64()); err != nil {
 		return err
 	}
 	r.quota = quota.New(quota.Options{
@@ -86,7 +86,7 @@
 	r.traffic = traffic.New(traffic.Options{
 		Board:     r.board,
 		Admitter:  r.admission,
-		Facts:     r.facts,
+		Facts:     r.cacheIndex,
 		Quota:     r.quota,
 		Upstream:  r.upstream,
 		Claims:    r.claims,
@@ -133,9 +133,9 @@
 	}
 	r.configs.Provision()
 	r.engines = &controller.Engines{
-		Board: r.board, Upstream: r.upstream, Admission: r.admission, Facts: r.facts, Log: r.log,
+		Board: r.board, Upstream: r.upstream, Admission: r.admission, Facts: r.cacheIndex, Log: r.log,
 	}
-	r.handoff = &controller.Handoff{Board: r.board, Upstream: r.upstream, Facts: r.facts, Log: r.log}
+	r.handoff = &controller.Handoff{Board: r.board, Upstream: r.upstream, Facts: r.cacheIndex, Log: r.log}
 	r.sweeper = &controller.Sweeper{
 		Board: r.board, Claims: claim.NewSweeper(r.table, r.set.ClaimRetention),
 		Clock: bootclock.Now, Log: r.log,
--- a/internal/serve/router/router.go
+++ b/internal/serve/router/router.go
@@ -74,7 +74,7 @@
 	secrets    *secret.Store
 	upstream   *upstream.Client
 	admission  *admission.Admission
-	facts      *admission.CacheIndex
+	cacheIndex *admission.CacheIndex
 	quota      *quota.Quota
 	traffic    *traffic.Server
 	chain      *config.Chain
--- a/internal/serve/router/secrets_test.go
+++ b/internal/serve/router/secrets_test.go
@@ -105,11 +105,11 @@
 		}
 	}
 	requestLocate(t, caller)
-	fresh := dialCaller(t, dir, fleet[0].Address())
+	newConn := dialCaller(t, dir, fleet[0].Address())
 	serial := func(c *tls.Conn) string { return c.ConnectionState().PeerCertificates[0].SerialNumber.String() }
-	assert.NotEqual(t, serial(caller), serial(fresh))
+	assert.NotEqual(t, serial(caller), serial(newConn))
 	operator := dialCaller(t, dir, fleet[0].Admin())
-	assert.Equal(t, serial(fresh), serial(operator), "both listeners must use the reloaded certificate")
+	assert.Equal(t, serial(newConn), serial(operator), "both listeners must use the reloaded certificate")
 	assert.Contains(t, fleet[0].Vars().String(), `"fleet_keys":["k2"]`)
 	for _, r := range fleet {
 		got := r.counters.Snapshot()
--- a/internal/serve/settings/keys.go
+++ b/internal/serve/settings/keys.go
@@ -78,25 +78,25 @@
 	if s.file == "" {
 		return s.rereadKeyFiles()
 	}
-	fresh, err := Load(s.file)
+	updated, err := Load(s.file)
 	if err != nil {
 		return KeySet{}, err
 	}
-	if fresh.Name != s.Name {
-		return KeySet{}, ErrKey.New("%s is of %q, not %q", s.file, fresh.Name, s.Name)
+	if updated.Name != s.Name {
+		return KeySet{}, ErrKey.New("%s is of %q, not %q", s.file, updated.Name, s.Name)
 	}
-	return KeySet{Fleet: fresh.FleetKeys, Hint: fresh.HintKeys}, nil
+	return KeySet{Fleet: updated.FleetKeys, Hint: updated.HintKeys}, nil
 }
 
 func (s *Settings) rereadKeyFiles() (KeySet, error) {
-	fresh := *s
-	fresh.FleetKeys = slices.Clone(s.FleetKeys)
-	fresh.HintKeys = slices.Clone(s.HintKeys)
-	if err := fresh.Provision(); err != nil {
+	updated := *s
+	updated.FleetKeys = slices.Clone(s.FleetKeys)
+	updated.HintKeys = slices.Clone(s.HintKeys)
+	if err := updated.Provision(); err != nil {
 		return KeySet{}, err
 	}
-	if err := fresh.Validate(); err != nil {
+	if err := updated.Validate(); err != nil {
 		return KeySet{}, err
 	}
-	return KeySet{Fleet: fresh.FleetKeys, Hint: fresh.HintKeys}, nil
+	return KeySet{Fleet: updated.FleetKeys, Hint: updated.HintKeys}, nil
 }
--- a/internal/serve/settings/settings.go
+++ b/internal/serve/settings/settings.go
@@ -28,13 +28,13 @@
 
 	// Listen is the IP address and port on which callers are served. It has no default.
 	Listen string `yaml:"listen" validate:"required,hostport"`
-	// Advertise is the IP address and port that callers are told to connect to. The default is
+	// Advertise is the IP address and port that is announced to callers. The default is
 	// Listen, which must not be a wildcard address then.
 	Advertise string `yaml:"advertise" validate:"required,reachable"`
 	// ControlListen is the IP address and port on which other routers connect: UDP for membership
 	// and TCP for remote calls. It has no default.
 	ControlListen string `yaml:"control_listen" validate:"required,hostport"`
-	// ControlAdvertise is the control address that other routers are told. The default is
+	// ControlAdvertise is the control address that is announced to other routers. The default is
 	// ControlListen, which must not be a wildcard address then.
 	ControlAdvertise string `yaml:"control_advertise" validate:"required,reachable"`
 	// AdminListen is the IP address and port of the administration API. The default is empty: the
--- a/internal/serve/traffic/detached.go
+++ b/internal/serve/traffic/detached.go
@@ -14,7 +14,7 @@
 
 // detachedStream is a stream whose caller has disconnected. It is kept for the
 // resume grace, during which the caller may resume it at any router. Then the
-// engine is told to stop.
+// request is canceled at the engine.
 type detachedStream struct {
 	response *chatResponse
 	timer    *time.Timer
--- a/internal/serve/traffic/errors.go
+++ b/internal/serve/traffic/errors.go
@@ -16,7 +16,7 @@
 }
 
 // handleError writes err to the caller. It is the only place where errors
-// become responses, so that each one says whether the request ran.
+// become responses, so that each one states whether the request was executed.
 func (s *Server) handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
--- a/internal/serve/traffic/harness_test.go
+++ b/internal/serve/traffic/harness_test.go
@@ -60,14 +60,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go h.board.Run(ctx)
-	facts, err := admission.NewCacheIndex(1000, 1)
+	cacheIndex, err := admission.NewCacheIndex(1000, 1)
 	require.NoError(t, err)
 	h.admission = admission.New(admission.Options{Board: h.board, Self: "r1", Instance: 1, Rand: rand.New(rand.NewPCG(1, 1))})
 	t.Cleanup(h.admission.Close)
 	codec, err := token.NewCodec(token.Key{ID: 1, Secret: []byte(strings.Repeat("s", token.MinSecretBytes))})
 	require.NoError(t, err)
 	h.server = New(Options{
-		Board: h.board, Admitter: h.admission, Facts: facts, Quota: unlimited{}, Name: "r1",
+		Board: h.board, Admitter: h.admission, Facts: cacheIndex, Quota: unlimited{}, Name: "r1",
 		Upstream:  upstream.New(upstream.Options{IdleGap: 200 * time.Millisecond}),
 		Claims:    claim.New(h.store, h.store.Objects(), "r1", uuid.NewString),
 		Tokens:    codec,
--- a/internal/serve/traffic/record.go
+++ b/internal/serve/traffic/record.go
@@ -24,7 +24,7 @@
 // record, it is retried in the background.
 //
 // The store may be down for the seconds in which a service responds. Without
-// retries, a caller that asks again with the key would get "outcome unknown"
+// retries, a caller that retries with the key would get "outcome unknown"
 // until an operator resolves the claim, although this router knows the
 // response.
 func (sc *serviceCall) record(ctx context.Context, write func(context.Context) error) {
--- a/internal/serve/traffic/response.go
+++ b/internal/serve/traffic/response.go
@@ -18,7 +18,7 @@
 	// resumeBackoff is the delay before the second attempt to resume. It grows
 	// linearly with the attempts.
 	resumeBackoff = 100 * time.Millisecond
-	// cancelTimeout bounds the request that tells an engine to stop a stream.
+	// cancelTimeout bounds the request that cancels a stream at its engine.
 	cancelTimeout = 2 * time.Second
 )
 
@@ -132,7 +132,7 @@
 	}
 }
 
-// abort ends a stream. The engine is told to stop before the permit is
+// abort ends a stream. The request is canceled at the engine before the permit is
 // released, so that the accounting never shows capacity that the engine does
 // not have.
 func (r *chatResponse) abort() {
--- a/internal/serve/traffic/server.go
+++ b/internal/serve/traffic/server.go
@@ -50,7 +50,7 @@
 // Tokens seals and opens the tokens that callers store for the routers.
 // *token.Codec implements it. It may change its keys at any time.
 type Tokens interface {
-	// SealHint returns a token that only the account can use and that says
+	// SealHint returns a token that only the account can use and that states
 	// where a chat's prefix is cached.
 	SealHint(account string, h token.Hint) string
 	// OpenHint reads a token that SealHint returned for the same account.
@@ -66,7 +66,7 @@
 type Options struct {
 	Board    *board.Board
 	Admitter Admitter
-	// Facts knows where prefixes are cached.
+	// Facts records where prefixes are cached.
 	Facts *admission.CacheIndex
 	Quota Limiter
 	// Upstream sends the requests to engines and plain services.
--- a/internal/serve/traffic/services.go
+++ b/internal/serve/traffic/services.go
@@ -25,8 +25,8 @@
 	maxServiceBody = 1 << 20
 	maxKeyLength   = 256
 	// recordTimeout bounds one write of a record, which continues after the
-	// caller has disconnected: the call ran, and its response must be found
-	// again.
+	// caller has disconnected: the call was executed, and its response must be
+	// stored for retries.
 	recordTimeout = 5 * time.Second
 	// nonIdempotentTimeout bounds a non-idempotent call at the service.
 	nonIdempotentTimeout = 30 * time.Second
--- a/internal/serve/upstream/control_test.go
+++ b/internal/serve/upstream/control_test.go
@@ -240,7 +240,7 @@
 	})
 }
 
-// An engine must not continue to execute a request whose caller has left. Further
+// An engine must not continue to execute a canceled request. Further
 // cancels have no effect.
 func TestCancelStopsExecution(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
--- a/internal/serve/upstream/service.go
+++ b/internal/serve/upstream/service.go
@@ -143,7 +143,7 @@
 }
 
 // readBody reads a body of up to limit bytes. It rejects a body that ends with
-// the connection: its end can't be told from a lost connection, and an incomplete
+// the connection: its end can't be distinguished from a lost connection, and an incomplete
 // response would be returned as complete. Errors: ErrIncomplete, ErrMalformed,
 // ErrTooLarge.
 func readBody(res *http.Response, limit int64) ([]byte, error) {
--- a/internal/serve/wire/wire.go
+++ b/internal/serve/wire/wire.go
@@ -143,7 +143,7 @@
 	Version     string   `json:"version"`
 	Adapters    []string `json:"adapters,omitempty"`
 	Role        string   `json:"role,omitempty"`
-	// Leaving is set once the engine has been told to stop and is draining.
+	// Leaving is set while the engine is draining before a planned stop.
 	Leaving bool `json:"leaving"`
 	// Running and Queued are numbers of requests. Weight is the sum of their
 	// weights, each the uncached prompt tokens plus the expected output tokens.
--- a/internal/store/claim/store.go
+++ b/internal/store/claim/store.go
@@ -64,7 +64,7 @@
 
 // The kinds of outcome.
 const (
-	// Run: the caller must send the request and then call Finish, Refused or
+	// Run: the caller must send the request and then call Finish, Release or
 	// MarkUnknown.
 	Run OutcomeKind = iota + 1
 	// Answered: the request was executed earlier; the caller must return
@@ -103,10 +103,10 @@
 	}
 }
 
-// Begin claims key for a request with the given body. Errors: *NotRunError if the
-// claim could not be made, so that the request must not be sent; ErrAnswerLost if
-// the request was executed and its response is not available; ErrBadKey and
-// ErrCorrupt.
+// Begin claims key for a request with the given body. Errors: *NotExecutedError
+// if the claim could not be made, so that the request must not be sent;
+// ErrResponseLost if the request was executed and its response is not available;
+// ErrBadKey and ErrCorrupt.
 func (s *Store) Begin(ctx context.Context, key Key, body BodyHash) (Outcome, error) {
 	if err := key.validate(); err != nil {
 		return Outcome{}, err
@@ -210,8 +210,8 @@
 	}
 }
 
-// abort returns the *NotRunError of the request. Nothing was sent and, as the claim
-// is discarded here, nothing ever will be.
+// abort returns the *NotExecutedError of the request. Nothing was sent and, as the
+// claim is discarded here, nothing ever will be.
 //
 // A write without a reply may still leave a row, for which later requests would get
 // ErrOutcomeUnknown although the request was never executed. So the row is
@@ -369,7 +369,7 @@
 	return stored
 }
 
-// loadResponse is the reverse of storeResponse. Errors: ErrAnswerLost.
+// loadResponse is the reverse of storeResponse. Errors: ErrResponseLost.
 func (s *Store) loadResponse(ctx context.Context, stored *storedResponse) (Response, error) {
 	if stored == nil || stored.Lost {
 		return Response{}, ErrResponseLost.New("it was not kept")
--- a/internal/store/config/route.go
+++ b/internal/store/config/route.go
@@ -26,7 +26,7 @@
 // Match returns the route of the service for a method and an escaped path, as
 // returned by url.URL.EscapedPath. If several routes match, it compares their
 // segments from the left and prefers a literal to a wildcard. Errors:
-// ErrBadPath, ErrNoRoute, ErrMethod.
+// ErrBadPath, ErrNoRoute, ErrMethodNotAllowed.
 func (s *Service) Match(method, escapedPath string) (RouteMatch, error) {
 	segments, err := splitPath(escapedPath)
 	if err != nil {
--- a/internal/store/platform/budget.go
+++ b/internal/store/platform/budget.go
@@ -184,7 +184,7 @@
 	b.total.SetBurstAt(now, burstSize(perSecond, burst))
 }
 
-// budgetTable is the Table that Budgeted returns.
+// budgetTable is the Table that WithBudget returns.
 type budgetTable struct {
 	next   Table
 	budget *Budget
--- a/test/e2e/faults_test.go
+++ b/test/e2e/faults_test.go
@@ -99,7 +99,7 @@
 var errIdle = errors.New("no request is running")
 
 // readyChat starts a fleet and returns a client and a conversation, once the
-// fleet answers.
+// fleet responds.
 func readyChat(t *testing.T, chat string) (*fleet, *client.Client, *client.Conversation) {
 	f := startFleet(t)
 	c := f.client(t, chatKey)
@@ -135,7 +135,7 @@
 	defer cancel()
 	var shown strings.Builder
 	n := 0
-	turn, err := conv.Say(ctx, longQuestion, func(chunk string) {
+	turn, err := conv.Say(ctx, longPrompt, func(chunk string) {
 		shown.WriteString(chunk)
 		if n++; n == faultPosition {
 			fault()
@@ -144,11 +144,11 @@
 	return turn, shown.String(), err
 }
 
-const longQuestion = "Please check the whole dossier."
+const longPrompt = "Please check the whole dossier."
 
 func expectedAnswer() string {
 	return engine.AnswerText(wire.ChatRequest{
-		Model: "dossier", MaxTokens: longTokens, Messages: []wire.Message{{Role: "user", Content: longQuestion}},
+		Model: "dossier", MaxTokens: longTokens, Messages: []wire.Message{{Role: "user", Content: longPrompt}},
 	})
 }
 
--- a/test/faults/config_test.go
+++ b/test/faults/config_test.go
@@ -123,8 +123,8 @@
 	s.Platform.SetDown(true)
 	time.AfterFunc(pastDeadlines, func() { s.Platform.SetDown(false) })
 }
-func storeSlow(s *changeScenario)   { time.Sleep(3 * time.Second) }
-func storeSilent(s *changeScenario) { time.Sleep(pastDeadlines) }
+func storeSlow(s *changeScenario)  { time.Sleep(3 * time.Second) }
+func stallStore(s *changeScenario) { time.Sleep(pastDeadlines) }
 
 // acceptConflictingChange accepts another change that is based on the same version.
 func acceptConflictingChange(s *changeScenario) {
@@ -212,8 +212,8 @@
 	{faultkit.Freeze, faultkit.ConfigRead, onOperatorCall(isHeadRead, false, nil, freezeOperator), "process frozen as it reads the head"},
 	{faultkit.CutBoth, faultkit.ConfigRead, onOperatorCall(isHeadRead, false, errReadFailed, nil), "store connection cut at the head"},
 	{faultkit.CutOneWay, faultkit.ConfigRead, onOperatorCall(isHeadRead, false, errReadFailed, nil), "reply of the head lost one way"},
-	{faultkit.Silent, faultkit.ConfigRead, onOperatorCall(isHeadRead, false, errReadFailed, storeSilent), "store connection silent at the head"},
-	{faultkit.ReplyLate, faultkit.ConfigRead, onOperatorCall(isHeadRead, false, nil, storeSilent), "head arrives late and may be outdated by then"},
+	{faultkit.Silent, faultkit.ConfigRead, onOperatorCall(isHeadRead, false, errReadFailed, stallStore), "store connection silent at the head"},
+	{faultkit.ReplyLate, faultkit.ConfigRead, onOperatorCall(isHeadRead, false, nil, stallStore), "head arrives late and may be outdated by then"},
 	{faultkit.StoreDown, faultkit.ConfigRead, onOperatorCall(isHeadRead, false, nil, storeOutage), "store down as the head is read"},
 	{faultkit.StoreSlow, faultkit.ConfigRead, onOperatorCall(isHeadRead, false, nil, storeSlow), "store slow as the head is read"},
 	{faultkit.OperatorRace, faultkit.ConfigRead, onOperatorCall(isHeadRead, false, nil, acceptConflictingChange), "another change accepted before the head is read"},
@@ -222,8 +222,8 @@
 	{faultkit.Freeze, faultkit.Check, onOperatorCall(isVersionRead, false, nil, func(s *changeScenario) { acceptConflictingChange(s); freezeOperator(s) }), "process frozen as it checks, another change accepted meanwhile"},
 	{faultkit.CutBoth, faultkit.Check, onOperatorCall(isVersionRead, false, errReadFailed, nil), "store connection cut at the check"},
 	{faultkit.CutOneWay, faultkit.Check, onOperatorCall(isVersionRead, false, errReadFailed, nil), "reply lost one way at the check"},
-	{faultkit.Silent, faultkit.Check, onOperatorCall(isVersionRead, false, errReadFailed, storeSilent), "store connection silent at the check"},
-	{faultkit.ReplyLate, faultkit.Check, onOperatorCall(isVersionRead, false, nil, storeSilent), "checked version arrives late"},
+	{faultkit.Silent, faultkit.Check, onOperatorCall(isVersionRead, false, errReadFailed, stallStore), "store connection silent at the check"},
+	{faultkit.ReplyLate, faultkit.Check, onOperatorCall(isVersionRead, false, nil, stallStore), "checked version arrives late"},
 	{faultkit.StoreDown, faultkit.Check, onOperatorCall(isVersionRead, false, nil, storeOutage), "store down at the check"},
 	{faultkit.StoreSlow, faultkit.Check, onOperatorCall(isVersionRead, false, nil, storeSlow), "store slow at the check"},
 	{faultkit.OperatorRace, faultkit.Check, onOperatorCall(isVersionRead, false, nil, acceptConflictingChange), "another change accepted after the head was read: typed conflict"},
@@ -233,7 +233,7 @@
 	{faultkit.Freeze, faultkit.Commit, onOperatorCall(isConfigCommit, false, nil, func(s *changeScenario) { acceptConflictingChange(s); freezeOperator(s) }), "process frozen before the commit, another change accepted meanwhile"},
 	{faultkit.CutBoth, faultkit.Commit, onOperatorCall(isConfigCommit, false, nil, failCommitOf(platformtest.LoseBeforeEffect)), "commit lost before its effect"},
 	{faultkit.CutOneWay, faultkit.Commit, onOperatorCall(isConfigCommit, false, nil, failCommitOf(platformtest.LoseReplyAfterEffect)), "store's replies lost from the commit on"},
-	{faultkit.Silent, faultkit.Commit, onOperatorCall(isConfigCommit, false, errOutcomeUnknown, storeSilent), "store connection silent at the commit"},
+	{faultkit.Silent, faultkit.Commit, onOperatorCall(isConfigCommit, false, errOutcomeUnknown, stallStore), "store connection silent at the commit"},
 	{faultkit.ReplyLost, faultkit.Commit, onOperatorCall(isConfigCommit, false, nil, failCommitOf(platformtest.LoseReplyAfterEffect)), "reply lost after the commit took effect; resolved by the change id"},
 	{faultkit.ReplyLate, faultkit.Commit, onOperatorCall(isConfigCommit, false, nil, delayCommit), "first copy of the commit takes effect last"},
 	{faultkit.Duplicate, faultkit.Commit, onOperatorCall(isConfigCommit, false, nil, failCommitOf(platformtest.Duplicate)), "commit delivered twice"},
--- a/test/faults/membership_test.go
+++ b/test/faults/membership_test.go
@@ -33,7 +33,7 @@
 	// to agree after its end, both in virtual time.
 	faultDuration   = 20 * time.Second
 	convergenceTime = 2 * time.Minute
-	// leavePropagationTime bounds how long a leaving router may still count as an
+	// leavePropagationTime bounds how long a draining router may still count as an
 	// owner.
 	leavePropagationTime = 5 * time.Second
 )
@@ -198,7 +198,7 @@
 		begin: func(f *fleet) { f.net.Freeze(f.nodes[1].Address) },
 		end:   func(f *fleet) { f.net.Thaw(f.nodes[1].Address) },
 	}
-	// staleVMs gives a VM list that names only a dead router, as live.
+	// staleVMs installs a VM list that names only a dead router, as live.
 	staleVMs = networkFault{begin: func(f *fleet) {
 		dead := f.start("ghost", nodeAddress(20), 1)
 		f.net.Remove(dead.Address)
@@ -303,7 +303,7 @@
 	require.True(t, f.ownsAny("newcomer"))
 }
 
-// runLeave guards against older reports that override a leave. The leaving router would
+// runLeave guards against older reports that override a leave. The draining router would
 // still own engines, or be considered live again, and get permit requests after it has
 // stopped. A stale VM list names it as live all the time.
 func runLeave(t *testing.T, f *fleet, c fleetCell) {
--- a/test/faults/permits_test.go
+++ b/test/faults/permits_test.go
@@ -14,13 +14,13 @@
 )
 
 // permitScenario has three routers that request permits for one engine from its owner,
-// over a faulty network, and send the engine what they are granted. The owner's book is
+// over a faulty network, and send the engine what they are granted. The owner's ledger is
 // checked against the number of requests that the engine executes.
 type permitScenario struct {
 	t   *testing.T
 	rng *rand.Rand
 	now time.Duration
-	// owner is the book that the holders use. otherOwner is the book of a router that
+	// owner is the ledger that the holders use. otherOwner is that of a router that
 	// considers itself the owner too.
 	owner, otherOwner *permit.Ledger
 	holders           map[string]*permitHolder
@@ -45,10 +45,10 @@
 	seq    uint64
 	frozen bool
 	dead   bool
-	book   *permit.Ledger
+	ledger *permit.Ledger
 }
 
-// message is a message under way.
+// message is a message in transit.
 type message struct {
 	at      time.Duration
 	deliver func()
@@ -60,13 +60,13 @@
 	requestTime  = 2 * time.Second
 	reportEvery  = time.Second
 	holdersEvery = 5 * time.Second
-	// settleTime exceeds the delay of every late message and every timeout of the book.
+	// settleTime exceeds the delay of every late message and every timeout of the ledger.
 	settleTime = 10 * time.Minute
 	// requestTimeout is how long a holder waits for a permit before it releases it, as
 	// it may have been granted.
 	requestTimeout = 400 * time.Millisecond
-	// twoOwnerBound bounds what two books may grant together: one full bound, and half
-	// of it from the new book while that warms up.
+	// twoOwnerBound bounds the permits that two ledgers may grant together: one full bound,
+	// and half of it from the new ledger while that warms up.
 	twoOwnerBound = maxRunning * 3 / 2
 )
 
@@ -78,14 +78,14 @@
 		running: make(map[string]time.Duration), incarnation: 1, load: 0.4,
 		messageDelays: func(*permitScenario) []time.Duration { return []time.Duration{time.Millisecond} },
 	}
-	g.owner = g.newBook(nil)
+	g.owner = g.newLedger(nil)
 	for _, name := range []string{"x", "y", "z"} {
-		g.holders[name] = &permitHolder{name: name, held: make(map[string]bool), book: g.owner}
+		g.holders[name] = &permitHolder{name: name, held: make(map[string]bool), ledger: g.owner}
 	}
 	return g
 }
 
-func (g *permitScenario) newBook(live []string) *permit.Ledger {
+func (g *permitScenario) newLedger(live []string) *permit.Ledger {
 	cfg := permit.Config{MaxBatch: maxRunning, Admit: func(int64, int64, int64, int, float64) bool { return true }}
 	return permit.NewLedger(g.timestamp(), cfg, g.incarnation, live)
 }
@@ -149,7 +149,7 @@
 
 func (g *permitScenario) release(h *permitHolder, id string) {
 	received := false
-	g.send(func() { received = true; h.book.ReleaseBy(g.timestamp(), id, h.name) })
+	g.send(func() { received = true; h.ledger.ReleaseBy(g.timestamp(), id, h.name) })
 	g.messages = append(g.messages, message{g.now + time.Second, func() {
 		if !received && !h.dead {
 			g.release(h, id)
@@ -167,7 +167,7 @@
 		}
 	}
 	if g.now%holdersEvery == 0 {
-		g.reportHoldings(h)
+		g.reportHeldPermits(h)
 	}
 }
 
@@ -176,10 +176,10 @@
 func (g *permitScenario) request(h *permitHolder) {
 	g.next++
 	id := fmt.Sprint(h.name, g.next)
-	book, sent := h.book, g.now
+	ledger, sent := h.ledger, g.now
 	done := false
 	g.send(func() {
-		p, err := book.Acquire(g.timestamp(), permit.Request{ID: id, Holder: h.name, Weight: 1, PoolTotal: 1, PoolEngines: 1})
+		p, err := ledger.Acquire(g.timestamp(), permit.Request{ID: id, Holder: h.name, Weight: 1, PoolTotal: 1, PoolEngines: 1})
 		if err != nil {
 			g.send(func() { done = true })
 			return
@@ -206,14 +206,14 @@
 	}})
 }
 
-func (g *permitScenario) reportHoldings(h *permitHolder) {
+func (g *permitScenario) reportHeldPermits(h *permitHolder) {
 	h.seq++
 	r := permit.HolderReport{Holder: h.name, Seq: h.seq, Incarnation: g.incarnation}
 	for id := range h.held {
 		r.Held = append(r.Held, permit.HeldRequest{ID: id, Weight: 1})
 	}
-	book := h.book
-	g.send(func() { book.ApplyHolderReport(g.timestamp(), r) })
+	ledger := h.ledger
+	g.send(func() { ledger.ApplyHolderReport(g.timestamp(), r) })
 }
 
 // sendEngineReport reports the executing requests to the owners.
@@ -249,16 +249,16 @@
 	}
 }
 
-// changeOwner makes a new book the owner. Unless the old owner is dead, holder x still
-// uses the old book.
+// changeOwner makes a new ledger the owner. Unless the old owner is dead, holder x still
+// uses the old ledger.
 func (g *permitScenario) changeOwner(dead bool) {
 	old := g.owner
-	g.owner = g.newBook(slices.Collect(maps.Keys(g.holders)))
+	g.owner = g.newLedger(slices.Collect(maps.Keys(g.holders)))
 	for _, h := range g.holders {
-		h.book = g.owner
+		h.ledger = g.owner
 	}
 	if !dead {
-		g.holders["x"].book = old
+		g.holders["x"].ledger = old
 	}
 	g.otherOwner = old
 }
@@ -294,7 +294,7 @@
 			return []time.Duration{time.Duration(g.rng.IntN(int(time.Second)))}
 		}
 	}, nil, "messages out of order"},
-	{faultkit.ViewsDiffer, faultkit.Permit, func(g *permitScenario) { g.changeOwner(false) }, func(g *permitScenario) { g.holders["x"].book = g.owner }, "two routers consider themselves the owner; together they stay within one and a half bounds"},
+	{faultkit.ViewsDiffer, faultkit.Permit, func(g *permitScenario) { g.changeOwner(false) }, func(g *permitScenario) { g.holders["x"].ledger = g.owner }, "two routers consider themselves the owner; together they stay within one and a half bounds"},
 	{faultkit.Flap, faultkit.Permit, (*permitScenario).restartEngine, nil, "engine restarts; its book starts empty"},
 	{faultkit.Surge, faultkit.Permit, func(g *permitScenario) { g.load = 4 }, func(g *permitScenario) { g.load = 0.4 }, "ten times the requests"},
 	{faultkit.AddressReused, faultkit.Permit, (*permitScenario).restartEngine, nil, "another incarnation at the address"},
@@ -330,8 +330,8 @@
 	return tests
 }
 
-// runPermits guards against a count that follows messages instead of what the engine
-// executes: the engine would exceed its bound, or would get nothing in the end although
+// runPermits guards against a count that follows messages instead of the requests that
+// the engine executes: the engine would exceed its bound, or would get nothing in the end although
 // it is idle.
 func runPermits(t *testing.T, c permitCell, seed uint64) {
 	g := newPermitScenario(t, seed)
--- a/test/faults/receipts_test.go
+++ b/test/faults/receipts_test.go
@@ -22,13 +22,13 @@
 
 const receiptKey = "mill-17"
 
-// receiptResult is what the caller knows in the end.
+// receiptResult is the final result as the caller sees it.
 type receiptResult string
 
 const (
 	// answered: the caller has the receipt, which was issued once.
 	answered receiptResult = "answered"
-	// blocked: the key is blocked and the caller is told that the outcome is unknown;
+	// blocked: the key is blocked, and the caller gets the error for an unknown outcome;
 	// the receipt was issued once.
 	blocked receiptResult = "blocked, issued once"
 	// blockedNotExecuted: like blocked, but the receipt was never issued.
@@ -202,7 +202,7 @@
 	})
 }
 
-// runReceiptAddressReused guards against taking an address for an identity. A service's
+// runReceiptAddressReused guards against identifying a service by its address. A service's
 // VM is replaced by another service at its address before the VM list is updated; a
 // receipt sent there would be issued by the wrong service, or twice.
 func runReceiptAddressReused(t *testing.T) {
@@ -219,8 +219,8 @@
 }
 
 // runReceipt guards against a receipt that is issued twice, or that is reported as not
-// issued although it was. Causes are taking over a claim, repeating a request that was
-// sent, and trusting a missing reply. The caller retries with the same key at router b
+// issued although it was. Causes are a router that takes over another's claim, repeats a
+// request that was sent, or treats a missing reply as a result. The caller retries with the same key at router b
 // during the fault, and at both routers after its end.
 func runReceipt(t *testing.T, c receiptCell) {
 	inCluster(t, 2, faultkit.Options{Services: 2}, func(t *testing.T, cl *faultkit.Cluster) {
@@ -245,8 +245,8 @@
 	})
 }
 
-// recordRetryTime is within which a router retries to record an answer; its longest
-// wait is 45 s.
+// recordRetryTime is the time within which a router retries to record a response; its
+// longest delay is 45 s.
 const recordRetryTime = time.Minute
 
 // endFault ends the fault after a time in which every deadline passes, and delivers
@@ -260,8 +260,8 @@
 }
 
 // retry repeats the request with the same key at both routers, as the caller would, and
-// checks that it is not executed again and that an answer stays an answer. Router a may
-// know more than b: that a claim was abandoned before anything was sent.
+// checks that it is not executed again and that a stored response is returned again. Router a may
+// know more than b: that a claim was released before anything was sent.
 func (s *receiptScenario) retry(t *testing.T) faultkit.Outcome {
 	atB := s.RequestReceipt(s.b.Address, receiptKey)
 	executions := s.Oracle.Executions(receiptKey)
--- a/test/faults/views_test.go
+++ b/test/faults/views_test.go
@@ -165,15 +165,15 @@
 func runLocateSurge(t *testing.T) {
 	inViewScenario(t, faultkit.Options{Engines: viewEngineCount, Bundle: highRateBundle(t)}, func(s *viewScenario) {
 		calls := len(s.Platform.History())
-		answers := make([]wire.LocateResponse, locateCalls)
+		responses := make([]wire.LocateResponse, locateCalls)
 		var all sync.WaitGroup
-		for i := range answers {
-			all.Go(func() { answers[i], _ = s.Locate(s.a.Address, fmt.Sprint("chat-", i)) })
+		for i := range responses {
+			all.Go(func() { responses[i], _ = s.Locate(s.a.Address, fmt.Sprint("chat-", i)) })
 		}
 		all.Wait()
 		require.Len(s.t, s.Platform.History(), calls, "locate makes no call of the store")
 		ttls := make(map[int64]bool)
-		for _, loc := range answers {
+		for _, loc := range responses {
 			require.NotEmpty(s.t, loc.Address)
 			ttl := time.Duration(loc.TTLMS) * time.Millisecond
 			require.LessOrEqual(s.t, ttl, traffic.DefaultLocateTTL)
--- a/test/soak/cluster.go
+++ b/test/soak/cluster.go
@@ -29,7 +29,7 @@
 	store   *platformtest.Store
 	version int64
 
-	// unexpectedExits describes the processes that exited without being told to.
+	// unexpectedExits describes the processes that exited without a signal from the test.
 	unexpectedExits []string
 
 	// seed is the address of the first router, which all routers have as their seed.
@@ -90,7 +90,7 @@
 bounds: {revoke_ms: %d, beat_ms: 1200, config_ms: 2000, drain_ms: 2000, stop_s: %d, retry_ratio: 1, retry_slack: %d, retry_window_s: 10, max_ttl_s: 5}
 `
 
-// advertisedOffset is added to the second number of a router's address and gives the
+// advertisedOffset, added to the second number of a router's address, yields the
 // address of its proxy.
 const advertisedOffset = 1
 
@@ -144,9 +144,9 @@
 	return e
 }
 
-// markLeaving records that the store has marked an engine as draining or removed its
+// markDraining records that the store has marked an engine as draining or removed its
 // entry. drainBound counts from the first time.
-func (cl *cluster) markLeaving(e *engine) {
+func (cl *cluster) markDraining(e *engine) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	if e.drainedAt.IsZero() {
--- a/test/soak/faults.go
+++ b/test/soak/faults.go
@@ -89,7 +89,7 @@
 func removeWithoutDrain(cl *cluster, e *engine) {
 	cl.addEngine(e.Site)
 	cl.store.RemoveEngine(e.Engine)
-	cl.markLeaving(e)
+	cl.markDraining(e)
 }
 
 // drain adds a new engine, marks e as draining, and removes its entry after drainBound
@@ -97,14 +97,14 @@
 func drain(cl *cluster, e *engine) {
 	cl.addEngine(e.Site)
 	cl.store.PutEngine(e.Engine, e.proxy.address(), "draining")
-	cl.markLeaving(e)
+	cl.markDraining(e)
 	time.Sleep(drainBound + time.Second)
 	cl.store.RemoveEngine(e.Engine)
 }
 
 // injectFaults injects overlapping random faults until stop is closed, and waits for
 // their end.
-func injectFaults(cl *cluster, rng *rand.Rand, stop <-chan struct{}, note func(string)) {
+func injectFaults(cl *cluster, rng *rand.Rand, stop <-chan struct{}, record func(string)) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for {
@@ -116,7 +116,7 @@
 		f := faults[rng.IntN(len(faults))]
 		d := duration(rng, 200*time.Millisecond, 2500*time.Millisecond)
 		childRNG := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
-		note(f.name)
+		record(f.name)
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
--- a/test/soak/recorder.go
+++ b/test/soak/recorder.go
@@ -11,10 +11,10 @@
 
 // observation is what a caller observed of one request.
 type observation struct {
-	path   string
-	key    string
-	sent   time.Time
-	answer platformtest.Response
+	path     string
+	key      string
+	sent     time.Time
+	response platformtest.Response
 }
 
 // recorder collects what callers observed, to be compared with the engines' records.
@@ -22,7 +22,7 @@
 	mu           sync.Mutex
 	observations []observation
 	injected     []string
-	// revokedAt is when the store took a configuration without the key.
+	// revokedAt is when the store accepted a configuration without the key.
 	revokedAt  map[string]time.Time
 	violations []string
 }
@@ -33,7 +33,7 @@
 	rec.observations = append(rec.observations, e)
 }
 
-func (rec *recorder) noteFault(text string) {
+func (rec *recorder) recordFault(text string) {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
 	rec.injected = append(rec.injected, text)
@@ -61,8 +61,8 @@
 		rec.checkCold(e)
 	}
 	for _, e := range rec.observations {
-		rec.violations = append(rec.violations, platformtest.CheckResponse(e.path, e.answer, runs[e.answer.ID])...)
-		rec.checkRevokedKey(e, runs[e.answer.ID])
+		rec.violations = append(rec.violations, platformtest.CheckResponse(e.path, e.response, runs[e.response.ID])...)
+		rec.checkRevokedKey(e, runs[e.response.ID])
 	}
 	rec.checkExits(cl.exits())
 	return rec.violations
@@ -82,7 +82,7 @@
 // checkRevokedKey: no request with a revoked key was executed after revokeBound.
 func (rec *recorder) checkRevokedKey(e observation, runs []platformtest.Run) {
 	if at, ok := rec.revokedAt[e.key]; ok && e.sent.After(at.Add(revokeBound)) && len(runs) > 0 {
-		rec.violation("%s: a request with key %s was executed, sent %v after the key was revoked", e.answer.ID, e.key, e.sent.Sub(at))
+		rec.violation("%s: a request with key %s was executed, sent %v after the key was revoked", e.response.ID, e.key, e.sent.Sub(at))
 	}
 }
 
--- a/test/soak/settings.go
+++ b/test/soak/settings.go
@@ -48,13 +48,13 @@
 		prefix := 0
 		switch rng.IntN(4) {
 		case 0:
-			rec.noteFault("invalid settings")
+			rec.recordFault("invalid settings")
 			text = strings.Replace(text, "stop_s:", "stop_s: 0 #", 1)
 		case 1:
-			rec.noteFault("incomplete settings")
+			rec.recordFault("incomplete settings")
 			prefix = 1 + rng.IntN(len(text)-1)
 		default:
-			rec.noteFault("settings changed")
+			rec.recordFault("settings changed")
 		}
 		if err := r.writeSettings(text, prefix, duration(rng, time.Millisecond, 150*time.Millisecond)); err != nil {
 			rec.violation("write settings: %v", err)
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -35,7 +35,7 @@
 	// AfterRecovery and AfterRecoveryServed count the requests after the faults and the
 	// time for recovery.
 	AfterRecovery, AfterRecoveryServed int
-	// UnexpectedExits describes the routers that exited without being told to.
+	// UnexpectedExits describes the routers that exited without a signal from the test.
 	UnexpectedExits []string
 	Faults          []string
 	// Violations describes the violated guarantees.
@@ -113,7 +113,7 @@
 		case <-time.After(duration(rng, 2*time.Millisecond, 40*time.Millisecond)):
 		}
 		e := observation{path: pick(rng, platformtest.Paths), key: pick(rng, []string{platformtest.FirstKey, "key-2", "key-3"}), sent: time.Now()}
-		e.answer = platformtest.Call{
+		e.response = platformtest.Call{
 			Address: cl.address(pick(rng, cl.routers)), Path: e.path, Key: e.key, Body: "body", TimeoutMS: int(callTimeout.Milliseconds()),
 		}.Do(context.Background(), client)
 		rec.record(e)
@@ -128,7 +128,7 @@
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	series := []func(*rand.Rand){
-		func(rng *rand.Rand) { injectFaults(cl, rng, stop, rec.noteFault) },
+		func(rng *rand.Rand) { injectFaults(cl, rng, stop, rec.recordFault) },
 		func(rng *rand.Rand) { restartRouters(cl, rec, rng, end) },
 		func(rng *rand.Rand) { changeConfig(cl, rec, rng, end) },
 		func(rng *rand.Rand) { rewriteSettings(cl, rec, rng, end) },
@@ -153,7 +153,7 @@
 	for time.Now().Before(end) {
 		time.Sleep(duration(rng, 300*time.Millisecond, 2*time.Second))
 		s := pick(rng, []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL})
-		rec.noteFault("restart by " + s.String())
+		rec.recordFault("restart by " + s.String())
 		inTime, err := restart(cl, pick(rng, cl.routers), s, func() {})
 		if err != nil {
 			rec.violation("restart: %v", err)
@@ -176,10 +176,10 @@
 			rec.revokedAt[revokedKeys[0]] = time.Now()
 			rec.mu.Unlock()
 			remainingKeys, revokedKeys = remainingKeys[1:], revokedKeys[1:]
-			rec.noteFault("key revoked")
+			rec.recordFault("key revoked")
 			continue
 		}
-		rec.noteFault("engine draining")
+		rec.recordFault("engine draining")
 		drain(cl, pick(rng, cl.serving()))
 	}
 }
@@ -191,7 +191,7 @@
 func removeDuringRestarts(cl *cluster, rec *recorder, rng *rand.Rand, end time.Time) {
 	for time.Now().Before(end) {
 		time.Sleep(duration(rng, 300*time.Millisecond, time.Second))
-		rec.noteFault("engine entry removed during a router restart")
+		rec.recordFault("engine entry removed during a router restart")
 		if _, err := restart(cl, pick(rng, cl.routers), syscall.SIGKILL, func() { removeWithoutDrain(cl, pick(rng, cl.serving())) }); err != nil {
 			rec.violation("restart: %v", err)
 		}
@@ -204,13 +204,13 @@
 	site := pick(rng, sites)
 	for time.Now().Before(end) {
 		time.Sleep(duration(rng, 100*time.Millisecond, time.Second))
-		rec.noteFault("evacuation of " + site)
+		rec.recordFault("evacuation of " + site)
 		cl.store.Put("op", "evacuate/"+site, struct{}{})
 		time.Sleep(duration(rng, 50*time.Millisecond, time.Second))
 		cl.store.Remove("op", "evacuate/"+site)
 	}
 	if rng.IntN(2) == 0 {
-		rec.noteFault(site + " stays evacuated")
+		rec.recordFault(site + " stays evacuated")
 		cl.store.Put("op", "evacuate/"+site, struct{}{})
 		cl.evacuated = site
 	}
@@ -220,7 +220,7 @@
 func (rec *recorder) result(cl *cluster, recoveredAt time.Time) Result {
 	out := Result{Requests: len(rec.observations), UnexpectedExits: cl.exits(), Faults: rec.injected, Violations: rec.check(cl, recoveredAt)}
 	for _, e := range rec.observations {
-		served := e.answer.Status == http.StatusOK && e.answer.Err == nil
+		served := e.response.Status == http.StatusOK && e.response.Err == nil
 		if served {
 			out.Served++
 		}
