--- a/internal/serve/admission/admission.go
+++ b/internal/serve/admission/admission.go
@@ -69,9 +69,9 @@
 	g.once.Do(func() { g.a.releasePermit(g.ID) })
 }
 
-// Abort ends the permit of a stream whose caller is gone. It reports whether
-// this router still held the permit: the caller may have resumed the stream at
-// another router, where it continues.
+// Abort ends the permit of a stream whose caller has disconnected. It reports
+// whether this router still held the permit: the caller may have resumed the
+// stream at another router, where it continues.
 func (g *Grant) Abort(ctx context.Context) (wasHeld bool) {
 	g.once.Do(func() { wasHeld = g.a.abort(ctx, g.ID) })
 	return wasHeld
--- a/internal/serve/admission/admission_test.go
+++ b/internal/serve/admission/admission_test.go
@@ -187,8 +187,9 @@
 	}
 }
 
-// Guards against permits that count forever. A router releases a permit while
-// the engine's owner is unreachable; a release sent only once would be lost.
+// Guards against permits that are never released. A router releases a permit
+// while the engine's owner is unreachable; a release sent only once would be
+// lost.
 func TestReleaseRetriedWhileOwnerUnreachable(t *testing.T) {
 	nodes := newNodes(t, []string{"r1", "r2"}, []string{"e1"})
 	owner, other := ownerOf(nodes, "e1")
@@ -207,9 +208,9 @@
 }
 
 // Guards against stopping a stream that its caller has resumed at another
-// router. The first router loses the caller and keeps the stream for the grace
-// period; when that ends it must not end the permit, which the second router
-// holds by then.
+// router. The first router loses the connection of the caller and keeps the
+// stream for the grace period; at the end of that period it must not end the
+// permit, which the second router holds by then.
 func TestStreamResumedElsewhereIsNotAborted(t *testing.T) {
 	for _, first := range []bool{true, false} {
 		nodes := newNodes(t, []string{"r1", "r2"}, []string{"e1"})
@@ -266,7 +267,8 @@
 	}
 	grants[0].Release()
 	got := []queue.Class{<-order, <-order, <-order}
-	// The first request may already have left the queue to be tried.
+	// The first request may already have been taken from the queue for an
+	// attempt.
 	require.Contains(t, got[:2], queue.Urgent)
 	require.NotEqual(t, queue.Batch, got[1])
 }
@@ -277,8 +279,8 @@
 	return s.waiting()
 }
 
-// Guards against permits that nobody uses. A caller leaves while its request
-// waits, or just as it is granted.
+// Guards against granted permits that no request uses. A caller disconnects
+// while its request waits, or just as it is granted.
 func TestPermitReleasedWhenCallerLeavesQueue(t *testing.T) {
 	n := newNodes(t, []string{"r1"}, []string{"e1"})["r1"]
 	grants := fill(t, n, 1)
--- a/internal/serve/admission/engines.go
+++ b/internal/serve/admission/engines.go
@@ -156,9 +156,9 @@
 	return s.newGrant(id, c, incarnation), nil
 }
 
-// transferPermit asks the engine's owner to transfer a permit to this router,
-// and returns the permit's weight, or 0 if unknown. The stream may be read even
-// if the transfer fails.
+// transferPermit requests from the engine's owner that it transfer a permit to
+// this router, and returns the permit's weight, or 0 if unknown. The stream may
+// be read even if the transfer fails.
 //
 // Two cases need this. When a router dies, so does the owner of its callers'
 // engines; until the fleet notices, seconds later, those callers would get
@@ -180,10 +180,10 @@
 	return 0
 }
 
-// abort ends a permit whose caller did not return, and reports whether this
-// router still held it. If the owner can't be reached the result is false: a
-// stream without a reader ends by itself, but a stream stopped while its caller
-// reads it can't be recovered.
+// abort ends a permit whose caller did not resume the stream, and reports
+// whether this router still held it. If the owner can't be reached the result
+// is false: a stream without a reader ends by itself, but a stream stopped
+// while its caller reads it can't be recovered.
 func (a *Admission) abort(ctx context.Context, id string) bool {
 	h, ok := a.held.remove(id)
 	if !ok {
--- a/internal/serve/admission/ownerchanges.go
+++ b/internal/serve/admission/ownerchanges.go
@@ -12,8 +12,8 @@
 const maxRoutersEmptyReports = 40
 
 // ownerChanges tracks which routers have become owners of engines. A new owner
-// grants half of the bound until all other routers have reported what they
-// hold; the sooner they do, the sooner the pool is back at full capacity.
+// grants half of the bound until all other routers have reported the permits
+// that they hold; early reports restore the pool's full capacity sooner.
 type ownerChanges struct {
 	mu        sync.Mutex
 	owners    map[uint64]string
--- a/internal/serve/admission/releasequeue.go
+++ b/internal/serve/admission/releasequeue.go
@@ -24,8 +24,8 @@
 )
 
 // releaseQueue releases permits of engines that other routers own. A release is
-// repeated until the current owner has accepted it: a lost one would occupy
-// capacity of the engine that nobody uses.
+// repeated until the current owner has accepted it: after a lost release, an
+// unused permit would occupy capacity of the engine.
 type releaseQueue struct {
 	a          *Admission
 	mu         sync.Mutex
@@ -59,10 +59,10 @@
 	go q.deliver(owner)
 }
 
-// owner returns the owner of an engine. An engine that has left the fleet has
-// none, and its permits ended with it. If the engine is missing only from this
-// router's view, its owner ends the permits by the engine's report, once their
-// holder has not reported for long enough.
+// owner returns the owner of an engine. An engine that is no longer in the
+// fleet has none, and its permits ended with it. If the engine is missing only
+// from this router's view, its owner ends the permits by the engine's report,
+// once their holder has not reported for long enough.
 func (q *releaseQueue) owner(engine uint64) (board.Router, bool) {
 	snap := q.a.opts.Board.Snapshot()
 	return snap.EngineOwner(engine)
--- a/internal/serve/admission/scheduler.go
+++ b/internal/serve/admission/scheduler.go
@@ -28,8 +28,9 @@
 }
 
 // denialBackoff is how long no permit is requested from an owner that denied
-// one, unless it reports a lower load. Without it a waiting request would send
-// one at every event, and permit requests would outnumber permits.
+// one, unless it reports a lower load. Without this delay, a waiting request
+// would send a permit request at every event, and permit requests would
+// outnumber permits.
 const denialBackoff = 250 * time.Millisecond
 
 // scheduler places the requests of one pool in one region at this router.
--- a/internal/serve/admission/waiting.go
+++ b/internal/serve/admission/waiting.go
@@ -34,8 +34,8 @@
 	minRetryAfter = 100 * time.Millisecond
 )
 
-// wait queues the request until it is granted or refused, its caller is gone or
-// the router stops.
+// wait queues the request until it is granted or refused, its caller
+// disconnects or the router stops.
 func (s *scheduler) wait(ctx context.Context, now time.Time, req *Request) (*Grant, error) {
 	w := &waiter{ctx: ctx, req: req, queuedAt: now, deadline: now.Add(s.a.opts.MaxWait), result: make(chan outcome, 1)}
 	if !req.Deadline.IsZero() && req.Deadline.Before(w.deadline) {
@@ -102,9 +102,9 @@
 		WithRetryAfter(time.Second).WithCause(err)
 }
 
-// removeWaiter removes a waiter whose caller is gone. If its request has been
-// granted meanwhile, the grant is released: an unused permit would occupy
-// capacity forever.
+// removeWaiter removes a waiter whose caller has disconnected. If its request
+// has been granted meanwhile, the grant is released: an unused permit would
+// occupy capacity forever.
 func (s *scheduler) removeWaiter(w *waiter) {
 	s.mu.Lock()
 	s.queue.Remove(w.req.ID)
@@ -165,7 +165,7 @@
 }
 
 // nextWaiter returns the next request to place, or nil. It refuses requests
-// that can no longer be served in time now, not only at their deadline.
+// that can no longer be served in time, without waiting for their deadline.
 func (s *scheduler) nextWaiter() *waiter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/serve/apierr/apierr.go
+++ b/internal/serve/apierr/apierr.go
@@ -109,7 +109,8 @@
 	return &copied
 }
 
-// WithRetryAfter returns a copy of e that tells the caller to retry after d.
+// WithRetryAfter returns a copy of e with d as the time after which the caller
+// may retry.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	copied := *e
 	copied.RetryAfter = d
@@ -119,7 +120,7 @@
 
 // From returns the *Error in err's chain. Any other error becomes an internal
 // error with RanUnknown, because an unforeseen failure must never be reported
-// as "did not run".
+// as "not executed".
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
--- a/internal/serve/board/board.go
+++ b/internal/serve/board/board.go
@@ -1,4 +1,5 @@
-// Package board holds the control state of one router: what its controllers know of the fleet.
+// Package board holds the control state of one router: the state of the fleet as its controllers
+// know it.
 //
 // One goroutine owns the control state. Controllers send it changes; after each batch of changes it
 // publishes an immutable Snapshot, which request goroutines read without locks. Nothing reachable
--- a/internal/serve/board/holder.go
+++ b/internal/serve/board/holder.go
@@ -9,8 +9,8 @@
 const holderSeparator = "#"
 
 // HolderName returns the name of a router instance as a holder of permits and of shares of
-// accounts' limits. A restarted router has another name, because it holds nothing of what its
-// former process held.
+// accounts' limits. A restarted router has another name, because it holds none of the permits and
+// shares of its former process.
 func HolderName(router string, instance uint64) string {
 	return router + holderSeparator + strconv.FormatUint(instance, 36)
 }
--- a/internal/serve/board/ownership.go
+++ b/internal/serve/board/ownership.go
@@ -85,7 +85,8 @@
 	indexes []int
 	// load is the number of engines that each router has been assigned.
 	load []int
-	// limit is the number of engines from which on a router is assigned none of a pool's remainder.
+	// limit is the number of engines at which a router is no longer assigned any of a pool's
+	// remainder.
 	limit int
 }
 
--- a/internal/serve/board/snapshot.go
+++ b/internal/serve/board/snapshot.go
@@ -5,8 +5,8 @@
 	"sort"
 )
 
-// newSnapshot copies the state into an immutable snapshot with its indexes. It reuses what has not
-// changed of the previous snapshot, which may be nil.
+// newSnapshot copies the state into an immutable snapshot with its indexes. It reuses the unchanged
+// parts of the previous snapshot, which may be nil.
 func newSnapshot(self string, st *State, revision uint64, previous *Snapshot) *Snapshot {
 	s := &Snapshot{
 		Revision:      revision,
--- a/internal/serve/chat/chat.go
+++ b/internal/serve/chat/chat.go
@@ -1,4 +1,4 @@
-// Package chat derives from a chat request what engine selection needs: the
+// Package chat derives the inputs of engine selection from a chat request: the
 // hashes of its prefixes at message boundaries and estimates of tokens. It has
 // no state.
 package chat
--- a/internal/serve/controller/controller.go
+++ b/internal/serve/controller/controller.go
@@ -1,6 +1,6 @@
 // Package controller contains the controllers of one router. Each of them watches one source
-// (membership, the platform's VM list, the configuration chain, the owned engines) and writes what
-// it learns to the board. Controllers communicate with each other only through the board.
+// (membership, the platform's VM list, the configuration chain, the owned engines) and writes
+// changes to the board. Controllers communicate with each other only through the board.
 package controller
 
 import (
--- a/internal/serve/controller/engines.go
+++ b/internal/serve/controller/engines.go
@@ -17,7 +17,7 @@
 	// statusPeriod is the time between two requests for an engine's report.
 	statusPeriod  = time.Second
 	statusTimeout = 2 * time.Second
-	// requestIDsEvery is the number of reports of which one lists the IDs of the engine's requests.
+	// requestIDsEvery is n if every n-th report lists the IDs of the engine's requests.
 	requestIDsEvery = 3
 )
 
@@ -25,7 +25,7 @@
 type Engines struct {
 	Board    *board.Board
 	Upstream *upstream.Client
-	// Admission receives the engines' loads, Facts the contents of their caches.
+	// Admission receives the engines' loads, Facts the events of their caches.
 	Admission *admission.Admission
 	Facts     *admission.CacheIndex
 	Log       *log.Logger
--- a/internal/serve/controller/loads.go
+++ b/internal/serve/controller/loads.go
@@ -13,8 +13,8 @@
 const (
 	// digestPeriod is the time between two digests of changed loads.
 	digestPeriod = 500 * time.Millisecond
-	// fullDigestEvery is the number of periods of which one sends a digest of all loads, to
-	// compensate for lost datagrams.
+	// fullDigestEvery is n if every n-th digest contains all loads, to compensate for lost
+	// datagrams.
 	fullDigestEvery = 10
 	// reportPeriod is the time between two reports of a holder's unfinished requests.
 	reportPeriod = 5 * time.Second
--- a/internal/serve/controller/vms.go
+++ b/internal/serve/controller/vms.go
@@ -162,8 +162,8 @@
 func mergeVM(s *board.State, vm platform.VM, joined bool) board.Engine {
 	e, known := s.Engines[vm.Name]
 	if !known || e.Generation != vm.Generation {
-		// A reused name or address belongs to another engine: nothing that is known of the previous
-		// one applies, including that it was draining.
+		// A reused name or address belongs to another engine: the state of the previous one does
+		// not apply to it, including that it was draining.
 		e = board.Engine{Name: vm.Name, ID: rendezvous.ID(vm.Name), Generation: vm.Generation, FirstSeen: time.Now(), Joined: joined}
 	}
 	e.Address = vm.Address
--- a/internal/serve/httperr/httperr.go
+++ b/internal/serve/httperr/httperr.go
@@ -1,5 +1,5 @@
-// Package httperr holds what the traffic API and the administration API share
-// when they refuse a request over HTTP.
+// Package httperr contains the error conversion and the headers of refusals
+// that the traffic API and the administration API share.
 package httperr
 
 import (
@@ -46,10 +46,10 @@
 	return apierr.New(apierr.CodeTooLarge, http.StatusRequestEntityTooLarge, "body too large")
 }
 
-// SetHeaders sets the headers of a refusal: what is known of execution and,
-// unless retryAfter is zero, when to retry. Retry-After counts whole seconds
-// and is rounded up, because rounded down it would make callers retry too
-// early.
+// SetHeaders sets the headers of a refusal: whether the request was executed
+// and, unless retryAfter is zero, when to retry. Retry-After counts whole
+// seconds and is rounded up, because rounded down it would make callers retry
+// too early.
 func SetHeaders(h http.Header, ran apierr.Ran, retryAfter time.Duration) {
 	h.Set(wire.HeaderRan, string(ran))
 	if retryAfter > 0 {
--- a/internal/serve/httperr/httperr_test.go
+++ b/internal/serve/httperr/httperr_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A handler that fails in an unforeseen way proves nothing about execution.
-// Reported as "not executed", the failure would make callers repeat a request
-// that was executed.
+// An unexpected error of a handler proves nothing about execution. Reported as
+// "not executed", the failure would make callers repeat a request that was
+// executed.
 func TestFromReportsNotExecutedOnlyIfProven(t *testing.T) {
 	for _, c := range []struct {
 		err  error
--- a/internal/serve/quota/quota_test.go
+++ b/internal/serve/quota/quota_test.go
@@ -50,8 +50,8 @@
 
 // Guards against refusing an account far below its rate. Many requests arrive
 // at once at a router without tokens of the account; each waits for the owner's
-// reply, and others take the tokens that it brings. A request must not stop
-// waiting after a few replies that were not enough for all.
+// reply, whose tokens other requests may use up first. A request must not stop
+// waiting after a few replies without enough tokens for all.
 func TestBurstWithinRateNotRefused(t *testing.T) {
 	a := config.Account{Name: "a", RequestsPerSecond: 5000}
 	for name, q := range newRouters(t, a, "r1", "r2", "r3") {
--- a/internal/serve/settings/settings.go
+++ b/internal/serve/settings/settings.go
@@ -21,7 +21,7 @@
 type Settings struct {
 	// Name identifies the process within the fleet. It has no default.
 	Name string `yaml:"name" validate:"required,name"`
-	// Site is the data centre that the process runs in. It has no default.
+	// Site is the data centre in which the process runs. It has no default.
 	Site string `yaml:"site" validate:"required,name"`
 	// Region is the region of the site. It has no default.
 	Region string `yaml:"region" validate:"required,name"`
--- a/internal/serve/traffic/caller.go
+++ b/internal/serve/traffic/caller.go
@@ -18,14 +18,14 @@
 )
 
 // callerInfo describes the caller of an authenticated request and the state
-// that the request is served from. All of it comes from one snapshot.
+// from which the request is served. All fields come from one snapshot.
 type callerInfo struct {
 	account  *config.Account
 	snapshot *board.Snapshot
 	config   *config.Effective
 	chatID   string
 	// affinityKey identifies the chat, or is 0 if the request names none. It is
-	// derived from the account as well, so equal chat ids of two accounts give
+	// derived from the account as well, so equal chat ids of two accounts have
 	// different keys.
 	affinityKey uint64
 	class       queue.Class
--- a/internal/serve/traffic/chat.go
+++ b/internal/serve/traffic/chat.go
@@ -23,10 +23,10 @@
 	"github.com/labstack/echo/v4"
 )
 
-// chatBody is a chat request with the sampling fields that clients usually
-// send. Any other field is refused rather than silently dropped. The body is
-// encoded again for the upstream, so that the engine reads what the router has
-// read.
+// chatBody is a chat request with the sampling fields that callers usually
+// send. A request with any other field is refused, so that no field is silently
+// dropped. The body is encoded again for the upstream, so that engine and
+// router interpret it alike.
 type chatBody struct {
 	wire.ChatRequest
 	Temperature      json.RawMessage `json:"temperature,omitempty"`
@@ -48,7 +48,7 @@
 	maxOutputTokens = 1 << 20
 )
 
-// chatRequest is one chat request on its way through the router.
+// chatRequest is the state of one chat request in the router.
 type chatRequest struct {
 	s       *Server
 	caller  *callerInfo
@@ -222,9 +222,9 @@
 	}
 }
 
-// attemptFailed ends an attempt that gave no chunk. The engine may be executing
-// it: a chat can be repeated, but the first copy must not keep using the
-// engine.
+// attemptFailed ends an attempt that produced no chunk. The engine may be
+// executing it: a chat can be repeated, but the first copy must not keep using
+// the engine.
 func (r *chatRequest) attemptFailed(grant *admission.Grant, err error) {
 	if !upstream.SentOf(err).NotExecuted() {
 		r.s.cancelInBackground(r.upstreamCall(grant))
--- a/internal/serve/traffic/metrics.go
+++ b/internal/serve/traffic/metrics.go
@@ -7,8 +7,8 @@
 	"damaskrouter.example/damaskrouter/internal/serve/apierr"
 )
 
-// metrics counts what happens to requests. The label sets are fixed: no
-// account, chat or key becomes a label.
+// metrics counts requests by result and kind of failure. The label sets are
+// fixed: no account, chat or key becomes a label.
 type metrics struct {
 	streamsOpen         atomic.Int64
 	chunks              atomic.Int64
--- a/internal/serve/traffic/record.go
+++ b/internal/serve/traffic/record.go
@@ -24,9 +24,8 @@
 // record, it is retried in the background.
 //
 // The store may be down for the seconds in which a service responds. Without
-// retries, a caller that retries with the key would get "outcome unknown"
-// until an operator resolves the claim, although this router knows the
-// response.
+// retries, a caller that retries with the key would get "outcome unknown" until
+// an operator resolves the claim, although this router has the response.
 func (sc *serviceCall) record(ctx context.Context, write func(context.Context) error) {
 	recordCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
 	defer cancel()
--- a/internal/serve/traffic/relay.go
+++ b/internal/serve/traffic/relay.go
@@ -72,7 +72,7 @@
 	e := incompleteError(err)
 	e.RequestID = resp.call.RequestID
 	// The status line has been sent already. The error is sent as an event
-	// without an end marker, so that a partial response is never taken for a
+	// without an end marker, so that a partial response is never mistaken for a
 	// complete one.
 	data, marshalErr := json.Marshal(errorBody{Error: e})
 	if marshalErr == nil {
@@ -109,7 +109,7 @@
 	return e
 }
 
-// event writes one event. It reports whether the caller still reads.
+// event writes one event. It reports whether the caller is still connected.
 func (e *eventWriter) event(id int, data []byte) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/serve/traffic/response.go
+++ b/internal/serve/traffic/response.go
@@ -64,10 +64,10 @@
 // next returns the next event. It resumes a broken or stalled stream at the
 // same engine on a new connection.
 //
-// A connection may be lost on the path while engine and router are well.
-// Without resuming, the caller would see a pause and then a truncated response.
-// The idle timeout of the stream detects the loss, and offsets make sure that
-// the continuation has neither a gap nor a repetition.
+// A connection may be lost in the network while engine and router work. Without
+// resuming, the caller would see a pause and then a truncated response. The
+// idle timeout of the stream detects the loss, and offsets make sure that the
+// continuation has neither a gap nor a repetition.
 func (r *chatResponse) next() (upstream.Event, error) {
 	if !r.firstConsumed {
 		r.firstConsumed = true
@@ -150,7 +150,7 @@
 	}
 }
 
-// prefixHint returns a sealed hint that says where the prefix of this request
+// prefixHint returns a sealed hint that states where the prefix of this request
 // is cached, or "" for a request without a chat.
 func (r *chatResponse) prefixHint() string {
 	if r.request == nil || r.request.caller.affinityKey == 0 {
--- a/internal/serve/traffic/retry.go
+++ b/internal/serve/traffic/retry.go
@@ -51,7 +51,7 @@
 	deadline   time.Time
 	number     int
 	// strongest is the strongest evidence of execution so far. A request whose
-	// second attempt was not sent may still have run in its first.
+	// second attempt was not sent may still have been executed in its first.
 	strongest retry.Outcome
 }
 
@@ -60,17 +60,18 @@
 	return &attemptTracker{s: s, idempotent: idempotent, deadline: deadline}
 }
 
-// handleFailure decides what follows a failed attempt, and waits for the delay
-// of a retry. It returns nil if the request is to be sent again now, and the
-// final refusal otherwise.
+// handleFailure decides whether to retry after a failed attempt, and waits for
+// the delay of a retry. It returns nil if the request is to be sent again now,
+// and the final refusal otherwise.
 func (a *attemptTracker) handleFailure(ctx context.Context, err error) *apierr.Error {
 	var refusal *apierr.Error
 	if errors.As(err, &refusal) {
-		// Admission refused this attempt; an earlier one may have run.
+		// Admission refused this attempt; an earlier one may have been
+		// executed.
 		return a.withRan(refusal)
 	}
 	a.number++
-	known := knownFrom(upstream.SentOf(err))
+	known := outcomeFrom(upstream.SentOf(err))
 	decision := a.s.retrier.decide(retry.Attempt{
 		Number:     a.number,
 		Idempotent: a.idempotent,
@@ -94,7 +95,7 @@
 	return nil
 }
 
-// withRan sets what is known about execution after all attempts.
+// withRan sets the field Ran from the evidence of all attempts.
 func (a *attemptTracker) withRan(e *apierr.Error) *apierr.Error { return e.WithRan(a.strongest.Ran()) }
 
 func (a *attemptTracker) remaining() time.Duration {
@@ -104,7 +105,7 @@
 	return time.Until(a.deadline)
 }
 
-func knownFrom(s upstream.Sent) retry.Outcome {
+func outcomeFrom(s upstream.Sent) retry.Outcome {
 	switch s {
 	case upstream.NotSent:
 		return retry.NotSent
@@ -114,8 +115,8 @@
 	return retry.SentNoReply
 }
 
-// cancelInBackground tells an engine to stop a request whose response is no
-// longer needed.
+// cancelInBackground cancels a request at an engine whose response is no longer
+// needed.
 func (s *Server) cancelInBackground(call upstream.Call) {
 	s.inFlight.Add(1)
 	go func() {
@@ -133,8 +134,8 @@
 	return apierr.New(apierr.CodeDeadlineUnreachable, http.StatusRequestTimeout, "caller is gone").WithCause(err)
 }
 
-// upstreamError returns the refusal after an upstream's failure. The caller of
-// the function sets what is known about execution, from all attempts.
+// upstreamError returns the refusal after an upstream's failure. The calling
+// function sets the field Ran from all attempts.
 func upstreamError(err error) *apierr.Error {
 	if upstream.SentOf(err) == upstream.RefusedBeforeExecuting {
 		return apierr.New(apierr.CodeUpstreamRefused, http.StatusServiceUnavailable, "the upstream refused the request").
--- a/internal/serve/traffic/server.go
+++ b/internal/serve/traffic/server.go
@@ -32,8 +32,8 @@
 	// Home returns the owner of the engine that a chat without evidence is sent
 	// to.
 	Home(p *config.Pool, chat uint64) (board.Router, bool)
-	// Adopt takes over the permit of a stream that is resumed here. It fails if
-	// the engine is gone or was restarted.
+	// Adopt transfers the permit of a stream that is resumed here to this
+	// router. It fails if the engine was removed or restarted.
 	Adopt(ctx context.Context, requestID, engine string, incarnation uint64) (*admission.Grant, error)
 	// Observe reports the outcome of a request at an engine, for outlier
 	// detection.
@@ -71,7 +71,7 @@
 	Quota Limiter
 	// Upstream sends the requests to engines and plain services.
 	Upstream *upstream.Client
-	// Claims prevents non-idempotent calls from running twice.
+	// Claims prevents non-idempotent calls from being executed twice.
 	Claims *claim.Store
 	Tokens Tokens
 	Log    *log.Logger
@@ -82,7 +82,7 @@
 	// Heartbeat is the longest time without an event or a heartbeat on a stream
 	// to a caller.
 	Heartbeat time.Duration
-	// IdleGap is the longest silence of an engine within a stream.
+	// IdleGap is the longest time between two events of an engine's stream.
 	IdleGap time.Duration
 	// ResumeGrace is how long the stream of a disconnected caller waits to be
 	// resumed.
@@ -99,7 +99,7 @@
 	DefaultMaxBody     = 8 << 20
 )
 
-// Limits of what a caller may send, in bytes.
+// Limits of requests of callers, in bytes.
 const (
 	maxHeaderBytes = 32 << 10
 	maxIDLength    = 128
@@ -201,7 +201,7 @@
 		WithRetryAfter(drainingRetryAfter)
 }
 
-// drainingRetryAfter is short because another router can take the request at
+// drainingRetryAfter is short because another router can serve the request at
 // once.
 const drainingRetryAfter = 50 * time.Millisecond
 
--- a/internal/serve/traffic/services.go
+++ b/internal/serve/traffic/services.go
@@ -148,7 +148,7 @@
 }
 
 // send sends the call, and retries it at another VM where that is allowed and
-// useful. Its error is final: it says what is known of all attempts.
+// useful. Its error is final: its field Ran covers all attempts.
 func (sc *serviceCall) send(ctx context.Context, idempotent bool) (upstream.Response, *apierr.Error) {
 	attempts := sc.s.newAttemptTracker(idempotent, sc.caller.deadline)
 	for {
@@ -163,7 +163,8 @@
 }
 
 // sendOnce sends a non-idempotent call under a claim. The claim is in the table
-// service before the first byte is sent, and nobody else ever takes it over.
+// service before the first byte is sent, and no other router ever takes it
+// over.
 func (sc *serviceCall) sendOnce(ctx context.Context) (upstream.Response, error) {
 	outcome, err := sc.s.Claims.Begin(ctx, claim.Key{
 		Account:        sc.caller.account.Name,
@@ -185,16 +186,16 @@
 	return sc.executeClaimed(ctx, outcome.Claim)
 }
 
-// fingerprint returns what must be equal when a key is used again: method,
-// service, path, query and body.
+// fingerprint returns a hash of the parts that must be equal when a key is used
+// again: method, service, path, query and body.
 func (sc *serviceCall) fingerprint() []byte {
 	requestLine := sc.route.Route.Method + " " + sc.service.Name + sc.route.Path + "?" + sc.query + "\n"
 	return append([]byte(requestLine), sc.body...)
 }
 
-// executeClaimed executes a claimed call and records how it ended. The call is
-// sent again only if an attempt provably did not run, or if the service
-// recognises repetitions.
+// executeClaimed executes a claimed call and records its result. The call is
+// sent again only if an attempt was provably not executed, or if the service
+// deduplicates repeated calls.
 func (sc *serviceCall) executeClaimed(ctx context.Context, c *claim.Claim) (upstream.Response, error) {
 	resp, refusal := sc.send(ctx, sc.service.Deduplicates)
 	switch {
@@ -218,8 +219,9 @@
 	defer grant.Release()
 	if !sc.route.Idempotent {
 		// Once sent, the call continues although the caller may have
-		// disconnected. Aborting it would leave the outcome unknown, while its
-		// recorded response is there when the caller retries with the key.
+		// disconnected. Aborting it would leave the outcome unknown, while a
+		// recorded response can be returned when the caller retries with the
+		// key.
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(context.WithoutCancel(ctx), nonIdempotentTimeout)
 		defer cancel()
@@ -269,8 +271,8 @@
 }
 
 // upstreamKey returns the idempotency key for the service. It includes the
-// account: a service that recognises repeated keys would otherwise give one
-// account the response of another that chose the same key.
+// account: a service that deduplicates calls by key would otherwise return the
+// response of one account to another that chose the same key.
 func (sc *serviceCall) upstreamKey() string {
 	if sc.idempotencyKey == "" {
 		return ""
--- a/internal/serve/traffic/traffic_test.go
+++ b/internal/serve/traffic/traffic_test.go
@@ -102,8 +102,8 @@
 }
 
 // The engine crashes after some chunks, so its stream cannot be resumed, and
-// the status line has been sent already. The caller must still learn that the
-// response is incomplete.
+// the status line has been sent already. The caller must still receive an error
+// for the incomplete response.
 func TestCrashedStreamIsReportedIncomplete(t *testing.T) {
 	h := newHarness(t, "e1")
 	h.engines["e1"].Inject(engine.Fault{Kind: engine.FaultCrash, After: 5, Count: 1})
@@ -138,8 +138,8 @@
 }
 
 // The first attempt fails after executing, and the second finds no engine. A
-// refusal based on the last attempt alone would say that the request did not
-// run.
+// refusal based on the last attempt alone would state that the request was not
+// executed.
 func TestRefusalReportsExecutionOfAllAttempts(t *testing.T) {
 	h := newHarness(t, "e1")
 	h.engines["e1"].Inject(engine.Fault{Kind: engine.FaultErrorAfter})
@@ -157,8 +157,8 @@
 }
 
 // A fault strikes the service or the store once, and the caller retries with
-// the same key until it has a response or a decision. No key may execute twice,
-// and no call that executed may be reported as not run.
+// the same key until it has a response or a decision. No key may be executed
+// twice, and no executed call may be reported as not executed.
 func TestReceiptExecutesAtMostOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		service     service.FaultKind
@@ -265,8 +265,8 @@
 	require.Equal(t, 1, sum(h.portal.Stats().Executions))
 }
 
-// A caller that cannot be served must be refused immediately and told when to
-// retry.
+// A request that cannot be served must be refused immediately, with a time
+// after which to retry.
 func TestRequestWithoutEngineIsRefusedAtOnce(t *testing.T) {
 	h := newHarness(t, "e1")
 	h.board.UpdateWait(func(s *board.State) {
@@ -281,8 +281,9 @@
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
 }
 
-// A draining router waits for its requests while new ones arrive, to be
-// refused. A sync.WaitGroup panics if its count rises from zero during Wait.
+// A draining router waits for its requests while new ones arrive, which it
+// refuses. A sync.WaitGroup would panic, since its count may rise from zero
+// during Wait.
 func TestWaitGroupAllowsAddDuringWait(t *testing.T) {
 	var group waitGroup
 	group.Add(1)
--- a/internal/serve/traffic/waitgroup.go
+++ b/internal/serve/traffic/waitgroup.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// waitGroup counts what is in progress. Unlike a sync.WaitGroup it allows Add
-// during Wait: a draining router still responds to new requests, and a
-// sync.WaitGroup panics if its count rises from zero during Wait.
+// waitGroup counts requests and other work in progress. Unlike a sync.WaitGroup
+// it allows Add during Wait: a draining router still responds to new requests,
+// and a sync.WaitGroup panics if its count rises from zero during Wait.
 type waitGroup struct {
 	mu      sync.Mutex
 	count   int
--- a/internal/serve/upstream/call.go
+++ b/internal/serve/upstream/call.go
@@ -27,7 +27,7 @@
 	Incarnation uint64
 	// RequestID identifies the request; engines echo it in their responses.
 	RequestID string
-	// Brief asks Status to omit the ids of unfinished requests.
+	// Brief makes Status omit the ids of unfinished requests.
 	Brief bool
 	// Priority is the priority class in the engine's queue.
 	Priority string
@@ -71,7 +71,7 @@
 	contentType string
 	token       string
 	pooled      bool
-	// acceptGzip asks for a gzip-encoded response.
+	// acceptGzip requests a gzip-encoded response.
 	acceptGzip bool
 	// headerTimeout bounds the wait for the response headers, and in do the
 	// whole exchange.
--- a/internal/serve/upstream/control_test.go
+++ b/internal/serve/upstream/control_test.go
@@ -20,9 +20,8 @@
 	"github.com/zeebo/errs"
 )
 
-// A caller's path, method, id or header must not turn its request into a control
-// call that loads a model or reads another caller's stream: some upstreams don't
-// check who sends one.
+// A caller's path, method, id or header must not turn its request into a control call that loads a
+// model or reads another caller's stream: some upstreams don't check the sender of a control call.
 func TestForgedControlCallsRejected(t *testing.T) {
 	paths := []string{
 		"/v1/orders", "/V1/Orders", "/v1/orders/", "//v1/orders", "/x/../v1/orders", "/v1/./orders",
@@ -64,8 +63,8 @@
 	}
 }
 
-// Only listed headers may pass: no internal header of the router may reach an
-// upstream, and no header of an upstream a caller.
+// Only listed headers may pass: no internal header of the router may reach an upstream, and no
+// header of an upstream may reach a caller.
 func TestInternalHeadersNotForwarded(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		var got http.Header
@@ -122,9 +121,8 @@
 	}
 }
 
-// A VM is replaced by one with the same IP address. The new engine must not execute
-// requests meant for the old one, nor may its status and events be taken for those
-// of the old one.
+// A VM is replaced by one with the same IP address. The new engine must not execute requests meant
+// for the old one, nor may its status and events be attributed to the old one.
 func TestReplacedEngineDetected(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		e, c, _ := newEngine(t, engine.Defaults("e1", "m"))
--- a/internal/serve/upstream/failure.go
+++ b/internal/serve/upstream/failure.go
@@ -8,11 +8,11 @@
 	"github.com/zeebo/errs"
 )
 
-// Sent states what is known about the execution of a call. The values are ordered:
-// a larger one means that the call may have got further.
+// Sent states what is known about the execution of a call. The values are
+// ordered: a larger one means that the call may have progressed further.
 type Sent int
 
-// What is known after a call.
+// The values of Sent.
 const (
 	// NotSent means that no byte of the request was written.
 	NotSent Sent = iota
@@ -84,7 +84,7 @@
 	Sent Sent
 	// Status is the HTTP status, or 0 if no response arrived.
 	Status int
-	// Code is the reason that the upstream gave, or empty.
+	// Code is the reason in the upstream's response, or empty.
 	Code protocol.Code
 	// Cause is of one of the classes above.
 	Cause error
@@ -98,8 +98,8 @@
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Cause }
 
-// SentOf returns what err states about the execution. An error that is not a
-// *Failure proves nothing, so it counts as SentNoReply.
+// SentOf returns the statement of err about the execution. An error that is not
+// a *Failure proves nothing, so it counts as SentNoReply.
 func SentOf(err error) Sent {
 	if err == nil {
 		return Replied
--- a/internal/serve/upstream/failure_test.go
+++ b/internal/serve/upstream/failure_test.go
@@ -144,8 +144,8 @@
 	}
 }
 
-// A call that was never sent must not count as possibly executed, nor the reverse.
-// The dial fails, the dial hangs, or the peer never reads a byte.
+// A call that was never sent must not count as possibly executed, and a call that was sent must not
+// count as not sent. The dial fails, the dial hangs, or the peer never reads a byte.
 func TestConnectionFailureClassification(t *testing.T) {
 	failing := func(context.Context, string, string) (net.Conn, error) { return nil, errors.ErrUnsupported }
 	hanging := func(ctx context.Context, _, _ string) (net.Conn, error) {
--- a/internal/serve/upstream/protocol/protocol.go
+++ b/internal/serve/upstream/protocol/protocol.go
@@ -41,7 +41,7 @@
 const (
 	// QueryFrom is the offset of the first chunk of a resumed stream.
 	QueryFrom = "from"
-	// QueryBrief asks for a status report without request ids.
+	// QueryBrief requests a status report without request ids.
 	QueryBrief = "brief"
 	// QueryAfter is the sequence number of the last cache event already received.
 	QueryAfter = "after"
--- a/internal/serve/upstream/service.go
+++ b/internal/serve/upstream/service.go
@@ -22,9 +22,8 @@
 	Body        []byte
 }
 
-// controlPaths are reserved for requests of the router itself. Some upstreams
-// don't check who sends a control request, so the path of a caller's request must
-// never match one.
+// controlPaths are reserved for requests of the router itself. Some upstreams don't check the
+// sender of a control request, so the path of a caller's request must never match one.
 var controlPaths = []string{
 	wire.PathEngineStatus,
 	strings.TrimSuffix(wire.PathEngineStreams, "/"),
--- a/internal/serve/upstream/stream.go
+++ b/internal/serve/upstream/stream.go
@@ -34,7 +34,7 @@
 // drainTimeout bounds the wait for the end of a body after the end marker.
 const drainTimeout = 100 * time.Millisecond
 
-// maxDrain bounds what is read after the end marker, in bytes.
+// maxDrain is the maximum number of bytes that are read after the end marker.
 const maxDrain = 512
 
 // requestIDPattern allows letters, digits, _ and -, so that no id is a special
@@ -99,8 +99,8 @@
 	}, from)
 }
 
-// Cancel asks the engine to stop executing call.RequestID. It returns no error if
-// the engine doesn't know the stream, which has then ended already.
+// Cancel requests that the engine stop executing call.RequestID. It returns no error if the engine
+// doesn't know the stream, which has then ended already.
 func (c *Client) Cancel(ctx context.Context, call Call) error {
 	if err := checkRequestID(call.RequestID); err != nil {
 		return &Failure{Op: opCancel, Sent: NotSent, Cause: err}
@@ -211,10 +211,9 @@
 		next:     from,
 		idPrefix: []byte(`{"id":"` + r.call.RequestID + `",`),
 	}
-	// The timer is reused for the whole stream. After the first call of Next it
-	// runs only while Next waits, since a slow caller doesn't mean that the engine
-	// is silent. Its expiry cancels the request, which closes the connection, so a
-	// silent connection can't return to the pool.
+	// The timer is reused for the whole stream. After the first call of Next it runs only while
+	// Next waits, since a slow caller doesn't mean that the engine has stalled. Its expiry cancels
+	// the request, which closes the connection, so a stalled connection can't return to the pool.
 	s.timer = time.AfterFunc(s.timeout, func() {
 		ex.cancel(ErrIdle.New("no chunk in time"))
 	})
--- a/internal/serve/upstream/stream_test.go
+++ b/internal/serve/upstream/stream_test.go
@@ -142,8 +142,8 @@
 	}
 }
 
-// A caller takes longer to process a chunk than the idle gap. The stream must not
-// time out, since the engine is not silent.
+// A caller takes longer to process a chunk than the idle gap. The stream must
+// not time out, since the engine has not stalled.
 func TestSlowReaderDoesNotCauseIdleTimeout(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		_, c, _ := newEngine(t, engine.Defaults("e1", "m"))
--- a/internal/serve/upstream/traffic.go
+++ b/internal/serve/upstream/traffic.go
@@ -9,7 +9,7 @@
 }
 
 // Traffic is the traffic of control calls since the client was created. It
-// counts what was read from and written to connections during such calls:
+// counts the bytes read from and written to connections during such calls:
 // request and status lines, headers, framing and bodies, including those of
 // failed calls. TCP and IP headers, handshakes and acknowledgements are not
 // counted, nor are streams and calls to plain services, which carry the traffic
--- a/internal/serve/wire/wire.go
+++ b/internal/serve/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire defines the headers, paths and JSON bodies of the HTTP interfaces
-// between clients, routers, engines and plain services.
+// Package wire defines the headers, paths and JSON bodies of the HTTP
+// interfaces between callers, routers, engines and plain services.
 package wire
 
 // Headers between callers and routers, and between routers and upstreams.
@@ -33,8 +33,8 @@
 	HeaderRan = "X-Request-Ran"
 	// HeaderRouter is the name of the router that sent the response.
 	HeaderRouter = "X-Router"
-	// HeaderLocateAgain tells the caller to send a new locate request, because the
-	// router is draining.
+	// HeaderLocateAgain requests that the caller send a new locate request,
+	// because the router is draining.
 	HeaderLocateAgain = "X-Locate-Again"
 	// HeaderIncarnation is the incarnation of the engine that sent the response.
 	// On a request, it is the incarnation that the router expects.
