--- a/internal/operate/access/authorize.go
+++ b/internal/operate/access/authorize.go
@@ -28,7 +28,7 @@
 // operator whose scope is the whole fleet may act on them.
 const FleetWide = ""
 
-// rule states what an action requires.
+// rule is the requirement of an action.
 type rule struct {
 	minRole Role
 	// anyTeam skips the scope check, for actions that reveal nothing about a team.
@@ -45,7 +45,7 @@
 	ActionOverride:     {minRole: RoleBreakGlass},
 }
 
-// Reason is why an action was denied.
+// Reason is the reason for denying an action.
 type Reason string
 
 // The reasons for denying an action.
--- a/internal/operate/access/operator.go
+++ b/internal/operate/access/operator.go
@@ -17,7 +17,7 @@
 const (
 	// RoleViewer may read.
 	RoleViewer Role = "viewer"
-	// RoleEditor may also change what its teams own.
+	// RoleEditor may also change resources of its teams.
 	RoleEditor Role = "editor"
 	// RoleAdmin may also resolve claims and issue tokens.
 	RoleAdmin Role = "admin"
--- a/internal/operate/admin/api/api.go
+++ b/internal/operate/admin/api/api.go
@@ -104,7 +104,7 @@
 	Files Files `json:"files"`
 }
 
-// CheckRequest asks for the problems of a bundle.
+// CheckRequest requests the problems of a bundle.
 type CheckRequest struct {
 	Files Files `json:"files"`
 }
@@ -122,8 +122,8 @@
 	Forbidden []string `json:"forbidden"`
 }
 
-// DiffRequest asks for the differences between two versions, or between a version
-// and files. Version 0 means the active version.
+// DiffRequest requests the differences between two versions, or between a
+// version and files. Version 0 means the active version.
 type DiffRequest struct {
 	From  uint64 `json:"from"`
 	To    uint64 `json:"to"`
@@ -138,16 +138,16 @@
 	Lines []config.Difference `json:"lines"`
 }
 
-// ApplyRequest asks for a bundle to be accepted as the next version.
+// ApplyRequest requests that a bundle be accepted as the next version.
 type ApplyRequest struct {
 	Files   Files  `json:"files"`
 	Comment string `json:"comment"`
-	// Withdraw skips the check that sites keep serving what they serve now.
+	// Withdraw skips the check that no site stops serving a model or service.
 	Withdraw bool `json:"withdraw,omitempty"`
 }
 
-// RollbackRequest asks for the content of an earlier version to be accepted as
-// the next version.
+// RollbackRequest requests that the content of an earlier version be accepted
+// as the next version.
 type RollbackRequest struct {
 	To       uint64 `json:"to"`
 	Comment  string `json:"comment"`
@@ -246,7 +246,7 @@
 	Seen int64 `json:"seen"`
 }
 
-// AddOperatorRequest asks for a new operator token.
+// AddOperatorRequest requests a new operator token.
 type AddOperatorRequest struct {
 	Name  string      `json:"name"`
 	Role  access.Role `json:"role"`
--- a/internal/operate/admin/audit.go
+++ b/internal/operate/admin/audit.go
@@ -79,7 +79,7 @@
 
 // auditUnavailable converts a failure to write the audit entry of a change that
 // has not been attempted. Even if the entry may have been written, the response
-// must say that the change did not take effect.
+// must state that the change did not take effect.
 func auditUnavailable(err error) error {
 	f := translate(err)
 	if f.Status < http.StatusInternalServerError {
--- a/internal/operate/admin/config_test.go
+++ b/internal/operate/admin/config_test.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// During a store outage, operators must be able to read what does not need the
-// store, and rejected changes must be reported as not executed.
+// During a store outage, operators must be able to read data that does not come
+// from the store, and rejected changes must be reported as not executed.
 func TestStoreOutageAllowsReadsAndRejectsChanges(t *testing.T) {
 	h := newHarness(t)
 	kim := h.addOperator("kim", access.RoleAdmin)
--- a/internal/operate/admin/operator_cache.go
+++ b/internal/operate/admin/operator_cache.go
@@ -23,9 +23,10 @@
 const TableOperators = "operators"
 
 // BootstrapOperator is the operator whose token hash is in the settings. It has
-// the highest role, because no operator can issue a token with a higher role than
-// its own, and whoever can write the settings of a router controls that router
-// anyway. Its hash should be removed from the settings once it has issued tokens.
+// the highest role, because no operator can issue a token with a higher role
+// than its own, and anyone who can write the settings of a router controls that
+// router anyway. Its hash should be removed from the settings once it has
+// issued tokens.
 const BootstrapOperator = "bootstrap"
 
 const (
--- a/internal/operate/audit/audit.go
+++ b/internal/operate/audit/audit.go
@@ -1,7 +1,6 @@
-// Package audit records what operators changed: who, what, when, and starting
-// from which version. An accepted configuration is recorded by package config in
-// the transaction that accepts it; this package records all other changes and
-// reads both kinds of entries as one list.
+// Package audit records the changes by operators: author, target, time and base version. An
+// accepted configuration is recorded by package config in the transaction that accepts it; this
+// package records all other changes and reads both kinds of entries as one list.
 package audit
 
 import (
@@ -74,9 +73,9 @@
 	Actor   string    `json:"actor"`
 	Action  Action    `json:"action"`
 	Outcome Outcome   `json:"outcome"`
-	// Team owns what was changed; empty for fleet-wide resources.
+	// Team owns the changed resource; empty for fleet-wide resources.
 	Team string `json:"team,omitempty"`
-	// Target is the name of what was changed.
+	// Target is the name of the changed resource.
 	Target string `json:"target,omitempty"`
 	// FromVersion is the version on which the change is based, of the
 	// configuration or of the changed row; 0 if there was none.
--- a/internal/secure/keys/keys.go
+++ b/internal/secure/keys/keys.go
@@ -15,8 +15,8 @@
 var (
 	// ErrFile reports a file that could not be read or written.
 	ErrFile = errs.Class("keys: file")
-	// ErrInvalid reports a file that was read but cannot be used: it does not
-	// parse, is not valid at the current time, or does not match the others.
+	// ErrInvalid reports a file that was read but cannot be used: it cannot be
+	// parsed, is not valid at the current time, or does not match the others.
 	ErrInvalid = errs.Class("keys: invalid")
 	// ErrName reports an invalid router name.
 	ErrName = errs.Class("keys: router name")
--- a/internal/secure/secret/accessors.go
+++ b/internal/secure/secret/accessors.go
@@ -33,7 +33,7 @@
 	}
 	c := s.callerCerts.CallerServer()
 	// HTTP/2 would carry all streams of a caller over one connection. If that
-	// connection stalled, all of them would stall, and the client would resume
+	// connection stalled, all of them would stall, and the caller would resume
 	// each one. With HTTP/1.1 only the streams of that connection are affected.
 	c.NextProtos = []string{"http/1.1"}
 	return c
--- a/internal/secure/secret/secret_test.go
+++ b/internal/secure/secret/secret_test.go
@@ -131,7 +131,7 @@
 	return r
 }
 
-// reload does what a running router does every few seconds.
+// reload checks the files, as a running router does every few seconds.
 func (r *router) reload(t *testing.T) {
 	require.NoError(t, r.Check())
 	require.NoError(t, r.packets.SetKeys(r.GossipKeys()))
--- a/internal/secure/token/errors.go
+++ b/internal/secure/token/errors.go
@@ -1,11 +1,11 @@
 package token
 
-// Reason is why a token was rejected, for metrics and logs.
+// Reason is the reason for rejecting a token, for metrics and logs.
 type Reason string
 
-// Error reports a rejected token. Its text is the same for every reason: a
-// caller that could distinguish a forged token from a valid token of another
-// account would learn that the other account's chat exists.
+// Error reports a rejected token. Its text is the same for every reason:
+// otherwise a caller could distinguish a forged token from a valid token of
+// another account, and so find out that the other account's chat exists.
 type Error struct {
 	reason Reason
 }
@@ -26,5 +26,5 @@
 // Error implements error.
 func (e *Error) Error() string { return "token: not valid" }
 
-// Reason returns why the token was rejected. It must not be sent to a caller.
+// Reason returns the reason for the rejection. It must not be sent to a caller.
 func (e *Error) Reason() Reason { return e.reason }
--- a/internal/secure/token/resume.go
+++ b/internal/secure/token/resume.go
@@ -100,8 +100,8 @@
 // expired tolerates clock skew. Without the tolerance, a router whose clock is
 // ahead would reject new tokens, and resumes would fail at that router only. A
 // token issued in the future is accepted: rejecting it would let one clock step
-// break the streams of every caller of a router, while accepting it gives an
-// account no more than its own stream until the key is retired.
+// break the streams of every caller of a router, while accepting it only gives
+// an account access to its own stream until the key is retired.
 func (r Resume) expired(now time.Time) bool {
 	return now.Sub(r.Issued) > r.Lifetime+timeResolution+MaxClockSkew
 }
--- a/internal/serve/traffic/server.go
+++ b/internal/serve/traffic/server.go
@@ -99,7 +99,7 @@
 	DefaultMaxBody     = 8 << 20
 )
 
-// Limits of requests of callers, in bytes.
+// Limits of callers' requests, in bytes.
 const (
 	maxHeaderBytes = 32 << 10
 	maxIDLength    = 128
--- a/internal/serve/traffic/services.go
+++ b/internal/serve/traffic/services.go
@@ -186,8 +186,8 @@
 	return sc.executeClaimed(ctx, outcome.Claim)
 }
 
-// fingerprint returns a hash of the parts that must be equal when a key is used
-// again: method, service, path, query and body.
+// fingerprint returns the parts of the request that must be equal when a key is
+// used again: method, service, path, query and body.
 func (sc *serviceCall) fingerprint() []byte {
 	requestLine := sc.route.Route.Method + " " + sc.service.Name + sc.route.Path + "?" + sc.query + "\n"
 	return append([]byte(requestLine), sc.body...)
--- a/internal/store/claim/claim_test.go
+++ b/internal/store/claim/claim_test.go
@@ -32,8 +32,8 @@
 	return errors.As(err, &notExecuted)
 }
 
-// endingAfterSend returns an ending that is possible for a request that was sent:
-// it replaces "refused".
+// endingAfterSend returns an ending that is possible for a request that was
+// sent. It replaces "refused", which is not.
 func endingAfterSend(ending string) string {
 	if ending == "refused" {
 		return "finish"
@@ -41,11 +41,11 @@
 	return ending
 }
 
-// A request must be executed exactly once while any single call to the store fails
-// in any way, the caller retries at three routers, and delayed writes arrive
-// between the attempts. A claim mistaken for absent would let the request execute
-// twice; one mistaken for another's would block the key although nothing was
-// executed.
+// A request must be executed exactly once while any single call to the store
+// fails in any way, the caller retries at three routers, and delayed writes
+// arrive between the attempts. If a claim were treated as absent, the request
+// would be executed twice; if it were treated as another router's, the key
+// would be blocked although nothing was executed.
 func TestRequestExecutesOnceUnderAnySingleFault(t *testing.T) {
 	endings := map[string]func(*Store, *Claim) error{
 		"finish":  func(s *Store, c *Claim) error { return s.Finish(ctx, c, response) },
@@ -86,9 +86,10 @@
 }
 
 // A claim must not expire: router a claims and is frozen before it sends, other
-// routers receive the same request for hours, and then a resumes and sends. If the
-// claim had a lease, another router would have executed the request meanwhile.
-// Only for a service that recognises repeated keys may the claim be replaced.
+// routers receive the same request for hours, and then a resumes and sends. If
+// the claim had a lease, another router would have executed the request
+// meanwhile. The claim may be replaced only for a service that deduplicates by
+// key.
 func TestClaimOfFrozenRouterIsNotReplaced(t *testing.T) {
 	table := newFakeTable()
 	a, b := newStore(table, "a"), newStore(table, "b")
@@ -253,7 +254,7 @@
 	})
 }
 
-// operation is the result of one call, as the model checker sees it.
+// operation is the input and result of one call, for the linearizability check.
 type operation struct {
 	begin bool
 	out   OutcomeKind
--- a/internal/store/claim/decide.go
+++ b/internal/store/claim/decide.go
@@ -1,6 +1,6 @@
 package claim
 
-// decision is what an existing row means for a new request.
+// decision is the action for a new request, given an existing row of its key.
 type decision int
 
 const (
--- a/internal/store/claim/errors.go
+++ b/internal/store/claim/errors.go
@@ -27,10 +27,9 @@
 	ErrCorrupt = errs.Class("claim: corrupt row")
 )
 
-// NotExecutedError is the refusal of a request that was not executed: nothing of it was
-// sent. This does not hold for earlier requests with the same key, which may have
-// been executed, so the caller should retry with the same key, never with a new
-// one.
+// NotExecutedError is the refusal of a request that was not executed, since no part of it was sent.
+// Earlier requests with the same key may have been executed, so the caller should retry with the
+// same key, never with a new one.
 type NotExecutedError struct {
 	// RowMayExist reports that a claim row may remain. It blocks the key until
 	// this router or an operator releases it.
--- a/internal/store/claim/record.go
+++ b/internal/store/claim/record.go
@@ -39,8 +39,8 @@
 	IdempotencyKey string
 	// Service is stored in the claim for operators.
 	Service string
-	// Deduplicates means that the service recognises repeated keys itself, so
-	// that a claim may be replaced and the request sent again.
+	// Deduplicates means that the service itself deduplicates requests by key,
+	// so that a claim may be replaced and the request sent again.
 	Deduplicates bool
 }
 
--- a/internal/store/claim/store.go
+++ b/internal/store/claim/store.go
@@ -158,10 +158,11 @@
 // attempt writes the claim and returns the row as stored afterwards, which may
 // belong to this claim or another. A version of 0 means that the row is absent.
 //
-// After a lost reply the row may belong to this claim. Treated as another's row,
-// it would cause the request to be refused although its claim took effect;
-// treated as absent, it would be claimed under a second token. So the row is read
-// back and compared by token, and a repeated write has the same token.
+// After a lost reply the row may belong to this claim. If it were treated as
+// another claim's row, the request would be refused although its claim took
+// effect; if it were treated as absent, the key would be claimed under a second
+// token. So the row is read back and compared by token, and a repeated write
+// has the same token.
 func (b *begin) attempt(ctx context.Context) (platform.Row, error) {
 	row, err := b.store.put(ctx, platform.UseClaim, b.row, b.own, b.replacedVersion)
 	if err == nil {
@@ -390,7 +391,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.released) >= maxReleased {
-		// Forgetting tokens is safe: the rows then just block their keys.
+		// Dropping tokens is safe: their rows then only block their keys.
 		clear(s.released)
 	}
 	s.released[token] = struct{}{}
--- a/internal/store/config/chain.go
+++ b/internal/store/config/chain.go
@@ -183,9 +183,9 @@
 	return nil
 }
 
-// changeState is what the stores hold about a change.
+// changeState is the state of a change in the stores.
 type changeState struct {
-	// accepted is the version that the change became, or nil.
+	// accepted is the version that the change was accepted as, or nil.
 	accepted *Version
 	// head is the active version, and headRow the version of its row.
 	head    Head
@@ -193,13 +193,14 @@
 }
 
 // readChangeState reads whether the change has been accepted. It returns a
-// *ConflictError if the change has not been and no longer can be.
+// *ConflictError if the change has not been accepted and no longer can be.
 //
 // The head is read before the change id. In the reverse order, a delayed
 // transaction of the same change that takes effect between the two reads would
-// show a new head and no row for the change, and the author would get a conflict
-// with his own change, which is active. In this order, once the head has moved,
-// the row of the change id either exists or never will.
+// show a new head and no row for the change, and the author would get a
+// conflict with his own change, which is active. In this order, once the head
+// has a newer version, the row of the change id either exists or will never
+// exist.
 func (c *Chain) readChangeState(ctx context.Context, change Change) (changeState, error) {
 	head, headRow, err := c.readHead(ctx)
 	if err != nil {
@@ -337,8 +338,8 @@
 //
 // A reply can be lost after the writes took effect, and writes can take effect
 // after the sender stopped waiting for the reply. The absence of the change id
-// therefore proves nothing while the head has not moved. The same transaction is
-// sent again instead; its conditions let only one copy take effect.
+// therefore proves nothing while the head has not changed. The same transaction
+// is sent again instead; its conditions let only one copy take effect.
 func (c *Chain) commit(ctx context.Context, change Change, next Version, writes []platform.Write) (Version, error) {
 	var unknownErr, lastErr error
 	for range maxCommitAttempts {
--- a/internal/store/config/chain_test.go
+++ b/internal/store/config/chain_test.go
@@ -155,8 +155,8 @@
 func isNil(err error) bool { return err == nil }
 
 // Guards against a conflict of an author with his own change. If the change id
-// were read before the head, a delayed transaction could take effect between the
-// two reads: the id would be absent and the head would have moved.
+// were read before the head, a delayed transaction could take effect between
+// the two reads: the id would be absent and the head would have changed.
 func TestDelayedCommitIsNotReportedAsConflict(t *testing.T) {
 	chain, table := newTestChain()
 	mustAccept(t, chain, change("a", 0, 1))
@@ -186,9 +186,9 @@
 	assert.EqualValues(t, 2, mustAccept(t, chain, change("b", 1, 2)).Number)
 }
 
-// Guards against a lost update when two operators change the same version, which
-// an unconditional write of the head would cause. The rejected operator must
-// learn which version is active and who its author is.
+// Guards against a lost update when two operators change the same version,
+// which an unconditional write of the head would cause. The error must name the
+// active version and its author.
 func TestConcurrentChangesDoNotOverwriteEachOther(t *testing.T) {
 	chain, table := newTestChain()
 	mustAccept(t, chain, change("a", 0, 1))
--- a/internal/store/config/change.go
+++ b/internal/store/config/change.go
@@ -42,13 +42,13 @@
 	)
 }
 
-// ValidateChange checks the step from one valid bundle to another: no site may
-// lose its last pool, and no site may stop serving something unless the new
-// bundle confirms it.
+// ValidateChange checks a change from one valid bundle to another: no site may
+// lose its last pool, and no site may stop serving a model, adapter or plain
+// service unless the new bundle confirms it.
 //
 // Without this check, a pool moved to another site, or a model renamed only in
 // its pool, would be a valid configuration, and callers at the site would get
-// "unknown model" seconds after the change. To withdraw something on purpose,
+// "unknown model" seconds after the change. To withdraw an offering on purpose,
 // remove it from the document, set retire on the model, or set retire on the
 // pool in the site's overlay.
 func ValidateChange(old, new Bundle) []Problem {
@@ -87,7 +87,7 @@
 	return problems
 }
 
-// compareSite compares what one site serves before and after a change. The
+// compareSite compares the offerings of one site before and after a change. The
 // removal of a site from the document is intended and not a problem.
 func compareSite(oldParsed, newParsed *Parsed, site string) (withdrawals, emptiedSites Problems) {
 	oldSite, err := NewEffective(oldParsed.Document, oldParsed.Overlays, site)
--- a/internal/store/config/config_test.go
+++ b/internal/store/config/config_test.go
@@ -232,9 +232,10 @@
 	}
 }
 
-// Guards against a valid edit of the base document that removes a site's last pool
-// for a model, so that callers at the site get "unknown model" seconds later. The
-// change must be compared with what each site serves, not only checked by itself.
+// Guards against a valid edit of the base document that removes a site's last
+// pool for a model, so that callers at the site get "unknown model" seconds
+// later. The offerings of each site must be compared before and after the
+// change; a check of the new bundle alone is not enough.
 func TestValidateChangeRejectsUnconfirmedWithdrawals(t *testing.T) {
 	original := testBundle()
 	original.Overlays = nil
--- a/internal/store/config/defaults.go
+++ b/internal/store/config/defaults.go
@@ -98,10 +98,10 @@
 	}
 }
 
-// idempotentMethod returns the default of Route.Idempotent for a method. PUT and
-// DELETE are idempotent by the HTTP standard, but not every service complies,
-// and a wrong true would execute a request twice, such as one that books a
-// receipt.
+// idempotentMethod returns the default of Route.Idempotent for a method. PUT
+// and DELETE are idempotent by the HTTP standard, but not every service
+// complies, and a wrong true could execute a request twice, such as one that
+// issues a receipt.
 func idempotentMethod(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead
 }
--- a/internal/store/config/document.go
+++ b/internal/store/config/document.go
@@ -52,13 +52,13 @@
 	// Sites are the sites where the pool has members. The load bound applies to
 	// the members of each site separately.
 	Sites []string `yaml:"sites" json:"sites" validate:"min=1,unique"`
-	// Model, Version and Adapters are what the engines serve. All are empty for
-	// a pool of plain services.
+	// Model, Version and Adapters are those that the engines serve. All are empty for a pool of
+	// plain services.
 	Model    string   `yaml:"model,omitempty" json:"model,omitempty"`
 	Version  string   `yaml:"version,omitempty" json:"version,omitempty"`
 	Adapters []string `yaml:"adapters,omitempty" json:"adapters,omitempty" validate:"unique"`
-	// LoadBound is the factor c of the load balancing: an engine is given no
-	// work beyond c times the mean load of its pool. Default 1.5, minimum 1.05.
+	// LoadBound is the factor c of the load balancing: an engine gets no new request that would
+	// raise its load above c times the mean of its pool. Default 1.5, minimum 1.05.
 	LoadBound float64 `yaml:"load_bound,omitempty" json:"load_bound,omitempty" validate:"gte=1.05,lte=100"`
 	// MaxBatch is the maximum number of requests that an engine holds at once.
 	// Default 50.
@@ -66,8 +66,8 @@
 	// QueueLimit is the maximum number of requests that a router queues for the
 	// pool. Default 1000.
 	QueueLimit int `yaml:"queue_limit,omitempty" json:"queue_limit,omitempty" validate:"gte=1,lte=10000000"`
-	// CapacityFloor is the fraction of engines, 0 to 1, that operators' orders
-	// must leave serving. Default 0.7.
+	// CapacityFloor is the fraction of engines, 0 to 1, that must stay in service when operators
+	// take engines out of service. Default 0.7.
 	CapacityFloor float64 `yaml:"capacity_floor,omitempty" json:"capacity_floor,omitempty" validate:"gte=0,lte=1"`
 	// Priority orders pools that serve the same model; the highest is first.
 	Priority int `yaml:"priority,omitempty" json:"priority,omitempty" validate:"gte=-1000,lte=1000"`
--- a/internal/store/config/effective.go
+++ b/internal/store/config/effective.go
@@ -7,8 +7,8 @@
 )
 
 // Effective is the configuration of one site: the base document with the site's
-// overlay and the defaults applied. It is immutable and safe for concurrent use;
-// callers must not modify what its methods return.
+// overlay and the defaults applied. It is immutable and safe for concurrent
+// use; callers must not modify the values that its methods return.
 type Effective struct {
 	// Site is the data centre that the configuration applies to.
 	Site Site
@@ -190,7 +190,8 @@
 	return len(a.Models) == 0 || slices.Contains(a.Models, model)
 }
 
-// offerings returns what the site serves to callers, sorted.
+// offerings returns the sorted models, adapters and plain services that the
+// site serves to callers.
 func (e *Effective) offerings() []offering {
 	set := make(map[offering]struct{})
 	for _, p := range e.Pools {
--- a/internal/store/config/errors.go
+++ b/internal/store/config/errors.go
@@ -105,5 +105,5 @@
 	return fmt.Sprintf("config: version %d rejected: %v", e.Version, e.Cause)
 }
 
-// Unwrap returns why the version was rejected.
+// Unwrap returns the cause of the rejection.
 func (e *RejectedError) Unwrap() error { return e.Cause }
--- a/internal/store/config/follower.go
+++ b/internal/store/config/follower.go
@@ -59,8 +59,8 @@
 // this site. After an error, the active configuration is unchanged.
 func (f *Follower) Offer(version uint64, hash Hash, b Bundle) (applied bool, err error) {
 	// A router that was partitioned still offers the last version it received.
-	// If its peers applied that, an accepted change would disappear from some
-	// routers.
+	// If its peers applied that version, an accepted change would disappear
+	// from some routers.
 	if version < f.version() {
 		return false, nil
 	}
--- a/internal/store/config/overlay.go
+++ b/internal/store/config/overlay.go
@@ -17,7 +17,8 @@
 	// Enabled takes the pool out of service at the site if it is false.
 	Enabled *bool `yaml:"enabled,omitempty" json:"enabled,omitempty"`
 	// Retire takes the pool out of service at the site and confirms that the
-	// site may stop serving what only this pool serves there.
+	// site may stop serving models and services that only this pool serves
+	// there.
 	Retire     bool      `yaml:"retire,omitempty" json:"retire,omitempty"`
 	Version    *string   `yaml:"version,omitempty" json:"version,omitempty"`
 	Adapters   *[]string `yaml:"adapters,omitempty" json:"adapters,omitempty" validate:"omitempty,unique"`
--- a/internal/store/config/record.go
+++ b/internal/store/config/record.go
@@ -58,7 +58,7 @@
 	// Hash is the hash of Bundle, Previous that of the preceding version.
 	Hash     Hash `json:"hash"`
 	Previous Hash `json:"previous"`
-	// ChangeID is the id that the author gave to the change.
+	// ChangeID is the id that the author chose for the change.
 	ChangeID string `json:"change_id"`
 	Author   string `json:"author"`
 	// Time is when the change was accepted, by the clock of the router that
--- a/internal/store/config/route.go
+++ b/internal/store/config/route.go
@@ -79,8 +79,9 @@
 	return true
 }
 
-// moreSpecific reports whether b has the wildcard at the first segment where only
-// one of the two patterns has one. Both must match the same path.
+// moreSpecific reports whether a is more specific than b: at the first segment
+// where only one of the two patterns has a wildcard, it is b. Both must match
+// the same path.
 func moreSpecific(a, b string) bool {
 	aSegments, bSegments := patternSegments(a), patternSegments(b)
 	for i := range aSegments {
@@ -168,8 +169,8 @@
 	return b.String()
 }
 
-// invalidPatternReason returns why the path of a route is not a valid pattern, or
-// "" if it is valid.
+// invalidPatternReason returns the reason for which the path of a route is not
+// a valid pattern, or "" if it is valid.
 func invalidPatternReason(pattern string) string {
 	segments, err := splitPath(pattern)
 	if err != nil {
--- a/internal/store/config/strictyaml/problem.go
+++ b/internal/store/config/strictyaml/problem.go
@@ -7,13 +7,13 @@
 
 // Problem is one error in a YAML document, with its position.
 type Problem struct {
-	// File is the name of the document as the caller of Decode gave it.
+	// File is the name of the document as passed to Decode.
 	File string `json:"file"`
 	// Line counts from 1; 0 means that the problem has no line of its own.
 	Line int `json:"line"`
 	// Path names the field, for example pools[0].load_bound.
 	Path string `json:"path,omitempty"`
-	// Reason says what is wrong and, where it helps, what is accepted.
+	// Reason describes the error and, where that helps, the accepted values.
 	Reason string `json:"reason"`
 }
 
--- a/internal/store/config/strictyaml/syntax.go
+++ b/internal/store/config/strictyaml/syntax.go
@@ -17,8 +17,8 @@
 //
 // The decoder reports the line on which the malformed list or mapping begins,
 // which may be hundreds of lines above the mistake. A second parser, which runs
-// only on text that the decoder has rejected, reports the line itself. It has
-// no influence on what is accepted.
+// only on text that the decoder has rejected, reports the line itself. It does
+// not affect which documents are accepted.
 func syntaxProblem(file string, data []byte, decodeErr error) Problem {
 	if line, reason, ok := locateSyntaxError(data); ok {
 		return Problem{File: file, Line: line, Reason: reason}
--- a/internal/store/platform/breaker.go
+++ b/internal/store/platform/breaker.go
@@ -168,7 +168,7 @@
 	return v, err
 }
 
-// allow admits one call and returns the function that takes its result, or
+// allow admits one call and returns the function to call with its result, or
 // returns ErrUnavailable.
 func (b *Breaker) allow() (func(error), error) {
 	b.mu.Lock()
--- a/internal/store/platform/budget.go
+++ b/internal/store/platform/budget.go
@@ -10,7 +10,7 @@
 
 // Defaults of BudgetOptions.
 const (
-	// DefaultBurst is the time whose calls may be made at once.
+	// DefaultBurst is the default of BudgetOptions.Burst.
 	DefaultBurst = 2 * time.Second
 	// minBurst is the minimum bucket size, in calls. It keeps the reserves of
 	// the uses distinct at low rates.
@@ -36,11 +36,11 @@
 }
 
 // chargedTo maps uses that are charged to the limit of another use and have no
-// limit of their own. They leave their reserve of that limit unused too.
+// limit of their own. They leave their reserve of that limit unused, too.
 //
 // Without the reserve, the pages that retention reads exhaust the router's
 // budget for claims, and non-idempotent requests are refused while the store is
-// idle. It shows as refusals for lack of budget whenever retention runs.
+// idle. The symptom is refusals for lack of budget whenever retention runs.
 var chargedTo = map[Use]Use{UseRetention: UseClaim}
 
 // defaultReserve is the reserve of a use that is not in reserves.
@@ -62,8 +62,8 @@
 	// the limit of the total. Without a limit on claims a flood of them would
 	// starve the configuration.
 	PerUse map[Use]Rates
-	// Burst is the time whose calls may be made at once. Zero means
-	// DefaultBurst.
+	// Burst is the size of a full bucket, as the time in which it fills: that
+	// number of calls may be made at once. Zero means DefaultBurst.
 	Burst time.Duration
 	// Now is the clock. Nil means time.Now.
 	Now func() time.Time
--- a/internal/store/platform/check.go
+++ b/internal/store/platform/check.go
@@ -35,8 +35,8 @@
 // UTF-8 of at most MaxName bytes. Errors: ErrInvalid.
 //
 // JSON encoding replaces invalid UTF-8 by U+FFFD. Two different keys would then
-// name one row, and the second caller of a non-idempotent service would be told
-// that its request had already been executed. Such keys are rejected before
+// name one row, and the request of the second caller of a non-idempotent
+// service would be treated as already executed. Such keys are rejected before
 // they are sent.
 func CheckName(table, key string) error {
 	if table == "" || key == "" {
--- a/internal/store/platform/commit_once.go
+++ b/internal/store/platform/commit_once.go
@@ -11,7 +11,7 @@
 // in it that no other writer uses. Mine reports whether a row holds the token.
 // If other writers may replace the row later, false only means that the
 // transaction's row is not the current one, not that the transaction never took
-// effect. A writer that has to tell these apart uses a marker key of its own
+// effect. A writer that has to distinguish these uses a marker key of its own
 // that is never written again.
 type Marker struct {
 	Table, Key string
--- a/internal/store/platform/decorators_test.go
+++ b/internal/store/platform/decorators_test.go
@@ -65,8 +65,8 @@
 	cases := []struct {
 		name string
 		call func(t *testing.T, b platform.Table, f *platformtest.Fake)
-		// open reports whether two such calls open the breaker, and streak
-		// whether failures before and after such a call count as consecutive.
+		// open is true if two such calls open the breaker, and streak if
+		// failures before and after such a call count as consecutive.
 		open, streak bool
 	}{
 		{"caller canceled", func(t *testing.T, b platform.Table, _ *platformtest.Fake) {
@@ -128,9 +128,9 @@
 	}
 }
 
-// When all uses together request more than the total, uses of lower priority must
-// be rejected first. A budget in order of arrival would reject claims while the
-// audit trail still uses the store.
+// When all uses together request more than the total, uses of lower priority
+// must be rejected first. If the budget were used in order of arrival, claims
+// would be rejected while the audit trail still uses the store.
 func TestBudgetRejectsLowerPriorityUsesFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fake := platformtest.New()
--- a/internal/store/platform/platform.go
+++ b/internal/store/platform/platform.go
@@ -34,7 +34,8 @@
 )
 
 // MaxScanRows is the maximum limit of one Scan. A larger limit is rejected with
-// ErrInvalid, because a silently truncated page looks like the end of the table.
+// ErrInvalid, because a page truncated without an error would be mistaken for
+// the end of the table.
 const MaxScanRows = 10_000
 
 // ObjectsTable is the table name in the ConflictError of an object.
--- a/internal/store/platform/platformtest/kind.go
+++ b/internal/store/platform/platformtest/kind.go
@@ -10,7 +10,7 @@
 // Kind is the class of an error of the platform's interfaces, or of no error.
 type Kind string
 
-// The kinds of error. Each error has exactly one.
+// The kinds of error. Each error has exactly one kind.
 const (
 	KindOK          Kind = "ok"
 	KindConflict    Kind = "conflict"
