--- a/client/client_test.go
+++ b/client/client_test.go
@@ -97,10 +97,10 @@
 	require.EqualValues(t, 3, f.locates.Load())
 }
 
-// Guards against a partial response that is taken for a complete one, and against
-// repeated chunks. A stream that ends without its end marker, skips an offset or
-// contains a chunk of another request is resumed with its token after the last
-// valid chunk.
+// Guards against a partial response that is treated as complete, and against
+// repeated chunks. A stream that ends without its end marker, skips an offset
+// or contains a chunk of another request is resumed with its token after the
+// last valid chunk.
 func TestIncompleteStreamIsResumed(t *testing.T) {
 	for name, first := range map[string]func(http.ResponseWriter){
 		"cut": func(w http.ResponseWriter) { writeStream(w, "s", 0, 3, false) },
--- a/client/conversation.go
+++ b/client/conversation.go
@@ -13,7 +13,7 @@
 )
 
 // Conversation is a chat of several turns. It holds the message history and the
-// hint that tells the fleet where the chat's prefix is cached. It is not safe for
+// hint that names where the chat's prefix is cached. It is not safe for
 // concurrent use, since a chat has one turn at a time.
 type Conversation struct {
 	c        *Client
--- a/client/service.go
+++ b/client/service.go
@@ -19,7 +19,7 @@
 	Status      int
 	ContentType string
 	Body        []byte
-	// Router is the name of the router that passed on the response.
+	// Router is the name of the router that forwarded the response.
 	Router string
 }
 
--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -189,9 +189,9 @@
 	}
 }
 
-// isConclusive reports whether a refusal is about the change and not only about
-// one attempt. If the store or the token caused a second attempt to be refused as
-// not executed, the first attempt may still have taken effect.
+// isConclusive reports whether a refusal applies to the change and not only to
+// one attempt. If the store or the token caused a second attempt to be refused
+// as not executed, the first attempt may still have taken effect.
 func isConclusive(err error) bool {
 	var f *api.Failure
 	if !errors.As(err, &f) {
--- a/internal/cli/evacuated_test.go
+++ b/internal/cli/evacuated_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against an evacuation that operators can't see, or that seems to be known
-// to all routers when it is not.
+// Guards against an evacuation that is not shown to operators, or that is shown
+// as known to all routers when it is not.
 func TestFleetShowsEvacuatedSites(t *testing.T) {
 	var out bytes.Buffer
 	printEvacuated(&out, []feed.Status{
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -19,7 +19,7 @@
 // keyKind is a kind of secret that "keys generate" generates.
 type keyKind struct {
 	name string
-	// generate prints a new secret and the setting that it belongs in.
+	// generate prints a new secret and the setting that contains it.
 	generate func(con *console) error
 }
 
--- a/internal/cli/operator_test.go
+++ b/internal/cli/operator_test.go
@@ -100,8 +100,9 @@
 }
 
 // Guards against a command that reports an active change as not accepted. The
-// connection is closed after the change was accepted, and the retry is refused as
-// not executed because the store is unavailable, which is true of the retry only.
+// connection is closed after the change was accepted, and the retry is refused
+// as not executed because the store is unavailable. That refusal applies to the
+// retry only.
 func TestChangeWithUnknownOutcomeIsNotReportedAsRefused(t *testing.T) {
 	const closed = "cut"
 	refusal := func(code apierr.Code, status int) string {
--- a/internal/cli/routers.go
+++ b/internal/cli/routers.go
@@ -177,7 +177,7 @@
 	})
 }
 
-// printEvacuated prints the evacuated sites, and for each how many routers know of it.
+// printEvacuated prints the evacuated sites, each with the number of routers that know of it.
 func printEvacuated(out io.Writer, list []feed.Status) {
 	knownBy := make(map[string]int)
 	received := 0
@@ -230,7 +230,7 @@
 	return strings.Join(slices.Compact(sites), " ")
 }
 
-// settingsAgeRange returns how long ago the settings took effect on the last and on the first of
+// settingsAgeRange returns the time since the settings took effect on the last and on the first of
 // the routers.
 func settingsAgeRange(list []feed.Status) string {
 	first, last := list[0].SettingsAge, list[0].SettingsAge
--- a/internal/cli/routers_test.go
+++ b/internal/cli/routers_test.go
@@ -58,7 +58,7 @@
 	return out
 }
 
-// Guards against operators who can't tell which router runs which settings in a large fleet: the
+// Guards against output that does not show which router runs which settings in a large fleet: the
 // routers with equal settings are counted, and those that differ are listed.
 func TestFleetListsOutlierRouters(t *testing.T) {
 	address := fakeRouter(t, manyRouters(), nil)
--- a/internal/lab/bench/latency_test.go
+++ b/internal/lab/bench/latency_test.go
@@ -55,7 +55,7 @@
 	return c
 }
 
-// streamTimes are the latencies of one streamed answer.
+// streamTimes are the latencies of one streamed response.
 type streamTimes struct {
 	first time.Duration
 	gaps  []time.Duration
--- a/internal/lab/bench/measure/bound.go
+++ b/internal/lab/bench/measure/bound.go
@@ -12,7 +12,8 @@
 type Access struct {
 	// Chat identifies the chat.
 	Chat string
-	// Start is when the caller sent the turn, End when it received the response.
+	// Start is the time at which the caller sent the turn, End that at which it
+	// received the response.
 	Start, End time.Time
 	// Prompt is the length of the prompt, Earlier the part of it that earlier
 	// turns left in the chat, and After the length including the answer, all in
--- a/internal/lab/bench/measure/measure_test.go
+++ b/internal/lab/bench/measure/measure_test.go
@@ -29,8 +29,8 @@
 	}
 	full := []measure.Capacity{{At: at(0), Tokens: 20}}
 	require.InDelta(t, 20.0/30, measure.ReuseBound(trace, full), 1e-9)
-	// With capacity for one chat, b, which is used first, is kept completely, and
-	// nothing of a is.
+	// With capacity for one chat, b, which is used first, is cached completely, and no part of a
+	// is.
 	half := []measure.Capacity{{At: at(0), Tokens: 10}}
 	require.InDelta(t, 10.0/30, measure.ReuseBound(trace, half), 1e-9)
 	// A part of a chat counts.
--- a/internal/lab/bench/measure/skew.go
+++ b/internal/lab/bench/measure/skew.go
@@ -57,8 +57,8 @@
 }
 
 // Windows returns the windows that count. Load on engines that are not in
-// service during the whole window counts neither for the mean nor for the
-// peak: the placement does not decide what a draining engine finishes.
+// service during the whole window counts neither for the mean nor for the peak:
+// the placement does not determine the load of a draining engine.
 func Windows(o SkewOptions, engines []EngineLoad) []Window {
 	var out []Window
 	for from := o.From; !from.Add(o.Window).After(o.To); from = from.Add(o.Window) {
--- a/internal/lab/bench/memory_test.go
+++ b/internal/lab/bench/memory_test.go
@@ -21,9 +21,9 @@
 	mebibyte = 1 << 20
 )
 
-// BenchmarkOpenStreams reports the memory, heap and stacks, of open streams. The
-// clients are plain sockets, so that they use little memory. The router's share
-// is the memory of streams through it minus that of direct streams.
+// BenchmarkOpenStreams reports the memory, heap and stacks, of open streams.
+// The callers are plain sockets, so that they use little memory. The router's
+// share is the memory of streams through it minus that of direct streams.
 func BenchmarkOpenStreams(b *testing.B) {
 	f := startSingle(b, slowStep)
 	bare := httptest.NewServer(http.HandlerFunc(holdStream))
--- a/internal/lab/bench/run/chats.go
+++ b/internal/lab/bench/run/chats.go
@@ -75,7 +75,8 @@
 	contextTokens int
 }
 
-// turn sends one message until it is answered. It returns false if all attempts failed.
+// turn sends one message until a complete response arrives. It returns false if all attempts
+// failed.
 func (c *conversation) turn(load context.Context, i int) bool {
 	for attempt := range maxAttempts {
 		err := c.send(i, attempt)
--- a/internal/lab/bench/run/classify_test.go
+++ b/internal/lab/bench/run/classify_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A benchmark that counts a truncated answer, another request's answer or a
-// missing answer as correct would hide violated guarantees.
+// A benchmark that counts a truncated response, another request's response or a
+// missing response as correct would hide violated guarantees.
 func TestClassifyDetectsWrongAnswers(t *testing.T) {
 	notExecuted := apierr.New(apierr.CodeQueueFull, http.StatusServiceUnavailable, "full")
 	for _, c := range []struct {
@@ -33,7 +33,7 @@
 	}
 }
 
-// A reply that belongs to another call must not count as answered.
+// A reply that belongs to another call must not count as the response.
 func TestClassifyReplyDetectsForeignReplies(t *testing.T) {
 	receipt := &workload.Call{Account: "a", Method: http.MethodPost, Path: "/receipts"}
 	status := &workload.Call{Account: "a", Method: http.MethodGet, Path: "/status/*"}
--- a/internal/lab/bench/run/phase.go
+++ b/internal/lab/bench/run/phase.go
@@ -13,7 +13,7 @@
 // surgeSettleTime is measured separately: all chats of the surge begin at once.
 const surgeSettleTime = time.Second
 
-// Surge compares the time before a surge with the time during it. A request
+// Surge compares the latencies before a surge with those during it. A request
 // belongs to the phase in which it was sent.
 type Surge struct {
 	Account string  `json:"account"`
--- a/internal/lab/bench/run/run.go
+++ b/internal/lab/bench/run/run.go
@@ -21,7 +21,8 @@
 // Error is the class of failures of the run itself.
 var Error = errs.Class("bench run")
 
-// errAnswer is the class of answers that differ from the expected one.
+// errAnswer is the class of errors for answers that differ from the expected
+// one.
 var errAnswer = errs.Class("bench run: wrong answer")
 
 // Options configures a run.
--- a/internal/lab/bench/run/strategy.go
+++ b/internal/lab/bench/run/strategy.go
@@ -37,7 +37,7 @@
 }
 
 // noBound disables the load bound: the engines' owners enforce it with every
-// strategy, and a baseline under the bound would not be a baseline.
+// strategy, and a baseline under the bound would show the effect of the bound.
 const noBound = 100
 
 // setup is the router options and the load bound of a strategy.
--- a/internal/lab/bench/run/tally.go
+++ b/internal/lab/bench/run/tally.go
@@ -11,16 +11,16 @@
 	"damaskrouter.example/damaskrouter/internal/serve/apierr"
 )
 
-// Counts are the outcomes that callers saw. A request is one attempt to send a
-// message, or one call.
+// Counts are the outcomes as observed by callers. A request is one attempt to
+// send a message, or one call.
 type Counts struct {
 	Requests int `json:"requests"`
 	// Answered requests received their own complete response.
 	Answered int `json:"answered"`
 	// Refused requests were reported as not executed.
 	Refused int `json:"refused"`
-	// Interrupted requests were reported with an unknown outcome or an incomplete
-	// answer, as after a crash of their engine.
+	// Interrupted requests were reported with an unknown outcome or an
+	// incomplete response, as after a crash of their engine.
 	Interrupted int `json:"interrupted"`
 	// Lost requests received neither a complete response nor a typed error, or
 	// were interrupted without a crash that explains it.
@@ -71,7 +71,7 @@
 // maxSamples bounds the failures that are kept as text.
 const maxSamples = 20
 
-// classify compares an answer with the expected one.
+// classify compares a response with the expected one.
 func classify(text, want string, err error) outcome {
 	switch {
 	case err == nil && text == want:
--- a/internal/lab/bench/workload/chat.go
+++ b/internal/lab/bench/workload/chat.go
@@ -20,7 +20,7 @@
 
 // Turn is one message and the pause before it.
 type Turn struct {
-	// Pause is the time since the last answer, already divided by Speed.
+	// Pause is the time since the last response, already divided by Speed.
 	Pause time.Duration
 	// Tokens is the length of the message, MaxTokens that of its answer.
 	Tokens    int
--- a/internal/lab/bench/workload/churn.go
+++ b/internal/lab/bench/workload/churn.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ChurnKind is how an engine stops.
+// ChurnKind is the way in which an engine stops.
 type ChurnKind string
 
 // Kinds of churn.
--- a/internal/lab/bench/workload/workload.go
+++ b/internal/lab/bench/workload/workload.go
@@ -18,7 +18,7 @@
 // Workload is one experiment.
 type Workload struct {
 	Name string `yaml:"name" validate:"required,name"`
-	// Duration is how long load is generated, without startup and shutdown.
+	// Duration is the time for which load is generated, without startup and shutdown.
 	Duration time.Duration `yaml:"duration" validate:"gt=0,lte=600000000000"`
 	// Speed divides the pauses between turns only: the routers' timers, the
 	// engines' steps and the churn run in real time.
--- a/internal/lab/capacity/fleet_test.go
+++ b/internal/lab/capacity/fleet_test.go
@@ -10,9 +10,9 @@
 	"damaskrouter.example/damaskrouter/internal/store/config"
 )
 
-// If the rules for documents change and the generated document does not, slopes
-// would be measured on a fleet that routers reject, or that is smaller than its
-// name says.
+// If the generated document violates the rules for documents, slopes would be
+// measured on a fleet that routers reject, or that is smaller than its name
+// suggests.
 func TestSizesYieldValidFleets(t *testing.T) {
 	for _, size := range capacity.Sizes() {
 		f, err := capacity.New(size)
--- a/internal/lab/capacity/gossip_test.go
+++ b/internal/lab/capacity/gossip_test.go
@@ -107,7 +107,7 @@
 
 var gossipSizes = []int{9, 18, 36, 72, 144, 380}
 
-// settleTime lets the members of a newly started fleet propagate.
+// settleTime is the time in which the member list of a newly started fleet propagates.
 const settleTime = 5 * time.Minute
 
 // BenchmarkMembership starts a fleet, waits for settleTime and measures, per
--- a/internal/lab/capacity/permits_test.go
+++ b/internal/lab/capacity/permits_test.go
@@ -171,8 +171,8 @@
 	b.ReportMetric(float64(elapsed.Microseconds())/sample/rounds, "us/round")
 }
 
-// requestPermits lets a share of the routers request a permit for each engine, as
-// they do when a caller connects to them with an old address.
+// requestPermits lets a share of the routers request a permit for each engine,
+// as they do when a caller uses an outdated locate response.
 func requestPermits(a *admission.Admission, f *capacity.Fleet, snap *board.Snapshot, share float64) {
 	rng := rand.New(rand.NewSource(1))
 	for _, e := range capacity.Owned(snap) {
--- a/internal/lab/capacity/quota_test.go
+++ b/internal/lab/capacity/quota_test.go
@@ -59,8 +59,8 @@
 }
 
 // BenchmarkAccountRequests counts the requests for leases per second of one
-// account to its owner, under virtual time. Calls arrive as a Poisson process at
-// random routers, and each runs for the duration of an answer of 300 tokens.
+// account to its owner, under virtual time. Calls arrive as a Poisson process
+// at random routers, and each lasts as long as a response of 300 tokens.
 func BenchmarkAccountRequests(b *testing.B) {
 	for _, routers := range []int{9, 36, 72, 144, 380} {
 		for _, rate := range []float64{0.3, 3, 12, 40, 400} {
--- a/internal/lab/capacity/relay_test.go
+++ b/internal/lab/capacity/relay_test.go
@@ -120,9 +120,9 @@
 	}
 }
 
-// BenchmarkRelay streams responses at the target's token rate, directly from the
-// engines and through one router, with clients and engines in the same process.
-// The difference is the router's own processor time and memory.
+// BenchmarkRelay streams responses at the target's token rate, directly from the engines and
+// through one router, with callers and engines in the same process. The difference is the router's
+// own processor time and memory.
 func BenchmarkRelay(b *testing.B) {
 	for _, via := range []string{"engine", "router"} {
 		b.Run("from="+via, func(b *testing.B) {
@@ -153,8 +153,8 @@
 	}
 }
 
-// BenchmarkLocate sends one locate request for a chat over a reused connection,
-// with client and router in the same process.
+// BenchmarkLocate sends one locate request for a chat over a reused connection, with caller and
+// router in the same process.
 func BenchmarkLocate(b *testing.B) {
 	r := newRelayBench(b)
 	cpu := processorTime(b)
@@ -221,7 +221,7 @@
 	return cacheIndex
 }
 
-// randomPlace returns the place of a random chat at one of the target's engines.
+// randomLocation returns the location of a random chat's prefix at one of the target's engines.
 func randomLocation(rng *rand.Rand) prefix.Location {
 	return prefix.Location{
 		Engine:      1 + rng.Uint64N(uint64(capacity.Target().Engines)),
--- a/internal/lab/capacity/store_test.go
+++ b/internal/lab/capacity/store_test.go
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// VMs returns the VM list, or that it has not changed.
+// VMs returns the VM list, or a reply that it has not changed.
 func (f *fleetStub) VMs(args controller.VMsArgs, reply *controller.VMsReply) error {
 	*reply = f.vms
 	if args.Etag == f.vms.Etag {
--- a/internal/lab/faultkit/callers.go
+++ b/internal/lab/faultkit/callers.go
@@ -86,7 +86,7 @@
 	return &http.Transport{DialContext: cl.Net.Dial(Caller, nil), DisableKeepAlives: true}
 }
 
-// Locate asks the router at address which router to use for a chat. Its errors are of
+// Locate sends a locate request for a chat to the router at address. Its errors are of class
 // ErrNoResponse.
 func (cl *Cluster) Locate(address, chat string) (wire.LocateResponse, error) {
 	var out wire.LocateResponse
@@ -130,8 +130,8 @@
 	Deadline time.Duration
 }
 
-// SendTurn sends the first turn of a chat through the client and records what the
-// caller received with the oracle.
+// SendTurn sends the first turn of a chat through the client and records the result with the
+// oracle.
 func (cl *Cluster) SendTurn(c *client.Client, o ChatOptions) Chat {
 	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
--- a/internal/lab/faultkit/cluster.go
+++ b/internal/lab/faultkit/cluster.go
@@ -167,8 +167,8 @@
 	}
 }
 
-// tableWithBudget returns the table service as one router uses it, limited by a budget
-// of its own if Options.Budget is set.
+// tableWithBudget returns the table service for one router, limited by a budget of its own if
+// Options.Budget is set.
 func (cl *Cluster) tableWithBudget() platform.Table {
 	if cl.options.Budget == nil {
 		return cl.Platform
--- a/internal/lab/faultkit/gate.go
+++ b/internal/lab/faultkit/gate.go
@@ -6,8 +6,8 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrKilled is returned to the operations of a killed process. Whatever the process
-// does after the kill has no effect outside of it.
+// ErrKilled is returned to the operations of a killed process. No action of the process after the
+// kill has an effect outside of it.
 var ErrKilled = errs.Class("faultkit: process killed")
 
 // Gate controls all input and output of one simulated process. While the gate is
--- a/internal/lab/faultkit/matrix.go
+++ b/internal/lab/faultkit/matrix.go
@@ -40,11 +40,11 @@
 	StoreDown, StoreSlow, StaleVMList, ViewsDiffer, Flap, Surge, AddressReused, OperatorRace,
 }
 
-// FaultPairs lists the selected pairs. They have cells only at the steps where two
-// faults together could do what neither does alone.
+// FaultPairs lists the selected pairs. They have cells only at the steps where two faults together
+// could have an effect that neither has alone.
 var FaultPairs = []Fault{ReplyLostStoreDown, KillSilent, OperatorRaceReplyLost, FreezeTakeOver, ReplyLostTwice, DuplicateKill}
 
-// Step names what the system is doing when a fault is injected.
+// Step names the activity of the system during which a fault is injected.
 type Step string
 
 // Steps of the matrix.
@@ -141,8 +141,8 @@
 	Status Status
 	// Promises are the guarantees that the test asserts.
 	Promises []Guarantee
-	// Note says why the cell does not apply, what an open cell lacks, or what the test
-	// of a passed cell does.
+	// Note is the reason for which the cell does not apply, the gap of an open cell, or a
+	// description of the test of a passed cell.
 	Note string
 }
 
--- a/internal/lab/faultkit/network.go
+++ b/internal/lab/faultkit/network.go
@@ -13,8 +13,8 @@
 // ErrDial reports a dial to an address at which nothing listens.
 var ErrDial = errs.Class("faultkit: connection refused")
 
-// Network connects processes by in-memory connections. Faults are injected by triggers
-// when given bytes pass, and so at a step of the protocol instead of after a time.
+// Network connects processes by in-memory connections. Faults are injected by triggers when given
+// bytes are sent, so that they occur at a step of the protocol instead of after a time.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*Listener
@@ -308,8 +308,8 @@
 	}
 }
 
-// applyRewrite runs the pending rewrite, if any, on p[:n] and returns the number of
-// bytes in p. What does not fit is kept for the next read.
+// applyRewrite runs the pending rewrite, if any, on p[:n] and returns the number of bytes in p.
+// Bytes that do not fit are returned by the next read.
 func (c *Conn) applyRewrite(p []byte, n int) int {
 	c.mu.Lock()
 	f := c.rewrite
--- a/internal/lab/faultkit/oracle.go
+++ b/internal/lab/faultkit/oracle.go
@@ -13,11 +13,11 @@
 	"damaskrouter.example/damaskrouter/internal/serve/wire"
 )
 
-// Outcome is what a caller received for one attempt.
+// Outcome is the result of one attempt, as received by the caller.
 type Outcome struct {
 	// Key is the idempotency key of the request.
 	Key string
-	// Record is the service's answer, if a complete one arrived.
+	// Record is the service's response, if a complete one arrived.
 	Record *service.Record
 	// Refusal is the router's typed refusal, if one arrived.
 	Refusal *apierr.Error
@@ -25,7 +25,7 @@
 	Err error
 }
 
-// Answered reports whether the attempt received the service's answer.
+// Answered reports whether the attempt received the service's response.
 func (o Outcome) Answered() bool { return o.Record != nil }
 
 // NotExecuted reports whether the attempt was refused as not executed.
@@ -42,19 +42,18 @@
 	return fmt.Sprintf("no response: %v", o.Err)
 }
 
-// Chat is what a caller received for one turn of a chat.
+// Chat is the result of one turn of a chat, as received by the caller.
 type Chat struct {
 	Request wire.ChatRequest
 	// Shown is the text that was streamed to the caller.
 	Shown string
-	// Text is the answer that the client returned as complete. It is valid if Err is
-	// nil.
+	// Text is the answer that the client library returned as complete. It is valid if Err is nil.
 	Text string
 	Err  error
 }
 
-// Oracle checks the guarantees by the records of the stand-ins and by what callers
-// received. It uses no state of the routers, which are under test.
+// Oracle checks the guarantees by the records of the stand-ins and the results received by callers.
+// It uses no state of the routers, which are under test.
 type Oracle struct {
 	mu       sync.Mutex
 	engines  map[string]*engine.Engine
@@ -78,7 +77,7 @@
 	return o.engines[name]
 }
 
-// Engines returns all engines, in no order.
+// Engines returns all engines, in no particular order.
 func (o *Oracle) Engines() []*engine.Engine {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -110,7 +109,7 @@
 	o.outcomes[out.Key] = append(o.outcomes[out.Key], out)
 }
 
-// RecordChat adds what a caller received for a turn.
+// RecordChat adds the result of a turn.
 func (o *Oracle) RecordChat(c Chat) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/lab/faultkit/page.go
+++ b/internal/lab/faultkit/page.go
@@ -34,7 +34,7 @@
 
 `
 
-// Page renders the matrix as Markdown. The same matrix always gives the same page.
+// Page renders the matrix as Markdown. Equal matrices always produce equal pages.
 func Page(m Matrix) string {
 	var b strings.Builder
 	b.WriteString(pageHeader)
--- a/internal/lab/faultkit/router.go
+++ b/internal/lab/faultkit/router.go
@@ -40,9 +40,8 @@
 // tokenSecret signs the hints and resume tokens of all routers of a Cluster.
 var tokenSecret = []byte("0123456789abcdef0123456789abcdef")
 
-// Router is built of the parts of the real router, in this process and behind a gate.
-// Until SetView it sees itself as the whole fleet, which is the extreme of differing
-// views.
+// Router consists of the components of the real router, in this process and behind a gate. Until
+// SetView its view of the fleet contains only itself, which is the extreme of differing views.
 type Router struct {
 	Name    string
 	Address string
--- a/internal/lab/model/callers.go
+++ b/internal/lab/model/callers.go
@@ -25,8 +25,8 @@
 	// FirstEventTimeout is how long a caller waits for the first event, Timeout for the
 	// whole response.
 	FirstEventTimeout, Timeout time.Duration
-	// Value is what a response on time earns, LateShare the share of it earned when
-	// late.
+	// Value is the value of a response on time, LateShare the share of it that a late response is
+	// worth.
 	Value, LateShare float64
 	// A prompt consists of a shared system prompt, a shared subject, and tokens of its
 	// own. SystemPrompts and Subjects are the numbers of distinct ones,
@@ -42,7 +42,7 @@
 type CallerConfig struct {
 	Classes  []Class
 	Accounts int
-	// Retries is how often a caller retries after a refusal.
+	// Retries is the number of times that a caller retries after a refusal.
 	Retries int
 	// TimeoutSpread is the largest share by which a caller shortens its timeout, drawn
 	// uniformly.
--- a/internal/lab/model/engine.go
+++ b/internal/lab/model/engine.go
@@ -170,8 +170,8 @@
 	return total + e.cache.pinnedTokens()
 }
 
-// preempt moves the newest of the least urgent requests from the batch back to the
-// queue. It returns false if none is less urgent than urgency.
+// preempt moves the newest of the least urgent requests from the batch back to the queue. It
+// returns false if none is less urgent than priority.
 func (e *Engine) preempt(priority int) bool {
 	victim := -1
 	for i, x := range e.batch {
--- a/internal/lab/model/gated.go
+++ b/internal/lab/model/gated.go
@@ -84,7 +84,7 @@
 // settleInterval is the interval at which waiting permit requests are re-evaluated.
 const settleInterval = 5 * time.Millisecond
 
-// scheduleSettle settles the gates at intervals as long as permit requests wait.
+// scheduleSettle calls settle at intervals of settleInterval as long as permit requests wait.
 func (g *engineGates) scheduleSettle() {
 	if g.settleScheduled {
 		return
@@ -248,7 +248,7 @@
 	}
 }
 
-// late reports whether a request has been retried too late to be on time.
+// late reports whether the request is a retry that is too late for a response on time.
 func (p *Gated) late(req *Request) bool {
 	if req.hasPrompt() {
 		slack := gate.StartWithin(req.Class.Objective)
--- a/internal/lab/model/surge_test.go
+++ b/internal/lab/model/surge_test.go
@@ -63,8 +63,8 @@
 // policyFactory returns the policy of a router.
 type policyFactory func(*Router, *rand.Rand) Policy
 
-// capacityFactor returns the load that engines can serve, as a multiple of the usual
-// one.
+// capacityFactor returns the load that engines can serve, as a multiple of the load at a factor of
+// 1.
 func (s scenario) capacityFactor() float64 { return 1 / CeilingOf(s.engines, s.classes, 1).Load }
 
 // surgeResult is the outcome of a surge.
@@ -121,9 +121,9 @@
 	}
 }
 
-// Guards against losing more goodput than the share of lost engines: 5 of 18 engines
-// crash during a surge and stay down, and their requests move to engines without their
-// prompts cached. Requires 9/10 of the ceiling of the other engines.
+// Guards against a loss of goodput that exceeds the share of lost engines: 5 of 18 engines crash
+// during a surge and stay down, and their requests move to engines without their prompts cached.
+// Requires 9/10 of the ceiling of the other engines.
 func TestGoodputDoesNotCollapseWhenEnginesCrash(t *testing.T) {
 	s := modelScenario()
 	const load, lost = 2, 5
@@ -137,9 +137,9 @@
 	require.Greater(t, got, 0.9*ceiling.ByUrgency)
 }
 
-// Guards against late responses for seconds after a surge because engines still work
-// off their queues: requests must wait at routers, where they end with their callers.
-// Requires service as without a surge, but for 2 %, from two seconds after the surge.
+// Guards against late responses for seconds after a surge because engines still work off their
+// queues: requests must wait at routers, where they end with their callers. Requires, from two
+// seconds after the surge on, 98 % of the value earned without a surge.
 func TestServiceRecoversAfterSurge(t *testing.T) {
 	const asNormal = 0.98
 	for _, s := range []scenario{modelScenario(), plainScenario()} {
--- a/internal/lab/standin/engine/faults.go
+++ b/internal/lab/standin/engine/faults.go
@@ -21,7 +21,7 @@
 	FaultStaleChunk FaultKind = "stale_chunk"
 	// FaultCrash crashes the engine after After chunks.
 	FaultCrash FaultKind = "crash"
-	// FaultRefuse refuses before execution, with proof of that.
+	// FaultRefuse refuses before execution, with the header that proves it.
 	FaultRefuse FaultKind = "refuse"
 	// FaultErrorBefore responds with status 500, without execution and without proof.
 	FaultErrorBefore FaultKind = "error_before"
--- a/internal/lab/standin/engine/http.go
+++ b/internal/lab/standin/engine/http.go
@@ -65,9 +65,9 @@
 	})
 }
 
-// refuse refuses a request that was not executed, with proof of that. It reads
-// the body first: a response sent while the client is still writing the body
-// may be lost, with the proof, when the connection closes.
+// refuse refuses a request that was not executed, with the header that proves
+// it. It reads the body first: a response sent while the client is still
+// writing the body may be lost, with the proof, when the connection closes.
 func refuse(c echo.Context, status int, code protocol.Code) error {
 	_, _ = io.Copy(io.Discard, c.Request().Body)
 	c.Response().Header().Set(wire.HeaderRan, ranNo)
--- a/internal/lab/standin/engine/options.go
+++ b/internal/lab/standin/engine/options.go
@@ -1,7 +1,8 @@
 // Package engine is a stand-in for a language model engine: continuous
 // batching, prefix cache, priorities, resumable streams, cache events, load
 // reports, orders and faults. It records its own stats, so that tests check the
-// router against what the engine executed and not against the router's state.
+// router against the executions of the engine and not against the router's
+// state.
 package engine
 
 import "time"
@@ -29,7 +30,8 @@
 	// KVBytesPerToken is the size of a token in an exported cache, in bytes.
 	KVBytesPerToken int
 	// EventDelay is the delay until cache events become visible, EventLog the
-	// number of events kept, and EventLoss the share that is silently lost.
+	// number of events kept, and EventLoss the share that is lost without an
+	// error.
 	EventDelay time.Duration
 	EventLog   int
 	EventLoss  float64
--- a/internal/lab/standin/service/faults.go
+++ b/internal/lab/standin/service/faults.go
@@ -16,7 +16,7 @@
 	FaultHang FaultKind = "hang"
 	// FaultSlow waits for Delay before execution.
 	FaultSlow FaultKind = "slow"
-	// FaultRefuse refuses before execution, with proof of that.
+	// FaultRefuse refuses before execution, with the header that proves it.
 	FaultRefuse FaultKind = "refuse"
 	// FaultErrorBefore responds with status 500, without execution and without proof.
 	FaultErrorBefore FaultKind = "error_before"
--- a/internal/lab/standin/service/http.go
+++ b/internal/lab/standin/service/http.go
@@ -141,7 +141,7 @@
 	return s.draining
 }
 
-// refuse refuses a call that was not executed, with proof of that.
+// refuse refuses a call that was not executed, with the header that proves it.
 func (s *Service) refuse(c echo.Context, status int, code protocol.Code) error {
 	s.mu.Lock()
 	s.stats.Refused++
--- a/internal/lab/standin/service/service.go
+++ b/internal/lab/standin/service/service.go
@@ -33,7 +33,7 @@
 	Number int `json:"number"`
 	// Kind is the kind of work, "receipts" or "handovers".
 	Kind string `json:"kind"`
-	// Key is the Idempotency-Key that came with the call.
+	// Key is the Idempotency-Key of the call.
 	Key string `json:"key"`
 }
 
@@ -108,7 +108,7 @@
 	s.draining = true
 }
 
-// execute executes the call, or returns the stored reply to its key with Deduplicates.
+// execute executes the call, or returns the stored response for its key if Deduplicates is set.
 func (s *Service) execute(kind, key string) Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/testseed/testseed.go
+++ b/internal/lab/testseed/testseed.go
@@ -11,7 +11,7 @@
 import (
 	"flag"
 
-	// Its init defines the flag, and must run before the one below.
+	// Its init defines the flag, and must run before the init of this package.
 	_ "pgregory.net/rapid"
 )
 
--- a/test/e2e/faults_test.go
+++ b/test/e2e/faults_test.go
@@ -165,8 +165,8 @@
 	require.Positive(t, turn.Resumes)
 }
 
-// A router that is stopped with SIGTERM must not exit, and truncate streams,
-// before it has relayed them to their ends.
+// A router that is stopped with SIGTERM must relay its streams to their ends before it exits, and
+// must not truncate them.
 func TestRouterStopDoesNotTruncateStreams(t *testing.T) {
 	f, c, conv := readyChat(t, "stopped-router")
 	relay := f.router(t, c, "stopped-router")
--- a/test/faults/chats_test.go
+++ b/test/faults/chats_test.go
@@ -30,7 +30,7 @@
 	unaffectedChats = 3
 )
 
-// chatResult is what the caller of the affected chat must receive.
+// chatResult is the result that the caller of the affected chat must receive.
 type chatResult string
 
 const (
@@ -102,7 +102,7 @@
 	})
 }
 
-// chatForeignChunk changes a chunk into one of another request, of the same length.
+// chatForeignChunk replaces a chunk by one of another request, of the same length.
 func chatForeignChunk(_ *chatScenario, c *faultkit.Conn) {
 	c.RewriteNext(func(p []byte) []byte {
 		i := bytes.LastIndex(p[:bytes.Index(p, []byte(`"offset":3,`))], []byte(`"id":"`))
@@ -234,8 +234,8 @@
 	return tests
 }
 
-// runChat guards against a caller that takes a truncated answer for complete, or
-// receives a repeated, missing or foreign chunk. That happens if a stream is accepted
+// runChat guards against a caller that treats a truncated answer as complete, or receives a
+// repeated or foreign chunk, or a stream with a missing one. That happens if a stream is accepted
 // although its end, its offsets or its request ID are wrong.
 func runChat(t *testing.T, c chatCell) {
 	inCluster(t, 2, faultkit.Options{Engines: 2}, func(t *testing.T, cl *faultkit.Cluster) {
--- a/test/faults/config_test.go
+++ b/test/faults/config_test.go
@@ -20,9 +20,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// changeScenario changes the configuration, injects the fault, and repeats the change
-// with its ID until the outcome is known. Two routers read the head; the third one
-// learns of it by announcements only.
+// changeScenario changes the configuration, injects the fault, and repeats the change with its ID
+// until the outcome is known. Two routers read the head; the third one receives it by announcements
+// only.
 type changeScenario struct {
 	*faultkit.Cluster
 	t        *testing.T
@@ -30,7 +30,7 @@
 	operator *faultkit.Operator
 	// announcedRouter is the router that never reads the head.
 	announcedRouter *faultkit.Router
-	// These set what happens to announcements.
+	// These select the faults of announcements.
 	dropAnnouncements, reorderAnnouncements, duplicateAnnouncements bool
 	// killFirst kills the first router that announces the new head.
 	killFirst bool
@@ -51,7 +51,7 @@
 const (
 	changeID            = "ours"
 	conflictingChangeID = "rival"
-	// propagationTime is long enough for routers to learn of a version.
+	// propagationTime is long enough for a version to reach all routers.
 	propagationTime = 20 * time.Second
 )
 
@@ -159,8 +159,8 @@
 	s.operator.OnStore(faultkit.StoreTrigger{Matches: isConfigCommit, After: true, Strike: operator.Gate.Kill})
 }
 
-// outageAfterCommit starts an outage of the store. Used after the commit, whose reply
-// is lost.
+// outageAfterCommit starts an outage of the store. It is used after the commit, whose reply is
+// lost.
 func outageAfterCommit(s *changeScenario) { storeOutage(s) }
 
 func killHeadReader(s *changeScenario, r *faultkit.Router) {
@@ -181,8 +181,8 @@
 	time.AfterFunc(pastDeadlines, r.Gate.Thaw)
 }
 
-// freezeAnnouncedRouter freezes the router that learns of heads by announcements only.
-// Announcements made meanwhile are delivered when it is thawed, and no others.
+// freezeAnnouncedRouter freezes the router that receives heads by announcements only. Announcements
+// made meanwhile are delivered when it is thawed, and no others.
 func freezeAnnouncedRouter(s *changeScenario) {
 	s.announcedVersion = 3
 	onOperatorCall(isConfigCommit, false, nil, func(s *changeScenario) {
@@ -286,10 +286,10 @@
 	return tests
 }
 
-// runChange guards against an accepted change that is not active on some router, is
-// applied twice, reverts to an earlier version, or is reported as rejected. Causes are
-// a missing reply taken for success or failure, and a router that follows a late
-// announcement back to an older version.
+// runChange guards against an accepted change that is not active on some router, is applied twice,
+// reverts to an earlier version, or is reported as rejected. Causes are a missing reply that is
+// treated as success or failure, and a late announcement that makes a router return to an older
+// version.
 func runChange(t *testing.T, c changeCell) {
 	inCluster(t, 3, faultkit.Options{}, func(t *testing.T, cl *faultkit.Cluster) {
 		s := &changeScenario{Cluster: cl, t: t, operator: cl.NewOperator(), announcedRouter: cl.Routers[2], announcedVersion: 2}
@@ -357,7 +357,7 @@
 	}
 	if freeze {
 		s.freezeDuringChange(from)
-		// This announcement is already under way and is the last one delivered.
+		// This announcement is already in transit and is the last one delivered.
 		_ = from.Gate.Pass()
 		s.update(func() { s.announcementsEnded = true })
 	}
--- a/test/faults/matrix_test.go
+++ b/test/faults/matrix_test.go
@@ -21,7 +21,7 @@
 // cellTest is a test of one cell.
 type cellTest struct {
 	guarantees []faultkit.Guarantee
-	// description says in one line what the test does.
+	// description describes the test in one line.
 	description string
 	run         func(t *testing.T)
 }
--- a/test/faults/membership_test.go
+++ b/test/faults/membership_test.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// setVMList gives all routers a VM list with the given nodes.
+// setVMList installs a VM list with the given nodes at all routers.
 func (f *fleet) setVMList(state platform.VMState, nodes ...*simnet.Node) {
 	var vms []platform.VM
 	for _, n := range nodes {
@@ -293,9 +293,8 @@
 	}
 }
 
-// runJoin guards against views that differ and never converge: a router that joined
-// owns nothing, or two routers own one engine for good and each grants permits up to
-// the load bound.
+// runJoin guards against views that differ and never converge: a router that joined owns nothing,
+// or two routers own one engine permanently and each grants permits up to the load bound.
 func runJoin(t *testing.T, f *fleet, c fleetCell) {
 	f.nodes = append(f.nodes, f.start("newcomer", nodeAddress(10), 1))
 	c.disturbance.inject(f)
--- a/test/faults/permits_test.go
+++ b/test/faults/permits_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// permitScenario has three routers that request permits for one engine from its owner,
-// over a faulty network, and send the engine what they are granted. The owner's ledger is
-// checked against the number of requests that the engine executes.
+// permitScenario has three routers that request permits for one engine from its owner, over a
+// faulty network, and send the granted requests to the engine. The owner's ledger is checked
+// against the number of requests that the engine executes.
 type permitScenario struct {
 	t   *testing.T
 	rng *rand.Rand
--- a/test/faults/receipts_test.go
+++ b/test/faults/receipts_test.go
@@ -86,7 +86,7 @@
 	return func(_ *receiptScenario, c *faultkit.Conn) { c.DelayNext(func() { time.Sleep(d) }) }
 }
 
-// failCommit makes the next commits meet faults of the store.
+// failCommit injects faults of the store into the next commits.
 func failCommit(faults ...platformtest.Fault) receiptFault {
 	return func(s *receiptScenario, _ *faultkit.Conn) { s.Platform.Script(platformtest.OpCommit, faults...) }
 }
@@ -275,8 +275,7 @@
 	return atB
 }
 
-// resultOf returns what the caller knows. executions is the count before the last
-// retry.
+// resultOf returns the result as the caller sees it. executions is the count before the last retry.
 func resultOf(last faultkit.Outcome, executions int) receiptResult {
 	switch {
 	case last.Answered():
--- a/test/faults/untested_test.go
+++ b/test/faults/untested_test.go
@@ -6,7 +6,7 @@
 	"damaskrouter.example/damaskrouter/internal/lab/faultkit"
 )
 
-// exclusion is a reason why cells have no test.
+// exclusion is the reason for which some cells have no test.
 type exclusion struct {
 	faults []faultkit.Fault
 	steps  []faultkit.Step
@@ -22,8 +22,8 @@
 	membershipSteps = faultkit.StepGroups[2].Steps
 )
 
-// notApplicable lists why cells do not apply. The first match counts, for cells without
-// a test.
+// notApplicable lists the reasons for which cells do not apply. The first match counts, for cells
+// without a test.
 var notApplicable = []exclusion{
 	{faultList(faultkit.OperatorRace), slices.Concat(requestSteps, membershipSteps, stepList(faultkit.Propagate)),
 		"Operators' changes conflict at the commit only; later steps see one chain"},
@@ -57,7 +57,7 @@
 		"Membership uses datagrams and has no connections"},
 }
 
-// openCells lists what open cells lack.
+// openCells lists the gaps of open cells.
 var openCells = []exclusion{
 	{faultList(faultkit.AddressReused), stepList(faultkit.Locate),
 		"No test of a locate reply with an address that is used by another router"},
--- a/test/faults/upstreams_test.go
+++ b/test/faults/upstreams_test.go
@@ -33,20 +33,19 @@
 
 type drainCell struct {
 	fault faultkit.Fault
-	// startDrain makes the engine drain. Routers learn of it by the sources that the
-	// fault leaves.
+	// startDrain makes the engine drain. Routers receive it from the sources that the fault does
+	// not affect.
 	startDrain  func(s *drainScenario)
 	description string
 }
 
 func drainByReport(s *drainScenario) { s.Oracle.Engine(firstEngine).Drain() }
 
-// drainByVMList marks the engine as leaving in the VM list only. The engine itself
-// still accepts work.
+// drainByVMList marks the engine as draining in the VM list only. The engine itself still accepts
+// requests.
 func drainByVMList(s *drainScenario) { putVMState(s, platform.VMDraining) }
 
-// drainThenOlderList delivers an older VM list after the one that marks the engine as
-// leaving.
+// drainThenOlderList delivers an older VM list after the one that marks the engine as draining.
 func drainThenOlderList(s *drainScenario) {
 	drainByVMList(s)
 	time.Sleep(leavePropagationTime)
@@ -119,9 +118,9 @@
 	return tests
 }
 
-// runDrain guards against new work for a draining engine and against truncated streams
-// of it. Causes are believing a source that does not know of the drain yet, or one that
-// is older.
+// runDrain guards against new work for a draining engine and against truncated streams of it.
+// Causes are a source that does not report the drain yet, and an older report that overrides a
+// newer one.
 func runDrain(t *testing.T, c drainCell) {
 	inCluster(t, 1, faultkit.Options{Engines: 2}, func(t *testing.T, cl *faultkit.Cluster) {
 		s := &drainScenario{Cluster: cl, t: t}
@@ -219,10 +218,10 @@
 	engineSlots = 50
 )
 
-// runOverload guards against a waiting request that is granted and refused at the same
-// moment: a caller would be told that its chat was not executed although an engine
-// executed it, or an engine would get more than it can hold. More chats than the
-// engines hold arrive at once, with deadlines that only some can meet.
+// runOverload guards against a waiting request that is granted and refused at the same moment: a
+// caller would get the error that its chat was not executed although an engine executed it, or an
+// engine would get more chats than it can hold. More chats than the engines can hold arrive at
+// once, and only some can be served within their deadlines.
 func runOverload(t *testing.T) {
 	o := faultkit.Options{Engines: 2, StepTime: 100 * time.Millisecond, Bundle: highRateBundle(t)}
 	inCluster(t, 1, o, func(t *testing.T, cl *faultkit.Cluster) {
@@ -238,9 +237,9 @@
 	})
 }
 
-// requireAnsweredOrNotExecuted compares the engines' counts with the results: a chat
-// was executed once if it was answered, and not at all if it was refused as not
-// executed. It returns the number of answered chats.
+// requireAnsweredOrNotExecuted compares the engines' counts with the results: a chat was executed
+// once if its caller received a response, and not at all if it was refused as not executed. It
+// returns the number of chats with a response.
 func requireAnsweredOrNotExecuted(t *testing.T, cl *faultkit.Cluster, chats []*faultkit.Chat) (answered int) {
 	t.Helper()
 	notExecuted := 0
@@ -293,8 +292,9 @@
 	})
 }
 
-// runQueued guards against waiting chats that are lost, or executed although their
-// caller has left. A queue entry must not outlive its caller or need the store.
+// runQueued guards against waiting chats that are lost, or executed although their caller has
+// disconnected. A queue entry must be removed when its caller disconnects, and must not need the
+// store.
 func runQueued(t *testing.T, inject func(cl *faultkit.Cluster)) {
 	o := faultkit.Options{Engines: 1, StepTime: 50 * time.Millisecond, Bundle: highRateBundle(t)}
 	inCluster(t, 1, o, func(t *testing.T, cl *faultkit.Cluster) {
--- a/test/faults/views_test.go
+++ b/test/faults/views_test.go
@@ -28,8 +28,7 @@
 	chatsPerRouter = 12
 	// locateCalls is the number of calls that arrive at one router at once.
 	locateCalls = 200
-	// locateJitter is the maximum share of a locate reply's time to live that jitter
-	// takes off.
+	// locateJitter is the maximum share by which jitter shortens a locate reply's time to live.
 	locateJitter = 0.2
 )
 
@@ -54,7 +53,7 @@
 	return out
 }
 
-// setDifferentViews gives each router a different view: each misses another one.
+// setDifferentViews sets a different view at each router: in each, another router is missing.
 func (s *viewScenario) setDifferentViews() {
 	s.a.SetView(s.boardEntries(s.b)...)
 	s.b.SetView(s.boardEntries(s.c)...)
@@ -159,9 +158,8 @@
 	return loc
 }
 
-// runLocateSurge guards against callers that locate in one burst and return in one,
-// because all replies have the same time to live, and against locate calls that call
-// the store.
+// runLocateSurge guards against callers that locate in one burst and locate again in one burst,
+// because all replies have the same time to live, and against locate calls that call the store.
 func runLocateSurge(t *testing.T) {
 	inViewScenario(t, faultkit.Options{Engines: viewEngineCount, Bundle: highRateBundle(t)}, func(s *viewScenario) {
 		calls := len(s.Platform.History())
--- a/test/soak/cluster.go
+++ b/test/soak/cluster.go
@@ -15,7 +15,7 @@
 	"damaskrouter.example/damaskrouter/platform/platformtest"
 )
 
-// Bounds in the routers' settings, which the checks hold the routers to.
+// Bounds in the routers' settings, which the checks enforce.
 const (
 	revokeBound = 5 * time.Second
 	drainBound  = 2 * time.Second
@@ -49,10 +49,10 @@
 type engine struct {
 	*platformtest.Engine
 	proxy *proxy
-	// drainedAt is when the store marked the engine as draining or removed its entry;
+	// drainedAt is the time at which the store marked the engine as draining or removed its entry;
 	// zero while it serves.
 	drainedAt time.Time
-	// addedAt is when the engine was registered.
+	// addedAt is the time at which the engine was registered.
 	addedAt time.Time
 }
 
@@ -229,11 +229,11 @@
 	if replaced {
 		return
 	}
-	// A failed start shows as a router that serves nothing.
+	// A failed start is detected as a router that serves no requests.
 	_ = cl.start(r)
 }
 
-// exits returns the unexpected exits and how they happened.
+// exits returns the unexpected exits with their exit states.
 func (cl *cluster) exits() []string {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
--- a/test/soak/peers.go
+++ b/test/soak/peers.go
@@ -15,8 +15,7 @@
 	target    *net.UDPAddr
 
 	mu sync.Mutex
-	// senders holds a socket for each sender. The router sees datagrams of the sender
-	// as coming from it.
+	// senders holds a socket for each sender. To the router, its address is that of the sender.
 	senders map[string]*net.UDPConn
 }
 
@@ -76,7 +75,7 @@
 	}
 }
 
-// forward sends a datagram, with a delay if the mode says so.
+// forward sends a datagram, with a delay in the mode delayed.
 func (l *peerLink) forward(datagram []byte, send func([]byte)) {
 	if l.calls.currentMode() == delayed {
 		time.AfterFunc(delay, func() { send(datagram) })
--- a/test/soak/proxy.go
+++ b/test/soak/proxy.go
@@ -1,6 +1,5 @@
-// Package soak runs the real program as separate processes on one machine, injects
-// faults from outside of them, and checks the guarantees by what callers and engines
-// observe.
+// Package soak runs the real program as separate processes on one machine, injects faults from
+// outside of them, and checks the guarantees by the observations of callers and engines.
 package soak
 
 import (
@@ -9,7 +8,7 @@
 	"time"
 )
 
-// mode is what a proxy does to the bytes that pass.
+// mode is the treatment of forwarded bytes by a proxy.
 type mode int
 
 const (
@@ -114,9 +113,8 @@
 	}
 }
 
-// forward copies bytes one way. Once it has dropped bytes of a connection it drops all
-// later ones too, as a device on the path does that has lost its state of the
-// connection.
+// forward copies bytes one way. Once it has dropped bytes of a connection, it drops all later ones
+// too, like a network device that has lost its state of the connection.
 func (p *proxy) forward(from, to net.Conn, fromTarget bool) {
 	defer p.closePair(from, to)
 	buf := make([]byte, 16<<10)
--- a/test/soak/recorder.go
+++ b/test/soak/recorder.go
@@ -9,7 +9,7 @@
 	"damaskrouter.example/damaskrouter/platform/platformtest"
 )
 
-// observation is what a caller observed of one request.
+// observation is the result of one request, as observed by its caller.
 type observation struct {
 	path     string
 	key      string
@@ -17,12 +17,12 @@
 	response platformtest.Response
 }
 
-// recorder collects what callers observed, to be compared with the engines' records.
+// recorder collects the callers' observations, to be compared with the engines' records.
 type recorder struct {
 	mu           sync.Mutex
 	observations []observation
 	injected     []string
-	// revokedAt is when the store accepted a configuration without the key.
+	// revokedAt is the time at which the store accepted a configuration without the key, by key.
 	revokedAt  map[string]time.Time
 	violations []string
 }
@@ -106,8 +106,8 @@
 	}
 }
 
-// checkDrained: a draining engine gets no new request after drainBound, once no fault
-// keeps routers from knowing of it.
+// checkDrained: a draining engine gets no new request after drainBound, once no fault prevents
+// routers from receiving the drain.
 func (rec *recorder) checkDrained(e *engine, r platformtest.Run, recoveredAt time.Time) {
 	if e.drainedAt.IsZero() || r.At.Before(recoveredAt) || r.At.Before(e.drainedAt.Add(drainBound)) {
 		return
--- a/test/soak/settings.go
+++ b/test/soak/settings.go
@@ -37,9 +37,9 @@
 	return os.WriteFile(r.settings, []byte(text), 0o600)
 }
 
-// rewriteSettings changes the settings of random routers until end: valid, invalid or
-// incomplete for a moment, with and without SIGHUP. Then it gives all routers valid
-// settings with defaultSlack.
+// rewriteSettings changes the settings of random routers until end: valid, invalid or incomplete
+// for a moment, with and without SIGHUP. Then it writes valid settings with defaultSlack for all
+// routers.
 func rewriteSettings(cl *cluster, rec *recorder, rng *rand.Rand, end time.Time) {
 	for time.Now().Before(end) {
 		time.Sleep(duration(rng, 20*time.Millisecond, 300*time.Millisecond))
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -18,7 +18,7 @@
 	Routers int
 	Engines int
 	Callers int
-	// FaultDuration is how long faults are injected.
+	// FaultDuration is the time for which faults are injected.
 	FaultDuration time.Duration
 	// Dir is the directory for settings and logs of the routers, Binary the path of the
 	// program.
@@ -45,7 +45,7 @@
 const (
 	// recoveryTime is the time for the system to recover after the faults.
 	recoveryTime = 5 * time.Second
-	// measureTime is how long requests are counted after that.
+	// measureTime is the time for which requests are counted after that.
 	measureTime = 2 * time.Second
 	// callTimeout is the timeout of callers.
 	callTimeout = 2500 * time.Millisecond
@@ -164,7 +164,7 @@
 	}
 }
 
-// changeConfig revokes keys for good and drains engines.
+// changeConfig revokes keys permanently and drains engines.
 func changeConfig(cl *cluster, rec *recorder, rng *rand.Rand, end time.Time) {
 	remainingKeys := [][]string{{"key-2"}, nil}
 	revokedKeys := []string{"key-3", "key-2"}
@@ -184,10 +184,9 @@
 	}
 }
 
-// removeDuringRestarts removes engine entries that were not marked as draining, each
-// while a router is down. It guards against a restarted router, which reads the engines
-// only after the removal, hiding the removal from routers that have not received it yet
-// and query the restarted one.
+// removeDuringRestarts removes engine entries that were not marked as draining, each while a router
+// is down. The restarted router reads the engines only after the removal. It must not hide the
+// removal from routers that have not received it yet and query the restarted one.
 func removeDuringRestarts(cl *cluster, rec *recorder, rng *rand.Rand, end time.Time) {
 	for time.Now().Before(end) {
 		time.Sleep(duration(rng, 300*time.Millisecond, time.Second))
