--- a/internal/operate/admin/config_test.go
+++ b/internal/operate/admin/config_test.go
@@ -370,7 +370,7 @@
 	require.Nil(t, h.get(rootToken, api.PathStatus, &st))
 	assert.Equal(t, []any{uint64(1), true, true, "r1"}, []any{st.Version, st.HeadKnown, st.Complete, st.SeenBy})
 	require.Nil(t, h.get(rootToken, api.PathStatus+"?version=2", &st))
-	assert.Equal(t, []any{false, []string{"r1"}}, []any{st.Complete, st.Lagging}, "a leaving router does not count as lagging")
+	assert.Equal(t, []any{false, []string{"r1"}}, []any{st.Complete, st.Lagging}, "a draining router does not count as lagging")
 	h.store.SetDown(true)
 	require.Nil(t, h.get(rootToken, api.PathStatus, &st))
 	assert.Equal(t, []any{uint64(2), false}, []any{st.Version, st.HeadKnown})
--- a/internal/serve/admission/admission_test.go
+++ b/internal/serve/admission/admission_test.go
@@ -281,7 +281,7 @@
 
 // Guards against granted permits that no request uses. A caller disconnects
 // while its request waits, or just as it is granted.
-func TestPermitReleasedWhenCallerLeavesQueue(t *testing.T) {
+func TestPermitReleasedWhenCallerDisconnects(t *testing.T) {
 	n := newNodes(t, []string{"r1"}, []string{"e1"})["r1"]
 	grants := fill(t, n, 1)
 	s := n.admission.scheduler(groupKey{pool.Name, "r"})
--- a/internal/serve/traffic/retry.go
+++ b/internal/serve/traffic/retry.go
@@ -71,16 +71,16 @@
 		return a.withRan(refusal)
 	}
 	a.number++
-	known := outcomeFrom(upstream.SentOf(err))
+	outcome := outcomeFrom(upstream.SentOf(err))
 	decision := a.s.retrier.decide(retry.Attempt{
 		Number:     a.number,
 		Idempotent: a.idempotent,
-		Known:      known,
+		Known:      outcome,
 		Earlier:    a.strongest,
 		Alternate:  true,
 		Remaining:  a.remaining(),
 	})
-	a.strongest = max(a.strongest, known)
+	a.strongest = max(a.strongest, outcome)
 	if ctx.Err() != nil {
 		return a.withRan(disconnectedError(ctx.Err()))
 	}
--- a/internal/serve/traffic/traffic_test.go
+++ b/internal/serve/traffic/traffic_test.go
@@ -193,7 +193,7 @@
 				resp, body := h.do(receiptRequest("k1"))
 				status = resp.StatusCode
 				if status >= 400 && decodeRefusal(t, body).Ran == apierr.RanNo {
-					require.Equal(t, before, sum(h.portal.Stats().Executions), "a call refused as not run must not have run")
+					require.Equal(t, before, sum(h.portal.Stats().Executions), "a call refused as not executed must not have been executed")
 				}
 			}
 			require.Equal(t, c.finalStatus, status)
--- a/test/faults/flood_test.go
+++ b/test/faults/flood_test.go
@@ -80,7 +80,7 @@
 		all.Wait()
 		// The oracle checks the executions; this checks that each receipt has an
 		// outcome.
-		require.EqualValues(t, floodReceipts, s.answered.Load()+s.refused.Load(), "each receipt is answered or refused as not executed")
+		require.EqualValues(t, floodReceipts, s.answered.Load()+s.refused.Load(), "each receipt gets a response or is refused as not executed")
 		require.NotZero(t, s.refused.Load(), "the surge exceeds the budget")
 		require.Greater(t, s.answered.Load(), int64(floodReceipts/8), "receipts within the budget are served")
 	})
--- a/test/faults/membership_test.go
+++ b/test/faults/membership_test.go
@@ -312,7 +312,7 @@
 	leaver.Endpoint.Detector().Leave()
 	c.disturbance.inject(f)
 	f.net.RunFor(leavePropagationTime)
-	require.False(t, f.ownsAny(name), "a leaving router owns no engine")
+	require.False(t, f.ownsAny(name), "a draining router owns no engine")
 	f.setVMList(platform.VMLive, leaver)
 	f.net.RunFor(faultDuration)
 	require.False(t, f.ownsAny(name), "an older VM list does not override a leave")
--- a/test/faults/upstreams_test.go
+++ b/test/faults/upstreams_test.go
@@ -252,7 +252,7 @@
 			notExecuted++
 		}
 	}
-	require.Equal(t, len(chats), answered+notExecuted, "each chat is answered or refused as not executed: %s", outcomes(chats))
+	require.Equal(t, len(chats), answered+notExecuted, "each chat gets a response or is refused as not executed: %s", outcomes(chats))
 	require.Equal(t, answered, cl.Oracle.EngineExecutions())
 	return answered
 }
--- a/test/soak/cluster.go
+++ b/test/soak/cluster.go
@@ -97,7 +97,7 @@
 // newCluster starts a store with a configuration, engines and routers. Routers listen
 // at 127.0.NETWORK.1 and up, so that runs with different networks can run side by side.
 // Other routers reach them through proxies at 127.1.NETWORK.1 and up.
-func newWorld(dir, binary string, network, routers, engines int) (*cluster, error) {
+func newCluster(dir, binary string, network, routers, engines int) (*cluster, error) {
 	cl := &cluster{
 		dir: dir, binary: binary, store: platformtest.NewStore(), seed: fmt.Sprintf("127.%d.%d.1", advertisedOffset, network),
 	}
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -54,7 +54,7 @@
 // Run runs one seed. An error means that the run could not be set up; violated
 // guarantees are in the result.
 func Run(o Options) (Result, error) {
-	cl, err := newWorld(o.Dir, o.Binary, o.Network, o.Routers, o.Engines)
+	cl, err := newCluster(o.Dir, o.Binary, o.Network, o.Routers, o.Engines)
 	if err != nil {
 		return Result{}, err
 	}
