--- a/internal/secure/token/errors.go
+++ b/internal/secure/token/errors.go
@@ -5,7 +5,7 @@
 
 // Error reports a rejected token. Its text is the same for every reason:
 // otherwise a caller could distinguish a forged token from a valid token of
-// another account, and so find out that the other account's chat exists.
+// another account, and so detect that the other account's chat exists.
 type Error struct {
 	reason Reason
 }
--- a/internal/serve/controller/configs_test.go
+++ b/internal/serve/controller/configs_test.go
@@ -71,7 +71,7 @@
 	})
 	store := platformtest.New()
 	// Both routers are among the few that read the head. The store is down so that this router does
-	// not learn the head from it.
+	// not read the head from it.
 	store.SetDown(true)
 	c := &Configs{
 		Board: b, Chain: config.NewChain(store, store.Objects(), time.Now), Caller: caller,
--- a/internal/serve/traffic/locate.go
+++ b/internal/serve/traffic/locate.go
@@ -123,7 +123,7 @@
 
 // localRouters returns the live routers of the region and their ids. It returns
 // all live routers if the region has none, since the network between regions
-// fails now and then.
+// may fail.
 func localRouters(snap *board.Snapshot, region string) ([]board.Router, []uint64) {
 	var local []board.Router
 	var ids []uint64
