--- a/client/client_test.go
+++ b/client/client_test.go
@@ -97,10 +97,10 @@
 	require.EqualValues(t, 3, f.locates.Load())
 }
 
-// Guards against a partial response that is taken for a complete one, and against
-// repeated chunks. A stream that ends without its end marker, skips an offset or
-// contains a chunk of another request is resumed with its token after the last
-// valid chunk.
+// Guards against a partial response that is treated as complete, and against
+// repeated chunks. A stream that ends without its end marker, skips an offset
+// or contains a chunk of another request is resumed with its token after the
+// last valid chunk.
 func TestIncompleteStreamIsResumed(t *testing.T) {
 	for name, first := range map[string]func(http.ResponseWriter){
 		"cut": func(w http.ResponseWriter) { writeStream(w, "s", 0, 3, false) },
@@ -132,7 +132,7 @@
 }
 
 // Guards against retries of a request that every router would refuse, and against
-// clients that stay on a draining router.
+// callers that stay on a draining router.
 func TestOnlyDrainingOrUnreadyRouterIsRetried(t *testing.T) {
 	for code, retried := range map[apierr.Code]bool{
 		apierr.CodeDraining: true, apierr.CodeNotReady: true, apierr.CodeQueueFull: false, apierr.CodeUnauthorized: false,
--- a/internal/lab/capacity/store_test.go
+++ b/internal/lab/capacity/store_test.go
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// VMs returns the VM list, or that it has not changed.
+// VMs returns the VM list, or a reply that it has not changed.
 func (f *fleetStub) VMs(args controller.VMsArgs, reply *controller.VMsReply) error {
 	*reply = f.vms
 	if args.Etag == f.vms.Etag {
@@ -283,8 +283,8 @@
 		b.Error("claim was not granted", err)
 		return
 	}
-	answer := claim.Response{Status: http.StatusOK, ContentType: "application/json", Body: []byte(`{"receipt":"1"}`)}
-	if err := store.Finish(context.Background(), out.Claim, answer); err != nil {
+	response := claim.Response{Status: http.StatusOK, ContentType: "application/json", Body: []byte(`{"receipt":"1"}`)}
+	if err := store.Finish(context.Background(), out.Claim, response); err != nil {
 		b.Error(err)
 	}
 }
--- a/internal/lab/standin/engine/http.go
+++ b/internal/lab/standin/engine/http.go
@@ -41,7 +41,7 @@
 	r.GET(PathStats, e.getStats)
 	r.POST(PathFaults, e.postFault)
 	r.DELETE(PathFaults, e.deleteFaults)
-	r.POST(PathLeave, e.postLeave)
+	r.POST(PathLeave, e.postDrain)
 	r.POST(PathRestart, e.postRestart)
 	return e.guard(r)
 }
@@ -65,9 +65,9 @@
 	})
 }
 
-// refuse refuses a request that was not executed, with proof of that. It reads
-// the body first: a response sent while the client is still writing the body
-// may be lost, with the proof, when the connection closes.
+// refuse refuses a request that was not executed, with the header that proves
+// it. It reads the body first: a response sent while the client is still
+// writing the body may be lost, with the proof, when the connection closes.
 func refuse(c echo.Context, status int, code protocol.Code) error {
 	_, _ = io.Copy(io.Discard, c.Request().Body)
 	c.Response().Header().Set(wire.HeaderRan, ranNo)
@@ -226,7 +226,7 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-func (e *Engine) postLeave(c echo.Context) error {
+func (e *Engine) postDrain(c echo.Context) error {
 	e.Drain()
 	return c.NoContent(http.StatusNoContent)
 }
--- a/internal/lab/standin/service/http.go
+++ b/internal/lab/standin/service/http.go
@@ -41,7 +41,7 @@
 	r.GET(PathStats, s.getStats)
 	r.POST(PathFaults, s.postFault)
 	r.DELETE(PathFaults, s.deleteFaults)
-	r.POST(PathLeave, s.postLeave)
+	r.POST(PathLeave, s.postDrain)
 	return r
 }
 
@@ -141,7 +141,7 @@
 	return s.draining
 }
 
-// refuse refuses a call that was not executed, with proof of that.
+// refuse refuses a call that was not executed, with the header that proves it.
 func (s *Service) refuse(c echo.Context, status int, code protocol.Code) error {
 	s.mu.Lock()
 	s.stats.Refused++
@@ -193,7 +193,7 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-func (s *Service) postLeave(c echo.Context) error {
+func (s *Service) postDrain(c echo.Context) error {
 	s.Drain()
 	return c.NoContent(http.StatusNoContent)
 }
--- a/internal/operate/admin/api/api.go
+++ b/internal/operate/admin/api/api.go
@@ -142,7 +142,7 @@
 type ApplyRequest struct {
 	Files   Files  `json:"files"`
 	Comment string `json:"comment"`
-	// Withdraw skips the check that sites keep serving what they serve now.
+	// Withdraw skips the check that no site stops serving a model or service.
 	Withdraw bool `json:"withdraw,omitempty"`
 }
 
--- a/internal/serve/apierr/apierr.go
+++ b/internal/serve/apierr/apierr.go
@@ -1,5 +1,5 @@
 // Package apierr defines the errors that the router returns to callers and
-// operators. Each one says what went wrong, whether the request ran, and when
+// operators. Each one states the cause, whether the request was executed, and when
 // the caller may retry.
 //
 // Internal packages return their own typed errors. The HTTP layers translate
@@ -63,7 +63,7 @@
 type Error struct {
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
-	// Ran says whether the request was executed.
+	// Ran states whether the request was executed.
 	Ran Ran `json:"ran"`
 	// RetryAfter is how long the caller should wait before it retries. Zero
 	// means that a retry is pointless or needs no wait.
@@ -109,7 +109,8 @@
 	return &copied
 }
 
-// WithRetryAfter returns a copy of e that tells the caller to retry after d.
+// WithRetryAfter returns a copy of e with d as the time after which the caller
+// may retry.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	copied := *e
 	copied.RetryAfter = d
@@ -119,7 +120,7 @@
 
 // From returns the *Error in err's chain. Any other error becomes an internal
 // error with RanUnknown, because an unforeseen failure must never be reported
-// as "did not run".
+// as "not executed".
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
--- a/internal/serve/board/ownership.go
+++ b/internal/serve/board/ownership.go
@@ -14,7 +14,7 @@
 
 // ownership is the mapping of engines to the live routers that own them. Each router computes it
 // from the live routers and the engines of each group. Routers with different views of the fleet
-// may disagree; the permit books allow for that.
+// may disagree; the permit ledgers allow for that.
 //
 // It is computed again only if one of these inputs has changed, because most snapshots are
 // published for other reasons and the computation takes milliseconds in a large fleet.
@@ -85,7 +85,8 @@
 	indexes []int
 	// load is the number of engines that each router has been assigned.
 	load []int
-	// limit is the number of engines from which on a router is assigned none of a pool's remainder.
+	// limit is the number of engines at which a router is no longer assigned any of a pool's
+	// remainder.
 	limit int
 }
 
--- a/internal/serve/traffic/response.go
+++ b/internal/serve/traffic/response.go
@@ -18,7 +18,7 @@
 	// resumeBackoff is the delay before the second attempt to resume. It grows
 	// linearly with the attempts.
 	resumeBackoff = 100 * time.Millisecond
-	// cancelTimeout bounds the request that tells an engine to stop a stream.
+	// cancelTimeout bounds the request that cancels a stream at its engine.
 	cancelTimeout = 2 * time.Second
 )
 
@@ -64,10 +64,10 @@
 // next returns the next event. It resumes a broken or stalled stream at the
 // same engine on a new connection.
 //
-// A connection may be lost on the path while engine and router are well.
-// Without resuming, the caller would see a pause and then a truncated response.
-// The idle timeout of the stream detects the loss, and offsets make sure that
-// the continuation has neither a gap nor a repetition.
+// A connection may be lost in the network while engine and router work. Without
+// resuming, the caller would see a pause and then a truncated response. The
+// idle timeout of the stream detects the loss, and offsets make sure that the
+// continuation has neither a gap nor a repetition.
 func (r *chatResponse) next() (upstream.Event, error) {
 	if !r.firstConsumed {
 		r.firstConsumed = true
@@ -132,7 +132,7 @@
 	}
 }
 
-// abort ends a stream. The engine is told to stop before the permit is
+// abort ends a stream. The request is canceled at the engine before the permit is
 // released, so that the accounting never shows capacity that the engine does
 // not have.
 func (r *chatResponse) abort() {
@@ -150,7 +150,7 @@
 	}
 }
 
-// prefixHint returns a sealed hint that says where the prefix of this request
+// prefixHint returns a sealed hint that states where the prefix of this request
 // is cached, or "" for a request without a chat.
 func (r *chatResponse) prefixHint() string {
 	if r.request == nil || r.request.caller.affinityKey == 0 {
--- a/internal/serve/upstream/service.go
+++ b/internal/serve/upstream/service.go
@@ -22,9 +22,8 @@
 	Body        []byte
 }
 
-// controlPaths are reserved for requests of the router itself. Some upstreams
-// don't check who sends a control request, so the path of a caller's request must
-// never match one.
+// controlPaths are reserved for requests of the router itself. Some upstreams don't check the
+// sender of a control request, so the path of a caller's request must never match one.
 var controlPaths = []string{
 	wire.PathEngineStatus,
 	strings.TrimSuffix(wire.PathEngineStreams, "/"),
@@ -143,7 +142,7 @@
 }
 
 // readBody reads a body of up to limit bytes. It rejects a body that ends with
-// the connection: its end can't be told from a lost connection, and an incomplete
+// the connection: its end can't be distinguished from a lost connection, and an incomplete
 // response would be returned as complete. Errors: ErrIncomplete, ErrMalformed,
 // ErrTooLarge.
 func readBody(res *http.Response, limit int64) ([]byte, error) {
--- a/internal/store/claim/store.go
+++ b/internal/store/claim/store.go
@@ -64,7 +64,7 @@
 
 // The kinds of outcome.
 const (
-	// Run: the caller must send the request and then call Finish, Refused or
+	// Run: the caller must send the request and then call Finish, Release or
 	// MarkUnknown.
 	Run OutcomeKind = iota + 1
 	// Answered: the request was executed earlier; the caller must return
@@ -103,10 +103,10 @@
 	}
 }
 
-// Begin claims key for a request with the given body. Errors: *NotRunError if the
-// claim could not be made, so that the request must not be sent; ErrAnswerLost if
-// the request was executed and its response is not available; ErrBadKey and
-// ErrCorrupt.
+// Begin claims key for a request with the given body. Errors: *NotExecutedError
+// if the claim could not be made, so that the request must not be sent;
+// ErrResponseLost if the request was executed and its response is not available;
+// ErrBadKey and ErrCorrupt.
 func (s *Store) Begin(ctx context.Context, key Key, body BodyHash) (Outcome, error) {
 	if err := key.validate(); err != nil {
 		return Outcome{}, err
@@ -158,10 +158,11 @@
 // attempt writes the claim and returns the row as stored afterwards, which may
 // belong to this claim or another. A version of 0 means that the row is absent.
 //
-// After a lost reply the row may belong to this claim. Treated as another's row,
-// it would cause the request to be refused although its claim took effect;
-// treated as absent, it would be claimed under a second token. So the row is read
-// back and compared by token, and a repeated write has the same token.
+// After a lost reply the row may belong to this claim. If it were treated as
+// another claim's row, the request would be refused although its claim took
+// effect; if it were treated as absent, the key would be claimed under a second
+// token. So the row is read back and compared by token, and a repeated write
+// has the same token.
 func (b *begin) attempt(ctx context.Context) (platform.Row, error) {
 	row, err := b.store.put(ctx, platform.UseClaim, b.row, b.own, b.replacedVersion)
 	if err == nil {
@@ -210,8 +211,8 @@
 	}
 }
 
-// abort returns the *NotRunError of the request. Nothing was sent and, as the claim
-// is discarded here, nothing ever will be.
+// abort returns the *NotExecutedError of the request. Nothing was sent and, as the
+// claim is discarded here, nothing ever will be.
 //
 // A write without a reply may still leave a row, for which later requests would get
 // ErrOutcomeUnknown although the request was never executed. So the row is
@@ -369,7 +370,7 @@
 	return stored
 }
 
-// loadResponse is the reverse of storeResponse. Errors: ErrAnswerLost.
+// loadResponse is the reverse of storeResponse. Errors: ErrResponseLost.
 func (s *Store) loadResponse(ctx context.Context, stored *storedResponse) (Response, error) {
 	if stored == nil || stored.Lost {
 		return Response{}, ErrResponseLost.New("it was not kept")
@@ -390,7 +391,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.released) >= maxReleased {
-		// Forgetting tokens is safe: the rows then just block their keys.
+		// Dropping tokens is safe: their rows then only block their keys.
 		clear(s.released)
 	}
 	s.released[token] = struct{}{}
--- a/test/faults/config_test.go
+++ b/test/faults/config_test.go
@@ -20,9 +20,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// changeScenario changes the configuration, injects the fault, and repeats the change
-// with its ID until the outcome is known. Two routers read the head; the third one
-// learns of it by announcements only.
+// changeScenario changes the configuration, injects the fault, and repeats the change with its ID
+// until the outcome is known. Two routers read the head; the third one receives it by announcements
+// only.
 type changeScenario struct {
 	*faultkit.Cluster
 	t        *testing.T
@@ -30,7 +30,7 @@
 	operator *faultkit.Operator
 	// announcedRouter is the router that never reads the head.
 	announcedRouter *faultkit.Router
-	// These set what happens to announcements.
+	// These select the faults of announcements.
 	dropAnnouncements, reorderAnnouncements, duplicateAnnouncements bool
 	// killFirst kills the first router that announces the new head.
 	killFirst bool
@@ -51,7 +51,7 @@
 const (
 	changeID            = "ours"
 	conflictingChangeID = "rival"
-	// propagationTime is long enough for routers to learn of a version.
+	// propagationTime is long enough for a version to reach all routers.
 	propagationTime = 20 * time.Second
 )
 
@@ -123,8 +123,8 @@
 	s.Platform.SetDown(true)
 	time.AfterFunc(pastDeadlines, func() { s.Platform.SetDown(false) })
 }
-func storeSlow(s *changeScenario)   { time.Sleep(3 * time.Second) }
-func storeSilent(s *changeScenario) { time.Sleep(pastDeadlines) }
+func storeSlow(s *changeScenario)  { time.Sleep(3 * time.Second) }
+func stallStore(s *changeScenario) { time.Sleep(pastDeadlines) }
 
 // acceptConflictingChange accepts another change that is based on the same version.
 func acceptConflictingChange(s *changeScenario) {
@@ -159,8 +159,8 @@
 	s.operator.OnStore(faultkit.StoreTrigger{Matches: isConfigCommit, After: true, Strike: operator.Gate.Kill})
 }
 
-// outageAfterCommit starts an outage of the store. Used after the commit, whose reply
-// is lost.
+// outageAfterCommit starts an outage of the store. It is used after the commit, whose reply is
+// lost.
 func outageAfterCommit(s *changeScenario) { storeOutage(s) }
 
 func killHeadReader(s *changeScenario, r *faultkit.Router) {
@@ -181,8 +181,8 @@
 	time.AfterFunc(pastDeadlines, r.Gate.Thaw)
 }
 
-// freezeAnnouncedRouter freezes the router that learns of heads by announcements only.
-// Announcements made meanwhile are delivered when it is thawed, and no others.
+// freezeAnnouncedRouter freezes the router that receives heads by announcements only. Announcements
+// made meanwhile are delivered when it is thawed, and no others.
 func freezeAnnouncedRouter(s *changeScenario) {
 	s.announcedVersion = 3
 	onOperatorCall(isConfigCommit, false, nil, func(s *changeScenario) {
@@ -212,8 +212,8 @@
 	{faultkit.Freeze, faultkit.ConfigRead, onOperatorCall(isHeadRead, false, nil, freezeOperator), "process frozen as it reads the head"},
 	{faultkit.CutBoth, faultkit.ConfigRead, onOperatorCall(isHeadRead, false, errReadFailed, nil), "store connection cut at the head"},
 	{faultkit.CutOneWay, faultkit.ConfigRead, onOperatorCall(isHeadRead, false, errReadFailed, nil), "reply of the head lost one way"},
-	{faultkit.Silent, faultkit.ConfigRead, onOperatorCall(isHeadRead, false, errReadFailed, storeSilent), "store connection silent at the head"},
-	{faultkit.ReplyLate, faultkit.ConfigRead, onOperatorCall(isHeadRead, false, nil, storeSilent), "head arrives late and may be outdated by then"},
+	{faultkit.Silent, faultkit.ConfigRead, onOperatorCall(isHeadRead, false, errReadFailed, stallStore), "store connection silent at the head"},
+	{faultkit.ReplyLate, faultkit.ConfigRead, onOperatorCall(isHeadRead, false, nil, stallStore), "head arrives late and may be outdated by then"},
 	{faultkit.StoreDown, faultkit.ConfigRead, onOperatorCall(isHeadRead, false, nil, storeOutage), "store down as the head is read"},
 	{faultkit.StoreSlow, faultkit.ConfigRead, onOperatorCall(isHeadRead, false, nil, storeSlow), "store slow as the head is read"},
 	{faultkit.OperatorRace, faultkit.ConfigRead, onOperatorCall(isHeadRead, false, nil, acceptConflictingChange), "another change accepted before the head is read"},
@@ -222,8 +222,8 @@
 	{faultkit.Freeze, faultkit.Check, onOperatorCall(isVersionRead, false, nil, func(s *changeScenario) { acceptConflictingChange(s); freezeOperator(s) }), "process frozen as it checks, another change accepted meanwhile"},
 	{faultkit.CutBoth, faultkit.Check, onOperatorCall(isVersionRead, false, errReadFailed, nil), "store connection cut at the check"},
 	{faultkit.CutOneWay, faultkit.Check, onOperatorCall(isVersionRead, false, errReadFailed, nil), "reply lost one way at the check"},
-	{faultkit.Silent, faultkit.Check, onOperatorCall(isVersionRead, false, errReadFailed, storeSilent), "store connection silent at the check"},
-	{faultkit.ReplyLate, faultkit.Check, onOperatorCall(isVersionRead, false, nil, storeSilent), "checked version arrives late"},
+	{faultkit.Silent, faultkit.Check, onOperatorCall(isVersionRead, false, errReadFailed, stallStore), "store connection silent at the check"},
+	{faultkit.ReplyLate, faultkit.Check, onOperatorCall(isVersionRead, false, nil, stallStore), "checked version arrives late"},
 	{faultkit.StoreDown, faultkit.Check, onOperatorCall(isVersionRead, false, nil, storeOutage), "store down at the check"},
 	{faultkit.StoreSlow, faultkit.Check, onOperatorCall(isVersionRead, false, nil, storeSlow), "store slow at the check"},
 	{faultkit.OperatorRace, faultkit.Check, onOperatorCall(isVersionRead, false, nil, acceptConflictingChange), "another change accepted after the head was read: typed conflict"},
@@ -233,7 +233,7 @@
 	{faultkit.Freeze, faultkit.Commit, onOperatorCall(isConfigCommit, false, nil, func(s *changeScenario) { acceptConflictingChange(s); freezeOperator(s) }), "process frozen before the commit, another change accepted meanwhile"},
 	{faultkit.CutBoth, faultkit.Commit, onOperatorCall(isConfigCommit, false, nil, failCommitOf(platformtest.LoseBeforeEffect)), "commit lost before its effect"},
 	{faultkit.CutOneWay, faultkit.Commit, onOperatorCall(isConfigCommit, false, nil, failCommitOf(platformtest.LoseReplyAfterEffect)), "store's replies lost from the commit on"},
-	{faultkit.Silent, faultkit.Commit, onOperatorCall(isConfigCommit, false, errOutcomeUnknown, storeSilent), "store connection silent at the commit"},
+	{faultkit.Silent, faultkit.Commit, onOperatorCall(isConfigCommit, false, errOutcomeUnknown, stallStore), "store connection silent at the commit"},
 	{faultkit.ReplyLost, faultkit.Commit, onOperatorCall(isConfigCommit, false, nil, failCommitOf(platformtest.LoseReplyAfterEffect)), "reply lost after the commit took effect; resolved by the change id"},
 	{faultkit.ReplyLate, faultkit.Commit, onOperatorCall(isConfigCommit, false, nil, delayCommit), "first copy of the commit takes effect last"},
 	{faultkit.Duplicate, faultkit.Commit, onOperatorCall(isConfigCommit, false, nil, failCommitOf(platformtest.Duplicate)), "commit delivered twice"},
@@ -286,10 +286,10 @@
 	return tests
 }
 
-// runChange guards against an accepted change that is not active on some router, is
-// applied twice, reverts to an earlier version, or is reported as rejected. Causes are
-// a missing reply taken for success or failure, and a router that follows a late
-// announcement back to an older version.
+// runChange guards against an accepted change that is not active on some router, is applied twice,
+// reverts to an earlier version, or is reported as rejected. Causes are a missing reply that is
+// treated as success or failure, and a late announcement that makes a router return to an older
+// version.
 func runChange(t *testing.T, c changeCell) {
 	inCluster(t, 3, faultkit.Options{}, func(t *testing.T, cl *faultkit.Cluster) {
 		s := &changeScenario{Cluster: cl, t: t, operator: cl.NewOperator(), announcedRouter: cl.Routers[2], announcedVersion: 2}
@@ -357,7 +357,7 @@
 	}
 	if freeze {
 		s.freezeDuringChange(from)
-		// This announcement is already under way and is the last one delivered.
+		// This announcement is already in transit and is the last one delivered.
 		_ = from.Gate.Pass()
 		s.update(func() { s.announcementsEnded = true })
 	}
--- a/test/faults/membership_test.go
+++ b/test/faults/membership_test.go
@@ -33,7 +33,7 @@
 	// to agree after its end, both in virtual time.
 	faultDuration   = 20 * time.Second
 	convergenceTime = 2 * time.Minute
-	// leavePropagationTime bounds how long a leaving router may still count as an
+	// leavePropagationTime bounds how long a draining router may still count as an
 	// owner.
 	leavePropagationTime = 5 * time.Second
 )
@@ -149,7 +149,7 @@
 	}
 }
 
-// setVMList gives all routers a VM list with the given nodes.
+// setVMList installs a VM list with the given nodes at all routers.
 func (f *fleet) setVMList(state platform.VMState, nodes ...*simnet.Node) {
 	var vms []platform.VM
 	for _, n := range nodes {
@@ -198,7 +198,7 @@
 		begin: func(f *fleet) { f.net.Freeze(f.nodes[1].Address) },
 		end:   func(f *fleet) { f.net.Thaw(f.nodes[1].Address) },
 	}
-	// staleVMs gives a VM list that names only a dead router, as live.
+	// staleVMs installs a VM list that names only a dead router, as live.
 	staleVMs = networkFault{begin: func(f *fleet) {
 		dead := f.start("ghost", nodeAddress(20), 1)
 		f.net.Remove(dead.Address)
@@ -293,9 +293,8 @@
 	}
 }
 
-// runJoin guards against views that differ and never converge: a router that joined
-// owns nothing, or two routers own one engine for good and each grants permits up to
-// the load bound.
+// runJoin guards against views that differ and never converge: a router that joined owns nothing,
+// or two routers own one engine permanently and each grants permits up to the load bound.
 func runJoin(t *testing.T, f *fleet, c fleetCell) {
 	f.nodes = append(f.nodes, f.start("newcomer", nodeAddress(10), 1))
 	c.disturbance.inject(f)
@@ -303,7 +302,7 @@
 	require.True(t, f.ownsAny("newcomer"))
 }
 
-// runLeave guards against older reports that override a leave. The leaving router would
+// runLeave guards against older reports that override a leave. The draining router would
 // still own engines, or be considered live again, and get permit requests after it has
 // stopped. A stale VM list names it as live all the time.
 func runLeave(t *testing.T, f *fleet, c fleetCell) {
@@ -313,7 +312,7 @@
 	leaver.Endpoint.Detector().Leave()
 	c.disturbance.inject(f)
 	f.net.RunFor(leavePropagationTime)
-	require.False(t, f.ownsAny(name), "a leaving router owns no engine")
+	require.False(t, f.ownsAny(name), "a draining router owns no engine")
 	f.setVMList(platform.VMLive, leaver)
 	f.net.RunFor(faultDuration)
 	require.False(t, f.ownsAny(name), "an older VM list does not override a leave")
--- a/test/faults/views_test.go
+++ b/test/faults/views_test.go
@@ -28,8 +28,7 @@
 	chatsPerRouter = 12
 	// locateCalls is the number of calls that arrive at one router at once.
 	locateCalls = 200
-	// locateJitter is the maximum share of a locate reply's time to live that jitter
-	// takes off.
+	// locateJitter is the maximum share by which jitter shortens a locate reply's time to live.
 	locateJitter = 0.2
 )
 
@@ -54,7 +53,7 @@
 	return out
 }
 
-// setDifferentViews gives each router a different view: each misses another one.
+// setDifferentViews sets a different view at each router: in each, another router is missing.
 func (s *viewScenario) setDifferentViews() {
 	s.a.SetView(s.boardEntries(s.b)...)
 	s.b.SetView(s.boardEntries(s.c)...)
@@ -159,21 +158,20 @@
 	return loc
 }
 
-// runLocateSurge guards against callers that locate in one burst and return in one,
-// because all replies have the same time to live, and against locate calls that call
-// the store.
+// runLocateSurge guards against callers that locate in one burst and locate again in one burst,
+// because all replies have the same time to live, and against locate calls that call the store.
 func runLocateSurge(t *testing.T) {
 	inViewScenario(t, faultkit.Options{Engines: viewEngineCount, Bundle: highRateBundle(t)}, func(s *viewScenario) {
 		calls := len(s.Platform.History())
-		answers := make([]wire.LocateResponse, locateCalls)
+		responses := make([]wire.LocateResponse, locateCalls)
 		var all sync.WaitGroup
-		for i := range answers {
-			all.Go(func() { answers[i], _ = s.Locate(s.a.Address, fmt.Sprint("chat-", i)) })
+		for i := range responses {
+			all.Go(func() { responses[i], _ = s.Locate(s.a.Address, fmt.Sprint("chat-", i)) })
 		}
 		all.Wait()
 		require.Len(s.t, s.Platform.History(), calls, "locate makes no call of the store")
 		ttls := make(map[int64]bool)
-		for _, loc := range answers {
+		for _, loc := range responses {
 			require.NotEmpty(s.t, loc.Address)
 			ttl := time.Duration(loc.TTLMS) * time.Millisecond
 			require.LessOrEqual(s.t, ttl, traffic.DefaultLocateTTL)
--- a/test/soak/cluster.go
+++ b/test/soak/cluster.go
@@ -15,7 +15,7 @@
 	"damaskrouter.example/damaskrouter/platform/platformtest"
 )
 
-// Bounds in the routers' settings, which the checks hold the routers to.
+// Bounds in the routers' settings, which the checks enforce.
 const (
 	revokeBound = 5 * time.Second
 	drainBound  = 2 * time.Second
@@ -29,7 +29,7 @@
 	store   *platformtest.Store
 	version int64
 
-	// unexpectedExits describes the processes that exited without being told to.
+	// unexpectedExits describes the processes that exited without a signal from the test.
 	unexpectedExits []string
 
 	// seed is the address of the first router, which all routers have as their seed.
@@ -49,10 +49,10 @@
 type engine struct {
 	*platformtest.Engine
 	proxy *proxy
-	// drainedAt is when the store marked the engine as draining or removed its entry;
+	// drainedAt is the time at which the store marked the engine as draining or removed its entry;
 	// zero while it serves.
 	drainedAt time.Time
-	// addedAt is when the engine was registered.
+	// addedAt is the time at which the engine was registered.
 	addedAt time.Time
 }
 
@@ -90,14 +90,14 @@
 bounds: {revoke_ms: %d, beat_ms: 1200, config_ms: 2000, drain_ms: 2000, stop_s: %d, retry_ratio: 1, retry_slack: %d, retry_window_s: 10, max_ttl_s: 5}
 `
 
-// advertisedOffset is added to the second number of a router's address and gives the
+// advertisedOffset, added to the second number of a router's address, yields the
 // address of its proxy.
 const advertisedOffset = 1
 
 // newCluster starts a store with a configuration, engines and routers. Routers listen
 // at 127.0.NETWORK.1 and up, so that runs with different networks can run side by side.
 // Other routers reach them through proxies at 127.1.NETWORK.1 and up.
-func newWorld(dir, binary string, network, routers, engines int) (*cluster, error) {
+func newCluster(dir, binary string, network, routers, engines int) (*cluster, error) {
 	cl := &cluster{
 		dir: dir, binary: binary, store: platformtest.NewStore(), seed: fmt.Sprintf("127.%d.%d.1", advertisedOffset, network),
 	}
@@ -144,9 +144,9 @@
 	return e
 }
 
-// markLeaving records that the store has marked an engine as draining or removed its
+// markDraining records that the store has marked an engine as draining or removed its
 // entry. drainBound counts from the first time.
-func (cl *cluster) markLeaving(e *engine) {
+func (cl *cluster) markDraining(e *engine) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	if e.drainedAt.IsZero() {
@@ -229,11 +229,11 @@
 	if replaced {
 		return
 	}
-	// A failed start shows as a router that serves nothing.
+	// A failed start is detected as a router that serves no requests.
 	_ = cl.start(r)
 }
 
-// exits returns the unexpected exits and how they happened.
+// exits returns the unexpected exits with their exit states.
 func (cl *cluster) exits() []string {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
--- a/test/soak/settings.go
+++ b/test/soak/settings.go
@@ -37,9 +37,9 @@
 	return os.WriteFile(r.settings, []byte(text), 0o600)
 }
 
-// rewriteSettings changes the settings of random routers until end: valid, invalid or
-// incomplete for a moment, with and without SIGHUP. Then it gives all routers valid
-// settings with defaultSlack.
+// rewriteSettings changes the settings of random routers until end: valid, invalid or incomplete
+// for a moment, with and without SIGHUP. Then it writes valid settings with defaultSlack for all
+// routers.
 func rewriteSettings(cl *cluster, rec *recorder, rng *rand.Rand, end time.Time) {
 	for time.Now().Before(end) {
 		time.Sleep(duration(rng, 20*time.Millisecond, 300*time.Millisecond))
@@ -48,13 +48,13 @@
 		prefix := 0
 		switch rng.IntN(4) {
 		case 0:
-			rec.noteFault("invalid settings")
+			rec.recordFault("invalid settings")
 			text = strings.Replace(text, "stop_s:", "stop_s: 0 #", 1)
 		case 1:
-			rec.noteFault("incomplete settings")
+			rec.recordFault("incomplete settings")
 			prefix = 1 + rng.IntN(len(text)-1)
 		default:
-			rec.noteFault("settings changed")
+			rec.recordFault("settings changed")
 		}
 		if err := r.writeSettings(text, prefix, duration(rng, time.Millisecond, 150*time.Millisecond)); err != nil {
 			rec.violation("write settings: %v", err)
