--- a/internal/decide/limit/cache.go
+++ b/internal/decide/limit/cache.go
@@ -419,9 +419,9 @@
 	s.slots = max(s.slots, s.inUse)
 }
 
-// refillFallback refills the fallback bucket up to now. The bucket starts once, with at most one
-// request per router: if it started again with each lost reply, the account could exceed its limit
-// on a bad network.
+// refillFallback refills the fallback bucket up to now. The bucket gets its initial content, at
+// most one request per router, only once: if every lost reply filled it again, the account could
+// exceed its limit on an unreliable network.
 func (s *accountState) refillFallback(now time.Time, lim Limits, routers float64) {
 	burstShare := lim.burst() / routers
 	if !s.fallbackStarted {
--- a/internal/decide/permit/ledger.go
+++ b/internal/decide/permit/ledger.go
@@ -208,8 +208,9 @@
 	return b.Release(now, id)
 }
 
-// Transfer moves a permit to the router that resumes the stream. It adopts an unknown permit, since
-// the owner may be new. It returns an *IncarnationError or a *ReleasedError if it moves none.
+// Transfer moves a permit to the router that resumes the stream. It adds a permit that it does not
+// know to the ledger: a previous owner may have granted it. It returns an *IncarnationError or a
+// *ReleasedError if it neither moves nor adds a permit.
 func (b *Ledger) Transfer(now time.Time, r Request) (Permit, error) {
 	if err := b.checkIncarnation(r.Incarnation); err != nil {
 		return Permit{}, err
--- a/internal/decide/prefix/evidence.go
+++ b/internal/decide/prefix/evidence.go
@@ -29,7 +29,7 @@
 	EvictedFactor = 0.1
 	// GapFactor lowers the confidence in an event for each gap after it.
 	GapFactor = 0.5
-	// MinGapConfidence is the least confidence that gaps leave.
+	// MinGapConfidence is the minimum confidence in an event, however many gaps follow it.
 	MinGapConfidence = 0.05
 	// StaleFactor lowers the confidence in a view without a page for ViewStaleAfter.
 	StaleFactor = 0.5
--- a/internal/decide/queue/estimate.go
+++ b/internal/decide/queue/estimate.go
@@ -12,8 +12,9 @@
 	// warmupShare is the share of a window, in averaged busy time, during which a backlog
 	// without any completed work predicts no wait. It is reached after about one window.
 	warmupShare = 0.6
-	// priorShare is the share of a window for which a configured rate counts like a
-	// measured one. The two have equal weight after about a quarter of a window.
+	// priorShare is the initial weight of a configured rate: it counts like a rate that
+	// was measured for this share of a window. The configured and the measured rate have
+	// equal weight after about a quarter of a window.
 	priorShare = 0.3
 	// minRateShare is the minimum share of the drain rate that a class is assumed to
 	// get. It keeps a prediction finite where higher classes used the whole rate and
--- a/internal/edge/callers/callers.go
+++ b/internal/edge/callers/callers.go
@@ -134,7 +134,7 @@
 	defer l.mu.Unlock()
 	tracked := l.conns[c]
 	if tracked == nil {
-		// The Limit has closed it.
+		// The Limit has closed this connection and no longer tracks it.
 		return nil
 	}
 	if tracked.idle != nil {
--- a/internal/edge/catalog/evacuation.go
+++ b/internal/edge/catalog/evacuation.go
@@ -66,10 +66,10 @@
 // Upto returns the store version up to which the set is current, zero if nothing is known.
 func (e Evacuations) Upto() uint64 { return max(e.revision, e.floor) }
 
-// Since returns all known evacuations, including ended ones, if the set is newer than the version,
-// and an empty update otherwise. For versions older than the latest full update, the result is a
-// full update, because the set may lack evacuations that ended before that update. The result can be
-// applied to any set.
+// Since returns all known evacuations, including ended ones, if the set is newer than the given
+// store version, and an empty update otherwise. If the version is older than floor, the result is a
+// full update: evacuations that ended before floor may be missing from the set, and only a full
+// update tells the receiver that they ended. The result can be applied to any set.
 func (e Evacuations) Since(version uint64) EvacuationUpdate {
 	if e.Upto() <= version {
 		return EvacuationUpdate{}
--- a/internal/edge/feed/board.go
+++ b/internal/edge/feed/board.go
@@ -55,8 +55,8 @@
 	b.pastConfigs.Store(&next)
 }
 
-// minOutageRenewals is how many renewals of an entry an outage must cover to expire it: the next
-// renewal is then the third one missed.
+// minOutageRenewals is the minimum duration of a store outage, in renewal intervals, that can make
+// an entry expire. After it, the next renewal is the third that the engine misses.
 const minOutageRenewals = 2
 
 // NewBoard returns a Board with an empty catalog. Engines renew their entries every renewInterval.
--- a/internal/edge/feed/feed_test.go
+++ b/internal/edge/feed/feed_test.go
@@ -86,8 +86,9 @@
 	require.True(t, d.trusted(parent.Name, time.Second+minDistrust+2*minDistrust))
 }
 
-// Guards against calls from every router while the store is down for all. After some readers have
-// failed in turn, the store counts as down and the default order applies again.
+// Guards against store calls by every router during an outage that affects all of them. After
+// maxFailedReaders routers in turn have failed to reach the store, it is considered down, and
+// parents are selected as if all routers were trusted.
 func TestStoreOutageForAllRestoresDefaultOrder(t *testing.T) {
 	live := peersIn("x", "x", "x", "x", "x", "x", "x", "x", "x")
 	self := live[0]
@@ -194,9 +195,10 @@
 	})
 }
 
-// Guards against seconds without a reader: the store rejects two routers, one distrusts itself and
-// pulls from the other, which still pulls from the first. The chain in the reply reveals the cycle,
-// and the router that finds itself in it continues alone.
+// Guards against several seconds in which no router reads the store: the store rejects two routers,
+// and one of them distrusts itself and pulls from the other, which still pulls from the first. The
+// chain in the reply shows this cycle. A router that finds its own name in the chain and still
+// trusts itself distrusts the other one and becomes the reader.
 func TestTwoRejectedReadersDoNotPullFromEachOther(t *testing.T) {
 	var bad *fakeStore
 	stores := func(live []Peer, good *fakeStore) map[string]*fakeStore {
--- a/internal/edge/feed/follower.go
+++ b/internal/edge/feed/follower.go
@@ -91,7 +91,8 @@
 // too, or its data has arrived.
 const storeLostMemory = 2 * time.Second
 
-// LostAgo returns the time since a reader is last known to have failed to reach the store.
+// LostAgo returns the time since the latest failure of a reader to reach the store that this router
+// knows of.
 func (f *Follower) LostAgo() time.Duration {
 	return f.Clock() - time.Duration(f.storeLostAt.Load())
 }
--- a/internal/edge/feed/report.go
+++ b/internal/edge/feed/report.go
@@ -32,8 +32,9 @@
 	// Successes matter only in relation to failures and are sent with each report of those.
 	goodChange = 0.5
 	badChange  = 0.25
-	// minOutcomeChange is the change in outcomes below which no report is sent, in requests. It is
-	// an eighth of the successes assumed for an engine about which nothing is known.
+	// minOutcomeChange is the change in an engine's successes or failures, in requests, below which
+	// no report is sent. It is an eighth of priorSuccesses in package health, the successes assumed
+	// for an engine without any recorded outcome.
 	minOutcomeChange = 0.25
 )
 
--- a/internal/edge/flow/flow_test.go
+++ b/internal/edge/flow/flow_test.go
@@ -86,7 +86,8 @@
 }
 
 // Guards against sending several requests to an engine with one slot when routers see the free slot
-// at the same moment: all of them request it from the same owner, which counts.
+// at the same moment: all of them request the slot from the same owner, which counts the slots that
+// it has granted.
 func TestOneSlotIsNotGrantedTwice(t *testing.T) {
 	runInFleet(t, func(f *fakeFleet, owner string, others []string) {
 		ctx := context.Background()
--- a/internal/edge/forward/admit.go
+++ b/internal/edge/forward/admit.go
@@ -53,11 +53,13 @@
 	return nil
 }
 
-// admit authorizes the request with the newest configuration. A router that resumes from a suspend
-// finds requests in its sockets and a configuration as old as the suspend. It would refuse all of
-// them although its source confirms the configuration moments later, so admit waits for the
-// confirmation, unless the store is known to be lost and waiting would not help. A router that has
-// just started waits for its first snapshot even then, because another router may supply it.
+// admit authorizes the request with the newest configuration. When a router resumes after it was
+// suspended, requests are waiting in its sockets, and its configuration was last confirmed before
+// the suspension. Without a wait, it would refuse all of these requests although the store or
+// another router confirms the configuration moments later. admit therefore waits for the
+// confirmation, unless the store is known to be unreachable, in which case waiting would not help.
+// A router that has just started waits for its first snapshot even if the store is unreachable,
+// because another router may supply it.
 func (x *exchange) admit() *Refusal {
 	for {
 		x.snapshot = x.f.Snapshot()
--- a/internal/edge/forward/cold.go
+++ b/internal/edge/forward/cold.go
@@ -18,7 +18,8 @@
 	firstSeen time.Duration
 	// evacuationRevision is the newest observed revision of an evacuation of the engine's site.
 	evacuationRevision uint64
-	// coldUntil is the boot time until which the engine counts as cold.
+	// coldUntil is the reading of the boot clock until which the engine counts as cold; see
+	// updateCold.
 	coldUntil time.Duration
 }
 
--- a/internal/edge/forward/engines.go
+++ b/internal/edge/forward/engines.go
@@ -31,8 +31,8 @@
 	ejected map[string]bool
 	// promptCaches records which prompt parts this router has sent to which engines.
 	promptCaches promptCaches
-	// states holds the last observation of each engine by ID. knownSince is the boot time at which
-	// this router first knew any engine.
+	// states holds the last observation of each engine by ID. knownSince is the reading of the boot
+	// clock when this router observed its first engine.
 	states     map[string]engineState
 	knownSince time.Duration
 	// onRestart is called with the ID of each engine that has restarted.
--- a/internal/fleet/membership/sync.go
+++ b/internal/fleet/membership/sync.go
@@ -15,8 +15,8 @@
 // digest makes up for it.
 const maxTransfers = 16
 
-// itemsBucket is the bit that stands for the items in a mask of differing buckets. The lower
-// bits stand for the buckets of members.
+// itemsBucket is the number of the bit that is set in a mask of differing digest buckets if the
+// items differ. The lower bits are for the buckets of members.
 const itemsBucket = DigestBuckets
 
 // digestReplyInterval is the minimum time between any digest sent by this router and a digest
--- a/internal/fleet/peer/handshake.go
+++ b/internal/fleet/peer/handshake.go
@@ -133,8 +133,8 @@
 	return ErrHandshake.Wrap(err)
 }
 
-// sign returns the MAC of the fields. The binding follows its length, so that no two
-// sets of fields have the same input.
+// sign returns the MAC of its arguments and h.binding. The length of h.binding is written
+// before it, so that different sets of fields never give the same MAC input.
 func (h *handshake) sign(key FleetKey, label string, verifierNonce, signerNonce []byte, name string) []byte {
 	mac := hmac.New(sha256.New, key.Secret)
 	_, _ = io.WriteString(mac, label)
