--- a/internal/base/engineconn/conn.go
+++ b/internal/base/engineconn/conn.go
@@ -19,13 +19,14 @@
 	// sets another bound. Within a site it takes about two milliseconds; a lost
 	// packet costs a second, in which another engine would have responded.
 	defaultDialTimeout = 300 * time.Millisecond
-	// userTimeout ends a connection on which the peer acknowledges nothing. A
-	// VM without power neither responds nor resets, and without this bound the
-	// request would wait until its own deadline. On a healthy but lossy link a
-	// packet is sent for the third time after about a second.
+	// userTimeout ends a connection on which the peer acknowledges nothing. A VM
+	// without power neither responds nor resets the connection, and without this
+	// bound the request would wait until its own deadline. The bound is longer than
+	// a second because on a healthy but lossy link a packet is sent for the third
+	// time after about a second.
 	userTimeout = 1200 * time.Millisecond
-	// Keep-alive probes detect a dead engine while a request waits for its
-	// response and nothing is unacknowledged.
+	// Keep-alive probes detect a dead engine while a request waits for its response
+	// and all sent data has been acknowledged, so that userTimeout does not apply.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = 500 * time.Millisecond
 	keepAliveCount    = 3
@@ -45,8 +46,8 @@
 	// traffic counts the bytes of the current request; nil if they are not
 	// counted.
 	traffic atomic.Pointer[Traffic]
-	// openedAt and idleSince are the boot times of the opening and of the last
-	// return to the pool.
+	// openedAt and idleSince are the readings of the boot clock when the connection
+	// was opened and when it was last returned to the pool.
 	openedAt, idleSince time.Duration
 	// idleTimeout is how long the connection may stay idle.
 	idleTimeout time.Duration
@@ -92,7 +93,7 @@
 }
 
 // hasUnackedData reports whether the peer has yet to acknowledge data. It also
-// reports true if the kernel does not report this for an open connection.
+// returns true if the kernel can't tell for an open connection.
 func (c *conn) hasUnackedData(tcp *net.TCPConn) bool {
 	raw, err := tcp.SyscallConn()
 	if err != nil {
--- a/internal/base/engineconn/errors.go
+++ b/internal/base/engineconn/errors.go
@@ -1,8 +1,8 @@
 // Package engineconn sends requests to engines and plain services over its own
-// connection pool, and reports for each failure whether the request may have
-// been executed. It never resends a request by itself: net/http's Transport
-// does so after some failures, which would execute a non-idempotent request
-// twice.
+// connection pool, and reports for each failure whether the request may have been
+// executed. It never resends a request by itself. It replaces net/http's Transport
+// because that resends requests after some failures, which could execute a
+// non-idempotent request twice.
 package engineconn
 
 import "github.com/zeebo/errs"
@@ -14,9 +14,9 @@
 	// ErrNoResponse means that the request was sent, wholly or in part, and the
 	// connection ended or its deadline passed before a response began.
 	ErrNoResponse = errs.Class("engine: no answer")
-	// ErrReused wraps ErrNoResponse and ErrMalformed if the connection had
-	// carried another request before: it may have died since, and other idle
-	// connections with it.
+	// ErrReused wraps ErrNoResponse and ErrMalformed if the connection had carried
+	// another request before. The connection may have died while it was idle, and
+	// the other idle connections to the engine may have died too.
 	ErrReused = errs.Class("engine: on a reused connection")
 	// ErrMalformed means that the received bytes are not a response to the
 	// request.
--- a/internal/base/engineconn/pool.go
+++ b/internal/base/engineconn/pool.go
@@ -128,7 +128,8 @@
 	c = conns[len(conns)-1]
 	idle := now - c.idleSince
 	if idle > c.idleTimeout || p.pastMaxAge(c, now) {
-		// All others have been idle for longer, and are of about the same age.
+		// All are closed: the others have been idle for longer, and are of about
+		// the same age.
 		delete(p.idle, engine)
 		return nil, append(expired, conns...)
 	}
--- a/internal/base/engineconn/send_test.go
+++ b/internal/base/engineconn/send_test.go
@@ -54,9 +54,9 @@
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", idHeader, id, len(body), body)
 }
 
-// Guards against a request that may run only once being executed twice: the engine resets
-// the connection while the request is written, and the failed write is taken for one that
-// had not started.
+// Guards against a request that may run only once being executed twice: the engine
+// resets the connection while the request is written, and the pool mistakes the
+// failed write for one that had not started.
 func TestPartialWriteIsNotReportedAsNotSent(t *testing.T) {
 	e := newTestEngine(t, func(conn *net.TCPConn, _ int) {
 		_, _ = io.ReadFull(conn, make([]byte, 1000))
@@ -78,9 +78,9 @@
 	require.True(t, ErrNotSent.Has(err), "%v", err)
 }
 
-// Guards against a caller getting the response to another request: an engine sends a late second
-// response where the response to the next request on the connection is expected, and whatever
-// arrives first is taken.
+// Guards against a caller getting the response to another request: an engine sends
+// a late second response where the response to the next request on the connection
+// is expected, and the pool returns whatever response arrives first.
 func TestStrayResponseOnReusedConnectionIsSkipped(t *testing.T) {
 	e := newTestEngine(t, func(conn *net.TCPConn, _ int) {
 		reader := bufio.NewReader(conn)
@@ -126,8 +126,9 @@
 	require.Equal(t, "half", string(body))
 }
 
-// Guards against engines working on for callers that have disconnected: the context ends while the
-// engine works or while its response is read, and the connection stays open.
+// Guards against engines that continue to work for callers that have disconnected,
+// because the context ends while the engine works or while its response is read and
+// the connection stays open.
 func TestContextEndClosesConnection(t *testing.T) {
 	closed := make(chan struct{}, 2)
 	e := newTestEngine(t, func(conn *net.TCPConn, n int) {
@@ -155,8 +156,9 @@
 	<-closed
 }
 
-// Guards against losing the first request after a pause: the engine silently drops a
-// connection that was idle for longer than MaxIdle, and the pool uses it all the same.
+// Guards against losing the first request after a pause: the engine silently drops
+// a connection that was idle for longer than MaxIdle, and the pool reuses that
+// connection.
 func TestConnectionIdleTooLongIsNotReused(t *testing.T) {
 	e := newTestEngine(t, func(conn *net.TCPConn, _ int) {
 		reader := bufio.NewReader(conn)
@@ -189,9 +191,9 @@
 	require.Equal(t, 2, pool.Dials())
 }
 
-// Guards against closing the connection to a fast engine after each request: the response
-// is read before the goroutine that wrote the request is scheduled again, and the request is
-// taken for one that is still being written.
+// Guards against closing the connection to a fast engine after each request: the
+// response is read before the goroutine that wrote the request is scheduled again,
+// so the request is mistaken for one that is still being written.
 func TestConnectionToFastEngineIsReused(t *testing.T) {
 	e := newTestEngine(t, func(conn *net.TCPConn, _ int) {
 		_, _ = io.Copy(io.Discard, conn)
@@ -202,8 +204,9 @@
 	require.True(t, startWrite(t.Context(), c, request("r", 1)).finished())
 }
 
-// Guards against reporting a request as not sent and writing it a moment later: the context
-// ends between the opening of the connection and the first write. No write may start then.
+// Guards against reporting a request as not sent but writing it a moment later. If
+// the context ends between the opening of the connection and the first write, no
+// write may start.
 func TestNothingIsWrittenAfterContextEnd(t *testing.T) {
 	got := make(chan int, 1)
 	e := newTestEngine(t, func(conn *net.TCPConn, _ int) {
--- a/internal/base/hangup/hangup.go
+++ b/internal/base/hangup/hangup.go
@@ -1,10 +1,10 @@
 // Package hangup catches SIGHUP from the earliest point in the life of a
 // process.
 //
-// An uncaught SIGHUP terminates the process. One that arrives while other
-// packages are being initialized, a few milliseconds after the start, would
-// terminate it without a log line. This package imports nothing else of the
-// project, so that it is initialized among the first.
+// An uncaught SIGHUP terminates the process. One that arrives while other packages
+// are being initialized, a few milliseconds after the start, would terminate it
+// without a log line. This package imports no other package of the project, so that
+// it is among the first to be initialized.
 package hangup
 
 import (
--- a/internal/edge/callers/callers.go
+++ b/internal/edge/callers/callers.go
@@ -52,7 +52,8 @@
 	closed atomic.Bool
 }
 
-// busyExcess is the fraction of the limit by which connections that are all busy may exceed it.
+// busyExcess is the fraction of the limit by which the number of connections may exceed the limit
+// while all of them are busy.
 const busyExcess = 0.1
 
 // New returns a Limit of maxConns connections. maxConns may change over time and is called with the
--- a/internal/edge/catalog/catalog_test.go
+++ b/internal/edge/catalog/catalog_test.go
@@ -38,8 +38,9 @@
 	return Engine{ID: id, Service: "llm", Address: "10.0.0.1:1", Revision: revision}
 }
 
-// Guards against a router that loses engines, or keeps removed ones, after it queries the changes
-// since a version whose removals the other router has discarded: the reply must be a full update.
+// Guards against a router that loses engines or keeps removed ones because it queries the changes
+// since a version from another router that has already discarded some of the removals after that
+// version. The reply must then be a full update.
 func TestSinceReturnsFullUpdateForDiscardedRemovals(t *testing.T) {
 	s, _ := NewEngineSet().Apply(EngineUpdate{Full: true, Upto: 10, Present: []Engine{engine("keep", 5), engine("gone", 6)}}, 0)
 	s, _ = s.Apply(EngineUpdate{Since: 10, Upto: 11, Removed: []Removal{{"gone", 11}}}, 0)
@@ -77,8 +78,9 @@
 	require.Equal(t, uint64(10), next.Upto)
 }
 
-// Guards against an interruption of the whole service with the first reply after a store outage of
-// some seconds: engines could not renew their entries and register again within two seconds.
+// Guards against removing all engines of a service with the first reply after a store outage of
+// some seconds. The engines could not renew their entries during the outage, and take up to two
+// seconds to register again.
 func TestEngineWithoutEntryAfterStoreOutageIsDoubtfulForTwoSeconds(t *testing.T) {
 	const minOutage = 2400 * time.Millisecond
 	s := NewSnapshot()
--- a/internal/edge/catalog/changes.go
+++ b/internal/edge/catalog/changes.go
@@ -9,7 +9,7 @@
 // two sets. Each list is sorted by ID.
 type EngineChanges struct {
 	// Removed engines are no longer in the set. Doubtful engines lost their entry but stay in
-	// service until they register again or their doubt ends.
+	// service until they register again or the time in EngineSet.Doubtful is reached.
 	Removed, Doubtful []Removal
 	// Draining engines must get no new requests from now on.
 	Draining []Engine
--- a/internal/edge/catalog/config.go
+++ b/internal/edge/catalog/config.go
@@ -45,14 +45,14 @@
 	Weight int
 }
 
-// Route sends the requests for a host whose path begins with Prefix to a service.
+// Route sends the requests for a host whose path begins with Prefix to one of its backend services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the maximum time that a caller waits for the response; zero if only the caller's
-	// own limit applies.
+	// Timeout is the maximum time until the caller gets the response. If it is zero, package
+	// forward applies its default.
 	Timeout time.Duration
 	// Objective is the latency objective: the maximum time to a response, or to the first event of
 	// a stream.
@@ -84,8 +84,9 @@
 	// MaxConns bounds the connections that one engine accepts from all routers together; zero means
 	// no bound.
 	MaxConns int
-	// Slots is the number of requests that one model engine executes concurrently; zero for other
-	// services, whose engines report it themselves.
+	// Slots is the number of requests that one model engine executes concurrently, unless the
+	// engine reports its own number. It is zero for other services, whose engines report it
+	// themselves.
 	Slots int
 	// CacheTokens is the prompt cache size of one model engine, in tokens.
 	CacheTokens int
@@ -100,13 +101,15 @@
 type Account struct {
 	Name string
 	Keys []string
-	// Priority ranks accounts before the priorities of routes; 0 is the most urgent.
+	// Priority is the priority of the account's requests; 0 is the most urgent. It takes precedence
+	// over the priority of the route.
 	Priority int
 }
 
 // Limits bounds what a caller may send.
 type Limits struct {
-	// MaxHeader and MaxBody are in bytes; zero means no bound.
+	// MaxHeader and MaxBody are in bytes. If MaxBody is zero, package forward applies its default.
+	// No code reads MaxHeader and the two timeouts: the server in package node uses constants.
 	MaxHeader int64
 	MaxBody   int64
 	// HeaderTimeout bounds the time between the first byte of a request and the end of its header.
--- a/internal/edge/catalog/engine.go
+++ b/internal/edge/catalog/engine.go
@@ -51,8 +51,8 @@
 	Since, Upto uint64
 	Present     []Engine
 	Removed     []Removal
-	// Foreign lists entries that were overwritten with something that is not an engine. An engine
-	// that had its entry there has none any more.
+	// Foreign lists entries that were overwritten with something that is not an engine. If such an
+	// entry belonged to an engine, that engine is removed at once, without becoming doubtful.
 	Foreign []Removal
 }
 
@@ -62,7 +62,7 @@
 	// ByID holds the engines with an entry and the doubtful ones.
 	ByID map[string]Engine
 	// Doubtful holds engines whose entry was removed when an outage of the store may have caused it
-	// to expire. The value is the boot time until which they stay in service.
+	// to expire. The value is the reading of the boot clock until which they stay in service.
 	Doubtful map[string]time.Duration
 	// Removed lists recent removals, oldest first, for routers that query the changes since a
 	// version.
@@ -98,7 +98,8 @@
 
 // Apply returns the set after the update, and whether it differs in anything but Upto. An update
 // that is older than the set, or would leave a gap, is ignored. Engines that lose their entry stay
-// in service as doubtful until the boot time doubtUntil, unless it is zero.
+// in service as doubtful until doubtUntil on the boot clock, or are removed at once if that is
+// zero.
 func (s *EngineSet) Apply(u EngineUpdate, doubtUntil time.Duration) (*EngineSet, bool) {
 	if u.Upto < s.Upto || !s.Covers(u) {
 		return s, false
@@ -137,8 +138,8 @@
 	return next, changed
 }
 
-// Expire returns the set without the engines whose doubt has ended at the boot time now, and
-// whether there were any.
+// Expire returns the set without the doubtful engines whose time in service has ended at now on the
+// boot clock, and whether there were any.
 func (s *EngineSet) Expire(now time.Duration) (*EngineSet, bool) {
 	expired := false
 	for _, until := range s.Doubtful {
--- a/internal/edge/catalog/history_test.go
+++ b/internal/edge/catalog/history_test.go
@@ -19,8 +19,9 @@
 	require.Contains(t, older.ByID, "keep")
 }
 
-// Guards against keeping an engine whose addition and removal a full update skipped, when the older
-// set updates through an intermediate set instead of from the one that applied the full update.
+// Guards against keeping a removed engine that was added and removed between two full updates of a
+// reader, so that the reader never saw it. The set that still contains the engine gets its changes
+// not from the reader but from an intermediate set that was updated from the reader.
 func TestChangesReceivedAcrossAFullUpdateCoverRemovals(t *testing.T) {
 	reader, _ := NewEngineSet().Apply(EngineUpdate{Full: true, Upto: 1}, 0)
 	intermediate, _ := NewEngineSet().Apply(EngineUpdate{Full: true, Upto: 1}, 0)
--- a/internal/edge/catalog/snapshot.go
+++ b/internal/edge/catalog/snapshot.go
@@ -6,17 +6,18 @@
 type Snapshot struct {
 	// Config is nil until the first configuration was received.
 	Config *Config
-	// ConfigAsOf is the boot time at which the latest call was sent that confirmed Config as the
-	// newest version. The age counted from the sending is an upper bound, regardless of how long
-	// the reply took.
+	// ConfigAsOf is the reading of the boot clock when the latest call that confirmed Config as the
+	// newest version was sent. The age counted from the sending is an upper bound, regardless of
+	// how long the reply took.
 	ConfigAsOf time.Duration
 	// Evacuations is confirmed by the same calls as Config.
 	Evacuations Evacuations
 	Engines     *EngineSet
-	// EnginesAsOf is the boot time at which the latest call was sent that confirmed Engines.
+	// EnginesAsOf is the reading of the boot clock when the latest call that confirmed Engines was
+	// sent.
 	EnginesAsOf time.Duration
-	// DoubtUntil is the boot time until which engines whose entry is missing stay in service as
-	// doubtful.
+	// DoubtUntil is the reading of the boot clock until which engines whose entry is missing stay
+	// in service as doubtful.
 	DoubtUntil time.Duration
 }
 
@@ -85,11 +86,11 @@
 //
 // If no router could read the store for at least minOutage, the entries of running engines may have
 // expired because the engines could not renew them. Removing these engines would stop the service
-// with the first reply after an outage, so they stay in service until they had time to register
-// again. An outage that affects only some routers does not count, because the others have confirmed
-// the engines in the meantime. Nor does a period in which this router received no updates while no
-// reader failed: then its own links failed, not the store. sinceReadFailure is the time since a
-// reader last failed.
+// with the first reply after an outage, so they stay in service as doubtful for doubtPeriod, in
+// which they can register again. An outage that affects only some routers does not count, because
+// the others have confirmed the engines in the meantime. Nor does a period in which this router
+// received no updates while no reader failed: then its own links failed, not the store.
+// sinceReadFailure is the time since a reader last failed.
 func (s *Snapshot) WithEngines(u EngineUpdate, asOf, minOutage, sinceReadFailure time.Duration) (*Snapshot, bool) {
 	if u.Upto < s.Engines.Upto || !s.Engines.Covers(u) {
 		return s, false
--- a/internal/edge/choose/choose.go
+++ b/internal/edge/choose/choose.go
@@ -20,11 +20,11 @@
 
 const (
 	// loadFactor and loadSlack bound the requests in flight at an engine that is selected by
-	// prompt: loadFactor times the mean of the service, plus loadSlack. Operators require that 97
-	// of 100 requests stay below twice the mean plus three. The lower factor leaves a margin for
-	// requests that other routers send before their load reports arrive: with 67 routers and a
-	// factor of 1.9 that did not count the request being placed, 3.1 of 100 requests exceeded the
-	// operators' limit.
+	// prompt: loadFactor times the mean of the service, plus loadSlack. Operators require that for
+	// 97 of 100 requests the load of the selected engine stays below twice the mean plus three. The
+	// lower factor leaves a margin for requests that other routers send before their load reports
+	// arrive: with 67 routers, a factor of 1.9 and a mean that did not count the request being
+	// placed, 3.1 of 100 requests exceeded the operators' limit.
 	loadFactor = 1.8
 	loadSlack  = 3
 	// remoteSitePenalty is added to the load, relative to its slots, of an engine in another site,
@@ -49,9 +49,10 @@
 	// Draining is set for engines that get no new requests. Other engines can still fetch from their
 	// cache.
 	Draining bool
-	// RecentlyAdded is set for engines that were recently added or restarted with an empty cache,
-	// so that other engines have cached the prompts that now map to them. AddedAt is the time when
-	// this happened, by the same clock for all engines.
+	// RecentlyAdded is set for engines that were recently added, restarted with an empty cache or
+	// returned from an evacuation. The prompts that now map to such an engine are cached by other
+	// engines. AddedAt is the time of the addition, restart or return, by the same clock for all
+	// engines.
 	RecentlyAdded bool
 	AddedAt       time.Duration
 	// Cold is set for engines that can serve few requests a second. They are sent a request only
@@ -75,7 +76,8 @@
 	return e.RecentlyAdded && e.AddedAt > other.AddedAt-simultaneousStart
 }
 
-// HasFreeSlot reports whether the engine accepts requests and has a free slot.
+// HasFreeSlot reports whether the engine has a free slot and is neither draining nor cold nor
+// ejected.
 func (e Engine) HasFreeSlot() bool {
 	return !e.Draining && !e.Cold && e.Share > 0 && e.InFlight < max(e.Slots, 1)
 }
@@ -137,9 +139,10 @@
 	return NoEngine
 }
 
-// congestedUtilization is the share of a service's slots in use from which on its requests must
-// acquire a slot before they are sent. Load reports are a few tenths of a second old, and a surge
-// can occupy as many slots again in that time. Acquiring a slot costs a round trip.
+// congestedUtilization is the share of a service's slots in use at or above which its requests must
+// acquire a slot before they are sent. It is far below 1 because load reports are a few tenths of a
+// second old, and a surge can occupy as many slots again in that time. It is not lower because
+// acquiring a slot costs a round trip.
 const congestedUtilization = 0.4
 
 // Crowded reports whether requests to the service must acquire a slot before they are sent.
@@ -152,8 +155,8 @@
 	return slots > 0 && float64(inFlight) >= congestedUtilization*float64(slots)
 }
 
-// extraInFlight is the number of requests beyond its slots that an engine may be sent. They are in
-// transit while a slot becomes free.
+// extraInFlight is the number of requests beyond its slots that an engine may be sent. These
+// requests are in transit to the engine while its slots become free.
 const extraInFlight = 3
 
 // MaxInFlight returns the number of requests that may be in flight at an engine: its slots and
@@ -167,7 +170,8 @@
 
 const (
 	// maxFurtherCandidates is the number of engines at which a slot is requested after the first
-	// one. Each of them costs a round trip and finds slots that the load reports don't show.
+	// one. Each further request for a slot costs a round trip, but finds free slots that the load
+	// reports don't show.
 	maxFurtherCandidates = 2
 	// candidateSample is the number of engines compared for each further candidate. Routers have
 	// the same load reports and would all select the same engine if each compared all of them.
@@ -219,8 +223,8 @@
 }
 
 // minPromptShare is the minimum load share of an engine that is selected by prompt. An engine with
-// a lower share gets no prompts instead of some of them, because the others would have to be
-// prefilled at another engine anyway.
+// a lower share gets no prompts at all: if it got only some, the other prompts that map to it would
+// have to be prefilled at another engine anyway.
 const minPromptShare = 0.5
 
 // firstWithinBound returns the first engine in order that stays within the bound, or NoEngine.
--- a/internal/edge/choose/choose_test.go
+++ b/internal/edge/choose/choose_test.go
@@ -152,8 +152,9 @@
 	}
 }
 
-// Guards against prefilling prompts again after the engines of a site were added together: the next
-// engine in order is as empty as the selected one, so the holder must be one that served meanwhile.
+// Guards against prefilling prompts again after the engines of a site were added together: the
+// cache of the next engine in order is as empty as that of the selected one, so the holder must be
+// an engine that has served requests in the meantime.
 func TestEnginesAddedTogetherDoNotFetchFromOneAnother(t *testing.T) {
 	engines := testEngines(9)
 	order := ranked(engines, 42)
--- a/internal/edge/choose/ranking_test.go
+++ b/internal/edge/choose/ranking_test.go
@@ -179,11 +179,11 @@
 	"better of two": func(e []Engine, _ prompt, rng *rand.Rand) int { return PickPlain(e, rng) },
 }
 
-// Guards against a policy with a lower cost than hashing the longest shared prefix: hashing the
+// Checks that hashing the longest shared prefix costs less than each other policy: hashing the
 // first segment prefills about as few tokens but loads engines less evenly, and policies that
-// ignore the prompt prefill more than twice as many. Trials with the model of the real engines gave
-// the same order. The simulation does not cover the load bound, which has no effect at this load,
-// or fetching from other engines' caches.
+// ignore the prompt prefill more than twice as many tokens. Trials with the model of the real
+// engines gave the same order. The simulation does not cover the load bound, which has no effect at
+// this load, or fetching from other engines' caches.
 func TestLongestSharedPrefixCostsLeast(t *testing.T) {
 	got := make(map[string]cost)
 	for name, pick := range placements {
--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -35,8 +35,9 @@
 const (
 	// maxAddresses bounds the addresses in a response. Callers use no more.
 	maxAddresses = 64
-	// minLocalRouters is the number of routers from which on a site's callers are sent only to the
-	// routers of their site. With one, callers would have no router left after its loss.
+	// minLocalRouters is the number of routers that a site needs for its callers to be sent only to
+	// the routers of their site. If one were enough, callers would have no router left after its
+	// loss.
 	minLocalRouters = 2
 )
 
@@ -66,10 +67,10 @@
 
 // sampleRouters returns at most maxAddresses of the routers. It may reorder the slice. The sample
 // depends on self, the name of the responding router: if all returned the same 64 routers, these
-// would serve all callers of a site that has lost its own routers, a load for the routers of four
-// sites. The sample is selected by rendezvous hashing, so that a router that is added or removed
-// changes only one address of a response. Callers close their connections to addresses that are no
-// longer in the response.
+// would serve all callers of a site that has lost its own routers, a load that takes the routers of
+// four sites. The sample is selected by rendezvous hashing, so that a router that is added or
+// removed changes only one address of a response. Callers close their connections to addresses that
+// are no longer in the response.
 func sampleRouters(self string, routers []Router) []Router {
 	if len(routers) <= maxAddresses {
 		return routers
--- a/internal/edge/forward/admit.go
+++ b/internal/edge/forward/admit.go
@@ -10,8 +10,8 @@
 
 const (
 	// configConfirmWait is how long a request waits for a missing or outdated configuration to be
-	// confirmed. A router that was suspended or has just started gets the reply of its source
-	// within 20 to 100 ms; a refusal would cost the caller a pause and a second connection.
+	// confirmed. A router that was suspended or has just started gets the confirmation within 20 to
+	// 100 ms; a refusal would cost the caller a pause and a second connection.
 	configConfirmWait = 150 * time.Millisecond
 	// startupWait is how long a request waits for the first configuration and the first engines of
 	// a router that has just started; startupWaitShare limits the wait to a share of the caller's
--- a/internal/edge/forward/admit_test.go
+++ b/internal/edge/forward/admit_test.go
@@ -13,8 +13,9 @@
 
 const keyLease = 3500 * time.Millisecond
 
-// exchangeWithConfigAge returns an exchange at a router whose configuration was last confirmed at
-// asOf and is confirmed again confirmedAfter later, or never if that is zero.
+// exchangeWithConfigAge returns an exchange at a router whose boot clock starts at one minute and
+// whose configuration was last confirmed at asOf on that clock. The configuration is confirmed
+// again confirmedAfter after the start, or never if that is zero.
 func exchangeWithConfigAge(t *testing.T, asOf, confirmedAfter time.Duration, storeLost bool) *exchange {
 	started := time.Now()
 	clock := func() time.Duration { return time.Minute + time.Since(started) }
@@ -41,7 +42,7 @@
 
 // Guards against a router that refuses hundreds of requests when it resumes from a suspend of some
 // seconds: the requests wait in its sockets and are read before its source has confirmed the
-// configuration. They wait for that confirmation.
+// configuration. The requests must wait for that confirmation.
 func TestAdmitWaitsForConfigConfirmationAfterSuspend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := exchangeWithConfigAge(t, time.Second, 60*time.Millisecond, false)
@@ -50,7 +51,8 @@
 	})
 }
 
-// The wait is short, and there is none if the store is known to be lost.
+// A request waits for a confirmation for at most configConfirmWait, and not at all if the store is
+// known to be unreachable.
 func TestAdmitWaitIsBoundedAndSkippedWhenStoreIsLost(t *testing.T) {
 	for _, tc := range []struct {
 		lost bool
--- a/internal/edge/forward/attempttimeout.go
+++ b/internal/edge/forward/attempttimeout.go
@@ -25,7 +25,8 @@
 	return &responseTimes{byService: make(map[string]*health.Latency)}
 }
 
-// record adds the time to a response, or to an attempt's timeout.
+// record adds the time that an engine took to respond, or the time after which an attempt timed
+// out.
 func (a *responseTimes) record(service string, took time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -51,9 +52,10 @@
 // withAttemptTimeout returns a context that is canceled with errAttemptTimeout as its cause if the
 // engine does not respond in time and the request can go to another engine. Otherwise an engine
 // that hangs, or whose response was lost, would use up the time of a request that another engine
-// could serve at once. Only idempotent requests have an attempt timeout: for a stream, the work
-// that the first engine has done costs much more than a second short response. The returned
-// function stops the timer and must be called once the engine has responded.
+// could serve at once. Only idempotent requests have an attempt timeout. Their responses are short,
+// so generating one twice costs little; canceling a stream would discard much more work of the
+// first engine. The returned function stops the timer and must be called once the engine has
+// responded.
 func (x *exchange) withAttemptTimeout(ctx context.Context, e catalog.Engine) (context.Context, func()) {
 	if x.route.Kind != catalog.Idempotent || x.executed+1 >= x.route.Attempts {
 		return ctx, func() {}
--- a/internal/edge/forward/budget.go
+++ b/internal/edge/forward/budget.go
@@ -7,28 +7,29 @@
 	"damaskrouter.example/damaskrouter/internal/decide/retry"
 )
 
-// RetryBudgetLimits limit the sends of the whole fleet to one service beyond the first send of each
-// request.
+// RetryBudgetLimits limit the retries of the whole fleet at one service. A retry is any send of a
+// request after its first one.
 type RetryBudgetLimits struct {
-	// Ratio is the allowed share of the requests in a window. Slack is the number of sends allowed
-	// in addition.
+	// Ratio is the number of retries allowed per request in a window. Slack is the number of
+	// retries allowed in addition.
 	Ratio float64
 	Slack float64
 	// Window is the period over which requests are counted.
 	Window time.Duration
 }
 
-// budgetMargin is the share of the limits that the routers use. Their counts are not aligned with
-// the windows in which operators check the limits.
+// budgetMargin is the share of the limits that the routers use. The rest is reserved because the
+// routers' counts are not aligned with the windows in which operators check the limits.
 const budgetMargin = 0.7
 
 // minRouters is the minimum number of routers by which the slack is divided. A router that knows of
-// fewer has most likely not discovered the others yet.
+// fewer routers has most likely not discovered the others yet.
 const minRouters = 6
 
 // RetryBudgets holds one router's share of the fleet's retry budget for each service. Each router
-// applies the ratio to its own requests and gets an equal share of the slack, which keeps the sum
-// within the limits for any traffic split without communication. It is safe for concurrent use.
+// applies the ratio to its own requests and gets an equal share of the slack. The sum over all
+// routers therefore stays within the limits for any split of the traffic, without communication
+// between the routers. It is safe for concurrent use.
 type RetryBudgets struct {
 	limits  func() RetryBudgetLimits
 	routers func() int
@@ -43,7 +44,7 @@
 	return &RetryBudgets{limits: limits, routers: routers, byService: make(map[string]*retry.Budget)}
 }
 
-// RecordRequest counts the first send of a request at the boot time now.
+// RecordRequest counts the first send of a request at now on the boot clock.
 func (b *RetryBudgets) RecordRequest(service string, now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -58,8 +59,8 @@
 }
 
 // budget returns the service's budget, sized for the current number of routers. A router that has
-// just started knows no others; with a size fixed at that time, it would get the whole slack. The
-// caller holds the mutex.
+// just started knows no others; if its size were fixed at that time, the budget would get the whole
+// slack. The caller holds the mutex.
 func (b *RetryBudgets) budget(service string, now time.Duration) *retry.Budget {
 	budget := b.byService[service]
 	if budget == nil {
--- a/internal/edge/forward/cold.go
+++ b/internal/edge/forward/cold.go
@@ -11,8 +11,8 @@
 // stated by its service, plus Slack.
 type ColdLimits struct{ Over, Slack float64 }
 
-// engineState is an engine as last observed, and the boot time at which its current start, or its
-// return from an evacuation, was first observed.
+// engineState is an engine as last observed. firstSeen is when this router first observed the
+// engine's current start or its return from an evacuation, on the boot clock.
 type engineState struct {
 	engine    catalog.Engine
 	firstSeen time.Duration
@@ -23,12 +23,12 @@
 	coldUntil time.Duration
 }
 
-// updateCold updates how long the engine counts as cold: for the period in its entry, and after the
-// end of an evacuation of its site for coldStart, because the caches of the engines may have been
-// emptied during the evacuation, which they report only later. known means that the engine was
-// observed before; a router that has just started does not know when an evacuation ended.
-// entryChanged means that the entry is new or newer than the last one. updateCold reports whether
-// the engine's cache may have been emptied.
+// updateCold updates how long the engine counts as cold. A new entry makes it cold for the period
+// stated there. The end of an evacuation of its site makes it cold for coldStart, because engines'
+// caches may have been emptied during the evacuation and the engines report that only later. known
+// means that the engine was observed before: a router that has just started does not know how long
+// ago an evacuation ended. entryChanged means that the entry is new or newer than the last one.
+// updateCold reports whether the engine's cache may have been emptied.
 func (e *engineState) updateCold(s *catalog.Snapshot, coldStart, now time.Duration, known, entryChanged bool) (emptied bool) {
 	if entryChanged {
 		e.coldUntil = max(e.coldUntil, now+e.engine.ColdFor)
--- a/internal/edge/forward/cold_test.go
+++ b/internal/edge/forward/cold_test.go
@@ -61,8 +61,8 @@
 	return got
 }
 
-// Guards against a burst of requests at engines that have just started. They get no more than their
-// rate, and the other engines serve the rest without delay.
+// Guards against a burst of requests at engines that have just started. The cold engines get no
+// more than their rate, and the other engines serve the rest without delay.
 func TestColdEnginesAreRateLimited(t *testing.T) {
 	withTestRouter(t, 4, func(tr *testRouter) {
 		tr.snapshot = coldSnapshot(4, 2, 5)
@@ -79,8 +79,8 @@
 	})
 }
 
-// Guards against lost requests while only cold engines are left. Requests within their rate are all
-// served.
+// Guards against refused requests while only cold engines are left. All requests within the rate of
+// these engines are served.
 func TestRequestsAreServedWhenAllEnginesAreCold(t *testing.T) {
 	withTestRouter(t, 2, func(tr *testRouter) {
 		tr.snapshot = coldSnapshot(2, 2, 5)
@@ -91,7 +91,8 @@
 }
 
 // Guards against requests to the engines of an evacuated site, and against a burst of requests at
-// them when the evacuation ends: they may have been emptied and report that only later.
+// these engines when the evacuation ends: their caches may have been emptied, which the engines
+// report only later.
 func TestEvacuatedSiteGetsNoRequestsAndReturnsCold(t *testing.T) {
 	withTestRouter(t, 4, func(tr *testRouter) {
 		tr.snapshot = coldSnapshot(4, 0, 5)
@@ -118,7 +119,8 @@
 	})
 }
 
-// Guards against sending a request to an evacuated site after it has waited for a permit there.
+// Guards against sending a request to a site that was evacuated while the request waited for a
+// permit for one of its engines.
 func TestWaitingRequestIsNotSentToEvacuatedSite(t *testing.T) {
 	withTestRouter(t, 2, func(tr *testRouter) {
 		tr.snapshot = coldSnapshot(2, 0, 5)
--- a/internal/edge/forward/engines.go
+++ b/internal/edge/forward/engines.go
@@ -39,8 +39,8 @@
 	onRestart func(engine string)
 	// coldLimits returns the limits on requests to cold engines.
 	coldLimits func() ColdLimits
-	// congestedUntil is, by service, the boot time until which requests need a permit. meanHolds
-	// is, by service, the mean time that a request occupies an engine.
+	// congestedUntil is, by service, the reading of the boot clock until which requests need a
+	// permit. meanHolds is, by service, the mean time that a request occupies an engine.
 	congestedUntil map[string]time.Duration
 	meanHolds      map[string]time.Duration
 }
@@ -105,7 +105,7 @@
 
 	// permit is the granted permit, or nil if none was requested.
 	permit *flow.Permit
-	// startedAt is the boot time since which the request counts.
+	// startedAt is the reading of the boot clock when the request was counted at the engine.
 	startedAt time.Duration
 }
 
@@ -151,12 +151,13 @@
 	return Choice{Engine: engines[i], startedAt: now}, true
 }
 
-// fetchSource returns the address of the engine to fetch the prompt from, or an empty string if the
-// selected engine has the longest part already, because a fetch costs a few milliseconds. It tries
-// in this order: the engine to which this router last sent the longest part, the engine that had
-// the prompt before according to the hash order, and the engines to which this router last sent
-// shorter parts. If none qualifies, it falls back to the first other engine of the hash order. The
-// caller holds the mutex.
+// fetchSource returns the address of the engine to fetch the prompt from. It returns an empty
+// string if this router has already sent the last shared part, and with it the whole shared prefix,
+// to the selected engine, because a fetch costs a few milliseconds. Otherwise it tries in this
+// order: the engine to which this router last sent that part; the engine that had the prompt before
+// according to the hash order, if the prompt has moved; and the engines to which this router last
+// sent earlier parts that the selected engine lacks. If none qualifies, it falls back to the first
+// other engine of the hash order. The caller holds the mutex.
 func (p *Balancer) fetchSource(engines []catalog.Engine, candidates []choose.Engine, placement choose.Placement, shared []string, now time.Duration) string {
 	selected := engines[placement.Engine].ID
 	longest := len(shared) - 1
@@ -181,8 +182,8 @@
 }
 
 // sourceAddress returns the address of the engine, other than the selected one, to which this
-// router last sent the part. It returns false for an ejected engine: a request would wait for an
-// engine that does not respond. The caller holds the mutex.
+// router last sent the part. It returns false if that engine is ejected, because the request would
+// wait for an engine that does not respond. The caller holds the mutex.
 func (p *Balancer) sourceAddress(engines []catalog.Engine, candidates []choose.Engine, selected, part string, now time.Duration) (string, bool) {
 	holder, ok := p.promptCaches.otherEngine(selected, part, now)
 	if !ok {
@@ -197,7 +198,8 @@
 }
 
 // candidates returns the engines of the service that are not excluded, and the same engines in the
-// same order as package choose needs them. It observes each of them. The caller holds the mutex.
+// same order as package choose needs them. It calls observe for each of them. The caller holds the
+// mutex.
 func (p *Balancer) candidates(s *catalog.Snapshot, service string, excluded map[string]bool, others map[string]feed.EngineLoad, now time.Duration) ([]catalog.Engine, []choose.Engine) {
 	var engines []catalog.Engine
 	var out []choose.Engine
@@ -262,8 +264,9 @@
 	}
 }
 
-// recentlyStarted reports whether the engine was added within the last promptCacheTTL, and after
-// the engines that this router found at its own start. The caller holds the mutex.
+// recentlyStarted reports whether the engine was added, was restarted or returned from an
+// evacuation within the last promptCacheTTL. Engines that this router found at its own start do not
+// count. The caller holds the mutex.
 func (p *Balancer) recentlyStarted(engine string, now time.Duration) bool {
 	firstSeen := p.states[engine].firstSeen
 	return firstSeen > p.knownSince+startupSettleTime && now-firstSeen <= promptCacheTTL
--- a/internal/edge/forward/forward_test.go
+++ b/internal/edge/forward/forward_test.go
@@ -12,8 +12,8 @@
 )
 
 // Guards against a stream that is truncated when a draining router stops, because it was accepted
-// seconds after draining began and lasts longer than the time left. Late requests are accepted only
-// if their timeout fits.
+// seconds after draining began and lasts longer than the time left. Once acceptAllShare of the
+// drain timeout has passed, a request is accepted only if its timeout ends before the drain does.
 func TestDrainingRouterAcceptsOnlyRequestsThatCanFinish(t *testing.T) {
 	drain := &drainState{startedAt: 100 * time.Second, timeout: 7 * time.Second}
 	for _, tc := range []struct {
@@ -58,8 +58,9 @@
 }
 
 // Guards against more retries to a service than the fleet's limit, for any split of the traffic
-// over the routers, when all of them retry whenever they may. This includes a start, when no router
-// knows any other at first: the shares follow the number of known routers.
+// over the routers, when all of them retry whenever they may. The limit must also hold after a
+// simultaneous start, when no router knows any other at first: the shares follow the number of
+// known routers.
 func TestFleetRetryBudgetHoldsForAnyTrafficSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(6, 90).Draw(t, "routers")
--- a/internal/edge/forward/forwarder.go
+++ b/internal/edge/forward/forwarder.go
@@ -35,7 +35,7 @@
 	Codec   Codec
 	Conns   *engineconn.Pool
 	Engines *Balancer
-	// Places requests permits from the owners of gates.
+	// Places is the client that requests permits from the owners of gates.
 	Places *flow.Client
 	Budget *RetryBudgets
 	Log    *log.Logger
@@ -49,8 +49,8 @@
 	// Settings returns an identifier of the active settings for log lines. The default returns an
 	// empty string.
 	Settings func() string
-	// StoreLost reports whether the configuration is old because the store is unreachable, not
-	// because this router has not read it yet.
+	// StoreLost reports whether the configuration is old because the store is unreachable, as
+	// opposed to this router not having read the newest one yet.
 	StoreLost func() bool
 	// Routers returns the number of routers in the fleet, at least one.
 	Routers func() int
@@ -98,18 +98,18 @@
 
 // drainState is the state of a draining router.
 type drainState struct {
-	// startedAt is the boot time at which draining began, and timeout the time from then until the
-	// process ends.
+	// startedAt is the reading of the boot clock when draining began, and timeout the time from
+	// then until the process ends.
 	startedAt, timeout time.Duration
 }
 
 // acceptAllShare is the share of the drain timeout during which every request is accepted, because
-// callers keep using an old address for some seconds. A long stream that started later would be
-// truncated.
+// callers keep sending requests to a draining router's address for some seconds. A long stream that
+// started later would be truncated.
 const acceptAllShare = 0.3
 
-// accepts reports whether a request that arrives at the boot time now and may take up to limit is
-// accepted.
+// accepts reports whether to accept a request that arrives at now on the boot clock and may take up
+// to limit.
 func (d *drainState) accepts(now, limit time.Duration) bool {
 	elapsed := now - d.startedAt
 	return elapsed <= time.Duration(acceptAllShare*float64(d.timeout)) || elapsed+limit <= d.timeout
@@ -144,7 +144,7 @@
 	req     Request
 	route   *catalog.Route
 	account *catalog.Account
-	// deadline is the boot time by which the caller must have a final response.
+	// deadline is the reading of the boot clock by which the caller must have a final response.
 	deadline time.Duration
 	body     []byte
 
@@ -154,15 +154,15 @@
 	executed int
 	sends    int
 	// deniedPermits counts the permit requests that yielded no usable permit. predictedWait is the
-	// wait that the last reply predicted.
+	// wait that the last reply to such a request predicted.
 	deniedPermits int
 	predictedWait time.Duration
 	// late means that the caller has retried after a refusal, too late to meet the route's
 	// objective.
 	late     bool
 	excluded map[string]bool
-	// engineFailure is an engine's own error response. The caller gets it if no other engine sends
-	// a better one.
+	// engineFailure is an engine's own error response. The caller gets it if no other engine serves
+	// the request.
 	engineFailure *engineFailure
 	// responded is set once any byte of a response may have gone to the caller.
 	responded bool
--- a/internal/edge/forward/permit.go
+++ b/internal/edge/forward/permit.go
@@ -12,8 +12,8 @@
 )
 
 // chooseFirst selects the engine for the first send: directly while the service has free capacity,
-// and by requesting a permit otherwise. It returns a choice that must be passed to Balancer.Done,
-// or a refusal, which is last if there is no engine.
+// and by requesting a permit otherwise. It returns either a choice, which must be passed to
+// Balancer.Done, or a refusal. If no service has an engine left, the refusal is the argument last.
 func (x *exchange) chooseFirst(last *Refusal) (Choice, *Refusal) {
 	var shared []string
 	if x.route.Prompted {
@@ -33,7 +33,7 @@
 	return Choice{}, last
 }
 
-// requestPermit requests a permit for one candidate engine after the other.
+// requestPermit requests a permit for one candidate engine after the other until it gets one.
 func (x *exchange) requestPermit(service string, plan Plan, shared []string) (Choice, *Refusal) {
 	ctx, cancel := context.WithTimeout(x.r.Context(), x.remaining())
 	defer cancel()
@@ -116,9 +116,10 @@
 	return out
 }
 
-// chooseWithoutPermit selects an engine by the known loads, as with free capacity. It is used if no
-// owner of a gate could be reached, or if a permit was requested only for a cold engine while
-// others are available.
+// chooseWithoutPermit selects an engine by the known loads, as while the service has free capacity.
+// It is used if no permit was obtained although no owner of a gate refused one, for example because
+// no owner could be reached, or if a permit was requested only for a cold engine while others are
+// available.
 func (x *exchange) chooseWithoutPermit() (Choice, *Refusal) {
 	if choice, ok := x.pickEngine(); ok {
 		return choice, nil
--- a/internal/edge/forward/permit_test.go
+++ b/internal/edge/forward/permit_test.go
@@ -85,9 +85,10 @@
 	})
 }
 
-// Guards against callers that wait for seconds and disconnect while engines work on late responses,
-// when more requests arrive than slots become free. A request that could only start too late is
-// refused within its objective, with a guarantee that it did not execute and a time to retry.
+// Guards against overload in which callers wait for seconds and disconnect while engines still work
+// on their requests. When more requests arrive than slots become free, a request that can't start
+// in time is refused within its objective. The refusal guarantees that the request did not execute
+// and states when to retry.
 func TestRequestRefusedWithoutPermitInTime(t *testing.T) {
 	withTestRouter(t, 3, func(tr *testRouter) {
 		tr.setOtherLoads(80)
--- a/internal/edge/forward/plan.go
+++ b/internal/edge/forward/plan.go
@@ -11,7 +11,7 @@
 
 const (
 	// congestedFor is how long requests of a service still need permits after it was last
-	// congested. Without it, a service close to the threshold would switch back and forth.
+	// congested. Without this period, a service close to the threshold would switch back and forth.
 	congestedFor = 2 * time.Second
 	// meanHoldWeight is the weight of the newest request in the mean time that requests occupy an
 	// engine.
@@ -23,8 +23,8 @@
 type Plan struct {
 	Choice Choice
 	Ask    []PermitCandidate
-	// Warm means that the engine in Ask is cold and others are not. If no permit is granted, the
-	// request goes to the others without one.
+	// Warm means that the only engine in Ask is cold, but not all engines of the service are. If no
+	// permit is granted, the request goes to an engine that is not cold, without a permit.
 	Warm bool
 	// Hold is the mean time that a request of the service occupies an engine.
 	Hold time.Duration
@@ -39,11 +39,11 @@
 	Pace gate.Pace
 }
 
-// Plan selects an engine of the service, or the engines to request a permit for if the service is
-// congested or the selected engine is cold. shared are the IDs of the prompt parts that other
-// requests may have too, in order. Plan skips the engines in excluded and returns false if there is
-// no engine left. If Ask is empty, Plan has counted the request, and Done must be called with
-// Choice.
+// Plan selects an engine of the service. If the service is congested or the selected engine is
+// cold, it returns the engines to request a permit for instead. shared are the IDs of the prompt
+// parts that other requests may have too, in order. Plan skips the engines in excluded and returns
+// false if there is no engine left. If Ask is empty, Plan has counted the request, and Done must be
+// called with Choice.
 func (p *Balancer) Plan(s *catalog.Snapshot, service string, shared []string, excluded map[string]bool) (Plan, bool) {
 	now := p.clock()
 	others := p.otherLoads()
--- a/internal/edge/forward/promptcache.go
+++ b/internal/edge/forward/promptcache.go
@@ -9,24 +9,24 @@
 const (
 	// maxPromptCacheEntries limits the recorded prompt parts. An entry takes about 150 bytes.
 	maxPromptCacheEntries = 16384
-	// promptCacheTTL is how long an engine is assumed to cache a part that was sent to it. The
-	// caches of current engines are replaced within about a minute.
+	// promptCacheTTL is how long an engine is assumed to cache a part that was sent to it. On
+	// current engines, the cached parts are replaced within about a minute.
 	promptCacheTTL = 30 * time.Second
-	// startupSettleTime is how long after first knowing any engines a router treats each new engine
-	// as one that was there before. After an outage of the store, engines register again within two
-	// seconds.
+	// startupSettleTime is the period after a router first observes an engine in which it treats
+	// each engine that appears as one that was running before. After an outage of the store,
+	// engines register again within two seconds.
 	startupSettleTime = 2 * time.Second
 )
 
 // promptCaches records which prompt parts this router has sent to which engines. It is not safe for
 // concurrent use.
 type promptCaches struct {
-	// sentAt is the boot time at which a part was last sent to an engine. lastEngine is the engine
-	// to which a part was last sent.
+	// sentAt is the reading of the boot clock when a part was last sent to an engine. lastEngine is
+	// the engine to which a part was last sent.
 	sentAt     *lru.Cache[promptKey, time.Duration]
 	lastEngine *lru.Cache[string, string]
-	// emptiedAt is the boot time at which an engine's cache was last found to be empty. Parts sent
-	// before do not count.
+	// emptiedAt is the reading of the boot clock when an engine's cache was last found to be empty.
+	// Parts that were sent earlier are not assumed to be cached.
 	emptiedAt map[string]time.Duration
 }
 
--- a/internal/edge/forward/promptcache_test.go
+++ b/internal/edge/forward/promptcache_test.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// Guards against processing prompts again when prompts of other engines map to an added engine.
-// Requests to it name the engine that cached the prompt, from routers that have sent the prompt and
-// from those that have not.
+// Guards against processing prompts again when prompts that other engines have cached map to an
+// added engine. Requests to the added engine name the engine that cached the prompt, both from
+// routers that have sent the prompt before and from those that have not.
 func TestAddedEngineFetchesFromPreviousEngine(t *testing.T) {
 	p := newPromptPicker(t)
 	before := newSnapshot(5)
@@ -90,8 +90,8 @@
 	require.Positive(t, moved)
 }
 
-// Guards against requests that hang at a healthy engine, because it is to fetch the prompt from
-// the engine that cached it, which has failed and is ejected.
+// Guards against requests that hang at a healthy engine because the router tells it to fetch the
+// prompt from an engine that has failed and is ejected.
 func TestNoFetchFromEjectedEngine(t *testing.T) {
 	p := newPromptPicker(t)
 	s := newSnapshot(5)
@@ -105,8 +105,8 @@
 }
 
 // Guards against slow requests at an engine that has restarted under the same ID with an empty
-// cache, and at engines that are to fetch prompts from it. Its cached prompts and its failures from
-// before the restart must be discarded.
+// cache, and at engines that are told to fetch prompts from that engine. What is recorded of its
+// cache and its failures from before the restart must be discarded.
 func TestRestartedEngineHasEmptyCache(t *testing.T) {
 	for name, restart := range map[string]func(*catalog.Engine){
 		"new start time":       func(e *catalog.Engine) { e.Born += 5000 },
@@ -143,8 +143,8 @@
 	}
 }
 
-// Guards against processing prompts again after an evacuation. The engines of the site may have
-// been emptied, and fetch from those that served in the meantime.
+// Guards against processing prompts again after an evacuation. The caches of the site's engines may
+// have been emptied, so these engines fetch from those that served requests in the meantime.
 func TestEngineFetchesPromptAfterEvacuationEnds(t *testing.T) {
 	p := newPromptPicker(t)
 	s := coldSnapshot(6, 0, 5)
--- a/internal/edge/forward/relay.go
+++ b/internal/edge/forward/relay.go
@@ -10,7 +10,7 @@
 )
 
 // maxBufferedResponse limits the responses that are read completely before they are relayed, in
-// bytes. Until something is relayed, an incomplete response can be replaced by that of another
+// bytes. Until the first byte is relayed, an incomplete response can be replaced by that of another
 // engine or by an error response.
 const maxBufferedResponse = 1 << 20
 
--- a/internal/edge/forward/requestlog.go
+++ b/internal/edge/forward/requestlog.go
@@ -26,7 +26,8 @@
 // within the limit of the log itself.
 const servedLogsPerSecond = 50
 
-// log logs the outcome of a request with the data it was decided on and the age of that data.
+// log logs the outcome of a request, with the versions and ages of the state by which it was
+// routed.
 func (x *exchange) log(took time.Duration) {
 	ok := x.outcome == ""
 	if ok && !x.f.servedLogLimiter.Allow() {
--- a/internal/edge/forward/send.go
+++ b/internal/edge/forward/send.go
@@ -269,12 +269,13 @@
 
 // engineUrgency is the priority of all requests at engines. The gates decide the order before
 // requests are sent; an engine that preempts one request for another delays both. At four times the
-// usual load, 1,100 requests were preempted in 8 s with different priorities, and 0.705 of the
-// benefit was earned in the worst seconds. With gates and a single priority none were preempted,
-// and 0.85 was earned.
+// usual load, 1,100 requests were preempted in 8 s with different priorities, and in the worst
+// seconds 0.705 of the possible benefit was earned. With gates and a single priority, no request
+// was preempted, and 0.85 of the possible benefit was earned.
 const engineUrgency = 5
 
-// urgencyStep spaces the priorities of accounts, which take precedence over those of routes.
+// urgencyStep is the difference in urgency between two consecutive account priorities. Route
+// priorities take the values in between, so that account priorities take precedence.
 const urgencyStep = 3
 
 func (x *exchange) urgency() int {
@@ -340,8 +341,8 @@
 func (x *exchange) handleEngineRefusal(e catalog.Engine, response *engineconn.Response, reply Reply) sendResult {
 	x.logAttempt(e, errEngineRefused.New("status %d", response.Status), 0)
 	if reply.WrongEngine {
-		// The failure keeps other requests from the address until the store lists the engine that
-		// now has it.
+		// Recording a failure keeps other requests from the address until the store lists the
+		// engine that now has this address.
 		x.f.Engines.RecordOutcome(e.ID, false)
 	}
 	// Reading the body allows the connection to be reused. Its content is not needed.
--- a/internal/edge/forward/stream.go
+++ b/internal/edge/forward/stream.go
@@ -117,8 +117,8 @@
 }
 
 // resume continues a truncated stream at another engine, if the route and the retry budget allow
-// it. If an engine refuses, it tries the next one. The returned function closes the response and
-// ends the count of the request.
+// it. If an engine refuses, resume tries the next one. The returned function closes the response
+// and ends the count of the request.
 func (x *exchange) resume(ctx context.Context, truncated catalog.Engine, lastID string) (catalog.Engine, *engineconn.Response, func()) {
 	x.excluded[truncated.ID] = true
 	for range maxEngineRefusals {
@@ -146,8 +146,8 @@
 	return catalog.Engine{}, nil, nil
 }
 
-// mayResume reports whether the stream may resume after the event. The reason for a refusal does
-// not matter, because a response that has begun is truncated in any case.
+// mayResume reports whether the stream may resume after the event. It discards the refusal of
+// checkBeforeSend, because a response that has begun is truncated whatever the reason.
 func (x *exchange) mayResume(lastID string) bool {
 	return x.route.Repeatable() && x.executed < x.route.Attempts && lastID != "" && x.checkBeforeSend(x.disconnectRefusal()) == nil
 }
--- a/internal/edge/health/health.go
+++ b/internal/edge/health/health.go
@@ -81,16 +81,17 @@
 }
 
 const (
-	// toleratedExcess is the excess of an engine's failure rate over that of the rest of its
-	// service above which the engine gets less than its normal load.
+	// toleratedExcess is how far an engine's failure rate may exceed that of the rest of its
+	// service before the engine gets less than its normal load.
 	toleratedExcess = 0.25
-	// ejectionExcess is the excess from which on the engine is ejected.
+	// ejectionExcess is the excess of the failure rate at which the engine is ejected.
 	ejectionExcess = 0.5
 )
 
 // LoadShares returns the share of its normal load that each engine of a service should get, from 0
 // to 1, in the order of the evidence. It compares each engine with the rest of its service: if all
-// fail alike, the cause is elsewhere, and ejecting some would only move their load to the others.
+// engines fail at the same rate, the cause is elsewhere, and ejecting some would only move their
+// load to the others.
 func LoadShares(evidence []Evidence) []float64 {
 	var total Evidence
 	for _, e := range evidence {
--- a/internal/edge/health/latency.go
+++ b/internal/edge/health/latency.go
@@ -5,14 +5,14 @@
 const (
 	// newestWeight is the weight of the newest response in the moving average.
 	newestWeight = 1.0 / 16
-	// minResponses is the number of responses from which on the average is used.
+	// minResponses is the number of responses that are needed before the average is used.
 	minResponses = 5
-	// silenceFactor is the time that an engine may take, as a multiple of the average. All but one
-	// or two in a hundred responses of a healthy service are faster, and a request sent again after
-	// that time still meets its objective in most cases.
+	// silenceFactor is the time that an engine may take to respond, as a multiple of the average.
+	// All but one or two in a hundred responses of a healthy service take less than this time, and
+	// a request that is sent again after it still meets its objective in most cases.
 	silenceFactor = 3
-	// minObjectiveShare is the share of the objective that every engine may take: a service whose
-	// responses are fast on average has slow ones too.
+	// minObjectiveShare is the share of the objective that an engine may always take to respond,
+	// because a service whose responses are fast on average has slow ones too.
 	minObjectiveShare = 0.5
 )
 
@@ -23,8 +23,9 @@
 	responses int
 }
 
-// Observe adds the time to a response, or the time after which the router stopped waiting for one.
-// The latter raises the average if all engines are slow, so that later requests wait long enough.
+// Observe adds the time that a response took, or the time after which the router stopped waiting
+// for one. Because the waits without a response count too, the average rises if all engines are
+// slow, and later requests wait long enough.
 func (l *Latency) Observe(took time.Duration) {
 	l.responses++
 	if l.responses == 1 {
--- a/internal/edge/logsink/logsink.go
+++ b/internal/edge/logsink/logsink.go
@@ -1,5 +1,5 @@
-// Package logsink buffers the log lines of request handlers, never blocks them,
-// and limits the rate of lines written.
+// Package logsink buffers the log lines of request handlers, so that logging never
+// blocks a handler, and limits the rate of lines written.
 //
 // Standard output may be read slowly or not at all. If handlers wrote to it
 // directly, a stalled reader would stall requests, and a burst of failures would
