--- a/internal/edge/feed/board.go
+++ b/internal/edge/feed/board.go
@@ -11,7 +11,8 @@
 	"damaskrouter.example/damaskrouter/internal/edge/catalog"
 )
 
-// expiryInterval is how often the entries of doubtful engines are checked for expiry.
+// expiryInterval is how often the board checks for doubtful engines whose time in service without
+// an entry has ended.
 const expiryInterval = 100 * time.Millisecond
 
 // Clock returns the time since the VM booted, including time in suspend.
@@ -128,8 +129,8 @@
 }
 
 // PutConfig applies a configuration and an evacuation update that were confirmed by a call sent at
-// asOf. It returns once snapshots contain them or the context is canceled. A writer that continued
-// earlier would request the same data again.
+// asOf. It returns once snapshots contain them or the context is canceled. If it returned earlier,
+// the goroutine that requests the data would request the same data again.
 func (b *Board) PutConfig(ctx context.Context, c *catalog.Config, evacuations catalog.EvacuationUpdate, asOf time.Duration) {
 	b.put(ctx, func(s *catalog.Snapshot) (*catalog.Snapshot, bool) {
 		s, evacuationsChanged := s.WithEvacuations(evacuations)
@@ -139,8 +140,9 @@
 }
 
 // PutEngines applies an engine update that was confirmed by a call sent at asOf; see PutConfig.
-// lostAgo is the time since a reader is last known to have failed to reach the store. It returns
-// the changes made by the update, or none if the context was canceled before it was applied.
+// lostAgo is the time since the last known failure of a reader to reach the store. PutEngines
+// returns the changes made by the update, or none if the context was canceled before it was
+// applied.
 func (b *Board) PutEngines(ctx context.Context, u catalog.EngineUpdate, asOf, lostAgo time.Duration) catalog.EngineChanges {
 	var changes catalog.EngineChanges
 	applied := b.put(ctx, func(s *catalog.Snapshot) (*catalog.Snapshot, bool) {
--- a/internal/edge/feed/contacts.go
+++ b/internal/edge/feed/contacts.go
@@ -63,10 +63,11 @@
 }
 
 const (
-	// maxContacts is the length of the list if the fleet has enough routers. After a power loss
-	// some of them are up at any moment. Each of them reads all data from the store.
+	// maxContacts is the length of the list if the fleet has enough routers. It is large enough
+	// that some listed routers are up at any moment after a power loss, and limited because each
+	// listed router reads all data from the store when it starts.
 	maxContacts = 16
-	// rewriteShare is the share of the list that must be missing before the list is rewritten.
+	// rewriteShare is the share of the list that may be missing; the list is rewritten if more is.
 	rewriteShare = 0.25
 )
 
@@ -94,7 +95,8 @@
 	return out, float64(missing) > rewriteShare*float64(wanted)
 }
 
-// interleaveSites returns the first router of each site, then the second of each site, and so on.
+// interleaveSites returns the first router of each site in the order of ComparePeers, then the
+// second of each site, and so on.
 func interleaveSites(live []Peer) []Peer {
 	sorted := slices.Clone(live)
 	slices.SortFunc(sorted, ComparePeers)
@@ -126,8 +128,8 @@
 	Clock    Clock
 	Log      *log.Logger
 
-	// readerSince is the boot time since which this router has been the reader, or zero if it is
-	// not.
+	// readerSince is when this router became the reader, on the boot clock, or zero if it is not
+	// the reader.
 	readerSince time.Duration
 	// loaded is set if listed matches the stored list.
 	loaded bool
--- a/internal/edge/feed/exchange.go
+++ b/internal/edge/feed/exchange.go
@@ -39,8 +39,8 @@
 type parentExchange struct {
 	mu     sync.Mutex
 	parent Peer
-	// have is the sequence number of the fleet's loads received from the parent, acked that of this
-	// router's loads held by the parent. Both are zero for none.
+	// have is the sequence number of the fleet's loads received from the parent. acked is the
+	// sequence number of this router's loads that the parent holds. Both are zero for none.
 	have, acked uint64
 	reporter    reporter
 }
@@ -100,15 +100,16 @@
 // router of the fleet.
 //
 // The parent depends only on the set of live routers and always precedes this router in an order
-// that all routers compute in the same way. The parent of catalog pulls changes while the store is
-// lost, and routers may then pull from each other in a cycle. Load sums carried along such cycles
-// grew to hundreds of times the real load within seconds, so that every engine seemed full.
+// that all routers compute in the same way. The router from which the catalog is pulled is not
+// suitable: while the store is unreachable it changes, and routers may pull from each other in a
+// cycle. Load sums exchanged along such cycles grew to hundreds of times the real load within
+// seconds, so that every engine seemed full.
 func (f *Follower) loadsParent() (Peer, bool) {
 	return ParentOf(f.Self, f.Live(), nil, f.Clock())
 }
 
-// exchangeLoads exchanges loads by separate calls, as long as they are not carried by catalog
-// pulls, until the context is canceled.
+// exchangeLoads exchanges loads with the router that loadsParent returns, by separate calls while
+// catalog pulls do not carry the loads, until the context is canceled.
 func (f *Follower) exchangeLoads(ctx context.Context) {
 	for pause.For(ctx, pullWait) {
 		parent, ok := f.updateLoadsParent(ctx)
@@ -122,11 +123,11 @@
 // updateLoadsParent updates and returns the router with which loads are exchanged, or false for
 // none.
 //
-// A router that changes its parent notifies the previous one and drops what it reported, because
-// loads counted along two paths stay wrong until they expire. A starting router waits until it
-// knows the other routers. When 295 routers started together, each changed its parent three times,
-// and for two seconds each saw seven times the real load of the fleet: engines seemed full, and
-// 2,600 requests were rejected while three fifths of the slots were free.
+// A router that changes its parent notifies the previous parent and drops the loads reported by it.
+// Otherwise loads received along two paths would be counted twice until they expire. A starting
+// router waits until it knows the other routers. When 295 routers started together, each changed
+// its parent three times, and for two seconds each saw seven times the real load of the fleet:
+// engines seemed full, and 2,600 requests were rejected while three fifths of the slots were free.
 func (f *Follower) updateLoadsParent(ctx context.Context) (Peer, bool) {
 	if !f.Start.Settled(f.Clock()) {
 		return Peer{}, false
@@ -164,7 +165,7 @@
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	if err := f.Call(ctx, parent, ExchangeMethod, *args, &reply); err != nil {
-		// Pulls and gossip log unresponsive routers.
+		// Not logged here: pulls and gossip already log unresponsive routers.
 		f.parentExchange.resetAcked()
 		return
 	}
--- a/internal/edge/feed/feed_test.go
+++ b/internal/edge/feed/feed_test.go
@@ -124,8 +124,8 @@
 }
 
 // Guards against sending a large configuration twice over slow links: a router that pulled again
-// before its board held the first reply got the same update twice. Applying a reply waits for the
-// board.
+// before its board held the first reply got the same update twice. A router must apply a reply and
+// wait until its board holds it before it pulls again.
 func TestConfigIsSentOnceToEachRouter(t *testing.T) {
 	runFleet(t, sameStore, func(f *fakeFleet, s *fakeStore) {
 		f.sent.Clear()
@@ -139,8 +139,9 @@
 	})
 }
 
-// Guards against a late configuration when the store rejects only the reader, or does not reply
-// it, while it serves the other routers. The reader reports this and the next router reads.
+// Guards against a late configuration when the store rejects only the reader, or does not reply to
+// the reader, while it serves the other routers. The reader reports that it cannot reach the store,
+// and the next router reads.
 func TestReaderRejectedByStoreIsReplaced(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		var bad *fakeStore
@@ -168,7 +169,7 @@
 
 // Guards against late engine updates when the store is unreachable for three successive readers.
 // Each of them hung for a whole watch before the next one tried, and a request reached an engine
-// 3.2 s after it had left. The first call of a new reader must succeed or fail quickly.
+// 3.2 s after the engine had left. The first call of a new reader must succeed or fail quickly.
 func TestThreeReadersInARowCutOffFromStore(t *testing.T) {
 	var bad *fakeStore
 	stores := func(live []Peer, good *fakeStore) map[string]*fakeStore {
@@ -275,10 +276,10 @@
 	})
 }
 
-// Guards against a configuration used more than two seconds after its replacement by routers that
-// reach the store. The reader reports the store as lost; then it and the first router of each site
-// are cut off and the configuration changes. The outdated report prevented the others from reading
-// while they called one unreachable router after the other.
+// Guards against routers that reach the store and still use a configuration more than two seconds
+// after it was replaced. The reader reports the store as lost; then it and the first router of each
+// site are cut off and the configuration changes. The outdated report prevented the others from
+// reading while they called one unreachable router after the other.
 func TestOutdatedStoreLostReportDoesNotBlockReading(t *testing.T) {
 	var bad *fakeStore
 	var cut []string
--- a/internal/edge/feed/fleet_test.go
+++ b/internal/edge/feed/fleet_test.go
@@ -54,7 +54,8 @@
 	s.changed = make(chan struct{})
 }
 
-// simulateFailure counts a call, and blocks or fails it if the test has set so.
+// simulateFailure counts a call, and blocks it if the test has set silent or fails it if the test
+// has set down.
 func (s *fakeStore) simulateFailure(ctx context.Context) error {
 	s.calls.Add(1)
 	s.mu.Lock()
@@ -408,7 +409,7 @@
 		time.Sleep(3 * time.Second)
 		defer func() {
 			cancel()
-			// Calls in progress return.
+			// Give the calls in progress time to return.
 			time.Sleep(time.Second)
 			synctest.Wait()
 		}()
--- a/internal/edge/feed/follower.go
+++ b/internal/edge/feed/follower.go
@@ -15,9 +15,9 @@
 
 const (
 	// pullWait is how long the reply to a pull is held. Each level of the tree adds it to the age
-	// of the catalog and of the loads. Twice as much leaves too little of a bound of one second:
-	// routers then read the store themselves (4,000 calls in a scenario of 34 s with 88 routers,
-	// instead of 1,100).
+	// of the catalog and of the loads. With a wait of twice this length and a bound of one second
+	// for changes, the data that arrives is too old and routers read the store themselves (4,000
+	// calls in a scenario of 34 s with 88 routers, instead of 1,100).
 	pullWait = 150 * time.Millisecond
 	// pullTimeout bounds a complete pull: its wait and one TCP retransmission.
 	pullTimeout = pullWait + 350*time.Millisecond
@@ -37,7 +37,8 @@
 	Board *Board
 	Loads *Loads
 	Clock Clock
-	// Timing returns the timing derived from the bounds on changes.
+	// Timing returns the waits and ages derived from the time within which a change must be active
+	// on all routers.
 	Timing func() Timing
 	Call   Call
 	// Start is the state of joining the fleet. Roster is the known membership.
@@ -56,8 +57,9 @@
 	parentSince time.Duration
 	// failedPulls counts consecutive failed pulls from the parent.
 	failedPulls int
-	// parentExchange is the state of the load exchange. pulledFrom is the name of the router whose
-	// pulls carry it, or empty for none.
+	// parentExchange is the state of the load exchange. pulledFrom is the name of the router from
+	// which this one pulls, its own name if it reads the store, or empty at first. Pulls carry the
+	// load exchange if pulledFrom names the parent of the exchange.
 	parentExchange parentExchange
 	pulledFrom     atomic.Value
 	// parentStoreLost is set if the parent reported that it cannot reach the store.
@@ -65,12 +67,12 @@
 	readsStore      atomic.Bool
 	// chain names the routers through which the catalog arrives, the reader of the store last.
 	chain atomic.Pointer[[]string]
-	// storeLostAt is the boot time at which a reader, this router or another, is last known to have
-	// failed to reach the store.
+	// storeLostAt is the time, on the boot clock, of the last known failure of a reader, this
+	// router or another, to reach the store.
 	storeLostAt atomic.Int64
-	// lastReplyAt is the boot time of the last reply from another router.
+	// lastReplyAt is the time, on the boot clock, of the last reply from another router.
 	lastReplyAt atomic.Int64
-	// failures holds the routers that could not reach the store as of a boot time.
+	// failures holds the routers that could not reach the store as of a time on the boot clock.
 	failures atomic.Pointer[knownFailures]
 }
 
@@ -111,14 +113,14 @@
 	return f.StoreDown() && f.Clock()-time.Duration(f.lastReplyAt.Load()) < maxReplyAge
 }
 
-// recordStoreLost records that a reader failed to reach the store at a boot time.
+// recordStoreLost records that a reader failed to reach the store at a time on the boot clock.
 func (f *Follower) recordStoreLost(at time.Duration) {
 	if at > time.Duration(f.storeLostAt.Load()) {
 		f.storeLostAt.Store(int64(at))
 	}
 }
 
-// knownFailures holds failures as of a boot time.
+// knownFailures holds failures as of a time on the boot clock.
 type knownFailures struct {
 	at   time.Duration
 	list []Failure
@@ -146,7 +148,7 @@
 	return out
 }
 
-// mergeFailures adds the failures reported by another router as of a boot time.
+// mergeFailures adds the failures reported by another router as of a time on the boot clock.
 func (f *Follower) mergeFailures(failures []Failure, at time.Duration) {
 	for _, failure := range failures {
 		f.distrust.AddStoreLost(failure.Router, at-failure.Ago)
@@ -334,12 +336,14 @@
 	case parent.Name == "":
 		// A router contacted while joining is not a parent.
 	case slices.Contains(reply.Chain, f.Self.Name):
-		// A router that distrusts itself waits for the others of the cycle to do so too. The one
-		// that still trusts itself becomes the reader.
+		// A router that distrusts itself keeps its parent and waits. A router of the cycle that
+		// still trusts itself distrusts its own parent, becomes the reader, and distrusts itself
+		// too if it cannot reach the store.
 		if f.distrust.trusted(f.Self.Name, f.Clock()) {
 			f.distrustRouter(parent, reasonCycle, nil)
 		}
-		// The reply was not held, and the next one may not be held either.
+		// The reply was not held, and the next one may not be held either: pause, so as not to pull
+		// in a tight loop.
 		pause.For(ctx, retryPause)
 	case f.Clock()-f.parentSince <= newParentGrace:
 	case reply.StoreLost:
--- a/internal/edge/feed/join.go
+++ b/internal/edge/feed/join.go
@@ -13,9 +13,9 @@
 
 // A starting router requests everything it lacks from a seed: the configuration, the engines and
 // the members. If no seed replies at once, it reads a list of contacts from the store and calls
-// those. Seeds and contacts read the store themselves. Otherwise 300 routers starting at once would
-// make 4,000 store calls and know each other only after 25 seconds; with seeds and contacts they
-// know each other within a second.
+// those. Seeds and contacts read the store themselves. Without them, 300 routers starting at once
+// would make 4,000 store calls and know each other only after 25 seconds; with them, they know each
+// other within a second.
 const (
 	// joinCallTimeout bounds one call: ten times what a router on the smallest VM takes to reply
 	// while it replies to a hundred others.
@@ -30,16 +30,17 @@
 	// maxJoinCalls limits concurrent calls.
 	maxJoinCalls = 6
 	// contactsDelay is how long seeds are called before the contacts are read: four times the time
-	// of a reply, and little compared to how long requests may wait.
+	// that a reply takes, and little compared to how long requests may wait.
 	contactsDelay = 40 * time.Millisecond
 	// joinDeadline is how long a router tries to join before it continues alone, or with the
-	// routers it reached if they have no catalog either. firstStartJoinDeadline applies instead
-	// where the whole fleet starts for the first time: there are no contacts and no callers yet.
+	// routers it reached if they have no catalog either. firstStartJoinDeadline applies instead if
+	// the whole fleet starts for the first time and no router has replied: there are no contacts
+	// and no callers yet.
 	joinDeadline           = 600 * time.Millisecond
 	firstStartJoinDeadline = 3 * time.Second
-	// memberExchangePeriod is how long after its start a router requests new members, and
-	// memberExchangeInterval how often. It learns of routers that start later from its parent,
-	// which it may not know yet.
+	// memberExchangePeriod is how long after its start a router requests new members by separate
+	// calls, because it may not know its parent yet, and memberExchangeInterval is how often.
+	// Routers that start later are reported by its parent.
 	memberExchangePeriod   = 3 * time.Second
 	memberExchangeInterval = 300 * time.Millisecond
 	// SettleTime is the time after its start from which on a router that reached others may
@@ -64,11 +65,12 @@
 	StartOptions
 	startedAt time.Duration
 	state     atomic.Int32
-	// joinedVia is the address of the router that replied first, contacts those of the list.
+	// joinedVia is the address of the router that replied first. contacts holds the addresses in
+	// the list of contacts.
 	joinedVia, contacts atomic.Value
 }
 
-// NewStart returns the state of a router that started at a boot time.
+// NewStart returns the state of a router that started at startedAt by the boot clock.
 func NewStart(o StartOptions, startedAt time.Duration) *Start {
 	s := &Start{StartOptions: o, startedAt: startedAt}
 	if s.Seed || len(s.Seeds) == 0 {
@@ -185,7 +187,8 @@
 	result := pullResult{to: to, sent: j.follower.Clock()}
 	result.args = j.follower.pullArgs(to, result.sent)
 	if j.follower.Start.state.Load() == stateJoining {
-		// Reaching any router matters more than waiting for what it may learn.
+		// Request an immediate reply: reaching any router matters more than the data that it may
+		// receive while it holds the reply.
 		result.args.Wait = 0
 	}
 	go func() {
--- a/internal/edge/feed/join_test.go
+++ b/internal/edge/feed/join_test.go
@@ -125,7 +125,7 @@
 		})
 		defer func() {
 			cancel()
-			// Calls in progress return.
+			// Give the calls in progress time to return.
 			time.Sleep(time.Second)
 			synctest.Wait()
 		}()
@@ -185,8 +185,9 @@
 }
 
 // Guards against a fleet start in which each router reads the store: 295 routers starting within
-// 0.3 s made 4,000 calls and knew each other only after 25 s. The calls must grow with the seeds
-// and the few routers that briefly consider themselves the reader, not with the fleet.
+// 0.3 s made 4,000 calls and knew each other only after 25 s. The number of calls must grow with
+// the number of seeds and of the few routers that briefly consider themselves the reader, not with
+// the size of the fleet.
 func TestFleetStartCausesFewStoreCalls(t *testing.T) {
 	for _, n := range []int{8, 89, 295} {
 		runStartingFleet(t, n, func(f *startingFleet, live []Peer) {
@@ -351,7 +352,8 @@
 }
 
 // Guards against a configuration used long after its replacement: a router that joins while the
-// store is down must date what it receives by the call that confirmed it.
+// store is down must count the age of the data that it receives from the store call that confirmed
+// the data.
 func TestStartingRouterGetsTrueAge(t *testing.T) {
 	runStartingFleet(t, 20, func(f *startingFleet, live []Peer) {
 		f.startAll(live[:19], 300*time.Millisecond)
--- a/internal/edge/feed/loads_test.go
+++ b/internal/edge/feed/loads_test.go
@@ -8,9 +8,9 @@
 )
 
 // Guards against loads counted several times while the store is down for all. Routers that cannot
-// read it are skipped in turn, parents change, and routers pull from each other in a cycle. Each
-// added the fleet sum of the other, which included its own requests, so that all engines seemed
-// full while most were idle.
+// reach the store are skipped in turn, parents change, and routers pull from each other in a cycle.
+// Each router of such a cycle added the other's sum for the fleet, which included its own requests,
+// so that all engines seemed full while most were idle.
 func TestLoadsAreNotCountedTwiceDuringStoreOutage(t *testing.T) {
 	runFleet(t, sameStore, func(f *fakeFleet, s *fakeStore) {
 		total := ownInFlight * len(f.nodes)
@@ -51,10 +51,10 @@
 	}
 }
 
-// Guards against seven times the real load in the first two seconds of a fleet, and rejected
-// requests while most slots are free. Starting routers learned of each other and changed their
-// parents, and the previous parent still counted and forwarded their reports. Routers wait until
-// they know the others and notify a parent that they leave.
+// Guards against routers that count seven times the real load in the first two seconds of a fleet,
+// and reject requests while most slots are free. Starting routers learned of each other and changed
+// their parents, and the previous parent still counted and forwarded their reports. Routers must
+// wait until they know the others, and notify a parent when they change to another.
 func TestLoadsAreNotCountedTwiceDuringFleetStart(t *testing.T) {
 	for _, n := range []int{8, 89, 295} {
 		runStartingFleet(t, n, func(f *startingFleet, live []Peer) {
--- a/internal/edge/feed/pack.go
+++ b/internal/edge/feed/pack.go
@@ -12,8 +12,8 @@
 
 // PackedConfig is an encoded and compressed catalog.ConfigUpdate. A change that adds a thousand
 // routes takes 150 KB, and the first router of a site sends it to all others over a link of 1.2
-// MB/s. Nothing is confirmed during the transfer, so the others would read the store, which costs
-// still more. Compression reduces the size to a tenth.
+// MB/s. During the transfer the other routers get no confirmation that their data is current, so
+// they would read the store, which costs still more. Compression reduces the size to a tenth.
 type PackedConfig struct {
 	// Base is the version that the update applies to, or zero for any. Version is the resulting
 	// one.
@@ -29,8 +29,8 @@
 	Data []byte
 }
 
-// maxUnpackedBytes bounds the decompressed size of data from another router: ten times a
-// configuration of 10,000 routes.
+// maxUnpackedBytes bounds the decompressed size of data from another router: ten times the size of
+// a configuration of 10,000 routes.
 const maxUnpackedBytes = 16 << 20
 
 // pack encodes and compresses a value. Errors: ErrMalformed.
--- a/internal/edge/feed/parent.go
+++ b/internal/edge/feed/parent.go
@@ -30,7 +30,8 @@
 	maxFailedReaders = 6
 	// storeLostDistrust is how long a router that cannot reach the store is skipped.
 	storeLostDistrust = 4 * time.Second
-	// distrustMemory is how long the duration of a distrust that ended is remembered for doubling.
+	// distrustMemory is how long after the end of a distrust its duration is remembered, so that a
+	// new one lasts twice as long.
 	distrustMemory = 10 * time.Second
 )
 
@@ -58,7 +59,7 @@
 	d[name] = distrustEntry{until: now + length, length: length}
 }
 
-// AddStoreLost distrusts a router that failed to reach the store at a boot time.
+// AddStoreLost distrusts a router that failed to reach the store at a time on the boot clock.
 func (d Distrust) AddStoreLost(name string, at time.Duration) {
 	until := at + storeLostDistrust
 	if last := d[name]; last.until >= until {
--- a/internal/edge/feed/reader.go
+++ b/internal/edge/feed/reader.go
@@ -20,8 +20,8 @@
 	failurePause    = 150 * time.Millisecond
 	maxFailurePause = time.Second
 	// storeLostReadAfter is the age of the catalog above which a router reads the store itself
-	// although other routers report the store as lost. By then maxFailedReaders of them have tried
-	// or are about to, and not all routers should call a store that is down.
+	// although other routers report the store as lost. By then maxFailedReaders routers have tried
+	// the store or are about to. With a lower age, all routers would call a store that is down.
 	storeLostReadAfter = 20 * time.Second
 	// maxOwnReadPause bounds the doubling of the pauses of a router that reads for itself without
 	// being the reader.
@@ -30,16 +30,16 @@
 	// applies while it starts, when requests may wait for the data.
 	idlePollInterval  = 50 * time.Millisecond
 	startPollInterval = 5 * time.Millisecond
-	// probeWait and probeTimeout apply to the first call of a router that became the reader. A
-	// healthy store replies at once. A router that cannot reach the store is detected in half the
-	// time of a watch, so that several of them in a row do not exceed the time allowed for a
-	// change. Each failure doubles the timeout up to maxCallTimeout, because the store may be slow
-	// for all routers.
+	// probeWait and probeTimeout apply to the first call of a router that begins to read, and to
+	// calls after a failure. A healthy store replies at once. A router that cannot reach the store
+	// is detected in half the time of a watch, so that several such readers in a row do not exceed
+	// the time allowed for a change. Each failure of such a call doubles the timeout up to
+	// maxCallTimeout, because the store may be slow for all routers.
 	probeWait      = time.Millisecond
 	probeTimeout   = 500 * time.Millisecond
 	maxCallTimeout = 2 * time.Second
 	// storeLostAfter is how long the store must fail before another router becomes the reader. One
-	// lost packet or a short overload does not justify a change.
+	// lost packet or a short overload does not justify a change of the reader.
 	storeLostAfter = 100 * time.Millisecond
 )
 
@@ -49,22 +49,24 @@
 	Board *Board
 	Store Store
 	Clock Clock
-	// Timing returns the timing derived from the bounds on changes.
+	// Timing returns the waits and ages derived from the time within which a change must be active
+	// on all routers.
 	Timing func() Timing
 	// Start is the state of joining the fleet.
 	Start *Start
 	// Reads reports whether this router is the reader.
 	Reads func() bool
-	// LostAgo returns the time since a router that reads for others is last known to have failed to
-	// reach the store.
+	// LostAgo returns the time since the last known failure to reach the store of a router that
+	// reads for others.
 	LostAgo func() time.Duration
 	// OthersLost reports whether the router that reads for this one cannot reach the store.
 	OthersLost func() bool
 	Log        *log.Logger
 
-	// downSince is, for each watch, the boot time of the first of a series of failures, or zero.
+	// downSince is, for each watch, the time on the boot clock of the first of a series of
+	// failures, or zero if there is none.
 	downSince [2]atomic.Int64
-	// failedAt is the boot time of the last failed call of this router.
+	// failedAt is the time, on the boot clock, of the last failed call of this router.
 	failedAt atomic.Int64
 	// configCursor is the store version up to which this router has read the configuration. Zero
 	// requests a complete read. Only the goroutine of Run uses it.
@@ -148,7 +150,8 @@
 type callSchedule struct {
 	// lastOK is set if the last call succeeded.
 	lastOK bool
-	// timeout bounds the next call unless the last one succeeded. pause follows its failure.
+	// timeout bounds the next call unless the last one succeeded. pause is the pause after the next
+	// call if it fails.
 	timeout, pause time.Duration
 }
 
@@ -301,8 +304,8 @@
 	return nil
 }
 
-// failedAgo returns the time since this router, or one that reads for others, is last known to have
-// failed to reach the store.
+// failedAgo returns the time since the last known failure to reach the store, of this router or of
+// one that reads for others.
 func (r *Reader) failedAgo() time.Duration {
 	return min(r.LostAgo(), r.Clock()-time.Duration(r.failedAt.Load()))
 }
--- a/internal/edge/feed/relay.go
+++ b/internal/edge/feed/relay.go
@@ -89,7 +89,7 @@
 	Clock    Clock
 	// StoreLost reports whether this router is the reader and cannot reach the store.
 	StoreLost func() bool
-	// LostAgo returns the time since a reader is last known to have failed to reach the store.
+	// LostAgo returns the time since the last known failure of a reader to reach the store.
 	LostAgo func() time.Duration
 	// Failures returns the routers known to be unable to reach the store.
 	Failures func() []Failure
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// rosterHold bounds how long a pull is held whose reply contains members. More of them arrive while
-// a fleet starts.
+// rosterHold bounds how long a reply that contains members is held. While a fleet starts, more
+// members become known all the time, and the next pull requests them.
 const rosterHold = 50 * time.Millisecond
 
 // pullHold returns the longest time for which a reply is held.
--- a/internal/edge/feed/report.go
+++ b/internal/edge/feed/report.go
@@ -25,8 +25,8 @@
 
 const (
 	// inFlightChange is the relative change of a request count above which it is reported again.
-	// With it, an engine gets at most 1.98 times the mean load where the bound is 1.8. Up to nine
-	// requests, every change is reported.
+	// With a value of 0.1, an engine gets at most 1.98 times the mean load where the bound is 1.8.
+	// Up to nine requests, every change is reported.
 	inFlightChange = 0.1
 	// goodChange is the relative change for successful requests, badChange for failed ones.
 	// Successes matter only in relation to failures and are sent with each report of those.
--- a/internal/edge/feed/report_test.go
+++ b/internal/edge/feed/report_test.go
@@ -113,8 +113,8 @@
 	return out
 }
 
-// newTestRelay returns the relay of a router with engines under load, and the pull of a router that
-// sent requests to a tenth of them.
+// newTestRelay returns the relay of a router with engines under load, and the arguments of a pull
+// by a router that sent requests to a tenth of the engines.
 func newTestRelay(engines int, clock Clock) (*Relay, PullArgs) {
 	board := NewBoard(clock, time.Second)
 	done := make(chan struct{})
--- a/internal/edge/feed/reporter.go
+++ b/internal/edge/feed/reporter.go
@@ -6,9 +6,9 @@
 )
 
 // Load reports are carried by pulls, six or seven a second to each router. One entry takes about 18
-// bytes, so the loads of 850 engines would take 100 KB/s of a control budget of 7 KB/s. Reports on
-// more than 75 engines are therefore carried by some pulls only, and all but the first contain only
-// changes.
+// bytes, so the loads of 850 engines would take 100 KB/s, while the budget for control traffic is 7
+// KB/s. Reports on more than 75 engines are therefore carried by some pulls only, and all but the
+// first contain only changes.
 const (
 	// intervalPerEntry is the time between two reports per entry.
 	intervalPerEntry = 2 * time.Millisecond
--- a/internal/edge/feed/start_bench_test.go
+++ b/internal/edge/feed/start_bench_test.go
@@ -15,9 +15,9 @@
 
 // BenchmarkStart measures the reply to a starting router, which contains the members, the
 // configuration and all engines, at the sizes of existing and planned fleets. Run with -bench
-// 'Start$' -benchmem. The time of asked is spent by the replying router for each router that
-// starts, that of starting by each starting router. Bytes are those of the net/rpc encoding on a
-// new connection, without its header.
+// 'Start$' -benchmem. The sub-benchmark asked measures the time that the replying router spends on
+// each router that starts, and the sub-benchmark starting the time that the starting router spends.
+// Bytes are those of the net/rpc encoding on a new connection, without its header.
 func BenchmarkStart(b *testing.B) {
 	for _, size := range []struct{ routers, engines, routes int }{{8, 21, 60}, {89, 200, 600}, {295, 262, 1820}, {380, 850, 1820}} {
 		name := fmt.Sprintf("routers=%d", size.routers)
--- a/internal/edge/feed/status.go
+++ b/internal/edge/feed/status.go
@@ -40,8 +40,8 @@
 	// confirmed. Both are zero for none.
 	Config    uint64        `json:"config"`
 	ConfigAge time.Duration `json:"config_age"`
-	// Evacuated lists the sites whose engines the router sends no requests because of an operator's
-	// order.
+	// Evacuated lists the sites that an operator has evacuated: the router sends no requests to
+	// their engines.
 	Evacuated []string `json:"evacuated,omitempty"`
 	// Version is the version of the program, UpFor the uptime of the process. Boot distinguishes
 	// processes of the same router.
@@ -85,13 +85,13 @@
 
 	mu       sync.Mutex
 	received map[string]timedStatus
-	// parent is the router that received the statuses in sent, which holds what was last sent about
-	// each router and when.
+	// sent holds the status last sent about each router and when it was sent. parent is the router
+	// to which they were sent.
 	parent string
 	sent   map[string]timedStatus
 }
 
-// timedStatus is a status as of a boot time.
+// timedStatus is a status as of a time on the boot clock.
 type timedStatus struct {
 	status Status
 	at     time.Duration
@@ -186,7 +186,7 @@
 
 // Fleet is the state of the whole fleet as determined by one router.
 type Fleet struct {
-	// SeenBy is the router that was queried, ToldBy the one whose list it is.
+	// SeenBy is the router that was queried, ToldBy the router that supplied the list of statuses.
 	SeenBy   string   `json:"seen_by"`
 	ToldBy   string   `json:"told_by"`
 	Statuses []Status `json:"routers"`
@@ -196,8 +196,8 @@
 const maxFleetCalls = 3
 
 // Fleet returns the statuses of all members. It requests them from the router at the top of the
-// pull tree, which receives all of them, or from the next routers in the order if that call fails.
-// Members without a status are listed as StateNotHeard.
+// pull tree, which receives all of them, or from the next routers in the order of ComparePeers if
+// that call fails. Members without a status are listed as StateNotHeard.
 func (f *Follower) Fleet(ctx context.Context) Fleet {
 	out := Fleet{SeenBy: f.Self.Name, ToldBy: f.Self.Name}
 	chain := f.Chain()
--- a/internal/edge/flow/client.go
+++ b/internal/edge/flow/client.go
@@ -103,8 +103,8 @@
 }
 
 // acquireRemote requests a slot from another router. Canceling the call would close the connection
-// with the calls of other requests on it. When ctx ends, acquireRemote therefore returns, waits
-// for the reply in the background, and releases the slot if it was granted.
+// and thereby end the calls of other requests on it. When ctx ends, acquireRemote therefore
+// returns, waits for the reply in the background, and releases the slot if it was granted.
 func (c *Client) acquireRemote(ctx context.Context, permit *Permit, req SlotRequest) (*Permit, Answer, error) {
 	type outcome struct {
 		reply Answer
--- a/internal/edge/flow/owner.go
+++ b/internal/edge/flow/owner.go
@@ -27,14 +27,15 @@
 	// rate is outdated.
 	idleGateTTL = 10 * time.Second
 	// peakWindow is how long the peak number of leases of a gate is remembered. Load reports are up
-	// to this old; a lease that they count may have ended since.
+	// to one second old, and a lease that they count may have ended since.
 	peakWindow = time.Second
 )
 
 // Clock returns the time since the VM booted, including suspends.
 type Clock func() time.Duration
 
-// ReportedLoad is the load of an engine according to reports, which lag behind.
+// ReportedLoad is the load of an engine according to this router's own requests and the reports of
+// the other routers, which lag behind.
 type ReportedLoad struct {
 	// Unleased is the number of requests at the engine without a lease, and Leased the number with a
 	// lease of any gate.
@@ -89,10 +90,10 @@
 	Urgency int
 	// Weight is the work of the request; see package forward.
 	Weight int64
-	// Subject is the same for all attempts at the request, or zero if they can't be distinguished
-	// from others. Attempt identifies this attempt. Slack is how long after the first attempt the
-	// request may start and still be on time. Late means that this attempt can't be on time, as far
-	// as the sender knows.
+	// Subject is the same for all attempts at the request, or zero if the request can't be
+	// distinguished from others. Attempt identifies this attempt. Slack is how long after its first
+	// refusal the request may start and still be on time. Late means that this attempt can't be on
+	// time, as far as the sender knows.
 	Subject uint64
 	Attempt uint64
 	Slack   time.Duration
@@ -157,8 +158,8 @@
 	return gate.Decision{}, late, decided
 }
 
-// recordDecision records a refusal, so that a retry of the request is recognized. The caller must
-// hold o.mu.
+// recordDecision records a refusal, so that a retry of the request is recognized, and forgets the
+// earlier refusal of a request that is granted a slot. The caller must hold o.mu.
 func (o *Owner) recordDecision(req SlotRequest, decision gate.Decision, now time.Duration) {
 	if decision.Granted {
 		o.refused.Forget(req.Subject)
@@ -184,8 +185,8 @@
 }
 
 // updateUnleased updates a gate's count of requests at the engine without a lease of this gate. The
-// gate's own leases are among the reported ones; those beyond its recent peak belong to another
-// owner, as after a change of owners.
+// reported leases include the gate's own; those beyond the gate's recent peak were granted by
+// another owner, as after a change of owners.
 func (o *Owner) updateUnleased(engine string, g *ownedGate, now time.Duration) {
 	reported := o.reportedLoad(engine)
 	g.updatePeak(now)
@@ -239,7 +240,7 @@
 	}
 }
 
-// RouterGone ends the leases and waiting requests of a router that has left or died.
+// RouterGone ends the leases and waiting requests of a router that is dead or has been restarted.
 func (o *Owner) RouterGone(router string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/edge/node/apply.go
+++ b/internal/edge/node/apply.go
@@ -11,22 +11,23 @@
 	"github.com/charmbracelet/log"
 )
 
-// activeSettings are the active settings of a router. It is immutable.
+// activeSettings holds the active settings of a router. It is immutable.
 type activeSettings struct {
 	settings *settings.Settings
-	// digest allows a comparison with the settings of other routers; since is the boot time
-	// at which the settings took effect.
+	// digest allows a comparison with the settings of other routers; since is when the settings
+	// took effect, on the boot clock.
 	digest string
 	since  time.Duration
-	// pendingRestart are the fields of the file that take effect at the next start.
+	// pendingRestart lists the changed fields of the file that take effect at the next start.
 	pendingRestart []string
 }
 
 // settings returns the active settings.
 func (r *Router) settings() *settings.Settings { return r.active.Load().settings }
 
-// Watch applies changes of the settings file until the context ends. Initial is the content with
-// which the router was created; a value from hangups requests an immediate check of the file.
+// Watch applies changes of the settings file until the context ends. The parameter initial is the
+// content with which the router was created. A value from hangups requests an immediate check of
+// the file.
 func (r *Router) Watch(ctx context.Context, file string, initial []byte, hangups <-chan os.Signal) {
 	w := &settings.Watcher{File: file, Apply: r.Apply, Log: r.log}
 	r.watcher.Store(w)
--- a/internal/edge/node/leave.go
+++ b/internal/edge/node/leave.go
@@ -15,8 +15,8 @@
 	minDrainShare = 0.7
 	// exitMargin is the part of the stop timeout that is reserved for the exit of the process,
 	// which is slow on a small share of a core. If the stop timeout is short, the margin is
-	// exitMarginShare of it: operators count requests that are truncated before the last sixth of
-	// the stop timeout.
+	// exitMarginShare of it, which is less than a sixth: operators count requests that are
+	// truncated before the last sixth of the stop timeout.
 	exitMargin      = 900 * time.Millisecond
 	exitMarginShare = 0.125
 	// drainPollInterval is how often the requests in progress are counted.
--- a/internal/edge/node/leave_test.go
+++ b/internal/edge/node/leave_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a planned stop that cuts a stream with time left: with a stop timeout of 5 s, a
-// stream that began just before and lasts 4.1 s must finish. The margin for the exit must therefore
-// depend on the stop timeout.
+// Guards against a planned stop that truncates a stream before its time is up: with a stop timeout
+// of 5 s, a stream that began just before and lasts 4.1 s must finish. The margin for the exit must
+// therefore depend on the stop timeout.
 func TestDrainTimeoutExceedsFiveSixthsOfStopTimeout(t *testing.T) {
 	for _, stopTimeout := range []time.Duration{time.Second, 2 * time.Second, 5 * time.Second, 8 * time.Second, time.Minute} {
 		drain := drainTimeout(stopTimeout)
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -34,11 +34,11 @@
 
 const (
 	// addressTTL is how long callers may cache the addresses of routers. A router that leaves gets
-	// no more requests after it.
+	// no more requests once this time has passed.
 	addressTTL = 2 * time.Second
-	// leaseShare is the share of the bound for revoked keys for which a configuration may be used
-	// after its last confirmation. The rest covers the time between the check and the send, and
-	// late notifications by watches of the store.
+	// leaseShare is the share of Bounds.Revoke for which a configuration may be used after its last
+	// confirmation. The rest covers the time between the check and the send, and late notifications
+	// by watches of the store.
 	leaseShare = 0.7
 	// idleTimeout is how long a caller's connection may be idle before it is closed. It exceeds the
 	// longest idle time after which operators allow a caller to reuse a connection.
@@ -71,8 +71,8 @@
 	log      *log.Logger
 	platform Platform
 
-	// createdAt is the boot time at which the router was created; bootID distinguishes
-	// processes of the same name.
+	// createdAt is when the router was created, on the boot clock. bootID distinguishes the
+	// processes of routers with the same name.
 	createdAt time.Duration
 	bootID    uint64
 
--- a/internal/edge/node/peers.go
+++ b/internal/edge/node/peers.go
@@ -113,8 +113,8 @@
 	// contactPeriod is how often a seed that is not a live member is contacted by gossip
 	// packets. Routers that start together must find one another within seconds.
 	contactPeriod = time.Second
-	// contactDelay is how long after the start these packets begin. By then calls have contacted
-	// the seeds; the replies list all members at once.
+	// contactDelay is how long after the start the router begins to send these packets. By then it
+	// has called the seeds, whose replies list all members at once.
 	contactDelay = time.Second
 )
 
@@ -148,11 +148,12 @@
 	return feed.NewStart(opts, bootclock.Now())
 }
 
-// logMemberEvent logs a membership event, and drops the permits of a router that is dead or has just
-// joined.
+// logMemberEvent logs a membership event, and ends the leases and waiting requests of a router that
+// is dead or has just joined.
 func (r *Router) logMemberEvent(e membership.Event) {
 	if e.Type == membership.EventDead || e.Type == membership.EventJoined {
-		// A dead process releases no permits, and one that joins holds none.
+		// A dead process releases no permits. One that joins holds none, so leases under its name
+		// belong to an earlier process.
 		r.gateOwner.RouterGone(e.Member.Name)
 	}
 	if e.Type == membership.EventJoined && !r.start.Settled(bootclock.Now()) {
--- a/internal/edge/node/servers.go
+++ b/internal/edge/node/servers.go
@@ -77,7 +77,8 @@
 }
 
 // callerConnShare is the share of the file descriptors that connections of callers may use. Each
-// request uses another one to an engine; the rest is for files, the store and other routers.
+// request uses one more descriptor for the connection to an engine. The rest is for files, the
+// store and other routers.
 const callerConnShare = 0.4
 
 // maxCallerConns returns how many connections callers may have.
--- a/internal/edge/node/status.go
+++ b/internal/edge/node/status.go
@@ -60,7 +60,7 @@
 const (
 	// operatorServiceName is the name under which OperatorService is registered.
 	operatorServiceName = "Operators"
-	// SettingsMethod is the name of the method OperatorService.Settings in calls.
+	// SettingsMethod is the RPC name of OperatorService.Settings.
 	SettingsMethod = operatorServiceName + ".Settings"
 )
 
--- a/internal/edge/node/store.go
+++ b/internal/edge/node/store.go
@@ -17,8 +17,9 @@
 	platform.Table
 }
 
-// storeProxy forwards calls to the store at the address in the settings. The address may change; the
-// versions of the data continue. It is safe for concurrent use.
+// storeProxy forwards calls to the store at the address in the settings. The address may change.
+// The versions of the data at a new address must continue those at the previous one. It is safe for
+// concurrent use.
 type storeProxy struct {
 	dial  func(address string) Store
 	store atomic.Pointer[Store]
--- a/internal/edge/settings/watch.go
+++ b/internal/edge/settings/watch.go
@@ -47,7 +47,7 @@
 }
 
 // Run watches the file until the context ends; a value from hangups requests an immediate check.
-// Initial is the content with which the router was started.
+// The parameter initial is the content with which the router was started.
 func (w *Watcher) Run(ctx context.Context, initial []byte, hangups <-chan os.Signal) {
 	w.lastContent = initial
 	ticker := time.NewTicker(pollInterval)
@@ -65,8 +65,8 @@
 	}
 }
 
-// poll applies the file if it has changed. Signaled means that a signal requested the check; an
-// unchanged file is then logged.
+// poll applies the file if it has changed. If signaled is set, a signal requested the check, and
+// poll also logs that a file is unchanged.
 func (w *Watcher) poll(ctx context.Context, signaled bool) {
 	content, err := os.ReadFile(w.File)
 	switch {
@@ -84,7 +84,7 @@
 	}
 	reread, err := os.ReadFile(w.File)
 	if err != nil || !bytes.Equal(content, reread) {
-		// It is still changing; the next poll checks it again.
+		// The file is still changing; the next poll checks it again.
 		return
 	}
 	s, err := ParseComplete(content)
