--- a/internal/fleet/gossip/driver.go
+++ b/internal/fleet/gossip/driver.go
@@ -196,7 +196,8 @@
 			_, err = d.conn.WriteToUDPAddrPort(p.Data, to)
 		}
 		if err != nil {
-			// The packet counts as lost. The protocol repeats whatever matters.
+			// This is like a packet lost in the network: the detector sends its messages
+			// repeatedly, and delivery of datagrams is not guaranteed.
 			d.endpoint.counters.update(func(c *Counters) { c.Unsent++ })
 		}
 	}
@@ -343,8 +344,8 @@
 	return d.enqueue(func() { _ = d.endpoint.SetKeys(keys) })
 }
 
-// SetSeeds replaces the seed addresses, which are contacted while they belong to no known live
-// member. Errors: ErrBusy.
+// SetSeeds replaces the seed addresses. The detector sends digests to those that belong to no
+// known live member. Errors: ErrBusy.
 func (d *Driver) SetSeeds(seeds []string) error {
 	return d.enqueue(func() { d.endpoint.Detector().SetSeeds(seeds) })
 }
--- a/internal/fleet/gossip/endpoint.go
+++ b/internal/fleet/gossip/endpoint.go
@@ -106,8 +106,8 @@
 	e.log("packet rejected", "reason", rejection.Reason.String(), "from", from, "bytes", size)
 }
 
-// deliver passes a datagram to its handler. A datagram for another instance is dropped, because
-// the detector has already answered it.
+// deliver passes a datagram to its handler. It drops a datagram for another instance, which the
+// detector has already answered with NotMe.
 func (e *Endpoint) deliver(m membership.Message) {
 	dg, ok := m.Body.(membership.Datagram)
 	if !ok || m.To != e.detector.Self().ID {
--- a/internal/fleet/gossip/fleet_test.go
+++ b/internal/fleet/gossip/fleet_test.go
@@ -172,8 +172,8 @@
 	return most
 }
 
-// settleTime is how long a fleet needs after a mass start until the announcements have been
-// sent often enough and the rates are those of the steady state.
+// settleTime is how long a fleet needs after a mass start until each announcement has reached
+// its send limit and the traffic rates are those of the steady state.
 const settleTime = 10 * time.Minute
 
 func BenchmarkControlBytes(b *testing.B) {
--- a/internal/fleet/gossip/replay.go
+++ b/internal/fleet/gossip/replay.go
@@ -2,7 +2,9 @@
 
 // Limits of the replay guard.
 const (
-	// windowWords times 64 is how many sequence numbers a packet may be behind the highest one.
+	// windowSize is the number of sequence numbers in the window of a sender. A packet that is
+	// windowSize or more behind the highest number is rejected. windowWords is the size of the
+	// window in 64-bit words.
 	windowWords = 4
 	windowSize  = 64 * windowWords
 	// maxSenders bounds the number of tracked instances. It is several times the planned fleet
--- a/internal/fleet/gossip/scenario_test.go
+++ b/internal/fleet/gossip/scenario_test.go
@@ -86,8 +86,8 @@
 }
 
 // A router restarts repeatedly, faster than a failure is detected, with the same name and address.
-// Only the instance ID distinguishes the restarts. Otherwise the new instance is taken for the old
-// one, or for dead.
+// Only the instance ID distinguishes the new instance from the old one. If the others ignored it,
+// they would take the new instance for the old one, or for dead.
 func TestFlappingRouterReplacedEverywhere(t *testing.T) {
 	f := newFleet(t, 9, 1, lan)
 	for range 5 {
--- a/internal/fleet/membership/broadcast.go
+++ b/internal/fleet/membership/broadcast.go
@@ -100,7 +100,7 @@
 }
 
 // retransmitLimit returns how often one router sends one update in a fleet of n routers. It
-// grows with the logarithm of n, which reaches every router with high probability.
+// grows with the logarithm of n, so that the update reaches every router with high probability.
 func retransmitLimit(factor, n int) int {
 	return factor * int(math.Ceil(math.Log10(float64(n+1))))
 }
@@ -125,8 +125,9 @@
 	return r.compact().encodedSize()
 }
 
-// piggyback adds updates to the message. The rows in first come before the queue, are sent even
-// if they exceed the rate limit, and do not count as sent.
+// piggyback adds updates to the message. The rows of the instances listed in the parameter first
+// are added before the queued updates, even if they exceed the rate limit. They do not count as
+// sent, unless the queue selects them for this message as well.
 func (d *Detector) piggyback(m *Message, first ...uint64) {
 	budget := maxPiggyback
 	listed := make(map[uint64]bool, len(first))
--- a/internal/fleet/membership/detector.go
+++ b/internal/fleet/membership/detector.go
@@ -166,11 +166,12 @@
 	for _, u := range m.Updates {
 		d.apply(u)
 	}
-	// The updates come first: a new member describes itself in its first packets, and then not
-	// every receiver has to request its table.
+	// The updates are applied before updateSender: the first packets of a new member contain its
+	// own row, so receivers know it by now and do not start a table sync with it.
 	d.updateSender(from, m)
 	for _, item := range m.Items {
-		// The loss of a rejected item is bounded. Its owner gets the error from Broadcast.
+		// The error is ignored, and a rejected item is lost. Only invalid items and those beyond
+		// MaxItems are rejected, and the router that broadcasts one gets the error from Broadcast.
 		_, _ = d.acceptItem(item)
 	}
 	d.dispatch(from, m)
@@ -185,7 +186,8 @@
 }
 
 // sendNotMe replies to a packet that is addressed to another instance. Otherwise a replacement VM
-// with the address of an old instance would keep that instance alive by answering its probes.
+// with the address of an old instance would answer the probes of that instance, and the other
+// routers would regard the old instance as alive.
 func (d *Detector) sendNotMe(from string, m Message) {
 	if _, ok := m.Body.(NotMe); ok || m.To == 0 {
 		return
--- a/internal/fleet/membership/discovery.go
+++ b/internal/fleet/membership/discovery.go
@@ -26,8 +26,8 @@
 	return discovery{seeds: slices.Clone(seeds), marked: make(map[vmKey]uint64)}
 }
 
-// SetSeeds replaces the seed addresses, which are contacted while they belong to no known live
-// member.
+// SetSeeds replaces the seed addresses. The detector sends digests to those that belong to no
+// known live member.
 func (d *Detector) SetSeeds(seeds []string) { d.discovery.seeds = slices.Clone(seeds) }
 
 // ObserveVMs processes the current VM list of the platform. It may be called after each read of
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -50,7 +50,7 @@
 // suspected reports whether s is a suspected state.
 func (s State) suspected() bool { return s == StateSuspect || s == StateLeavingSuspect }
 
-// withoutSuspicion returns the state that s has apart from a suspicion.
+// withoutSuspicion returns the state that remains of s when the suspicion is removed.
 func (s State) withoutSuspicion() State {
 	switch s {
 	case StateSuspect:
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -114,7 +114,8 @@
 	}
 }
 
-// nextTarget returns the live members in shuffled order, each once per pass.
+// nextTarget returns the next member to probe, nil if there is none. Successive calls return the
+// live members in shuffled order, each once per pass.
 func (d *Detector) nextTarget() *row {
 	for range 2 {
 		for len(d.probeOrder) > 0 {
--- a/internal/fleet/membership/roster.go
+++ b/internal/fleet/membership/roster.go
@@ -101,9 +101,9 @@
 }
 
 // rosterRows returns the rows to send to an instance. A suspicion is local and left out, and a
-// dead row is sent without its description. A router that is regarded as dead receives its own
-// row in each exchange, so that it can refute it. Otherwise rows are not sent back to the
-// instance they came from.
+// dead row is sent without its description. An instance that this router regards as suspect or
+// dead receives its own row in each exchange, so that it can refute a report of its death.
+// Otherwise rows are not sent back to the instance they came from.
 func (d *Detector) rosterRows(to uint64, isNew func(*row) bool) []Member {
 	include := func(r *row) bool {
 		switch {
@@ -167,7 +167,8 @@
 	r.changedRevision = d.revision
 	r.learnedFrom = d.mergingFrom
 	if r == d.self {
-		// The router's own row may refute what others report, so it is sent to them as well.
+		// The own row may have changed to refute a row that the other router of this exchange
+		// sent, so it must be sent to that router as well.
 		r.learnedFrom = 0
 	}
 }
--- a/internal/fleet/membership/roster_test.go
+++ b/internal/fleet/membership/roster_test.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// A suspicion must stay local: in an exchange, every router would probe the suspect and spread
-// the suspicion.
+// A suspicion must stay local: if exchanges carried it, every router would probe the suspect and
+// spread the suspicion.
 func TestSuspicionNotExchanged(t *testing.T) {
 	fleet := rosterFleet(3)
 	links := make([]RosterLink, 3)
--- a/internal/fleet/membership/sync.go
+++ b/internal/fleet/membership/sync.go
@@ -97,8 +97,9 @@
 	d.send(to, id, g, d.self.ID)
 }
 
-// handleDigest starts a transfer of the differing buckets. The receiver of a first digest
-// replies with its own, so that the sender transfers its rows as well.
+// handleDigest starts a transfer of the differing buckets to the sender of a digest. If the digest
+// is not itself a reply, this router replies with its own digest, so that the sender transfers its
+// rows as well. It sends no reply within digestReplyInterval of the last digest that it sent.
 func (d *Detector) handleDigest(from string, id uint64, remote Digest) {
 	mask := d.digest().differing(remote)
 	if mask == 0 {
--- a/internal/fleet/membership/table.go
+++ b/internal/fleet/membership/table.go
@@ -16,8 +16,8 @@
 	return r
 }
 
-// apply merges one update. An update about this router is answered, a change of another member
-// is spread further.
+// apply merges one update. applySelf handles an update about this router; a change of another
+// member is spread further.
 func (d *Detector) apply(u Member) {
 	if u.ID == d.self.ID {
 		d.applySelf(u)
@@ -74,9 +74,10 @@
 	d.probeAddressHolders(r)
 }
 
-// probeAddressHolders pings the older instances that have the address of a new one. If the
-// address was reused, the new instance answers with NotMe, and the old one is declared dead
-// without waiting for the suspicion timeout.
+// probeAddressHolders pings a new instance and the older ones with the same address. The instance
+// that now has the address answers the pings for the others with NotMe, and these are declared
+// dead without waiting for the suspicion timeout. An instance with this router's own address is
+// declared dead at once.
 func (d *Detector) probeAddressHolders(added *row) {
 	if added.Address == d.self.Address {
 		d.transition(added, added.Incarnation, StateDead)
--- a/internal/fleet/peer/caller.go
+++ b/internal/fleet/peer/caller.go
@@ -51,7 +51,7 @@
 	defer c.release(cc)
 	c.counters.Calls.Add(1)
 	// Closing the connection also unblocks a write to a peer that has stopped reading;
-	// Go does not return before that write ends.
+	// cc.client.Go does not return before that write ends.
 	stop := context.AfterFunc(ctx, func() { c.abort(cc) })
 	defer stop()
 	call := cc.client.Go(method, args, reply, make(chan *rpc.Call, 1))
@@ -178,7 +178,7 @@
 	}
 }
 
-// abort closes cc at once, with its calls.
+// abort closes cc at once. All calls that still run on it fail.
 func (c *Caller) abort(cc *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/peer/client_conn.go
+++ b/internal/fleet/peer/client_conn.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// clientConn is one connection to one address. name is the one that the other end
-// proved, since another router may get the same address. The Caller's mutex guards
-// lastUsed and activeCalls.
+// clientConn is one connection to one address. name is the router name that the other end
+// proved; the address doesn't identify a router, since another one may get it. The Caller's
+// mutex guards lastUsed and activeCalls.
 type clientConn struct {
 	client  *rpc.Client
 	conn    *conn
@@ -23,7 +23,8 @@
 
 // usable reports whether a new call may use the connection. A call on a connection that
 // the other end has closed would fail with ErrNoReply although it was never sent. A
-// connection whose key no longer signs is replaced before the servers remove that key.
+// connection whose fleet key is no longer the first one, which signs, is not used again,
+// so that it is replaced before the servers remove that key.
 func (c *clientConn) usable(t Target, valid []FleetKey, now time.Time) bool {
 	switch {
 	case c.conn.broken.Load():
--- a/internal/fleet/peer/helper_test.go
+++ b/internal/fleet/peer/helper_test.go
@@ -110,8 +110,9 @@
 	require.NoError(t, keys.Generate(dir, keys.GenerateOptions{Routers: []string{"r1", "r2", "r3"}, Now: time.Now()}))
 }
 
-// proxy forwards connections to a router. While discarding it drops what callers send,
-// like a middlebox that has lost its connection state; while stalled it reads no more.
+// proxy forwards connections to a router. While discarding is set, it drops the bytes sent
+// to that router, like a middlebox that has lost its connection state; while stalled is
+// set, it stops reading them.
 type proxy struct {
 	ln         net.Listener
 	target     string
--- a/internal/fleet/peer/peer.go
+++ b/internal/fleet/peer/peer.go
@@ -41,14 +41,14 @@
 	writeTimeout = 10 * time.Second
 	// maxIdle is how long an idle connection can be reused.
 	maxIdle = time.Minute
-	// maxCallerAge is the age at which a caller replaces a connection. Without it a
-	// busy connection would keep using a certificate or an authority for weeks after
-	// its replacement. A shorter age costs bytes: a connection with TLS takes more than
-	// 4 KB to open.
+	// maxCallerAge is the age at which a Caller replaces a connection. Without it a busy
+	// connection would stay open for weeks after the certificate or the certificate
+	// authority that it was opened with was replaced. A shorter age costs bytes: a
+	// connection with TLS takes more than 4 KB to open.
 	maxCallerAge = time.Hour
-	// maxServerAge is the age at which a server closes a connection that its caller
-	// should have replaced. It exceeds maxCallerAge by far more than any call takes, so
-	// that no call of a well-behaved router is cut.
+	// maxServerAge is the age at which a Server closes a connection that the other
+	// router's Caller should have replaced. It exceeds maxCallerAge by far more than any
+	// call takes, so that no running call of a correct router is interrupted.
 	maxServerAge = maxCallerAge + 15*time.Minute
 )
 
@@ -80,8 +80,8 @@
 	// Calls counts the calls that were sent, Timeouts those whose context ended before
 	// the reply.
 	Calls, Timeouts atomic.Int64
-	// Refused counts connections that the server of this router rejected in the
-	// handshake, RefusedDials those whose handshake failed at its caller.
+	// Refused counts connections whose handshake failed at this router's Server,
+	// RefusedDials those whose handshake failed at its Caller.
 	Refused, RefusedDials atomic.Int64
 	// Swept counts accepted connections that Sweep closed.
 	Swept atomic.Int64
--- a/internal/fleet/peer/peer_test.go
+++ b/internal/fleet/peer/peer_test.go
@@ -122,8 +122,9 @@
 	})
 }
 
-// Guards against ErrNoReply from the first call after a router's restart, which leaves
-// its permit in doubt: a call must not use a connection that is known to be closed.
+// Guards against ErrNoReply from the first call after a router's restart: the caller of
+// Call could not tell whether a permit that it requested was granted. A call must not use
+// a connection that is known to be closed.
 func TestCallOnClosedConnectionIsNotSent(t *testing.T) {
 	a := newNode(t, "r1", newKeySet(1))
 	b := newNode(t, "r2", newKeySet(1))
@@ -206,7 +207,8 @@
 
 	b.keys.set(2)
 	b.Sweep()
-	// One of them is that of stale; a closed its own when the long call returned.
+	// Sweep closes the connection of the router stale, which still uses the old key.
+	// Router a closed its connection of that key itself when the long call returned.
 	eventually(t, func() bool { return stale.caller.current[b.address].conn.broken.Load() })
 	require.NoError(t, a.callEcho("r2", b.address))
 	assert.True(t, ErrNotSent.Has(stale.callEcho("r2", b.address)))
