--- a/internal/fleet/membership/roster.go
+++ b/internal/fleet/membership/roster.go
@@ -1,10 +1,11 @@
 package membership
 
 // Packets spread membership changes slowly, to limit their bytes: after 300 routers started at
-// once, it took 25 seconds until each knew all others, and meanwhile loads, budgets and duties were
-// divided incorrectly. Routers that call one another anyway therefore exchange changed rows along
-// with these calls. A change then reaches every router within a few calls and costs each router the
-// bytes of one row. Packets still detect failures, and cover for exchanges that did not take place.
+// once, it took 25 seconds until each knew all others, and meanwhile loads, budgets and duties, such
+// as the duty to read the store, were divided incorrectly among them. Routers that call one another
+// anyway therefore exchange changed rows along with these calls. A change then reaches every router
+// within a few calls and costs each router the bytes of one row. Packets still detect failures, and
+// spread the changes that failed exchanges did not.
 
 // RosterRequest is the request of a roster exchange.
 type RosterRequest struct {
