--- a/internal/decide/gate/gate.go
+++ b/internal/decide/gate/gate.go
@@ -1,12 +1,12 @@
 // Package gate implements admission control for one engine. The router that owns the engine holds
 // its Gate.
 //
-// Routers that decide independently on reports of each other's load all see the same free slot, all
-// send a request to it, and learn only some tenths of a second later that it is occupied. The
-// engine then queues requests, preempts running ones, and completes others late. A single router
-// that counts every request at an engine has no such delay, at the cost of one call before each
-// request. Ownership of the engines is spread over many routers, so that none has to handle the
-// calls for all of them.
+// Routers that decide independently, each on reports of the load, all see the same free slot, all
+// send a request for it to the engine, and learn only some tenths of a second later that the slot is
+// occupied. The engine then queues requests, preempts running ones, and completes others late. A
+// single router that counts every request at an engine has no such delay, at the cost of one call
+// before each request. Ownership of the engines is spread over many routers, so that none of them
+// has to handle the calls for all engines.
 //
 // A Gate grants a slot to a request, queues it, or refuses it at once if its predicted wait is too
 // long. Order, fairness and the predicted wait come from package queue. A grant is a lease: it ends
@@ -25,14 +25,16 @@
 )
 
 const (
-	// DefaultWindow is the time constant over which the drain rate is averaged. A surge lasts
-	// seconds, and an engine frees ten slots within a few tenths of a second.
+	// DefaultWindow is the time constant over which the drain rate is averaged. It is short, since a
+	// surge lasts only seconds, and still covers enough completions, since an engine frees ten slots
+	// within a few tenths of a second.
 	DefaultWindow = time.Second
 	// reservedShare is the share of the service reserved for the class below the most urgent
-	// waiting one, so that no class is starved while a surge lasts.
+	// waiting one, so that this class is not starved while a surge lasts.
 	reservedShare = 0.05
-	// maxWaiting bounds the queue of one gate. Requests are normally refused by their predicted
-	// wait long before; this bounds the memory while nothing finishes.
+	// maxWaiting bounds the queue of one gate. Normally requests are refused for their predicted
+	// wait long before the queue is that long; this bound limits the memory while no request
+	// finishes.
 	maxWaiting = 1000
 	// holdSmoothing is the weight of the newest lease in the moving averages of lease duration and
 	// weight.
@@ -60,10 +62,10 @@
 	Account string
 	Class   queue.Class
 	// Late marks a request whose response can no longer be on time. Late requests are served after
-	// all others, by class among themselves: they lose nothing by it, while each one served earlier
-	// would make another request late. In a surge of four times the engines' capacity, the model in
-	// package lab/model earns 0.24 of the benefit with this rule and 0.18 without it, of 0.25
-	// possible.
+	// all others, by class among themselves: the later start costs them nothing, while each one
+	// served earlier would make another request late. In a surge of four times the engines'
+	// capacity, the simulation in package lab/model yields 0.24 of the benefit with this rule and
+	// 0.18 without it; at most 0.25 is possible.
 	Late bool
 	// Weight is the work of the request, in a unit that all requests share.
 	Weight int64
@@ -71,10 +73,11 @@
 	Latest time.Time
 	// Until is when the lease expires unless it is released before.
 	Until time.Time
-	// Hold is the mean time for which such requests hold a slot, as far as the requester knows. It
-	// is used until the first lease of the gate was released.
+	// Hold is the mean time for which such requests hold a slot, as far as the requester knows. The
+	// gate uses it until it has measured a lease that was released.
 	Hold time.Duration
-	// Pace bounds the rate of requests to the engine, as far as the requester knows.
+	// Pace is the bound on the rate of requests to the engine that the requester knows of; the zero
+	// value means none.
 	Pace Pace
 }
 
@@ -82,7 +85,8 @@
 type Decision struct {
 	ID      string
 	Granted bool
-	// Wait is how long the request would have had to wait. It is set on a refusal.
+	// Wait is how long a refused request would have had to wait. It is zero for a granted request
+	// and for one refused by RefuseAll.
 	Wait time.Duration
 }
 
@@ -105,7 +109,7 @@
 	pacer   pacer
 	// unleased is the number of requests at the engine without a lease of this gate.
 	unleased int
-	// meanHold and meanWeight are moving averages over the leases that were released.
+	// meanHold and meanWeight are moving averages over the released leases, zero before the first.
 	meanHold   time.Duration
 	meanWeight float64
 	// undelivered holds decisions on queued requests that Settle has not returned yet.
@@ -177,7 +181,7 @@
 }
 
 // drainRate returns how much work would finish per second if leases lasted as long as they have so
-// far. A new backlog is assumed to drain at this rate.
+// far, or less if an active pace allows less. A new backlog is assumed to drain at this rate.
 func (g *Gate) drainRate(now time.Time, req Request) float64 {
 	if perSecond, paced := g.pacer.perSecond(now); paced {
 		return min(g.unpacedDrainRate(req), perSecond*float64(max(req.Weight, 1)))
@@ -222,7 +226,7 @@
 	g.meanWeight += holdSmoothing * (weight - g.meanWeight)
 }
 
-// Withdraw removes a request whose caller has left, whether it is queued or granted.
+// Withdraw removes a queued or granted request whose caller has left.
 func (g *Gate) Withdraw(now time.Time, id string) {
 	if _, ok := g.queue.Remove(id); ok {
 		delete(g.waiting, id)
@@ -232,8 +236,8 @@
 	delete(g.leases, id)
 }
 
-// DropHolder removes all leases and queued requests of a router that has left or died and will
-// release none of them.
+// DropHolder removes all leases and queued requests of a router that has left or died, since that
+// router will neither release nor withdraw them.
 func (g *Gate) DropHolder(now time.Time, holder string) {
 	for id, l := range g.leases {
 		if l.holder == holder {
--- a/internal/decide/gate/gate_test.go
+++ b/internal/decide/gate/gate_test.go
@@ -44,8 +44,9 @@
 	require.Equal(t, 1, g.Held())
 }
 
-// Guards against requests that wait until their callers leave: a request that can only start too
-// late is refused at once, even at the start of a surge, before any lease has ended.
+// Guards against requests that wait until their callers leave: a request whose predicted wait
+// exceeds the time it may wait is refused at once, even at the start of a surge, before any lease
+// has ended.
 func TestRequestThatCannotStartInTimeIsRefusedAtOnce(t *testing.T) {
 	g := newGate(10)
 	refused := 0
--- a/internal/decide/gate/overload_test.go
+++ b/internal/decide/gate/overload_test.go
@@ -25,8 +25,8 @@
 
 // Guards against two faults in a surge of four times the usual load: links between engines that
 // carry so many prompts that responses begin a second late, and requests without a prompt that wait
-// at one engine while slots become free at others. A request with a prompt waits only at its own
-// engine, any other one for a while at each.
+// at one engine while slots become free at others. A request with a prompt waits only at the first
+// candidate, which caches the prompt; a request without one waits for a while at each candidate.
 func TestMaxWaitByPromptAndPosition(t *testing.T) {
 	const objective = time.Second
 	require.Equal(t, 600*time.Millisecond, MaxWait(true, 0, 3, objective, 0))
--- a/internal/decide/gate/pace.go
+++ b/internal/decide/gate/pace.go
@@ -18,15 +18,16 @@
 const rateWindow = time.Second
 
 // deliveryJitterShare is the share of the window by which the delivery times of two requests to an
-// engine may differ: grants from a longer span can arrive within one window.
+// engine may differ. Requests granted over a span longer than the window by this share can therefore
+// reach the engine within one window.
 const deliveryJitterShare = 0.2
 
 // maxConcurrentOwners is how many routers may regard themselves as the owner of one gate while they
 // disagree about the members of the fleet. Each grants only its share of the bound.
 const maxConcurrentOwners = 2
 
-// PaceFor returns the pace for one owner, such that all owners together grant at most maxPerWindow
-// requests in any window, slack of which may arrive at once.
+// PaceFor returns the pace for one owner, such that in any window the engine receives at most
+// maxPerWindow requests granted by all owners together, slack of which may arrive at once.
 func PaceFor(maxPerWindow, slack float64, duration time.Duration) Pace {
 	burst := max(int(slack/maxConcurrentOwners), 1)
 	steady := max(maxPerWindow/maxConcurrentOwners-float64(burst), 0)
@@ -42,8 +43,8 @@
 	nextDue time.Time
 }
 
-// set applies a pace from now on. It extends an active pace and never shortens it: routers learn
-// at different times how long an engine is cold.
+// set applies a pace from now on. It may prolong the time for which a pace is active but never
+// shortens it, since routers learn at different times how long an engine is cold.
 func (p *pacer) set(now time.Time, pace Pace) {
 	if pace.PerSecond <= 0 || pace.For <= 0 {
 		return
--- a/internal/decide/gate/pace_test.go
+++ b/internal/decide/gate/pace_test.go
@@ -81,7 +81,8 @@
 	})
 }
 
-// Guards against an idle cold engine: it gets most of the requests it can serve.
+// Guards against a pace that leaves a cold engine idle: under load the engine must get as many
+// requests as the pace allows.
 func TestColdEngineIsNotLeftIdle(t *testing.T) {
 	g := newGate(64)
 	pace := PaceFor(21.5, 5, time.Minute)
@@ -110,7 +111,7 @@
 	require.Equal(t, 1, g.Held(), "running requests keep their leases")
 }
 
-// Guards against a pace that applies beyond its time.
+// Guards against a pace that is still applied after its duration has passed.
 func TestPaceExpires(t *testing.T) {
 	g := newGate(64)
 	pace := PaceFor(21.5, 5, time.Second)
--- a/internal/decide/gate/refusals.go
+++ b/internal/decide/gate/refusals.go
@@ -3,21 +3,22 @@
 import "time"
 
 const (
-	// refusalTTL is the minimum time for which a refusal is remembered. Callers wait for a third of
-	// their remaining time at most before they retry, which is rarely longer.
+	// refusalTTL is the minimum time for which a refusal is remembered while maxRefusals is not
+	// reached. Callers retry after at most a third of their remaining time, see maxRetryShare, which
+	// is rarely longer than refusalTTL.
 	refusalTTL = 5 * time.Second
-	// maxRefusals bounds the remembered refusals, at about 50 bytes each. Half of it is what one
-	// owner of gates refuses within refusalTTL at 3,000 refusals per second.
+	// maxRefusals bounds the remembered refusals, at about 50 bytes each. Half of this number
+	// suffices for an owner of gates that refuses 3,000 requests per second for refusalTTL.
 	maxRefusals = 1 << 15
 )
 
 // RefusalHistory records for a while which requests were refused a slot, so that their retries are
-// recognized: an attempt does not refer to the previous one. The zero value is empty. It is not
-// safe for concurrent use.
+// recognized: an attempt itself does not refer to the previous one. The zero value is empty. A
+// RefusalHistory is not safe for concurrent use.
 //
 // In a surge half of the requests for a slot are retries, whose responses are late in any case. If
-// they were served in turn with the others, these would be late too, until every request is refused
-// once and then served late. See Request.Late.
+// retries were served in turn with first attempts, these would become late too, until every request
+// is refused once and then served late. See Request.Late.
 type RefusalHistory struct {
 	// recent holds the refusals since recentSince, and older those of the interval before.
 	recent, older map[uint64]refusal
@@ -52,8 +53,8 @@
 	delete(r.older, subject)
 }
 
-// Late reports whether an earlier attempt at the request was refused so long ago that the request
-// can no longer start within slack of that refusal.
+// Late reports whether attempt is a retry that comes too late: the request was first refused on
+// another attempt, more than slack ago.
 func (r *RefusalHistory) Late(subject uint64, attempt uint64, slack, now time.Duration) bool {
 	first, known := r.find(subject)
 	return known && first.attempt != attempt && now-first.at > slack
--- a/internal/decide/gate/throttle.go
+++ b/internal/decide/gate/throttle.go
@@ -8,8 +8,8 @@
 const (
 	// throttleWindow is the time constant with which past requests are discounted.
 	throttleWindow = 500 * time.Millisecond
-	// throttleFactor is the ratio of slot requests to grants that is allowed. Above one, owners
-	// have a waiting request for the next free slot.
+	// throttleFactor is the allowed ratio of slot requests to grants. It is above one, so that an
+	// owner has a waiting request when the next slot becomes free.
 	throttleFactor = 2
 	// throttleSlack is the number of requests allowed in any case, so that a router whose requests
 	// were all refused notices when slots are free again.
@@ -20,16 +20,18 @@
 // (client-side adaptive throttling). The zero value refuses none. It is not safe for concurrent
 // use.
 //
-// Without it, at several times the engines' capacity a slot for each request is requested from up
-// to three owners and refused by all. These calls saturate the owners' links, grants reach the
-// requesting routers late, and granted slots stay unused. A refusal here costs no call.
+// Without a Throttle, at several times the engines' capacity, a router requests a slot for each
+// request from up to three owners, and all of them refuse. These calls saturate the owners' links,
+// grants reach the requesting routers late, and granted slots stay unused. A refusal by the Throttle
+// costs no call.
 type Throttle struct {
 	requests, granted float64
 	updatedAt         time.Duration
 }
 
 // ShouldRefuse reports whether to refuse a request without requesting a slot; random is a number
-// from 0 to 1. The refused share is what exceeds throttleFactor times the grants.
+// from 0 to 1. The share to be refused consists of the recent requests in excess of throttleFactor
+// times the grants plus throttleSlack.
 func (t *Throttle) ShouldRefuse(now time.Duration, random float64) bool {
 	t.decay(now)
 	excess := t.requests - throttleFactor*t.granted - throttleSlack
--- a/internal/decide/gate/throttle_test.go
+++ b/internal/decide/gate/throttle_test.go
@@ -34,8 +34,8 @@
 	return requested, granted
 }
 
-// Guards against slot requests that grow with the load: at twenty times the capacity, about twice
-// as many slots are requested as are granted, and the whole capacity is used.
+// Guards against slot requests that grow with the load: at two to twenty times the capacity, about
+// twice as many slots are requested as are granted, and the whole capacity is used.
 func TestThrottleBoundsRequestsUnderOverload(t *testing.T) {
 	for _, load := range []int{200, 1000, 2000} {
 		var throttle Throttle
--- a/internal/decide/gate/timeouts.go
+++ b/internal/decide/gate/timeouts.go
@@ -9,20 +9,21 @@
 	// timeoutSamples is the number of most recent timeouts that are retained.
 	timeoutSamples = 256
 	// minTimeoutSamples is the number of timeouts that must be recorded before the baseline is
-	// first computed, and between two updates of it. One router of three hundred may get only one
-	// request of a kind per second.
+	// first computed, and between two updates of it. It is small, since each of three hundred
+	// routers may get only one request of a kind per second.
 	minTimeoutSamples = 8
-	// baselineQuantile is the share of timeouts that may be below the baseline: callers also retry
-	// after an engine's failure in quiet times.
+	// baselineQuantile is the share of timeouts that may be below the baseline. It is not zero,
+	// since callers also retry, with short timeouts, after an engine fails in quiet times.
 	baselineQuantile = 0.05
-	// lateMarginShare is the share of the objective by which a timeout must be below the baseline:
-	// slow connection setup takes some of it too.
+	// lateMarginShare is the share of the objective by which a timeout must be below the baseline
+	// to mark a retry, since slow connection setup shortens the timeout of a first attempt too.
 	lateMarginShare = 0.3
 )
 
-// TimeoutBaseline tracks the timeouts that callers of a route usually set. A refused caller that
-// retries sets the rest of its timeout, which shows that it has already waited and that its
-// response will be late in any case. The zero value has no samples.
+// TimeoutBaseline tracks the timeouts that callers of a route usually set. A caller that retries
+// after a refusal sets only the time that is left of its timeout. A timeout shorter than usual thus
+// shows that the caller has already waited and that its response will be late in any case. The zero
+// value has no samples.
 type TimeoutBaseline struct {
 	samples  [timeoutSamples]time.Duration
 	count    int
--- a/internal/decide/gate/timeouts_test.go
+++ b/internal/decide/gate/timeouts_test.go
@@ -8,8 +8,8 @@
 )
 
 // Guards against a surge in which no request is served on time, see
-// TestRetryTooLateToBeOnTimeIsLate: the remaining timeout of a retrying caller is shorter than
-// usual timeouts.
+// TestRetryTooLateToBeOnTimeIsLate: a retry must be recognized by its timeout, which is shorter than
+// the usual ones.
 func TestShortTimeoutMarksRetryLate(t *testing.T) {
 	const objective = 300 * time.Millisecond
 	var u TimeoutBaseline
@@ -25,7 +25,7 @@
 	require.False(t, u.Late(0, objective), "a caller without a timeout")
 }
 
-// Guards against a few retries in quiet times that lower the baseline.
+// Guards against a baseline that is too low after a few retries in quiet times.
 func TestFewShortTimeoutsDoNotLowerBaseline(t *testing.T) {
 	var u TimeoutBaseline
 	for i := range timeoutSamples {
--- a/internal/decide/gate/wait.go
+++ b/internal/decide/gate/wait.go
@@ -30,9 +30,10 @@
 // MaxWait returns how long a request may wait for a slot at the i-th of n candidate engines, given
 // its age since arrival and the route's objective.
 //
-// A request with a prompt waits for all of its time at the engine that caches it. Any other engine
-// would have to fetch the prompt, over links that carry one prompt at a time, so the request goes
-// there only if a slot is free. While all engines are full, moving on to another one gains nothing.
+// A request with a prompt spends all of its waiting time at the first candidate, the engine that
+// caches the prompt. Any other engine would have to fetch the prompt, over links that carry one
+// prompt at a time, so the request goes there only if a slot is free. While all engines are full,
+// moving on to another one gains nothing.
 func MaxWait(prompted bool, i, n int, objective, age time.Duration) time.Duration {
 	remaining := max(StartWithin(objective)-age, 0)
 	switch {
--- a/internal/decide/limit/cache.go
+++ b/internal/decide/limit/cache.go
@@ -12,15 +12,19 @@
 const (
 	// requestTimeout is after how long a request to the owner without a reply counts as failed.
 	requestTimeout = time.Second
-	// prefetchHorizon is the length of future demand for which a router requests tokens.
+	// prefetchHorizon is the time ahead for which a router requests the tokens that it expects to
+	// spend.
 	prefetchHorizon = time.Second
-	// refillThreshold is the share of the horizon's demand below which more tokens are requested.
+	// refillThreshold is a share of the demand in one second; a router that holds fewer tokens than
+	// that requests more.
 	refillThreshold = 0.25
 	// demandWindow is the shortest interval over which demand is measured.
 	demandWindow = 250 * time.Millisecond
-	// slotRetryDelay is the delay before slots are requested again after too few were free.
+	// slotRetryDelay is how long a router waits before it requests slots again after the owner has
+	// granted fewer than it wanted.
 	slotRetryDelay = 200 * time.Millisecond
-	// ownerBackoffBase and ownerBackoffMax bound the exponential backoff towards a lost owner.
+	// ownerBackoffBase and ownerBackoffMax bound the exponential backoff between requests to a lost
+	// owner.
 	ownerBackoffBase = 200 * time.Millisecond
 	ownerBackoffMax  = 2 * time.Second
 	// retryJitter is the random share added to retry delays.
@@ -31,11 +35,12 @@
 type Decision struct {
 	// OK admits the request; the caller must call Done when it ends.
 	OK bool
-	// NeedRefill means that a request must be sent to the owner, see NewRequest; with OK, this may
-	// be done in the background. Without OK and Err the request is undecided: Take must be called
-	// again once the owner has replied or the request to it has failed.
+	// NeedRefill means that the caller of Take must send a request for tokens and slots to the
+	// owner, see NewRequest; with OK, it may do so in the background. If neither OK nor Err is set,
+	// the client's request is undecided: Take must be called again once the owner has replied or the
+	// request to it has failed.
 	NeedRefill bool
-	// Err is a *RateError or a *ConcurrencyError; the request did not run.
+	// Err is a *RateError or a *ConcurrencyError if the request is refused.
 	Err error
 }
 
@@ -80,7 +85,8 @@
 	tokensRetryAt time.Time
 	slotsRetryAt  time.Time
 
-	// demand and blocked count requests since the last request to the owner.
+	// demand counts the client requests since the last request to the owner, and blocked those of
+	// them for which no slot was left.
 	demand     int
 	blocked    int
 	demandRate float64
@@ -175,8 +181,8 @@
 func (c *Cache) Fill(now time.Time, account string, b Batch) bool {
 	s, ok := c.accounts[account]
 	if !ok || s.pendingSeq == 0 || s.pendingSeq != b.Seq {
-		// The request was aborted before this reply arrived. The owner learns from the next request
-		// that these slots were never used.
+		// The request timed out or failed, or the owner changed, before this reply arrived. The owner
+		// learns from the next request that these slots were never used.
 		return false
 	}
 	if b.Stale {
@@ -204,8 +210,9 @@
 	return true
 }
 
-// Failed records that a request to the owner got no reply. Without a lease the router falls back
-// to its static share.
+// Failed records that a request to the owner got no reply. Until a reply arrives, the router uses
+// its static share of the rate once its tokens are spent, and its static share of the concurrency
+// once its lease has expired.
 func (c *Cache) Failed(now time.Time, account string, seq uint64) {
 	s, ok := c.accounts[account]
 	if !ok || s.pendingSeq == 0 || s.pendingSeq != seq {
@@ -247,11 +254,11 @@
 
 // slotLimit returns how many requests may be unfinished at this router: the leased slots or,
 // without a lease, the static share. A single lost reply must not activate the static share, since
-// the other routers still hold the whole limit.
+// the other routers' leases may still add up to the whole limit.
 func (c *Cache) slotLimit(now time.Time, account string, lim Limits, s *accountState) int {
 	if s.leased(now) && s.overLimit {
 		// A busy router never has an idle slot to release. If it reused each slot that becomes
-		// free, a fleet above the limit would stay there.
+		// free, a fleet above the limit would stay above it.
 		return min(s.slots, s.target)
 	}
 	if s.leased(now) {
@@ -331,7 +338,7 @@
 	}
 }
 
-// failRequest ends the pending request without a reply.
+// failRequest ends the pending request, which got no reply, and schedules the next one.
 func (s *accountState) failRequest(now time.Time, c *Cache) {
 	s.pendingSeq = 0
 	if s.failures == 0 {
--- a/internal/decide/limit/ledger.go
+++ b/internal/decide/limit/ledger.go
@@ -68,8 +68,8 @@
 	return len(l.unreported) > 0 && now.Before(l.warmUpEnd)
 }
 
-// SetLimits changes the limits. Slots already leased stay leased; no more are granted until they
-// fit.
+// SetLimits changes the limits. Slots already leased stay leased; while they exceed the new limit,
+// no more are granted.
 func (l *Ledger) SetLimits(now time.Time, limits Limits) {
 	l.advance(now)
 	l.limits = limits
@@ -89,8 +89,8 @@
 	return len(l.holders) == 0 && l.tokens >= l.limits.burst() && !l.WarmingUp(now)
 }
 
-// Report records what a router holds. It reports whether r is stale, that is, a later report
-// arrived first.
+// Report records what a router holds. It returns true, and records nothing, if r is stale, that is,
+// if a later report arrived first.
 func (l *Ledger) Report(now time.Time, r Report) (stale bool) {
 	l.advance(now)
 	h, ok := l.holders[r.Router]
@@ -171,9 +171,10 @@
 	return l.limits.Concurrency / max(1, len(l.holders))
 }
 
-// grantSlots leases up to want slots. A router gets all free slots up to its fair share, and half
-// of them beyond it: idle slots are lent, but a surge at one router leaves some for the next router
-// that requests any.
+// grantSlots leases up to want slots, but no more than are free, and no more than the larger of
+// half of the free slots and what the router lacks of its fair share. A router can thus borrow idle
+// slots beyond its share, but a surge at one router leaves some for the next router that requests
+// any.
 func (l *Ledger) grantSlots(now time.Time, h *holder, want int) int {
 	if l.limits.Concurrency <= 0 || want <= 0 {
 		return 0
--- a/internal/decide/limit/limit.go
+++ b/internal/decide/limit/limit.go
@@ -69,8 +69,8 @@
 	// Tokens and Slots are granted on top of what the router holds.
 	Tokens int
 	Slots  int
-	// Target is the router's fair share of the slots. Tight means that other routers wait for
-	// slots, and that idle ones beyond Target must be released.
+	// Target is the router's fair share of the slots. Tight means that a router recently got fewer
+	// slots than it wanted, so that idle slots beyond Target must be released.
 	Target int
 	Tight  bool
 	// Over means that more slots are leased than the limit allows, which can happen after a change
--- a/internal/decide/limit/limit_test.go
+++ b/internal/decide/limit/limit_test.go
@@ -141,7 +141,8 @@
 	// demand is the rate of requests per second at each router.
 	demand []float64
 	// changeAt is when a new owner replaces the old one, in seconds, 0 for never. Each router
-	// learns of it within spread seconds; the old owner is lost, or stays with oldOwnerStays.
+	// learns of it within spread seconds; the old owner is lost, or goes on granting if
+	// oldOwnerStays is set.
 	changeAt, spread float64
 	oldOwnerStays    bool
 	// lossRate is the share of replies that are lost until lossEnd.
@@ -149,8 +150,8 @@
 }
 
 // result summarizes a run: excess is by how much the admitted requests exceeded the burst plus the
-// rate times the time, in the worst interval; peak is the highest number of unfinished requests,
-// and settled that of the last 10 s.
+// rate times the time, in the worst interval; peak is the highest number of unfinished requests in
+// the whole run, and settled the highest in the last 10 s.
 type result struct {
 	admitted, peak, settled, requests int
 	excess                            float64
@@ -219,8 +220,8 @@
 
 // step lets a router admit what it can, and returns the number of admitted requests.
 func (r *simRouter) step(now time.Time, s float64, rnd *rand.Rand, lossRate float64, res *result) int {
-	// Both are repeated until the next request to the owner; only the first call may have an
-	// effect.
+	// The last reply and the last failure are delivered again in each step until the next request
+	// to the owner; only the first delivery may have an effect.
 	r.cache.Fill(now, "x", r.reply)
 	r.cache.Failed(now, "x", r.failedSeq)
 	unfinished := len(r.endTimes)
@@ -258,8 +259,8 @@
 // Guards against an account that exceeds its limit, or gets less than it may, while its owner
 // changes: grants of the old owner, static shares and grants of the new owner add up. Nine routers
 // with three times the allowed demand lose or replace the owner and learn of the new one at
-// different times. The test logs the worst of 40 runs each and bounds it by what can add up by
-// construction.
+// different times. The test logs the worst of 40 runs of each case and checks that it does not
+// exceed the largest sum that is possible by construction.
 func TestLimitOvershootIsBoundedDuringOwnerChange(t *testing.T) {
 	rate := Limits{Rate: 100, Burst: 100}
 	conc := Limits{Concurrency: 60}
--- a/internal/decide/outlier/cap.go
+++ b/internal/decide/outlier/cap.go
@@ -25,8 +25,8 @@
 }
 
 // enforceCap ends ejections, those with the least time left first, until no more engines are
-// ejected than the cap allows. Without it, healthy engines that leave could raise the ejected share
-// of a pool without any further ejection.
+// ejected than the cap allows. The ejected share of a pool can exceed the cap without any further
+// ejection, when healthy engines leave.
 func (d *Detector) enforceCap(now time.Time) {
 	for {
 		members, ejected := d.count(now)
--- a/internal/decide/outlier/compare.go
+++ b/internal/decide/outlier/compare.go
@@ -22,9 +22,9 @@
 	return d.above(excessOf, limit, now)
 }
 
-// failing returns the engines whose share of failed streams is above FailureShare and above twice
-// the pool's median, worst first. It detects what Consecutive cannot: an engine that fails every
-// other stream and completes the ones between.
+// failing returns the engines whose share of stalled and failed streams is above FailureShare and
+// above twice the pool's median, worst first. It detects what Consecutive cannot: an engine that
+// fails every other stream and completes the ones between.
 func (d *Detector) failing(now time.Time) []uint64 {
 	median, ok := d.median(failureShareOf, now)
 	if !ok {
--- a/internal/decide/outlier/engine.go
+++ b/internal/decide/outlier/engine.go
@@ -6,7 +6,8 @@
 // so that a flapping engine is recognised when it rejoins.
 type engine struct {
 	member bool
-	// since is when the engine joined, left, ended an ejection, or last had one forgotten.
+	// since is when the engine joined, left or ended an ejection, or when expire last forgot one of
+	// its ejections and flaps.
 	since time.Time
 	// consecutive counts the stalls and failures since the last success.
 	consecutive int
@@ -15,7 +16,8 @@
 	// failureShare averages 1 for each stall and failure and 0 for each success.
 	failureShare average
 	ejected      bool
-	// ejections counts the ejections and flaps the returns to the pool that are not forgotten.
+	// ejections is the number of ejections, and flaps that of returns to the pool, that expire has
+	// not forgotten yet.
 	ejections, flaps int
 	// ramp starts when an ejection ends or the engine rejoins the pool.
 	ramp Ramp
--- a/internal/decide/outlier/outlier.go
+++ b/internal/decide/outlier/outlier.go
@@ -19,7 +19,7 @@
 	// FirstToken is the arrival of a first token, with its latency.
 	FirstToken
 	// Stall is a stream whose gap timer expired, with the time waited so far. It must be observed
-	// when the timer fires: a starved stream never yields a latency of its own.
+	// when the timer fires: a stream that gets no further token never yields a latency.
 	Stall
 	// Failure is a stream or connection that broke because of the engine.
 	Failure
@@ -86,16 +86,16 @@
 	// SlowFactor ejects an engine whose mean excess latency is above that many times the pool's
 	// median, if it is also above SlowFloor.
 	SlowFactor float64
-	// SlowFloor keeps engines of a fast pool from being ejected over differences that no caller
-	// notices.
+	// SlowFloor is the mean excess latency up to which no engine counts as slow. It keeps engines of
+	// a fast pool from being ejected over differences that no caller notices.
 	SlowFloor time.Duration
 	// FailureShare, 0 to 1, ejects an engine that fails a larger share of its streams, if that is
 	// also above twice the pool's median share.
 	FailureShare float64
-	// MinSamples is how many latencies, or ends of streams, an engine must have to be compared by
-	// them.
+	// MinSamples is the number of latencies that an engine must have to be compared by latency, and
+	// of ended streams to be compared by failures.
 	MinSamples int
-	// MinPeers is the number of such engines that a median needs.
+	// MinPeers is the number of engines with MinSamples that are needed to compute a median.
 	MinPeers int
 	// Smoothing is the weight of a new sample in the moving averages.
 	Smoothing float64
--- a/internal/decide/outlier/outlier_test.go
+++ b/internal/decide/outlier/outlier_test.go
@@ -22,7 +22,7 @@
 	return d
 }
 
-// step is one observation that recurs between healthy streams.
+// step is an observation that observeStreams repeats between healthy streams.
 type step struct {
 	engine   uint64
 	kind     Kind
@@ -30,8 +30,8 @@
 	expected time.Duration
 }
 
-// observeStreams observes 40 healthy streams of each engine, with the steps after each round, and
-// evaluates the pool.
+// observeStreams observes 40 healthy streams of each of n engines, the steps after each round of
+// one stream per engine, and evaluates the pool.
 func observeStreams(d *Detector, n int, steps ...step) (all []Ejection) {
 	for range 40 {
 		for id := range uint64(n) {
--- a/internal/decide/permit/errors.go
+++ b/internal/decide/permit/errors.go
@@ -39,8 +39,8 @@
 	return fmt.Sprintf("permit: engine has incarnation %d, but the request is for %d", e.Have, e.Want)
 }
 
-// ReleasedError is returned for a request whose permit has already been released. The request must
-// be a late duplicate.
+// ReleasedError is returned for a request whose permit has already been released. Either the
+// request is a late duplicate, or its release has overtaken it.
 type ReleasedError struct {
 	ID string
 }
--- a/internal/decide/permit/ledger.go
+++ b/internal/decide/permit/ledger.go
@@ -26,7 +26,7 @@
 	dropAfterMissedReports = 2
 )
 
-// Config configures a Book. Zero and negative fields take the defaults.
+// Config configures a Ledger. Zero and negative fields take the defaults.
 type Config struct {
 	// Bound is the allowed multiple of the pool's mean load.
 	Bound float64
@@ -68,7 +68,7 @@
 	}
 }
 
-// record is a permit that counts.
+// record is a granted permit that counts towards the load.
 type record struct {
 	permit        Permit
 	grantedAt     time.Time
@@ -92,7 +92,7 @@
 	receivedAt time.Time
 }
 
-// Ledger counts the permits of one engine. Use NewBook to create one.
+// Ledger counts the permits of one engine. Use NewLedger to create one.
 type Ledger struct {
 	cfg         Config
 	incarnation uint64
@@ -106,9 +106,9 @@
 	awaited map[string]struct{}
 }
 
-// NewLedger returns a Book without permits for the engine. A router that becomes the owner of an
+// NewLedger returns a Ledger without permits for the engine. A router that becomes the owner of an
 // engine passes the other live routers: until all of them have reported, or the warm-up time has
-// passed, only half of each bound is granted.
+// passed, the ledger grants only up to half of each bound.
 func NewLedger(now time.Time, cfg Config, incarnation uint64, live []string) *Ledger {
 	b := &Ledger{
 		cfg:         cfg.withDefaults(),
@@ -133,7 +133,8 @@
 // Incarnation returns the current incarnation of the engine.
 func (b *Ledger) Incarnation() uint64 { return b.incarnation }
 
-// Granted returns the number and the total weight of the permits, without what only the engine reports.
+// Granted returns the number and the total weight of the permits. It leaves out requests that only
+// the engine reports.
 func (b *Ledger) Granted() Load {
 	return Load{Count: len(b.permits), Weight: b.weight}
 }
@@ -198,9 +199,9 @@
 }
 
 // ReleaseBy ends a permit on behalf of a holder, and does nothing if the permit has moved to
-// another one. A router that lost its caller aborts late, when the stream may long have resumed at
-// the router to which the caller retried; ending the permit then would hide a running request from
-// the count.
+// another holder. A router may notice late that its caller has disconnected, after the caller has
+// resumed the stream at another router; ending the permit then would leave a running request
+// uncounted.
 func (b *Ledger) ReleaseBy(now time.Time, id, holder string) Outcome {
 	if rec, ok := b.permits[id]; ok && rec.permit.Holder != holder {
 		return Moved
@@ -208,9 +209,9 @@
 	return b.Release(now, id)
 }
 
-// Transfer moves a permit to the router that resumes the stream. It adds a permit that it does not
-// know to the ledger: a previous owner may have granted it. It returns an *IncarnationError or a
-// *ReleasedError if it neither moves nor adds a permit.
+// Transfer moves a permit to the router that resumes the stream. If the ledger does not know the
+// permit, Transfer adds it, since a previous owner may have granted it. It returns an
+// *IncarnationError or a *ReleasedError if it neither moves nor adds a permit.
 func (b *Ledger) Transfer(now time.Time, r Request) (Permit, error) {
 	if err := b.checkIncarnation(r.Incarnation); err != nil {
 		return Permit{}, err
@@ -271,8 +272,9 @@
 	bound := b.cfg.Bound
 	batch := b.cfg.MaxBatch
 	if warming {
-		// The previous owner, or one that does not know of the change yet, may have granted up to
-		// the full bound. Half of it keeps the sum of two owners at one and a half times the bound.
+		// The previous owner may have granted up to the full bound, and goes on granting until it
+		// learns of the change. Half of the bound here keeps the sum of both owners' grants at one
+		// and a half times the bound.
 		bound *= warmUpShare
 		batch = max(1, int(float64(batch)*warmUpShare))
 	}
@@ -306,7 +308,7 @@
 func (b *Ledger) add(now time.Time, p Permit) {
 	rec := &record{permit: p, grantedAt: now}
 	if h := b.holders[p.Holder]; h != nil && h.dead {
-		// A message of the dead router was still in transit.
+		// The message that led to this permit was in transit when the router was found to be dead.
 		rec.orphanedAt = now
 	}
 	b.permits[p.ID] = rec
--- a/internal/decide/permit/permit.go
+++ b/internal/decide/permit/permit.go
@@ -1,12 +1,13 @@
 // Package permit keeps the exact count of the granted, unfinished requests of one engine, at the
 // router that owns the engine.
 //
-// A Book grants a permit for each request before the request is sent. It bounds the engine's load
+// A Ledger grants a permit for each request before the request is sent. It bounds the engine's load
 // relative to the mean of its pool. The count stays right when messages are lost, repeated or late,
-// when routers die, when the owner changes and when the engine restarts. It is based on the owner's
-// own grants, the reports of the holders and the reports of the engine; the largest figure counts.
+// when routers die, when the owner changes and when the engine restarts. The count is based on the
+// owner's own grants and the reports of the holders; the load also includes what the engine reports
+// beyond them.
 //
-// A Book is not safe for concurrent use and reads no clock; the times passed to it must not run
+// A Ledger is not safe for concurrent use and reads no clock; the times passed to it must not run
 // backwards.
 package permit
 
@@ -22,7 +23,7 @@
 	Incarnation uint64
 	// Weight is the work of the request; less than 1 counts as 1.
 	Weight int64
-	// PoolTotal is the load of the pool, and PoolN its number of engines.
+	// PoolTotal is the load of the pool, and PoolEngines its number of engines.
 	PoolTotal   int64
 	PoolEngines int
 	// LeastLoaded means that no engine of the pool has less load. Such an engine may exceed the
@@ -75,10 +76,10 @@
 	Incarnation uint64
 	// Age is how old the figures are.
 	Age time.Duration
-	// Count is the number of unfinished requests, running or queued, and Weight their sum of work.
+	// Count is the number of unfinished requests, running or queued, and Weight their total work.
 	Count  int
 	Weight int64
-	// IDs lists these requests; it is empty if the engine does not report them.
+	// IDs lists the IDs of these requests; it is empty if the engine reports only their number.
 	IDs []string
 }
 
--- a/internal/decide/permit/permit_test.go
+++ b/internal/decide/permit/permit_test.go
@@ -240,8 +240,8 @@
 	}
 }
 
-// simulation is one engine, the count of its permits, and routers whose messages may be lost, late
-// or repeated.
+// simulation holds one engine, the ledger of its permits, and routers whose messages may be lost,
+// late or repeated.
 type simulation struct {
 	now         time.Time
 	book        *Ledger
@@ -396,9 +396,9 @@
 	})
 }
 
-// Guards against an engine that gets more than the sum of what two owners may grant, while the old
-// owner still grants and the new one starts without permits, the reports of the holders are late
-// and those of the engine late or missing. The test logs the highest load over the bound.
+// Guards against an engine that gets more than the sum of what two owners may grant: the old owner
+// still grants and the new one starts without permits, while no holder reports, and the reports of
+// the engine are late or missing. The test logs the highest ratio of the load to the bound.
 func TestOvershootIsLimitedWhileTwoOwnersGrant(t *testing.T) {
 	const runs = 300
 	for i, c := range []struct {
--- a/internal/decide/permit/reconcile.go
+++ b/internal/decide/permit/reconcile.go
@@ -26,8 +26,8 @@
 	return res
 }
 
-// MarkRouterDead records that a router is dead. Its permits remain until a report of the engine ends
-// them, since the engine may still execute the requests.
+// MarkRouterDead records that a router is dead. Its permits remain until a report of the engine
+// shows that the requests have ended, since the engine may still execute them.
 func (b *Ledger) MarkRouterDead(now time.Time, name string) {
 	delete(b.awaited, name)
 	b.noteContact(now, name).dead = true
@@ -64,7 +64,8 @@
 	return Changes{Dropped: dropped}
 }
 
-// reset removes all permits for a new incarnation, which executes nothing that was granted before.
+// reset removes all permits when a new incarnation reports, since it executes none of the requests
+// that were granted before.
 func (b *Ledger) reset(now time.Time, l EngineLoad) Changes {
 	res := Changes{Dropped: len(b.permits)}
 	clear(b.permits)
@@ -97,7 +98,8 @@
 	return n
 }
 
-// assign records that the holder has the permit. It may have resumed the stream of another router.
+// assign records that the holder has the permit. The holder may have resumed a stream that another
+// router began.
 func (b *Ledger) assign(rec *record, holder string) {
 	rec.permit.Holder = holder
 	rec.missedReports = 0
@@ -131,8 +133,8 @@
 	return n
 }
 
-// orphanSilent treats holders without a message for SilenceTimeout as dead. Otherwise a grant to a
-// router whose death the owner never learned of would count permanently.
+// orphanSilent treats holders that have sent no message for SilenceTimeout as dead. Otherwise a
+// grant to a router that died unknown to the owner would count permanently.
 func (b *Ledger) orphanSilent(now time.Time) {
 	for _, rec := range b.permits {
 		if !rec.orphanedAt.IsZero() {
@@ -182,8 +184,9 @@
 	return n
 }
 
-// dropBeyondCount drops the oldest orphans that exceed the engine's count less the requests of live
-// holders, and the orphans that are older than OrphanTTL.
+// dropBeyondCount handles a report that gives only the number of requests. That number less the
+// requests of live holders is how many orphans can still run; it drops the oldest ones beyond that,
+// and those orphaned for OrphanTTL or longer.
 func (b *Ledger) dropBeyondCount(now time.Time, orphans []*record) int {
 	keep := max(0, b.engine.Count-b.reportableLive())
 	n := 0
--- a/internal/decide/permit/tombstone.go
+++ b/internal/decide/permit/tombstone.go
@@ -6,8 +6,8 @@
 	// tombstoneTTL is how long a released ID is remembered. It must exceed the time that a message
 	// can be in transit.
 	tombstoneTTL = time.Minute
-	// maxTombstones bounds the memory. At the 6 requests per second that an engine gets at the
-	// planned size, it is not reached within the TTL.
+	// maxTombstones bounds the memory. An engine gets 6 requests per second at the planned size of
+	// the fleet, so that the bound is not reached within the TTL.
 	maxTombstones = 2048
 )
 
--- a/internal/decide/placement/bound.go
+++ b/internal/decide/placement/bound.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// PoolLoad sums up the engines in service, as the load bound needs them.
+// PoolLoad describes the load of the engines in service, from which the load bound is computed.
 type PoolLoad struct {
-	// Total is the sum of their loads.
+	// Total is the sum of the loads of these engines.
 	Total int64
-	// N is their number.
+	// N is the number of these engines.
 	N int
-	// Least is the smallest quotient of load and ramp among them.
+	// Least is the smallest quotient of load and ramp among these engines.
 	Least float64
 }
 
@@ -18,7 +18,7 @@
 
 // SumLoad sums up the engines of a pool that are in service. Engines that are draining,
 // unloaded, ejected or unreported count neither in Total nor in N: their load would raise the mean,
-// and with it the bound of the others, although it is about to vanish.
+// and with it the bound of the others, although that load will soon be gone.
 func SumLoad(engines []Engine) PoolLoad {
 	pool := newPoolLoad()
 	for i := range engines {
@@ -51,10 +51,10 @@
 // meanwhile. Without the second check, the bound would hold for the load that each router knows,
 // but not for the actual load of the engine.
 //
-// OverBound is true if the request exceeds the bound and is admitted because no engine in service
+// overBound is true if the request exceeds the bound and is admitted because no engine in service
 // has less load. A single request can weigh more than the whole bound, and in a pool with little
-// load every request does; refusing those would refuse requests for which the pool is idle. They
-// are to be counted separately.
+// load every request does; refusing such requests would leave the pool idle. The caller should count
+// them separately.
 //
 // The error is a *RefusedError that wraps ErrNoEngine if the engine is not in service, and ErrFull
 // if it has no capacity.
--- a/internal/decide/placement/filters.go
+++ b/internal/decide/placement/filters.go
@@ -14,8 +14,8 @@
 
 // filter applies the filters that do not depend on the request.
 //
-// Draining comes first: while views differ, one source may report an engine as loaded and healthy
-// and another as draining, and a new request sent to it would be cut off when it stops.
+// Draining comes first: one source may report an engine as draining while another still reports it
+// as loaded and healthy, and a new request would be cut off when the engine stops.
 func (e *Engine) filter() filterResult {
 	switch {
 	case e.Leaving:
--- a/internal/decide/placement/picker.go
+++ b/internal/decide/placement/picker.go
@@ -35,8 +35,8 @@
 // in the list, since one of them may be the chat's preferred one.
 const inadmissible = math.MaxFloat64
 
-// NewPicker returns a Picker. The rng is needed for requests without a chat; the same seed and
-// arguments give the same decisions.
+// NewPicker returns a Picker. The Picker uses rng for requests that it places by PowerOfTwo, see
+// Policy.Spread; the same seed and arguments give the same decisions.
 func NewPicker(p Policy, rng *rand.Rand) *Picker {
 	p.PrefillRate = rate(p.PrefillRate, DefaultPrefillRate)
 	p.DrainRate = rate(p.DrainRate, DefaultDrainRate)
@@ -116,8 +116,8 @@
 		return cached, ByEvidence
 	}
 	if req.Chat == 0 || req.EarlierTokens == 0 {
-		// The first turn of a chat finds nothing cached at any engine and brings its long
-		// documents. It is placed by load, and later turns follow it.
+		// The first turn of a chat brings the chat's long documents, and no engine has cached any of
+		// them. It is placed by load, and later turns follow it.
 		return p.spread(best, admitted), ByLoad
 	}
 	return p.selectByRendezvous(pool, req, best.cost+p.policy.preferredSlack(req))
@@ -192,8 +192,8 @@
 	set         bool
 }
 
-// offer reports whether a node precedes all offered before. Ties are broken by the identifier,
-// since routers may list the engines in any order.
+// offer reports whether a node precedes all nodes offered before, and if so retains it. Ties are
+// broken by the identifier, since routers may list the engines in any order.
 func (t *topNode) offer(score, node uint64) bool {
 	if t.set && (score < t.score || score == t.score && node >= t.node) {
 		return false
--- a/internal/decide/placement/policy.go
+++ b/internal/decide/placement/policy.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Spread is the rule by which requests without a chat are spread over the engines.
+// Spread is the rule by which requests without a chat, and the first turns of chats, are spread over
+// the engines.
 type Spread uint8
 
 const (
@@ -20,8 +21,9 @@
 	OutputWeight float64
 	// EvidenceWait is how much longer than at the best engine a request may wait in order to go to
 	// an engine that has cached its prefix. The predicted wait already includes the time that the
-	// prefix saves; EvidenceWait is the value of not caching it twice. The load bound, not this
-	// wait, balances the engines: predicted waits are only as accurate as DrainRate.
+	// prefix saves; EvidenceWait is what it is worth not to cache the prefix a second time. Engines
+	// are balanced by the load bound rather than by this wait, since predicted waits are only as
+	// accurate as DrainRate.
 	EvidenceWait time.Duration
 	// PreferredWait is how much longer than at the best engine a chat without evidence may wait in
 	// order to follow its rendezvous order.
@@ -33,7 +35,7 @@
 	// PrefillRate and DrainRate, in tokens and weight units per second, are used for engines that
 	// report none.
 	PrefillRate, DrainRate float64
-	// Spread is the rule for requests without a chat.
+	// Spread is the rule for requests without a chat and for the first turns of chats.
 	Spread Spread
 }
 
--- a/internal/decide/placement/policy_bench_test.go
+++ b/internal/decide/placement/policy_bench_test.go
@@ -137,9 +137,9 @@
 	sim.engines[sim.draining].cached = nil
 }
 
-// BenchmarkStrategies reports, for each strategy, the share of earlier tokens found in the cache,
-// the median and the 99th percentile of the largest load over the mean, by the engines' own count,
-// and the share of requests admitted beyond the bound.
+// BenchmarkStrategies reports, for each strategy, the share of earlier tokens found in the cache
+// (reuse), the median and the 99th percentile of the ratio of the largest load to the mean, by the
+// engines' own count (skew), and the share of requests admitted beyond the bound (lumps).
 func BenchmarkStrategies(b *testing.B) {
 	for _, bound := range []float64{1.25, 1.5, 2} {
 		picker := func() Strategy { return newTestPicker() }
