--- a/internal/decide/prefix/evidence.go
+++ b/internal/decide/prefix/evidence.go
@@ -12,7 +12,7 @@
 // In a benchmark run 94 of 100 turns placed by evidence found their prefix; the values
 // aren't fitted to each source. Tests rely only on their order: a cache event outranks
 // the owner's record, which outranks a hint; a chat that diverged ranks below these,
-// and a prefix known to be evicted last.
+// and a prefix that a view reports as evicted ranks last.
 const (
 	// ViewConfidence applies to a prefix reported by cache events, without a gap since.
 	ViewConfidence = 0.99
@@ -24,8 +24,8 @@
 	// the request's boundaries, because the caller edited the chat. Only the first
 	// boundary, usually the system prompt, then counts as cached.
 	DivergedFactor = 0.4
-	// EvictedFactor lowers a record or hint that a certain eviction contradicts. It
-	// isn't 0, since the eviction may be older than the hint.
+	// EvictedFactor lowers a record or hint that contradicts an eviction reported by a
+	// fully trusted view. It isn't 0, since the eviction may be older than the hint.
 	EvictedFactor = 0.1
 	// GapFactor lowers the confidence in an event for each gap after it.
 	GapFactor = 0.5
@@ -94,8 +94,8 @@
 	Recent *RecentChats
 	// Views are those of the engines whose cache events this router follows.
 	Views []*CacheView
-	// Current reports the current incarnations. Evidence for any other is dropped, since
-	// its cache no longer exists.
+	// Current reports the current incarnations. Evidence for any other incarnation is
+	// dropped, since the cache of that one no longer exists.
 	Current Incarnations
 }
 
@@ -157,8 +157,9 @@
 // unknownAge is older than any event.
 const unknownAge = time.Duration(math.MaxInt64)
 
-// addLocation adds the evidence of a recorded location. A prefix that is none of the
-// request's boundaries counts with a lower confidence if the chat is the same.
+// addLocation adds the evidence of a recorded location. If its prefix is none of the
+// request's boundaries but the chat is the same, the first boundary is added instead,
+// with a lower confidence.
 func (s *search) addLocation(p Location, from provenance) {
 	if !s.isCurrent(p.Engine, p.Incarnation) {
 		return
@@ -175,8 +176,9 @@
 	s.add(Evidence{Engine: p.Engine, CachedTokens: b.Tokens, Confidence: from.confidence, Source: from.source})
 }
 
-// addView adds the cached boundary of the highest value in v. Boundaries grow, so the
-// search ends where even full confidence couldn't yield a higher value.
+// addView adds the cached boundary of the highest value in v. It tries the longest
+// boundary first, and stops at a boundary so short that even ViewConfidence couldn't
+// yield a higher value than the best one found.
 func (s *search) addView(v *CacheView) {
 	if !s.isCurrent(v.engine, v.incarnation) {
 		return
@@ -198,7 +200,7 @@
 }
 
 // findBoundary returns the request's boundary with the given hash. It starts with the
-// latest ones, which are the likeliest.
+// longest ones, which are the likeliest to match.
 func (s *search) findBoundary(hash uint64) (chat.Boundary, bool) {
 	for i := len(s.q.Boundaries) - 1; i >= 0; i-- {
 		if s.q.Boundaries[i].Hash == hash {
@@ -213,11 +215,14 @@
 	return ok && current == incarnation
 }
 
-// evictionFactor returns the factor for evidence of the given age if a view reports
-// that engine evicted prefix; it lowers the evidence by as much as the view is trusted.
-// Evidence newer than the eviction isn't lowered: the chat was served after it, and the
-// stored event is late. Otherwise a chat that has just missed would be sent away from
-// the one engine that now holds its prefix.
+// evictionFactor returns the factor that lowers the confidence in evidence of the given
+// age if a view reports that engine evicted prefix: the more the view is trusted, the
+// lower the factor. Without such an eviction the factor is 1.
+//
+// It is also 1 for evidence newer than the eviction: then the engine served the chat
+// after the eviction, and the event that reports the prefix as stored again is late. A
+// lower factor would send a chat whose last turn missed the cache away from the one
+// engine that now holds its prefix.
 func (s *search) evictionFactor(engine, prefix uint64, age time.Duration) float64 {
 	for _, v := range s.Views {
 		if v.engine != engine {
@@ -233,7 +238,7 @@
 	return 1
 }
 
-// add retains the evidence of the higher value for each engine.
+// add adds e unless there is evidence of the same or a higher value for its engine.
 func (s *search) add(e Evidence) {
 	for i := s.start; i < len(s.found); i++ {
 		if s.found[i].Engine != e.Engine {
--- a/internal/decide/prefix/evidence_test.go
+++ b/internal/decide/prefix/evidence_test.go
@@ -126,9 +126,10 @@
 	}
 }
 
-// A chat that has just missed must not be sent on to miss at a second engine. The view
-// reports an eviction, the chat is served at that engine nevertheless, and it returns
-// before the stored event arrives: an eviction older than the record must not count.
+// A chat whose last turn missed the cache must not be sent on to a second engine, where
+// it would miss again. The view reports that an engine evicted the prefix, the chat is
+// served at that engine nevertheless, and returns before the event arrives that reports
+// the prefix as stored: an eviction older than the record must not count.
 func TestRecordNewerThanEvictionIsTrusted(t *testing.T) {
 	r, later := newRecent(t, 100), epoch.Add(time.Minute)
 	require.NoError(t, r.Record(chatC, Location{engineA, 1, 102, 1000}, later))
@@ -138,8 +139,8 @@
 }
 
 // Chats must not be sent to an engine that has evicted their prefix. A page of events
-// may arrive twice, after its successor or after a restart of the engine; an old event
-// must not overwrite a newer one.
+// may arrive twice, after the page that follows it, or after a restart of the engine; an
+// old event must not overwrite a newer one.
 func TestLatePageDoesNotOverwriteNewerState(t *testing.T) {
 	first, second := page(1, stored(0, 101)), page(1, evicted(1, 101))
 	for name, tc := range map[string]struct {
@@ -160,9 +161,10 @@
 	}
 }
 
-// The view of an engine must not stay empty when a page of an earlier incarnation
-// arrives after its successor's, twice over. The current incarnation is then taken for
-// the previous one, and its pages are rejected only a limited number of times.
+// The view of an engine must not stay empty when a page of an incarnation before the
+// previous one arrives late. The view then takes that incarnation for the current one
+// and the actual current one for the previous one, whose pages it must reject only a
+// limited number of times.
 func TestViewRecoversFromStalePage(t *testing.T) {
 	v := newView(t, engineA, page(1), page(2), page(3), page(1))
 	for range maxStaleRun {
--- a/internal/decide/prefix/incarnations.go
+++ b/internal/decide/prefix/incarnations.go
@@ -6,8 +6,9 @@
 	incarnation uint64
 }
 
-// incarnationTable interns engine incarnations, so that an entry stores two bytes for
-// one instead of sixteen. It counts references and reuses a slot that has none left.
+// incarnationTable interns engine incarnations, so that an entry of a table of chats
+// refers to one in two bytes instead of sixteen. It counts the references to each slot,
+// and reuses a slot without any.
 type incarnationTable struct {
 	slots []incarnationSlot
 	free  []uint16
--- a/internal/decide/prefix/prefix.go
+++ b/internal/decide/prefix/prefix.go
@@ -1,7 +1,7 @@
 // Package prefix locates the engines that have the prefix of a returning chat in their
 // cache. It weighs three sources: the hint that the caller sends back, the owner's
-// table of recent chats, and a view of each engine's cache built from its events, which
-// may be late or missing.
+// table of recent chats, and a view of each engine's cache, built from cache events of
+// the engine, which may be late or missing.
 //
 // The package starts no goroutines, reads no clock and does no I/O. Its tables aren't
 // safe for concurrent use, and all of their memory is allocated when they are created.
@@ -24,11 +24,12 @@
 	return xxh3.HashStringSeed(chat, xxh3.HashString(account))
 }
 
-// Location is the location where a prefix is, or was, cached.
+// Location is an engine incarnation that has, or had, a prefix in its cache.
 type Location struct {
 	// Engine is the hash of the engine's name.
 	Engine uint64
-	// Incarnation is that of the engine; a later incarnation has an empty cache.
+	// Incarnation is the incarnation of the engine that cached the prefix; a later one
+	// starts with an empty cache.
 	Incarnation uint64
 	// Prefix is the chain hash at the last message boundary.
 	Prefix uint64
--- a/internal/decide/prefix/recent.go
+++ b/internal/decide/prefix/recent.go
@@ -8,15 +8,16 @@
 )
 
 // maxIncarnations limits the number of distinct engine incarnations in a table of
-// recent chats: ten restarts of each of 850 engines, without a call of DropEngine.
+// recent chats. It is enough for ten incarnations of each of 850 engines, even if
+// DropEngine is never called.
 const maxIncarnations = 8500
 
 // ErrTooManyEngines reports that a chat wasn't recorded because the table already
 // refers to the maximum number of engine incarnations.
 var ErrTooManyEngines = errs.Class("prefix: number of engine incarnations exceeds the limit")
 
-// RecentChats is a bounded table of the chats that an owner recorded last. When it is full,
-// recording a chat evicts the least recently used one of a bucket.
+// RecentChats is a bounded table of the chats that an owner recorded last. Recording a
+// chat whose bucket is full evicts the least recently recorded chat of the bucket.
 type RecentChats struct {
 	table        *table[recentEntry]
 	incarnations incarnationTable
@@ -29,9 +30,9 @@
 	slot   uint16
 }
 
-// NewRecentChats returns a table with capacity for the given number of chats. The times
-// passed to its methods are only compared with epoch, so readings of a monotonic clock
-// suffice. It returns ErrCapacity if capacity isn't positive.
+// NewRecentChats returns a table with capacity for the given number of chats. The
+// methods of the table use times only relative to epoch, so that readings of a monotonic
+// clock suffice. It returns ErrCapacity if capacity isn't positive.
 func NewRecentChats(capacity int, seed uint64, epoch time.Time) (*RecentChats, error) {
 	t, err := newTable[recentEntry](capacity, seed)
 	if err != nil {
@@ -40,8 +41,9 @@
 	return &RecentChats{table: t, incarnations: newIncarnationTable(), epoch: epoch}, nil
 }
 
-// Record records that chat was served at p. It returns ErrTooManyEngines if p is of a
-// new engine incarnation and the table refers to the maximum number of them.
+// Record records that chat was served at p. It returns ErrTooManyEngines if the table
+// doesn't refer to p's engine incarnation yet and already refers to the maximum number
+// of incarnations.
 func (r *RecentChats) Record(chat uint64, p Location, now time.Time) error {
 	slot, ok := r.incarnations.acquire(engineIncarnation{p.Engine, p.Incarnation})
 	if !ok {
@@ -65,7 +67,7 @@
 }
 
 // Visit calls f for each chat that was served by the given incarnation of engine, to
-// export its cache before it leaves. f must not change r.
+// export the engine's cache before the engine leaves. f must not change r.
 func (r *RecentChats) Visit(engine, incarnation uint64, now time.Time, f func(chat uint64, p Location, age time.Duration)) {
 	want, nowStamp := engineIncarnation{engine, incarnation}, stampAt(r.epoch, now)
 	r.table.sweep(func(chat uint64, e *recentEntry, used stamp) bool {
--- a/internal/decide/prefix/recent_test.go
+++ b/internal/decide/prefix/recent_test.go
@@ -66,8 +66,8 @@
 	assert.Equal(t, ways, visited)
 }
 
-// A caller must not be able to evict the chats of other accounts by chat ids that share
-// a bucket, so the bucket of an id depends on a seed as well.
+// A caller must not be able to evict the chats of other accounts by choosing chat ids
+// that share a bucket, so the bucket of an id depends on a seed as well.
 func TestSeedPreventsBucketFlooding(t *testing.T) {
 	one, err := newTable[recentEntry](12_000, 1)
 	require.NoError(t, err)
@@ -115,8 +115,8 @@
 	return v, float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// BenchmarkRecentMemory fills a table to its capacity: 5.7 million chats over 380
-// routers, each recorded by three of them.
+// BenchmarkRecentMemory fills a table to its capacity of 45,000 chats: a router's part
+// of 5.7 million chats, each of which three of 380 routers record.
 func BenchmarkRecentMemory(b *testing.B) {
 	const chats, engines = 45_000, 850
 	var kept, bytes float64
--- a/internal/decide/prefix/table.go
+++ b/internal/decide/prefix/table.go
@@ -6,14 +6,16 @@
 )
 
 const (
-	// ways is the number of slots in a bucket. With more of them a bucket fills better
-	// before it evicts, but a scan takes longer: 16 keys are two cache lines.
+	// ways is the number of slots in a bucket. With more slots, fewer entries are evicted
+	// while other buckets have room, but a scan takes longer: 16 keys take two cache
+	// lines.
 	ways = 16
 	// loadPercent is the load factor for which a table is sized. Buckets fill unevenly;
 	// the extra slots keep evictions rare until capacity is reached.
 	loadPercent = 75
-	// stampUnit is the resolution of the time of last use. 16 bits of it span 12 days;
-	// an entry unused for longer appears recent again and is merely evicted later.
+	// stampUnit is the resolution of the time of last use. 16 bits span 12 days in this
+	// unit; an entry unused for longer appears recent again, which only delays its
+	// eviction.
 	stampUnit = 16 * time.Second
 )
 
@@ -43,8 +45,9 @@
 }
 
 // table is a set-associative map keyed by hashes: a key belongs to one bucket, and a
-// full bucket evicts its least recently used entry. It allocates only on creation, and
-// needs no tombstones, rehashing or clock hand.
+// full bucket evicts its least recently used entry. Only put counts as a use. The table
+// allocates only on creation, and needs no tombstones, no rehashing and no clock hand
+// for evictions.
 type table[V any] struct {
 	buckets []bucket[V]
 	seed    uint64
--- a/internal/decide/prefix/view.go
+++ b/internal/decide/prefix/view.go
@@ -7,12 +7,13 @@
 )
 
 // maxStaleRun is the number of consecutive pages of the previous incarnation after
-// which it is taken for the current one.
+// which a view takes that incarnation for the current one.
 const maxStaleRun = 3
 
-// CacheView is the state of one engine's cache according to its cache events. It is bounded;
-// a prefix dropped from it is merely unknown. Evictions are stored, since an evicted
-// prefix contradicts a hint while an unknown one doesn't.
+// CacheView is the state of one engine's cache according to its cache events. The view
+// has a bounded size; a prefix dropped from the view counts as unknown, not as evicted.
+// Evictions are stored, since an evicted prefix contradicts a hint while an unknown one
+// doesn't.
 type CacheView struct {
 	engine      uint64
 	incarnation uint64
@@ -90,10 +91,11 @@
 	v.skipTo(page.Next)
 }
 
-// switchIncarnation empties the view for a new incarnation. It rejects the previous one
-// unless maxStaleRun pages of it arrive in a row: then the page that replaced it was the
-// late one, and the view would otherwise continue to describe an incarnation that has
-// ended.
+// switchIncarnation empties the view for a new incarnation and returns true. It returns
+// false for the previous incarnation until maxStaleRun pages of it have arrived in a
+// row. After that many, the late page must have been the one that made the view switch
+// away from it, and without switching back the view would describe an incarnation that
+// has ended.
 func (v *CacheView) switchIncarnation(incarnation uint64) bool {
 	if incarnation == v.previous && v.previous != 0 {
 		v.staleRun++
@@ -125,9 +127,9 @@
 }
 
 // skipTo records a gap if events before seq are missing. The missing ones may have been
-// evictions: with unchanged confidence in older entries, chats would be sent to an
-// engine that has evicted their prefix, and miss after each gap. Deleting the entries
-// would lose information that is mostly still valid.
+// evictions: with unchanged confidence in older entries, each gap would be followed by
+// chats sent to an engine that has evicted their prefix. Deleting the entries would lose
+// information that is mostly still valid.
 func (v *CacheView) skipTo(seq uint64) {
 	if seq <= v.nextSeq {
 		return
--- a/internal/decide/queue/estimate.go
+++ b/internal/decide/queue/estimate.go
@@ -9,16 +9,17 @@
 	// idleResetWindows is the number of windows that the queue may stay empty before
 	// the last measured rate is discarded as no longer valid for the next backlog.
 	idleResetWindows = 6
-	// warmupShare is the share of a window, in averaged busy time, during which a backlog
-	// without any completed work predicts no wait. It is reached after about one window.
+	// warmupShare is a share of a window. While nothing has completed and the decayed
+	// busy time is less than that, no wait is predicted. A backlog reaches it after about
+	// one window.
 	warmupShare = 0.6
 	// priorShare is the initial weight of a configured rate: it counts like a rate that
 	// was measured for this share of a window. The configured and the measured rate have
 	// equal weight after about a quarter of a window.
 	priorShare = 0.3
 	// minRateShare is the minimum share of the drain rate that a class is assumed to
-	// get. It keeps a prediction finite where higher classes used the whole rate and
-	// nothing is reserved.
+	// get. It keeps a prediction finite when higher classes have used the whole rate and
+	// Config.Reserve is zero.
 	minRateShare = 0.01
 	// maxPredictedWait caps a predicted wait, so that sums of times don't overflow.
 	maxPredictedWait = time.Hour
@@ -39,8 +40,8 @@
 	busy        bool
 	completed   float64
 	busySeconds float64
-	// dispatched is the decayed weight of the dispatched work by class. What higher
-	// classes use of the drain rate isn't available to lower ones.
+	// dispatched is the decayed weight of the dispatched work by class. The part of the
+	// drain rate that higher classes use isn't available to lower ones.
 	dispatched []float64
 }
 
@@ -124,9 +125,10 @@
 // completed, so that a backlog with few completions isn't taken for one that never
 // drains.
 //
-// A backlog that has only just begun predicts no wait, unless a rate was configured.
-// Requests take seconds, so at first none completes; using that as the drain rate would
-// reject work that could start once the first requests of a full batch complete.
+// For a backlog that has only just begun it predicts no wait, unless a rate was
+// configured. Requests take seconds, so at first none completes; with a drain rate
+// measured in that time, the queue would reject work that could start once the first
+// requests of a full batch complete.
 func (e *drainEstimator) drainTime(c Class, work, mean float64) time.Duration {
 	if e.busySeconds <= 0 || work <= 0 {
 		return 0
@@ -141,7 +143,8 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// availableWork returns the completed weight, less what higher classes used of it.
+// availableWork returns the completed weight less the weight dispatched from classes
+// higher than c, and at least minShare of the completed weight.
 func (e *drainEstimator) availableWork(c Class, mean float64) float64 {
 	total := math.Max(e.completed, mean)
 	available := total
--- a/internal/decide/queue/queue.go
+++ b/internal/decide/queue/queue.go
@@ -2,9 +2,9 @@
 //
 // Classes are served by strict priority, and client accounts within a class by weighted
 // fair queueing. A waiting item is promoted by one class after each ageing interval, so
-// that no class starves. An item that can't be dispatched by its deadline is rejected
-// on arrival, or as soon as that becomes clear, instead of being held until the
-// deadline.
+// that no class starves. An item that isn't expected to be dispatched by its deadline is
+// rejected on arrival, or as soon as the prediction changes, instead of being held until
+// the deadline.
 //
 // A Queue isn't safe for concurrent use and reads no clock: every method takes the time
 // from its caller, and successive times must not decrease.
@@ -47,11 +47,13 @@
 	retryJitter = 0.5
 )
 
-// namedFillLimits is the share of the queue, by named class, that items of the class and
-// those below it may fill. The rest is reserved for higher classes.
+// namedFillLimits holds, by named class, the share of Config.Limit from which the queue
+// accepts no more items of the class, whatever the classes of the waiting items are. The
+// rest is reserved for higher classes.
 var namedFillLimits = []float64{Urgent: 1, High: 0.9, Normal: 0.8, Batch: 0.6}
 
-// Config configures a Queue. Zero fields take the defaults.
+// Config configures a Queue. Zero fields take the defaults; Rand, Rate and Reserve have
+// none.
 type Config struct {
 	// Limit is the number of items that may wait.
 	Limit int
@@ -68,8 +70,8 @@
 	// nothing has completed yet. With zero, a new backlog predicts no wait.
 	Rate float64
 	// Reserve is the share of the service, from 0 to less than 1, that is reserved for
-	// the second highest class with waiting items. Without it, and unless AgeAfter is
-	// short, a class isn't served at all while work of higher classes fills the pool.
+	// the second highest class with waiting items. With a Reserve of zero and a long
+	// AgeAfter, a class isn't served at all while work of higher classes fills the pool.
 	Reserve float64
 }
 
@@ -130,7 +132,8 @@
 	drain          drainEstimator
 	// overdue are items that Pop found past their deadline.
 	overdue []*entry
-	// reserveCredit is the weight that the reserve owes to lower classes.
+	// reserveCredit is the weight of service that Config.Reserve has accumulated for the
+	// second highest class and that hasn't been used yet.
 	reserveCredit float64
 }
 
@@ -158,7 +161,8 @@
 	q.drain.recordCompleted(weight)
 }
 
-// SetRate replaces Config.Rate. It applies to the next backlog without any measurement.
+// SetRate replaces Config.Rate. The new rate applies at once if the queue has neither a
+// rate nor a measurement yet, and otherwise once it next discards its measurements.
 func (q *Queue) SetRate(rate float64) { q.drain.setPriorRate(rate) }
 
 // Push adds an item. It returns *DuplicateError, *FullError or *DeadlineError if the
@@ -223,8 +227,8 @@
 	return first, nil
 }
 
-// selectHead returns the entry to be served: second once the reserve has accumulated
-// its weight, else first.
+// selectHead returns the entry to be served: second once reserveCredit covers the weight
+// of second, else first.
 func (q *Queue) selectHead(first, second *entry) *entry {
 	if second == nil || q.cfg.Reserve <= 0 {
 		return first
@@ -312,7 +316,8 @@
 	}
 }
 
-// exceededBound returns the limit on the number of items that it would exceed, if any.
+// exceededBound returns the limit on the number of items that the new item would exceed,
+// if any.
 func (q *Queue) exceededBound(it *Item) (Scope, bool) {
 	n := len(q.byID)
 	if n >= q.cfg.Limit {
@@ -327,7 +332,8 @@
 	return "", false
 }
 
-// fillLimit returns the share of the queue that a class and those below it may fill.
+// fillLimit returns the share of Config.Limit from which the queue accepts no more items
+// of the class. A queue with another number of classes has no such limits.
 func (q *Queue) fillLimit(c Class) float64 {
 	if len(q.levels) != namedClasses {
 		return 1
@@ -335,8 +341,8 @@
 	return namedFillLimits[c]
 }
 
-// predictWait returns the expected wait of a new item. It leaves out later arrivals in
-// higher classes; Expire takes them into account once they are there.
+// predictWait returns the expected wait of a new item. It leaves out items of higher
+// classes that arrive later; Expire takes those into account once they have arrived.
 func (q *Queue) predictWait(it *Item) time.Duration {
 	ahead := float64(q.workAbove(it.Class))
 	k := flowKey{account: it.Account, nativeClass: it.Class}
@@ -368,8 +374,9 @@
 }
 
 // removeUnmeetable removes from the levels, and returns, the entries whose deadline can't
-// be met. It visits the entries in the order of service and counts only those that stay,
-// since after the removal of one, later ones may meet their deadlines.
+// be met. It visits the entries in the order of service and counts only the weight of
+// those that stay, since the removal of one entry may let later ones meet their
+// deadlines.
 func (q *Queue) removeUnmeetable(now time.Time) []*entry {
 	var unmeetable []*entry
 	var ahead float64
@@ -391,8 +398,8 @@
 	return unmeetable
 }
 
-// canMeetDeadline reports whether it can still be dispatched in time behind work of
-// weight ahead.
+// canMeetDeadline reports whether the item can still be dispatched by its deadline, with
+// ahead as the weight of the work that is served before.
 func (q *Queue) canMeetDeadline(now time.Time, it *Item, ahead float64) bool {
 	if it.missesDeadline(now) {
 		return false
--- a/internal/decide/queue/queue_test.go
+++ b/internal/decide/queue/queue_test.go
@@ -31,8 +31,8 @@
 	assert.Equal(t, &ClassError{Name: "Urgent"}, err)
 }
 
-// primeDrainRate makes q measure a drain rate of rate units of weight a second, and
-// returns the time since epoch at which the last of them completed.
+// primeDrainRate makes q measure a drain rate of the given number of units of weight per
+// second, and returns the time since epoch at which the last unit completed.
 func primeDrainRate(t *testing.T, q *Queue, rate int) time.Duration {
 	t.Helper()
 	require.NoError(t, q.Push(epoch, Item{ID: "seed", Account: "seed", Class: Urgent}))
@@ -47,7 +47,8 @@
 }
 
 // A request that can't be served before its deadline must be rejected on arrival, not
-// after waiting until then. Admission by queue length alone would accept it.
+// after it has waited until the deadline. Admission by queue length alone would accept
+// it.
 func TestPushRejectsUnmeetableDeadline(t *testing.T) {
 	q := New(Config{AgeAfter: time.Hour, Rand: rand.New(rand.NewPCG(1, 1))})
 	now := primeDrainRate(t, q, 10)
@@ -120,7 +121,7 @@
 		it := Item{ID: fmt.Sprint(i), Account: "a", Deadline: at(now + time.Second)}
 		require.NoError(t, q.Push(at(now), it))
 	}
-	// Nor does work that completed while nothing waited raise it.
+	// Work that completes while nothing waits doesn't raise the drain rate either.
 	for s := range 9 {
 		q.Observe(at(now+time.Duration(s)*time.Second), 1)
 	}
@@ -337,7 +338,7 @@
 	assert.LessOrEqual(t, maxFlows, 2*minSweepFlows)
 }
 
-// newBacklog returns a queue of 1,000 items and the items that follow them.
+// newBacklog returns 4,000 items and a queue that holds the first 1,000 of them.
 func newBacklog() (*Queue, []Item) {
 	q := New(Config{Limit: 2000})
 	items := make([]Item, 4000)
@@ -368,8 +369,8 @@
 }
 
 // Items of a low class must be rejected on arrival when higher classes leave too little
-// of the drain rate for them, instead of waiting until their deadline. Ten requests a
-// second drain, and nine of a higher class arrive in that time.
+// of the drain rate for them, instead of waiting until their deadline. Ten requests are
+// served per second, and nine requests of a higher class arrive per second.
 func TestPredictionAccountsForHigherClasses(t *testing.T) {
 	const tick = 100 * time.Millisecond
 	q := New(Config{AgeAfter: time.Hour, Window: time.Second})
@@ -398,9 +399,9 @@
 	require.Zero(t, q.PredictWait(at(now), Item{Account: "a", Class: Urgent}), "nothing is ahead of an urgent item")
 }
 
-// Without a configured rate, the first second of a surge accepts ten times what can be
-// served in time, since nothing has completed yet. The rate derived from the slots and
-// the duration of requests counts until there are measurements.
+// Without a configured rate, a queue accepts ten times what can be served in time in the
+// first second of a surge, since nothing has completed yet. A rate configured from the
+// number of slots and the duration of requests must count until there are measurements.
 func TestConfiguredRatePredictsNewBacklog(t *testing.T) {
 	q := New(Config{Window: time.Second, Rate: 20})
 	rejected := 0
--- a/internal/decide/rendezvous/rendezvous.go
+++ b/internal/decide/rendezvous/rendezvous.go
@@ -38,8 +38,8 @@
 	return Key(mix(key))
 }
 
-// Score returns the weight of node for the key; the node with the highest one owns the
-// key.
+// Score returns the weight of node for the key; the node with the highest score owns
+// the key.
 func (k Key) Score(node uint64) uint64 {
 	return mix(uint64(k) + node*goldenGamma)
 }
--- a/internal/decide/rendezvous/spread.go
+++ b/internal/decide/rendezvous/spread.go
@@ -1,11 +1,11 @@
 package rendezvous
 
 // Spread assigns the keys of one group to the nodes as evenly as possible: each node
-// gets the same number, and the remainder goes to as many nodes, one key each. It
+// gets the same number of keys, and the keys that remain go to different nodes. It
 // writes the indexes of the nodes into dst, in the order of keys.
 //
 // load holds the number of keys of other groups by node, and is increased by those
-// assigned. The remaining keys go first to nodes that would have none, then to those
+// assigned. The remaining keys go first to nodes that would have no key, then to nodes
 // whose load stays within limit, and only then to the others.
 //
 // Plain rendezvous hashing, see Owner, moves fewer keys but, when keys are few, leaves
@@ -34,8 +34,8 @@
 
 func anyLoad(int) bool { return true }
 
-// capacityWhere returns the capacity of each node: the given one where the load is
-// eligible, else 0.
+// capacityWhere returns the capacity of each node: the given capacity if the node's load
+// is eligible, else 0.
 func capacityWhere(load []int, capacity int, eligible func(load int) bool) []int {
 	out := make([]int, len(load))
 	for node := range out {
--- a/internal/decide/retry/budget.go
+++ b/internal/decide/retry/budget.go
@@ -5,9 +5,10 @@
 const (
 	// DefaultRatio is the share of first attempts that may be retried.
 	DefaultRatio = 0.1
-	// DefaultMinPerSecond is the number of retries per second allowed at any rate of traffic.
+	// DefaultMinPerSecond is the number of retries per second allowed at any rate of traffic, in
+	// addition to that share.
 	DefaultMinPerSecond = 2.0
-	// DefaultBurst is how many retries may accumulate.
+	// DefaultBurst is how many unused retries may accumulate.
 	DefaultBurst = 20.0
 )
 
@@ -15,8 +16,8 @@
 type BudgetConfig struct {
 	// Ratio is the share of first attempts that may be retried.
 	Ratio float64
-	// MinPerSecond is the number of retries per second allowed besides, so that a router with
-	// little traffic can retry at all.
+	// MinPerSecond is the number of retries per second allowed in addition to that share, so that
+	// a router with little traffic can retry at all.
 	MinPerSecond float64
 	// Burst bounds the retries that accumulate in quiet times.
 	Burst float64
--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -172,8 +172,8 @@
 	if decision.Delay+p.cfg.MinUseful > a.Remaining {
 		return giveUp(&a, ReasonDeadline)
 	}
-	// A resume does not draw on the budget: it adds no work at the engine, and without it the
-	// caller is left with a truncated response.
+	// A resume does not draw on the budget: it adds no work at the engine, and a caller whose
+	// stream is not resumed is left with a truncated response.
 	if decision.Action != Resume && !p.budget.Spend(now) {
 		return giveUp(&a, ReasonBudget)
 	}
--- a/internal/decide/retry/retry_test.go
+++ b/internal/decide/retry/retry_test.go
@@ -20,9 +20,9 @@
 }
 
 // Guards against a request that is executed twice (a receipt issued twice), a response mixed from
-// two attempts, and a caller that is informed that nothing was executed although something was:
-// faults of a retry that considers only the last attempt, or treats a 5xx as a refusal. The test
-// covers all combinations and states its expectations independently of the code.
+// two attempts, and a caller that is informed that nothing was executed although something was.
+// These faults occur if Decide considers only the last attempt, or treats a 5xx as a refusal. The
+// test covers all combinations and states its expectations independently of the code.
 func TestDecideIsSafeInEveryCombination(t *testing.T) {
 	type row struct {
 		known, earlier                   Outcome
@@ -36,7 +36,8 @@
 		known, earlier, attempt := Outcome(i>>5&3), Outcome(i>>7&3), i>>9+1
 		rows = append(rows, row{known, earlier, bitSet(0), bitSet(1), bitSet(2), attempt, bitSet(3), bitSet(4)})
 	}
-	// expected[maximum outcome][idempotent] applies if nothing else rules it out.
+	// expected[maximum outcome][idempotent] is the action unless the attempts, the time or the
+	// budget are used up, or the stream can't be resumed.
 	again, resume, no := "again", "resume", "no"
 	expected := map[Outcome]map[bool]string{
 		NotSent:                {false: again, true: again},
