--- a/internal/decide/gate/gate.go
+++ b/internal/decide/gate/gate.go
@@ -2,8 +2,8 @@
 // its Gate.
 //
 // Routers that decide independently, each on reports of the load, all see the same free slot, all
-// send a request for it to the engine, and learn only some tenths of a second later that the slot is
-// occupied. The engine then queues requests, preempts running ones, and completes others late. A
+// send a request for it to the engine, and learn only some tenths of a second later that the slot
+// is occupied. The engine then queues requests, preempts running ones, and completes others late. A
 // single router that counts every request at an engine has no such delay, at the cost of one call
 // before each request. Ownership of the engines is spread over many routers, so that none of them
 // has to handle the calls for all engines.
@@ -25,9 +25,9 @@
 )
 
 const (
-	// DefaultWindow is the time constant over which the drain rate is averaged. It is short, since a
-	// surge lasts only seconds, and still covers enough completions, since an engine frees ten slots
-	// within a few tenths of a second.
+	// DefaultWindow is the time constant over which the drain rate is averaged. It is short, since
+	// a surge lasts only seconds, and still covers enough completions, since an engine frees ten
+	// slots within a few tenths of a second.
 	DefaultWindow = time.Second
 	// reservedShare is the share of the service reserved for the class below the most urgent
 	// waiting one, so that this class is not starved while a surge lasts.
--- a/internal/decide/gate/pace.go
+++ b/internal/decide/gate/pace.go
@@ -18,8 +18,8 @@
 const rateWindow = time.Second
 
 // deliveryJitterShare is the share of the window by which the delivery times of two requests to an
-// engine may differ. Requests granted over a span longer than the window by this share can therefore
-// reach the engine within one window.
+// engine may differ. Requests granted over a span longer than the window by this share can
+// therefore reach the engine within one window.
 const deliveryJitterShare = 0.2
 
 // maxConcurrentOwners is how many routers may regard themselves as the owner of one gate while they
--- a/internal/decide/gate/refusals.go
+++ b/internal/decide/gate/refusals.go
@@ -4,8 +4,8 @@
 
 const (
 	// refusalTTL is the minimum time for which a refusal is remembered while maxRefusals is not
-	// reached. Callers retry after at most a third of their remaining time, see maxRetryShare, which
-	// is rarely longer than refusalTTL.
+	// reached. Callers retry after at most a third of their remaining time, see maxRetryShare,
+	// which is rarely longer than refusalTTL.
 	refusalTTL = 5 * time.Second
 	// maxRefusals bounds the remembered refusals, at about 50 bytes each. Half of this number
 	// suffices for an owner of gates that refuses 3,000 requests per second for refusalTTL.
--- a/internal/decide/gate/throttle.go
+++ b/internal/decide/gate/throttle.go
@@ -22,8 +22,8 @@
 //
 // Without a Throttle, at several times the engines' capacity, a router requests a slot for each
 // request from up to three owners, and all of them refuse. These calls saturate the owners' links,
-// grants reach the requesting routers late, and granted slots stay unused. A refusal by the Throttle
-// costs no call.
+// grants reach the requesting routers late, and granted slots stay unused. A refusal by the
+// Throttle costs no call.
 type Throttle struct {
 	requests, granted float64
 	updatedAt         time.Duration
--- a/internal/decide/gate/timeouts_test.go
+++ b/internal/decide/gate/timeouts_test.go
@@ -8,8 +8,8 @@
 )
 
 // Guards against a surge in which no request is served on time, see
-// TestRetryTooLateToBeOnTimeIsLate: a retry must be recognized by its timeout, which is shorter than
-// the usual ones.
+// TestRetryTooLateToBeOnTimeIsLate: a retry must be recognized by its timeout, which is shorter
+// than the usual ones.
 func TestShortTimeoutMarksRetryLate(t *testing.T) {
 	const objective = 300 * time.Millisecond
 	var u TimeoutBaseline
--- a/internal/decide/limit/cache.go
+++ b/internal/decide/limit/cache.go
@@ -37,8 +37,8 @@
 	OK bool
 	// NeedRefill means that the caller of Take must send a request for tokens and slots to the
 	// owner, see NewRequest; with OK, it may do so in the background. If neither OK nor Err is set,
-	// the client's request is undecided: Take must be called again once the owner has replied or the
-	// request to it has failed.
+	// the client's request is undecided: Take must be called again once the owner has replied or
+	// the request to it has failed.
 	NeedRefill bool
 	// Err is a *RateError or a *ConcurrencyError if the request is refused.
 	Err error
@@ -181,8 +181,8 @@
 func (c *Cache) Fill(now time.Time, account string, b Batch) bool {
 	s, ok := c.accounts[account]
 	if !ok || s.pendingSeq == 0 || s.pendingSeq != b.Seq {
-		// The request timed out or failed, or the owner changed, before this reply arrived. The owner
-		// learns from the next request that these slots were never used.
+		// The request timed out or failed, or the owner changed, before this reply arrived. The
+		// owner learns from the next request that these slots were never used.
 		return false
 	}
 	if b.Stale {
--- a/internal/decide/outlier/outlier.go
+++ b/internal/decide/outlier/outlier.go
@@ -86,8 +86,8 @@
 	// SlowFactor ejects an engine whose mean excess latency is above that many times the pool's
 	// median, if it is also above SlowFloor.
 	SlowFactor float64
-	// SlowFloor is the mean excess latency up to which no engine counts as slow. It keeps engines of
-	// a fast pool from being ejected over differences that no caller notices.
+	// SlowFloor is the mean excess latency up to which no engine counts as slow. It keeps engines
+	// of a fast pool from being ejected over differences that no caller notices.
 	SlowFloor time.Duration
 	// FailureShare, 0 to 1, ejects an engine that fails a larger share of its streams, if that is
 	// also above twice the pool's median share.
--- a/internal/decide/placement/bound.go
+++ b/internal/decide/placement/bound.go
@@ -53,8 +53,8 @@
 //
 // overBound is true if the request exceeds the bound and is admitted because no engine in service
 // has less load. A single request can weigh more than the whole bound, and in a pool with little
-// load every request does; refusing such requests would leave the pool idle. The caller should count
-// them separately.
+// load every request does; refusing such requests would leave the pool idle. The caller should
+// count them separately.
 //
 // The error is a *RefusedError that wraps ErrNoEngine if the engine is not in service, and ErrFull
 // if it has no capacity.
--- a/internal/decide/placement/picker.go
+++ b/internal/decide/placement/picker.go
@@ -116,8 +116,8 @@
 		return cached, ByEvidence
 	}
 	if req.Chat == 0 || req.EarlierTokens == 0 {
-		// The first turn of a chat brings the chat's long documents, and no engine has cached any of
-		// them. It is placed by load, and later turns follow it.
+		// The first turn of a chat brings the chat's long documents, and no engine has cached any
+		// of them. It is placed by load, and later turns follow it.
 		return p.spread(best, admitted), ByLoad
 	}
 	return p.selectByRendezvous(pool, req, best.cost+p.policy.preferredSlack(req))
--- a/internal/decide/placement/policy.go
+++ b/internal/decide/placement/policy.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Spread is the rule by which requests without a chat, and the first turns of chats, are spread over
-// the engines.
+// Spread is the rule by which requests without a chat, and the first turns of chats, are spread
+// over the engines.
 type Spread uint8
 
 const (
--- a/internal/decide/prefix/evidence_test.go
+++ b/internal/decide/prefix/evidence_test.go
@@ -139,8 +139,8 @@
 }
 
 // Chats must not be sent to an engine that has evicted their prefix. A page of events
-// may arrive twice, after the page that follows it, or after a restart of the engine; an
-// old event must not overwrite a newer one.
+// may arrive twice, after the page that follows it, or after a restart of the engine;
+// an old event must not overwrite a newer one.
 func TestLatePageDoesNotOverwriteNewerState(t *testing.T) {
 	first, second := page(1, stored(0, 101)), page(1, evicted(1, 101))
 	for name, tc := range map[string]struct {
--- a/internal/decide/prefix/recent.go
+++ b/internal/decide/prefix/recent.go
@@ -31,8 +31,8 @@
 }
 
 // NewRecentChats returns a table with capacity for the given number of chats. The
-// methods of the table use times only relative to epoch, so that readings of a monotonic
-// clock suffice. It returns ErrCapacity if capacity isn't positive.
+// methods of the table use times only relative to epoch, so that readings of a
+// monotonic clock suffice. It returns ErrCapacity if capacity isn't positive.
 func NewRecentChats(capacity int, seed uint64, epoch time.Time) (*RecentChats, error) {
 	t, err := newTable[recentEntry](capacity, seed)
 	if err != nil {
--- a/internal/decide/prefix/table.go
+++ b/internal/decide/prefix/table.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// ways is the number of slots in a bucket. With more slots, fewer entries are evicted
-	// while other buckets have room, but a scan takes longer: 16 keys take two cache
-	// lines.
+	// ways is the number of slots in a bucket. With more slots, fewer entries are
+	// evicted while other buckets have room, but a scan takes longer: 16 keys take two
+	// cache lines.
 	ways = 16
 	// loadPercent is the load factor for which a table is sized. Buckets fill unevenly;
 	// the extra slots keep evictions rare until capacity is reached.
--- a/internal/decide/prefix/view.go
+++ b/internal/decide/prefix/view.go
@@ -128,8 +128,8 @@
 
 // skipTo records a gap if events before seq are missing. The missing ones may have been
 // evictions: with unchanged confidence in older entries, each gap would be followed by
-// chats sent to an engine that has evicted their prefix. Deleting the entries would lose
-// information that is mostly still valid.
+// chats sent to an engine that has evicted their prefix. Deleting the entries would
+// lose information that is mostly still valid.
 func (v *CacheView) skipTo(seq uint64) {
 	if seq <= v.nextSeq {
 		return
--- a/internal/decide/queue/errors.go
+++ b/internal/decide/queue/errors.go
@@ -18,8 +18,8 @@
 // Scope identifies the limit that a rejected item would have exceeded.
 type Scope string
 
-// The limits on the number of waiting items: of the queue, of the queue for an item of a
-// class (see namedFillLimits), and of one client account.
+// The limits on the number of waiting items: of the queue, of the queue for an item of
+// a class (see namedFillLimits), and of one client account.
 const (
 	ScopeQueue   Scope = "queue"
 	ScopeClass   Scope = "class"
--- a/internal/decide/queue/estimate.go
+++ b/internal/decide/queue/estimate.go
@@ -10,16 +10,16 @@
 	// the last measured rate is discarded as no longer valid for the next backlog.
 	idleResetWindows = 6
 	// warmupShare is a share of a window. While nothing has completed and the decayed
-	// busy time is less than that, no wait is predicted. A backlog reaches it after about
-	// one window.
+	// busy time is less than that, no wait is predicted. A backlog reaches it after
+	// about one window.
 	warmupShare = 0.6
 	// priorShare is the initial weight of a configured rate: it counts like a rate that
 	// was measured for this share of a window. The configured and the measured rate have
 	// equal weight after about a quarter of a window.
 	priorShare = 0.3
 	// minRateShare is the minimum share of the drain rate that a class is assumed to
-	// get. It keeps a prediction finite when higher classes have used the whole rate and
-	// Config.Reserve is zero.
+	// get. It keeps a prediction finite when higher classes have used the whole rate
+	// and Config.Reserve is zero.
 	minRateShare = 0.01
 	// maxPredictedWait caps a predicted wait, so that sums of times don't overflow.
 	maxPredictedWait = time.Hour
--- a/internal/decide/queue/flow.go
+++ b/internal/decide/queue/flow.go
@@ -33,7 +33,8 @@
 // entry is an item and its positions in the lists.
 type entry struct {
 	item Item
-	// level is the level of the effective class; entered is when the entry came into it.
+	// level is the level of the effective class; entered is when the entry came into
+	// it.
 	level       *level
 	entered     time.Time
 	flow        *flow
@@ -145,8 +146,8 @@
 }
 
 // workAhead returns the work of this level that would be served before a new item of
-// the given flow: the flow's own backlog, and the part of each other flow's backlog that
-// fair queueing serves in the same time.
+// the given flow: the flow's own backlog, and the part of each other flow's backlog
+// that fair queueing serves in the same time.
 func (l *level) workAhead(k flowKey, share float64) float64 {
 	var own float64
 	if f, ok := l.flows[k]; ok {
@@ -170,8 +171,8 @@
 }
 
 // walk visits the entries in the order in which they would be served if nothing else
-// arrived. An entry for which visit returns false isn't charged to its flow, so that the
-// entries after it are visited earlier. walk doesn't change the level.
+// arrived. An entry for which visit returns false isn't charged to its flow, so that
+// the entries after it are visited earlier. walk doesn't change the level.
 func (l *level) walk(visit func(*entry) bool) {
 	h := make(cursorHeap, 0, len(l.active))
 	for _, f := range l.active {
--- a/internal/decide/queue/queue.go
+++ b/internal/decide/queue/queue.go
@@ -2,9 +2,9 @@
 //
 // Classes are served by strict priority, and client accounts within a class by weighted
 // fair queueing. A waiting item is promoted by one class after each ageing interval, so
-// that no class starves. An item that isn't expected to be dispatched by its deadline is
-// rejected on arrival, or as soon as the prediction changes, instead of being held until
-// the deadline.
+// that no class starves. An item that isn't expected to be dispatched by its deadline
+// is rejected on arrival, or as soon as the prediction changes, instead of being held
+// until the deadline.
 //
 // A Queue isn't safe for concurrent use and reads no clock: every method takes the time
 // from its caller, and successive times must not decrease.
@@ -48,8 +48,8 @@
 )
 
 // namedFillLimits holds, by named class, the share of Config.Limit from which the queue
-// accepts no more items of the class, whatever the classes of the waiting items are. The
-// rest is reserved for higher classes.
+// accepts no more items of the class, whatever the classes of the waiting items are.
+// The rest is reserved for higher classes.
 var namedFillLimits = []float64{Urgent: 1, High: 0.9, Normal: 0.8, Batch: 0.6}
 
 // Config configures a Queue. Zero fields take the defaults; Rand, Rate and Reserve have
@@ -71,7 +71,8 @@
 	Rate float64
 	// Reserve is the share of the service, from 0 to less than 1, that is reserved for
 	// the second highest class with waiting items. With a Reserve of zero and a long
-	// AgeAfter, a class isn't served at all while work of higher classes fills the pool.
+	// AgeAfter, a class isn't served at all while work of higher classes fills the
+	// pool.
 	Reserve float64
 }
 
@@ -132,8 +133,8 @@
 	drain          drainEstimator
 	// overdue are items that Pop found past their deadline.
 	overdue []*entry
-	// reserveCredit is the weight of service that Config.Reserve has accumulated for the
-	// second highest class and that hasn't been used yet.
+	// reserveCredit is the weight of service that Config.Reserve has accumulated for
+	// the second highest class and that hasn't been used yet.
 	reserveCredit float64
 }
 
@@ -227,8 +228,8 @@
 	return first, nil
 }
 
-// selectHead returns the entry to be served: second once reserveCredit covers the weight
-// of second, else first.
+// selectHead returns the entry to be served: second once reserveCredit covers the
+// weight of second, else first.
 func (q *Queue) selectHead(first, second *entry) *entry {
 	if second == nil || q.cfg.Reserve <= 0 {
 		return first
@@ -316,8 +317,8 @@
 	}
 }
 
-// exceededBound returns the limit on the number of items that the new item would exceed,
-// if any.
+// exceededBound returns the limit on the number of items that the new item would
+// exceed, if any.
 func (q *Queue) exceededBound(it *Item) (Scope, bool) {
 	n := len(q.byID)
 	if n >= q.cfg.Limit {
@@ -332,8 +333,8 @@
 	return "", false
 }
 
-// fillLimit returns the share of Config.Limit from which the queue accepts no more items
-// of the class. A queue with another number of classes has no such limits.
+// fillLimit returns the share of Config.Limit from which the queue accepts no more
+// items of the class. A queue with another number of classes has no such limits.
 func (q *Queue) fillLimit(c Class) float64 {
 	if len(q.levels) != namedClasses {
 		return 1
@@ -398,8 +399,8 @@
 	return unmeetable
 }
 
-// canMeetDeadline reports whether the item can still be dispatched by its deadline, with
-// ahead as the weight of the work that is served before.
+// canMeetDeadline reports whether the item can still be dispatched by its deadline,
+// with ahead as the weight of the work that is served before.
 func (q *Queue) canMeetDeadline(now time.Time, it *Item, ahead float64) bool {
 	if it.missesDeadline(now) {
 		return false
--- a/internal/decide/queue/queue_test.go
+++ b/internal/decide/queue/queue_test.go
@@ -31,8 +31,8 @@
 	assert.Equal(t, &ClassError{Name: "Urgent"}, err)
 }
 
-// primeDrainRate makes q measure a drain rate of the given number of units of weight per
-// second, and returns the time since epoch at which the last unit completed.
+// primeDrainRate makes q measure a drain rate of the given number of units of weight
+// per second, and returns the time since epoch at which the last unit completed.
 func primeDrainRate(t *testing.T, q *Queue, rate int) time.Duration {
 	t.Helper()
 	require.NoError(t, q.Push(epoch, Item{ID: "seed", Account: "seed", Class: Urgent}))
@@ -399,9 +399,10 @@
 	require.Zero(t, q.PredictWait(at(now), Item{Account: "a", Class: Urgent}), "nothing is ahead of an urgent item")
 }
 
-// Without a configured rate, a queue accepts ten times what can be served in time in the
-// first second of a surge, since nothing has completed yet. A rate configured from the
-// number of slots and the duration of requests must count until there are measurements.
+// Without a configured rate, a queue accepts ten times what can be served in time in
+// the first second of a surge, since nothing has completed yet. A rate configured from
+// the number of slots and the duration of requests must count until there are
+// measurements.
 func TestConfiguredRatePredictsNewBacklog(t *testing.T) {
 	q := New(Config{Window: time.Second, Rate: 20})
 	rejected := 0
--- a/internal/decide/rendezvous/assign.go
+++ b/internal/decide/rendezvous/assign.go
@@ -55,9 +55,9 @@
 }
 
 // assignNext assigns the first key in the heap to its node. If the node has no capacity
-// left since the pair was formed, the key returns to the heap with the best node that is
-// still available. The score of a key only decreases in this way, so that the first pair
-// in the heap with an available node is the best of all.
+// left since the pair was formed, the key returns to the heap with the best node that
+// is still available. The score of a key only decreases in this way, so that the first
+// pair in the heap with an available node is the best of all.
 func (a *assignment) assignNext(dst []int) {
 	first := a.pairs[0]
 	if a.capacity[first.node] == 0 {
--- a/internal/decide/rendezvous/assign_test.go
+++ b/internal/decide/rendezvous/assign_test.go
@@ -70,8 +70,9 @@
 	})
 }
 
-// requireEven checks that each node got the same share, and that the remaining keys went
-// first to nodes that would have no key, and last to nodes whose load reached the limit.
+// requireEven checks that each node got the same share, and that the remaining keys
+// went first to nodes that would have no key, and last to nodes whose load reached the
+// limit.
 func requireEven(t *rapid.T, before, after []int, keys, limit int) {
 	share := keys / len(before)
 	assigned := 0
