--- a/internal/base/engineconn/conn.go
+++ b/internal/base/engineconn/conn.go
@@ -21,9 +21,9 @@
 	defaultDialTimeout = 300 * time.Millisecond
 	// userTimeout ends a connection on which the peer acknowledges nothing. A VM
 	// without power neither responds nor resets the connection, and without this
-	// bound the request would wait until its own deadline. The bound is longer than
-	// a second because on a healthy but lossy link a packet is sent for the third
-	// time after about a second.
+	// bound the request would wait until its own deadline. On a healthy but lossy
+	// link, packets are sent for the third time after about a second; the bound is
+	// close to that second and was set with it in mind.
 	userTimeout = 1200 * time.Millisecond
 	// Keep-alive probes detect a dead engine while a request waits for its response
 	// and all sent data has been acknowledged, so that userTimeout does not apply.
--- a/internal/decide/gate/gate.go
+++ b/internal/decide/gate/gate.go
@@ -236,8 +236,8 @@
 	delete(g.leases, id)
 }
 
-// DropHolder removes all leases and queued requests of a router that has left or died, since that
-// router will neither release nor withdraw them.
+// DropHolder removes all leases and queued requests of a router that is dead or has joined anew. A
+// dead process neither releases nor withdraws them, and one that has just joined holds none.
 func (g *Gate) DropHolder(now time.Time, holder string) {
 	for id, l := range g.leases {
 		if l.holder == holder {
--- a/internal/edge/forward/send.go
+++ b/internal/edge/forward/send.go
@@ -270,8 +270,8 @@
 // engineUrgency is the priority of all requests at engines. The gates decide the order before
 // requests are sent; an engine that preempts one request for another delays both. At four times the
 // usual load, 1,100 requests were preempted in 8 s with different priorities, and in the worst
-// seconds 0.705 of the possible benefit was earned. With gates and a single priority, no request
-// was preempted, and 0.85 of the possible benefit was earned.
+// seconds 0.705 of the benefit was earned. With gates and a single priority, no request was
+// preempted, and 0.85 of the benefit was earned.
 const engineUrgency = 5
 
 // urgencyStep is the difference in urgency between two consecutive account priorities. Route
