--- a/internal/lab/bench/fleet/churn.go
+++ b/internal/lab/bench/fleet/churn.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// drainAndStop stops the engine as planned: the VM list shows it as draining,
-// and the engine stops when it has finished its requests.
+// drainAndStop performs a planned stop: it marks the engine as draining in the VM
+// list, and stops it when the engine has finished its requests.
 func (e *Engine) drainAndStop(ctx context.Context) {
 	e.endService()
 	e.markDraining()
--- a/internal/lab/bench/fleet/engine.go
+++ b/internal/lab/bench/fleet/engine.go
@@ -54,7 +54,8 @@
 	return nil
 }
 
-// join lists the engine as a new VM generation.
+// join adds the engine to the VM list with a new VM generation, and begins its
+// spans.
 func (e *Engine) join() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -123,9 +124,9 @@
 	return fmt.Sprintf("%s%s/%d/%d%s", attemptIDBegin, chat, turn, attempt, attemptIDEnd)
 }
 
-// recordAttempts returns a handler that records the attempt id of each request
-// id: routers send each attempt with a new request id, and the engine's records
-// contain only that one.
+// recordAttempts returns a handler that records the attempt id for each request
+// id. The engine's own records contain only request ids, and routers send each
+// attempt with a new one.
 func (e *Engine) recordAttempts(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost && r.URL.Path == wire.PathChat {
--- a/internal/lab/bench/measure/bound.go
+++ b/internal/lab/bench/measure/bound.go
@@ -15,9 +15,9 @@
 	// Start is the time at which the caller sent the turn, End that at which it
 	// received the response.
 	Start, End time.Time
-	// Prompt is the length of the prompt, Earlier the part of it that earlier
-	// turns left in the chat, and After the length including the answer, all in
-	// tokens.
+	// Prompt is the length of the prompt, Earlier the length of the part of the
+	// prompt that consists of earlier turns, and After the length of prompt and
+	// answer together, all in tokens.
 	Prompt, Earlier, After int
 	// Cached is the number of tokens that the engine found in its cache.
 	Cached int
@@ -51,7 +51,8 @@
 // the future and returns the resulting reuse. It is an upper bound for every
 // placement over engines with the same total cache capacity.
 //
-// Each step of the model only removes a restriction:
+// The model differs from real caches as follows. Each difference only removes a
+// restriction:
 //   - Pooling: whatever a placement keeps on separate engines fits, without
 //     duplicates, into one cache of their total capacity, and every turn finds
 //     it there, whichever engine created it.
@@ -152,7 +153,8 @@
 	}
 }
 
-// lookUp counts the cached tokens and removes them until the turn ends.
+// lookUp counts the cached tokens of the turn's chat and removes them from the
+// cache. insert adds them again when the turn ends.
 func (r *replay) lookUp(a *Access) {
 	var found int64
 	if it := r.byChat[a.Chat]; it != nil {
--- a/internal/lab/bench/measure/measure_test.go
+++ b/internal/lab/bench/measure/measure_test.go
@@ -29,11 +29,11 @@
 	}
 	full := []measure.Capacity{{At: at(0), Tokens: 20}}
 	require.InDelta(t, 20.0/30, measure.ReuseBound(trace, full), 1e-9)
-	// With capacity for one chat, b, which is used first, is cached completely, and no part of a
-	// is.
+	// The capacity holds one chat. Chat b, which is used again first, is cached completely, and
+	// chat a not at all.
 	half := []measure.Capacity{{At: at(0), Tokens: 10}}
 	require.InDelta(t, 10.0/30, measure.ReuseBound(trace, half), 1e-9)
-	// A part of a chat counts.
+	// A chat that is cached in part counts with that part.
 	partial := []measure.Capacity{{At: at(0), Tokens: 14}}
 	require.InDelta(t, 14.0/30, measure.ReuseBound(trace, partial), 1e-9)
 }
--- a/internal/lab/bench/measure/skew.go
+++ b/internal/lab/bench/measure/skew.go
@@ -99,7 +99,8 @@
 	return false
 }
 
-// loadSeconds sums up the buckets that begin in the window.
+// loadSeconds sums up the buckets of the window, whose limits are rounded down to
+// limits of buckets.
 func (e *EngineLoad) loadSeconds(from, to time.Time, requests bool) float64 {
 	first := from.UnixNano() / int64(e.BucketLength)
 	last := to.UnixNano() / int64(e.BucketLength)
@@ -117,7 +118,7 @@
 	return sum
 }
 
-// Summarize summarizes the counted windows, out of total.
+// Summarize summarizes the windows that count. total is the number of all windows.
 func Summarize(windows []Window, total int) Skew {
 	s := Skew{Windows: len(windows), Total: total}
 	if len(windows) == 0 {
--- a/internal/lab/bench/memory_test.go
+++ b/internal/lab/bench/memory_test.go
@@ -21,7 +21,7 @@
 	mebibyte = 1 << 20
 )
 
-// BenchmarkOpenStreams reports the memory, heap and stacks, of open streams.
+// BenchmarkOpenStreams reports the memory (heap and stacks) of open streams.
 // The callers are plain sockets, so that they use little memory. The router's
 // share is the memory of streams through it minus that of direct streams.
 func BenchmarkOpenStreams(b *testing.B) {
--- a/internal/lab/bench/run/control.go
+++ b/internal/lab/bench/run/control.go
@@ -12,8 +12,8 @@
 	// Events that of polls of engines for cache events.
 	Status float64 `json:"status"`
 	Events float64 `json:"events"`
-	// Transfers are KV caches; their volume depends on the rate of planned
-	// stops.
+	// Transfers is the traffic of KV caches moved between engines; it depends on
+	// the rate of planned stops.
 	Transfers float64 `json:"transfers"`
 	// Busiest is the sum of all kinds at the router with the most traffic.
 	Busiest float64 `json:"busiest_router"`
--- a/internal/lab/bench/run/phase.go
+++ b/internal/lab/bench/run/phase.go
@@ -10,7 +10,8 @@
 	"damaskrouter.example/damaskrouter/internal/lab/bench/workload"
 )
 
-// surgeSettleTime is measured separately: all chats of the surge begin at once.
+// surgeSettleTime is the length of the first part of a surge. It is measured
+// separately, since all chats of the surge begin at once.
 const surgeSettleTime = time.Second
 
 // Surge compares the latencies before a surge with those during it. A request
@@ -18,9 +19,11 @@
 type Surge struct {
 	Account string  `json:"account"`
 	Factor  float64 `json:"factor"`
-	// Calls are by name. DirectCall is the name of calls that bypass the routers.
+	// Calls holds the latencies of calls by name. DirectCall is the name of calls
+	// that bypass the routers.
 	Calls map[string]Phases `json:"calls"`
-	// FirstToken is by priority class, and by name for the surging account.
+	// FirstToken holds the latencies of first tokens by priority class; those of
+	// the surging account are under its name instead.
 	FirstToken map[string]Phases `json:"first_token"`
 }
 
@@ -37,7 +40,8 @@
 	// latencies are in no percentile.
 	FailedBefore int `json:"failed_before"`
 	FailedDuring int `json:"failed_during"`
-	// FailedSettling counts those of the first second.
+	// FailedSettling counts the requests without a response that were sent in the
+	// surge's first second.
 	FailedSettling int `json:"failed_settling"`
 }
 
@@ -57,7 +61,8 @@
 }
 
 // newPhaseTimes returns the phases of a run that starts at from. Without a surge
-// all of them are empty. The time in which the first chats begin is in none.
+// all of them are empty. No phase includes the ramp, in which the first chats
+// begin.
 func newPhaseTimes(w *workload.Workload, from time.Time) phaseTimes {
 	var t phaseTimes
 	s := &w.Surge
@@ -175,8 +180,9 @@
 	}
 }
 
-// firstTokenLabel separates the surging account from its priority class: its
-// own chats may wait for its share.
+// firstTokenLabel returns the label of a first-token latency. The surging account
+// has a label of its own, since its chats may wait because the account exceeds
+// its share, unlike others of the same priority class.
 func (r *runner) firstTokenLabel(account, class string) string {
 	if account == r.w.Surge.Account {
 		return account
--- a/internal/lab/bench/run/phase_test.go
+++ b/internal/lab/bench/run/phase_test.go
@@ -51,7 +51,7 @@
 	from := time.Unix(1000, 0)
 	p := newPhaseLatencies(newPhaseTimes(surgeWorkload(), from))
 	early, late := from.Add(19*time.Second), from.Add(30*time.Second)
-	p.add("checks", early, 10*time.Millisecond) // counts as before, whenever it ends
+	p.add("checks", early, 10*time.Millisecond) // counts for the phase before the surge, whenever the call ends
 	p.add("checks", late, 20*time.Millisecond)
 	p.add("checks", from, time.Minute)
 	p.fail("checks", late)
--- a/internal/lab/bench/run/result.go
+++ b/internal/lab/bench/run/result.go
@@ -59,8 +59,8 @@
 	SkewShortWindow = 200 * time.Millisecond
 )
 
-// minMeanRequests is the mean load of an engine, in answers of mean length, from
-// which a window's skew is counted.
+// minMeanRequests is the minimum mean load of an engine for which a window's skew
+// is counted. It is a number of requests, each with an answer of mean length.
 const minMeanRequests = 2
 
 // collect returns the result of a completed run.
--- a/internal/lab/bench/run/strategy.go
+++ b/internal/lab/bench/run/strategy.go
@@ -36,8 +36,9 @@
 	return []string{Picker, Informed, "random", "roundrobin", "leastload", "modulo", "unbounded"}
 }
 
-// noBound disables the load bound: the engines' owners enforce it with every
-// strategy, and a baseline under the bound would show the effect of the bound.
+// noBound is a load bound too high to have an effect. The owners of engines enforce
+// the bound with every strategy, so that a baseline with a lower bound would show
+// the effect of the bound instead of its own.
 const noBound = 100
 
 // setup is the router options and the load bound of a strategy.
--- a/internal/lab/bench/workload/bundle.go
+++ b/internal/lab/bench/workload/bundle.go
@@ -30,7 +30,8 @@
 func (a *Account) Key() string { return keyPrefix + a.Name }
 
 // Bundle returns the fleet's configuration with the given load bound for the
-// language pool: the baselines are measured without one. Errors: ErrRead.
+// language pool. It is a parameter since the baselines are measured without an
+// effective bound. Errors: ErrRead.
 func (w *Workload) Bundle(bound float64) (config.Bundle, error) {
 	doc := config.Document{
 		Teams:    []config.Team{{Name: team}},
--- a/internal/lab/bench/workload/churn.go
+++ b/internal/lab/bench/workload/churn.go
@@ -53,7 +53,8 @@
 // absenceFactor leaves time for the drain that precedes an absence.
 const absenceFactor = 2
 
-// nextAvailable returns the first engine, from i on, that is available at at.
+// nextAvailable returns the first engine that is available at the time at,
+// searching cyclically from engine i.
 func nextAvailable(availableAt []time.Duration, i int, at time.Duration) (int, bool) {
 	for range availableAt {
 		if availableAt[i] <= at {
--- a/internal/lab/capacity/board_test.go
+++ b/internal/lab/capacity/board_test.go
@@ -90,7 +90,7 @@
 	})
 }
 
-// BenchmarkRank looks up the order of one duty, as routers do once a second.
+// BenchmarkRank looks up the router's rank for one duty, as routers do once a second.
 func BenchmarkRank(b *testing.B) {
 	perSize(b, func(b *testing.B, f *capacity.Fleet) {
 		snap := f.Start(benchContext(b), self).Snapshot()
@@ -165,8 +165,9 @@
 
 // BenchmarkOwnersMoved removes a share of the target's routers, as in the loss of
 // a rack, a site or a region, and counts the engines and accounts whose owner
-// changes. The time is that of the snapshot and of the ledgers that one remaining
-// router opens.
+// changes. The time is the mean of two calls of admission's Sync at one remaining
+// router: one with the snapshot before the loss, and one with the snapshot after
+// it, for which the router opens ledgers of the engines that it now owns.
 func BenchmarkOwnersMoved(b *testing.B) {
 	f := newFleet(b, capacity.Target())
 	for _, divisor := range []int{20, 6, 2} {
--- a/internal/lab/capacity/gossip_test.go
+++ b/internal/lab/capacity/gossip_test.go
@@ -55,7 +55,7 @@
 	return g.net.Add(addr, e)
 }
 
-// converged reports whether all routers know n live ones.
+// converged reports whether each router knows n live routers.
 func (g *gossipFleet) converged(n int) bool {
 	for _, node := range g.nodes {
 		if len(node.Endpoint.Detector().Members()) != n {
@@ -112,8 +112,8 @@
 
 // BenchmarkMembership starts a fleet, waits for settleTime and measures, per
 // router, the traffic and the processor time while idle, the propagation of a
-// new head of the configuration, the changes of the member table that follow
-// from it, and the loss of one router. The processor time includes the
+// new head of the configuration, the changes of the member table that the new
+// head causes, and the loss of one router. The processor time includes the
 // simulated network.
 func BenchmarkMembership(b *testing.B) {
 	for _, n := range gossipSizes {
@@ -146,7 +146,8 @@
 
 // measureHead measures the time until half and all of the routers have received
 // a new head, and the bytes per router beyond the idle traffic. Then each router
-// reports that the version is active.
+// reports that the version is active, and measureHead counts the resulting
+// changes of member tables.
 func (g *gossipFleet) measureHead(idle float64) {
 	const span = 10 * time.Second
 	n := float64(len(g.nodes))
@@ -303,8 +304,8 @@
 
 // BenchmarkHeadWorst measures, over fleets with different seeds, the time until
 // all routers have received a new head, and until all have received it or know
-// of a router where it is active. The late metrics are the shares of the fleets
-// that exceed activeWithin.
+// of a router where it is active. The metrics late-head and late-known are the
+// shares of the fleets in which these times exceed activeWithin.
 func BenchmarkHeadWorst(b *testing.B) {
 	for n, seeds := range map[int]int{3: 300, 6: 300, 9: 300, 18: 100, 36: 30} {
 		b.Run(fmt.Sprintf("routers=%d", n), func(b *testing.B) {
--- a/internal/lab/capacity/quota_test.go
+++ b/internal/lab/capacity/quota_test.go
@@ -194,8 +194,8 @@
 	}
 }
 
-// admit admits a call as package quota does: while undecided, it requests leases
-// and retries.
+// admit admits a call as package quota does: as long as the cache neither admits
+// nor refuses the call, admit requests leases and retries.
 func (s *accountSimulation) admit(c *limit.Cache, router int) {
 	const tries = 3
 	for try := range tries {
--- a/internal/lab/faultkit/matrix.go
+++ b/internal/lab/faultkit/matrix.go
@@ -141,8 +141,8 @@
 	Status Status
 	// Promises are the guarantees that the test asserts.
 	Promises []Guarantee
-	// Note is the reason for which the cell does not apply, the gap of an open cell, or a
-	// description of the test of a passed cell.
+	// Note is the reason for which the cell does not apply, what is not tested in an open
+	// cell, or a description of the test of a passed cell.
 	Note string
 }
 
--- a/internal/lab/faultkit/router.go
+++ b/internal/lab/faultkit/router.go
@@ -41,7 +41,8 @@
 var tokenSecret = []byte("0123456789abcdef0123456789abcdef")
 
 // Router consists of the components of the real router, in this process and behind a gate. Until
-// SetView its view of the fleet contains only itself, which is the extreme of differing views.
+// SetView is called, its view of the fleet contains only itself, so that the views of two routers
+// differ as much as possible.
 type Router struct {
 	Name    string
 	Address string
@@ -213,9 +214,9 @@
 // OnStore adds a trigger to the router's calls of the table service.
 func (r *Router) OnStore(t StoreTrigger) { r.store.addTrigger(t) }
 
-// AssumeLive adds live routers that no call reaches, as the router assumes for some
-// seconds after it has lost others. Their HTTP address is this router's own, so that
-// redirected callers reach it again.
+// AssumeLive adds routers that this router considers live although no call reaches them,
+// as it does for some seconds after others are lost. Their HTTP address is this router's
+// own, so that callers redirected to them reach this router again.
 func (r *Router) AssumeLive(names ...string) {
 	r.Board.UpdateWait(func(s *board.State) {
 		for _, name := range names {
--- a/internal/lab/faultkit/store.go
+++ b/internal/lab/faultkit/store.go
@@ -97,8 +97,8 @@
 	return err
 }
 
-// Commit implements platform.Table. A process that is killed after the effect gets
-// ErrOutcomeUnknown.
+// Commit implements platform.Table. A process that is killed after the commit has taken
+// effect gets ErrOutcomeUnknown.
 func (s *store) Commit(ctx context.Context, use platform.Use, writes ...platform.Write) ([]platform.Row, error) {
 	c := StoreCall{Use: use, Writes: writes}
 	if err := s.runTriggers(c, false); err != nil {
--- a/internal/lab/model/callers.go
+++ b/internal/lab/model/callers.go
@@ -19,8 +19,8 @@
 	PerSecond float64
 	// Urgency ranks classes; 0 is the most urgent.
 	Urgency int
-	// Objective is the latency of the first event within which a response is on time,
-	// MaxPause the longest gap between later events.
+	// Objective is the maximum latency of the first event of a response that is on time,
+	// MaxPause the maximum gap between its later events.
 	Objective, MaxPause time.Duration
 	// FirstEventTimeout is how long a caller waits for the first event, Timeout for the
 	// whole response.
--- a/internal/lab/model/engine.go
+++ b/internal/lab/model/engine.go
@@ -9,13 +9,13 @@
 type EngineConfig struct {
 	// Slots is how many requests run at once, QueueLimit how many may wait.
 	Slots, QueueLimit int
-	// A step generates one token for each request in the batch. It takes StepTime, plus
-	// StepPerRequest for each of these requests, plus StepPerToken for each token in
+	// A step generates one token for each request in the batch. Its duration is StepTime,
+	// plus StepPerRequest for each of these requests, plus StepPerToken for each token in
 	// memory.
 	StepTime, StepPerRequest, StepPerToken time.Duration
 	// PrefillPerToken is the time to prefill a token of a prompt. A step prefills at
-	// most PrefillChunk tokens, and delays the other requests of the batch by their
-	// time.
+	// most PrefillChunk tokens, and the time for them delays the other requests of the
+	// batch.
 	PrefillPerToken time.Duration
 	PrefillChunk    int
 	// TokensPerEvent is how many tokens an event of the response stream holds.
--- a/internal/lab/model/surge_test.go
+++ b/internal/lab/model/surge_test.go
@@ -31,7 +31,8 @@
 	return largeScenario("model engines, 89 routers", engines, classes, 3.3)
 }
 
-// largeScenario returns a scenario with 89 routers and times as much traffic.
+// largeScenario returns a scenario with 89 routers and with the traffic of the classes
+// multiplied by times.
 func largeScenario(name string, engines []EngineConfig, classes []Class, times float64) scenario {
 	for i := range classes {
 		classes[i].PerSecond *= times
--- a/internal/lab/standin/engine/faults.go
+++ b/internal/lab/standin/engine/faults.go
@@ -5,8 +5,8 @@
 // FaultKind is the kind of a fault.
 type FaultKind string
 
-// Kinds of faults. Connection faults affect streams opened by a chat request
-// and never resumed ones, so that a new connection always works.
+// Kinds of faults. Connection faults affect only streams opened by a chat request,
+// not resumed ones, so that resuming over a new connection always works.
 const (
 	// FaultHang stops sending after After chunks; the engine continues to run.
 	FaultHang FaultKind = "hang"
--- a/internal/lab/standin/engine/http.go
+++ b/internal/lab/standin/engine/http.go
@@ -174,8 +174,9 @@
 	return e.stream(c, j, from, Fault{})
 }
 
-// refuseWithoutProof refuses a request that concerns another one, which may
-// have been executed.
+// refuseWithoutProof refuses a request that is not a chat request itself, without
+// the header that proves non-execution: a resume or a cancel concerns an earlier
+// chat request, which may have been executed.
 func refuseWithoutProof(c echo.Context, code protocol.Code) error {
 	return c.JSON(refusalStatus(code), protocol.Refusal{Code: code})
 }
--- a/test/faults/chats_test.go
+++ b/test/faults/chats_test.go
@@ -49,7 +49,7 @@
 }
 
 // Points at which faults are injected, in the order in which a turn passes them. An
-// empty end of a connection matches any engine.
+// empty from or to matches any engine.
 var (
 	locateRequested  = chatPoint{faultkit.Locate, faultkit.Caller, "a", faultkit.Out, "GET /v1/locate"}
 	locateReply      = chatPoint{faultkit.Locate, faultkit.Caller, "a", faultkit.In, `"address"`}
@@ -71,8 +71,8 @@
 func chatDropBoth(_ *chatScenario, c *faultkit.Conn)     { c.DropBoth() }
 func chatStoreDown(s *chatScenario, _ *faultkit.Conn)    { s.Platform.SetDown(true) }
 
-// chatKillOwner kills router a. Router b still considers it and further dead routers
-// live, and so owners of engines.
+// chatKillOwner kills router a. Router b still considers a and five other dead routers
+// live, and therefore owners of engines.
 func chatKillOwner(s *chatScenario, _ *faultkit.Conn) {
 	s.b.AssumeLive("a", "c", "d", "e", "f", "g")
 	s.a.Gate.Kill()
@@ -94,7 +94,7 @@
 }
 
 // chatReorderChunk replaces a chunk's number and offset by those of its successor, as
-// if that had overtaken it.
+// if the successor had arrived first.
 func chatReorderChunk(_ *chatScenario, c *faultkit.Conn) {
 	c.RewriteNext(func(p []byte) []byte {
 		p = bytes.Replace(p, []byte("id: 3\n"), []byte("id: 4\n"), 1)
--- a/test/faults/config_test.go
+++ b/test/faults/config_test.go
@@ -20,7 +20,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// changeScenario changes the configuration, injects the fault, and repeats the change with its ID
+// changeScenario changes the configuration, injects the fault, and repeats the change with the same ID
 // until the outcome is known. Two routers read the head; the third one receives it by announcements
 // only.
 type changeScenario struct {
@@ -182,7 +182,7 @@
 }
 
 // freezeAnnouncedRouter freezes the router that receives heads by announcements only. Announcements
-// made meanwhile are delivered when it is thawed, and no others.
+// made meanwhile are delivered when it is thawed; all later ones are dropped.
 func freezeAnnouncedRouter(s *changeScenario) {
 	s.announcedVersion = 3
 	onOperatorCall(isConfigCommit, false, nil, func(s *changeScenario) {
--- a/test/faults/flood_test.go
+++ b/test/faults/flood_test.go
@@ -18,7 +18,7 @@
 )
 
 // flood sends receipts to one router faster than its share of the store's budget
-// allows. A configuration change uses the same router.
+// allows, and changes the configuration through the same router.
 type flood struct {
 	*faultkit.Cluster
 	t      *testing.T
@@ -32,7 +32,8 @@
 	// the budget allows to claim and record.
 	floodReceipts = 2400
 	floodGap      = 15 * time.Millisecond
-	// floodChangeAfter is when the configuration is changed, with empty token buckets.
+	// floodChangeAfter is the time after which the configuration is changed; the token
+	// buckets are empty by then.
 	floodChangeAfter = 20 * time.Second
 )
 
--- a/test/faults/upstreams_test.go
+++ b/test/faults/upstreams_test.go
@@ -33,8 +33,8 @@
 
 type drainCell struct {
 	fault faultkit.Fault
-	// startDrain makes the engine drain. Routers receive it from the sources that the fault does
-	// not affect.
+	// startDrain makes the engine drain. Routers learn of the drain from the sources that the
+	// fault does not affect.
 	startDrain  func(s *drainScenario)
 	description string
 }
@@ -118,7 +118,7 @@
 	return tests
 }
 
-// runDrain guards against new work for a draining engine and against truncated streams of it.
+// runDrain guards against new work for a draining engine and against truncated streams from it.
 // Causes are a source that does not report the drain yet, and an older report that overrides a
 // newer one.
 func runDrain(t *testing.T, c drainCell) {
--- a/test/soak/peers.go
+++ b/test/soak/peers.go
@@ -15,7 +15,8 @@
 	target    *net.UDPAddr
 
 	mu sync.Mutex
-	// senders holds a socket for each sender. To the router, its address is that of the sender.
+	// senders holds a socket for each sender, by the sender's address. The router sees the
+	// socket's address as the sender's.
 	senders map[string]*net.UDPConn
 }
 
--- a/test/soak/recorder.go
+++ b/test/soak/recorder.go
@@ -69,8 +69,8 @@
 }
 
 // checkExits: a router may exit by itself only if it starts with unusable settings
-// (status 1), or if a SIGHUP arrives before its program runs. A panic exits with status
-// 2.
+// (status 1), or if a SIGHUP arrives before the process handles the signal. A panic,
+// which exits with status 2, is a violation.
 func (rec *recorder) checkExits(exits []string) {
 	for _, exit := range exits {
 		if !strings.HasSuffix(exit, "exit status 1") && !strings.HasSuffix(exit, "signal: hangup") {
--- a/test/soak/settings.go
+++ b/test/soak/settings.go
@@ -15,8 +15,8 @@
 	"damaskrouter.example/damaskrouter/internal/edge/settings"
 )
 
-// defaultSlack is the value of the setting that the run changes. All routers have it
-// again at the end of the faults.
+// defaultSlack is the initial value of the retry slack, the setting that the run changes.
+// All routers have this value again at the end of the faults.
 const defaultSlack = 1000
 
 // settingsFor returns a router's settings file with the given retry slack.
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -45,7 +45,7 @@
 const (
 	// recoveryTime is the time for the system to recover after the faults.
 	recoveryTime = 5 * time.Second
-	// measureTime is the time for which requests are counted after that.
+	// measureTime is the time for which requests are counted after recoveryTime.
 	measureTime = 2 * time.Second
 	// callTimeout is the timeout of callers.
 	callTimeout = 2500 * time.Millisecond
