--- a/test/faults/config_test.go
+++ b/test/faults/config_test.go
@@ -28,14 +28,15 @@
 	t        *testing.T
 	mu       sync.Mutex
 	operator *faultkit.Operator
-	// announcedRouter is the router that never reads the head.
+	// announcedRouter is the router that receives the head by announcements only. Its
+	// reads of the head are denied until the announcements have been checked.
 	announcedRouter *faultkit.Router
 	// These select the faults of announcements.
 	dropAnnouncements, reorderAnnouncements, duplicateAnnouncements bool
 	// killFirst kills the first router that announces the new head.
 	killFirst bool
-	// freezeFirst freezes the first router that announces the new head while another
-	// version is accepted.
+	// freezeFirst freezes the first router that announces the new head. It stays frozen
+	// while another version is accepted.
 	freezeFirst bool
 	// holdAnnouncements collects announcements in heldAnnouncements instead of
 	// delivering them. announcementsEnded drops all further ones.
@@ -82,7 +83,7 @@
 	return c.Use == platform.UseConfig && len(c.Writes) > 0
 }
 
-// onOperatorCall injects a fault at a matching call of the operator.
+// onOperatorCall injects a fault at the first matching call of the operator.
 func onOperatorCall(matches func(faultkit.StoreCall) bool, after bool, fail error, inject func(*changeScenario)) func(*changeScenario) {
 	return func(s *changeScenario) {
 		s.operator.OnStore(faultkit.StoreTrigger{Matches: matches, After: after, Err: fail, Strike: func() {
@@ -94,8 +95,8 @@
 	}
 }
 
-// onRouterCalls injects a fault at the matching call of every router, so that no router
-// can get the version from another.
+// onRouterCalls injects a fault at the first matching call of every router, so that no
+// router can get the version from another.
 func onRouterCalls(matches func(faultkit.StoreCall) bool, fail error, inject func(*changeScenario, *faultkit.Router)) func(*changeScenario) {
 	return func(s *changeScenario) {
 		for _, r := range s.Routers {
@@ -321,8 +322,8 @@
 	}
 }
 
-// blockHeadReads keeps the third router from reading the head. In a fleet, only two
-// routers read it.
+// blockHeadReads keeps the third router from reading the head, since only two routers
+// of a fleet read it.
 func (s *changeScenario) blockHeadReads() {
 	s.announcedRouter.OnStore(faultkit.StoreTrigger{Deny: true, Matches: isHeadRead})
 }
--- a/test/faults/permits_test.go
+++ b/test/faults/permits_test.go
@@ -62,8 +62,8 @@
 	holdersEvery = 5 * time.Second
 	// settleTime exceeds the delay of every late message and every timeout of the ledger.
 	settleTime = 10 * time.Minute
-	// requestTimeout is how long a holder waits for a permit before it releases it, as
-	// it may have been granted.
+	// requestTimeout is how long a holder waits for the reply to a permit request. It
+	// then releases the permit, which the owner may have granted.
 	requestTimeout = 400 * time.Millisecond
 	// twoOwnerBound bounds the permits that two ledgers may grant together: one full bound,
 	// and half of it from the new ledger while that warms up.
@@ -216,7 +216,7 @@
 	g.send(func() { ledger.ApplyHolderReport(g.timestamp(), r) })
 }
 
-// sendEngineReport reports the executing requests to the owners.
+// sendEngineReport reports the requests that the engine executes to the owners.
 func (g *permitScenario) sendEngineReport() {
 	if g.now%reportEvery != 0 {
 		return
--- a/test/soak/cluster.go
+++ b/test/soak/cluster.go
@@ -214,7 +214,7 @@
 	r.mu.Lock()
 	expected := r.stopping
 	r.mu.Unlock()
-	// The waiter may start the next process at once.
+	// The goroutine that waits for exited may start the next process at once.
 	close(exited)
 	if expected {
 		return
