--- a/internal/lab/capacity/permits_test.go
+++ b/internal/lab/capacity/permits_test.go
@@ -113,10 +113,12 @@
 
 // BenchmarkDigests measures the datagrams of one round of load digests in which
 // every load has changed, as a mean over ten rounds and some routers of the
-// fleet. In groups of many owners it includes the engines owned here only;
-// BenchmarkSpreadDigest of package admission has the size of a complete
-// datagram. The parameter askers is the share of the other routers that
-// requested a permit from each owner within the last thirty seconds.
+// fleet. Where an owner has too many recipients to send to all of them, digests also
+// forward loads received from other routers. Here they contain only the loads of
+// the engines that the router owns; BenchmarkSpreadDigest of package admission
+// has the size of a complete datagram. The parameter askers is the share of the
+// other routers that requested a permit from each owner within the last thirty
+// seconds.
 func BenchmarkDigests(b *testing.B) {
 	for _, s := range capacity.Sizes() {
 		for _, requesters := range []float64{0, 0.1, 0.2, 0.5} {
