--- a/internal/serve/admission/admission.go
+++ b/internal/serve/admission/admission.go
@@ -82,8 +82,9 @@
 	DefaultMaxWait = 30 * time.Second
 	// DefaultCallTimeout is the default of Options.CallTimeout.
 	DefaultCallTimeout = 400 * time.Millisecond
-	// maxPlacementAttempts limits the engines tried for one placement, so that
-	// a request is queued instead of following loads that change meanwhile.
+	// maxPlacementAttempts limits the engines tried for one placement. After
+	// them the request is queued: while the loads change, further attempts
+	// would probably be denied too.
 	maxPlacementAttempts = 3
 	// noEngineRetryAfter is the Retry-After value while a pool has no engine in
 	// service.
@@ -93,7 +94,7 @@
 // Options configures an Admission.
 type Options struct {
 	Board *board.Board
-	// Caller makes the calls to the owners of other engines.
+	// Caller makes the calls to the routers that own other engines.
 	Caller *peer.Caller
 	// Self is this router's name; Instance distinguishes its restarts.
 	Self     string
@@ -253,8 +254,8 @@
 }
 
 // Sync applies a new snapshot: it opens the ledgers of engines that this router
-// now owns and closes those of engines that it no longer owns. Waiting requests
-// are tried again.
+// now owns and closes those of engines that it no longer owns. Then the
+// schedulers retry their waiting requests.
 func (a *Admission) Sync(snap *board.Snapshot) {
 	now := time.Now()
 	a.ledgers.sync(now, snap)
--- a/internal/serve/admission/digest.go
+++ b/internal/serve/admission/digest.go
@@ -18,9 +18,9 @@
 	Count    int32
 	MaxBatch int32
 	Flags    uint8
-	// Owner is the low half of the owner's instance. Seq counts the owner's
-	// digest rounds, since loads forwarded by other routers may arrive late and
-	// out of order.
+	// Owner is the lower 32 bits of the owner's instance. Seq counts the
+	// owner's digest rounds, so that a router can recognize outdated loads:
+	// those forwarded by other routers may arrive late and out of order.
 	Owner uint32
 	Seq   uint32
 }
@@ -59,8 +59,9 @@
 
 // receiveLoads applies loads reported by engines' owners, directly or
 // forwarded. It ignores loads from a router that no longer owns the engine and
-// loads older than the known one. direct marks an owner's reply to a call,
-// which is newer than a digest of the same round.
+// loads older than the known one. direct is set for the loads in an owner's
+// reply to a call, which are newer than those of the digest with the same round
+// number.
 func (s *scheduler) receiveLoads(now time.Time, loads []EngineLoad, direct bool) {
 	snap := s.a.opts.Board.Snapshot()
 	changed := false
@@ -202,8 +203,8 @@
 }
 
 // sampleRecipients returns forwardRecipients random recipients in every second
-// round and none in the others: the total load of a large group changes less,
-// so it may be reported less often.
+// round and none in the others. The total load of a large group changes
+// relatively less than that of a small one, so it may be reported less often.
 func (s *scheduler) sampleRecipients(recipients []string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/serve/admission/engines.go
+++ b/internal/serve/admission/engines.go
@@ -157,17 +157,19 @@
 }
 
 // transferPermit requests from the engine's owner that it transfer a permit to
-// this router, and returns the permit's weight, or 0 if unknown. The stream may
-// be read even if the transfer fails.
+// this router, and returns the permit's weight, or 0 if unknown. The caller may
+// read the stream even if the transfer fails.
 //
-// Two cases need this. When a router dies, so does the owner of its callers'
-// engines; until the fleet notices, seconds later, those callers would get
-// an error for a lost response although the engine still has it. Or a router has
-// relayed the rest of the stream into a connection that the network has
-// dropped, and has returned the permit. Reading existing output adds no work to
-// the engine. The engine's own report counts the stream, and the next holder
-// report corrects the owner's ledger. An engine that no longer has the stream, or
-// was restarted, returns an error.
+// The transfer can fail in two cases although the engine still has the
+// response. First, callers are directed to the router that owns their engine.
+// When that router dies, the engine has no working owner until the fleet
+// notices, seconds later, and its callers would get an error for a lost
+// response. Second, a router may have relayed the rest of the stream into a
+// connection that the network had dropped, and may then have released the
+// permit. Reading existing output adds no work to the engine. The engine's own
+// report counts the stream, and the next holder report corrects the owner's
+// ledger. An engine that no longer has the stream, or was restarted, returns an
+// error.
 func (s *scheduler) transferPermit(ctx context.Context, c selection, id string) (weight int64) {
 	if c.owner.Name == s.a.opts.Self {
 		r := permit.Request{ID: id, Holder: s.a.holder, Incarnation: c.incarnation}
@@ -182,8 +184,9 @@
 
 // abort ends a permit whose caller did not resume the stream, and reports
 // whether this router still held it. If the owner can't be reached the result
-// is false: a stream without a reader ends by itself, but a stream stopped
-// while its caller reads it can't be recovered.
+// is false, so that the request is not canceled at the engine: a stream without
+// a reader ends by itself, but a stream stopped while its caller reads it can't
+// be recovered.
 func (a *Admission) abort(ctx context.Context, id string) bool {
 	h, ok := a.held.remove(id)
 	if !ok {
@@ -259,7 +262,9 @@
 }
 
 // hasPermits reports whether a report lists any permit. Empty reports are
-// normally not sent, since an owner that receives none drops nothing.
+// normally not sent: an owner that gets no report from a holder drops none of
+// its permits until permit.Config.SilenceTimeout, and then only those that the
+// engine's report shows to have ended.
 func hasPermits(args ReportArgs) bool {
 	for _, list := range args.Engines {
 		if len(list) > 0 {
--- a/internal/serve/admission/ownerchanges.go
+++ b/internal/serve/admission/ownerchanges.go
@@ -8,12 +8,14 @@
 
 // maxRoutersEmptyReports is the largest fleet in which routers send a new owner
 // empty reports too. In a larger fleet one change of owner would cause a call
-// from every router; the new owner then ends its warm-up by time.
+// from every router. There a new owner that doesn't get all reports warms up
+// until its warm-up time is over.
 const maxRoutersEmptyReports = 40
 
 // ownerChanges tracks which routers have become owners of engines. A new owner
-// grants half of the bound until all other routers have reported the permits
-// that they hold; early reports restore the pool's full capacity sooner.
+// grants permits only up to half of the load bound until all other routers have
+// reported the permits that they hold. Reports sent at once after the change
+// restore the pool's full capacity sooner.
 type ownerChanges struct {
 	mu        sync.Mutex
 	owners    map[uint64]string
--- a/internal/serve/admission/permitledgers.go
+++ b/internal/serve/admission/permitledgers.go
@@ -64,9 +64,9 @@
 	l.updateRouters(now, snap)
 }
 
-// newLedger opens the ledger of an engine. Permits granted by the previous owner
-// are reported by their holders; until all have reported, or the warm-up time
-// is over, the ledger grants half of the bound.
+// newLedger opens the ledger of an engine. Permits granted by the previous
+// owner are reported by their holders; until all have reported, or the warm-up
+// time is over, the ledger grants permits only up to half of the load bound.
 func (l *permitLedgers) newLedger(now time.Time, e *board.Engine, others []string) *engineLedger {
 	ledger := &engineLedger{engine: e.Name, group: groupKey{pool: e.Pool, region: e.Region}}
 	cfg := permit.Config{
--- a/internal/serve/admission/releasequeue.go
+++ b/internal/serve/admission/releasequeue.go
@@ -61,8 +61,9 @@
 
 // owner returns the owner of an engine. An engine that is no longer in the
 // fleet has none, and its permits ended with it. If the engine is missing only
-// from this router's view, its owner ends the permits by the engine's report,
-// once their holder has not reported for long enough.
+// from this router's view, its owner treats this router as dead after some time
+// without a report, and then drops the permits that the engine's report shows
+// to have ended.
 func (q *releaseQueue) owner(engine uint64) (board.Router, bool) {
 	snap := q.a.opts.Board.Snapshot()
 	return snap.EngineOwner(engine)
@@ -105,8 +106,8 @@
 	return all[:n]
 }
 
-// requeue distributes permits to the engines' current owners: the router that
-// did not reply may have lost its engines meanwhile.
+// requeue distributes permits to the engines' current owners, since the router
+// that did not accept them may no longer own the engines.
 func (q *releaseQueue) requeue(owner string, batch []ReleasedPermit) {
 	q.mu.Lock()
 	batch = append(batch, q.pending[owner]...)
--- a/internal/serve/admission/remote.go
+++ b/internal/serve/admission/remote.go
@@ -154,8 +154,8 @@
 	return nil
 }
 
-// applyReport applies a holder's report to the engine's ledger, once per
-// incarnation.
+// applyReport applies a holder's report to the engine's ledger, separately for
+// each incarnation in it.
 func (a *Admission) applyReport(now time.Time, engine uint64, args ReportArgs, list []ReportedPermit) {
 	byIncarnation := make(map[uint64][]permit.HeldRequest)
 	for _, h := range list {
--- a/internal/serve/admission/scheduler.go
+++ b/internal/serve/admission/scheduler.go
@@ -27,10 +27,10 @@
 	deniedUntil time.Time
 }
 
-// denialBackoff is how long no permit is requested from an owner that denied
-// one, unless it reports a lower load. Without this delay, a waiting request
-// would send a permit request at every event, and permit requests would
-// outnumber permits.
+// denialBackoff is how long no permit is requested for an engine after its
+// owner denied one, unless the owner reports a lower load. Without this delay,
+// a waiting request would send a permit request each time the scheduler wakes
+// up, and permit requests would outnumber permits.
 const denialBackoff = 250 * time.Millisecond
 
 // scheduler places the requests of one pool in one region at this router.
@@ -58,7 +58,8 @@
 	subscribers map[string]time.Time
 	// scratch is reused by every placement.
 	scratch placement.Pool
-	// hiddenRunning holds the engines' counts while hideUnowned is in effect.
+	// hiddenRunning holds the engines' actual values of Running while
+	// hideUnowned is in effect.
 	hiddenRunning []int
 	wakeup        chan struct{}
 }
--- a/internal/serve/admission/waiting.go
+++ b/internal/serve/admission/waiting.go
@@ -26,9 +26,9 @@
 }
 
 const (
-	// retryInterval is how often waiting requests are retried without any
-	// event, since capacity may become free at another owner's engine
-	// unnoticed.
+	// retryInterval is how often waiting requests are retried even if nothing
+	// wakes the scheduler: this router isn't notified at once when capacity
+	// becomes free at an engine of another owner.
 	retryInterval = 100 * time.Millisecond
 	// minRetryAfter is the smallest Retry-After value sent with a refusal.
 	minRetryAfter = 100 * time.Millisecond
@@ -206,8 +206,8 @@
 	s.head = w
 }
 
-// deliver sends the outcome to the waiter. A caller that has disconnected meanwhile
-// no longer reads it, so its grant is released here.
+// deliver sends the outcome to the waiter. If its caller has disconnected
+// meanwhile, nobody reads the outcome, so the grant is released here.
 func (s *scheduler) deliver(w *waiter, out outcome) {
 	w.result <- out
 	if w.ctx.Err() == nil {
@@ -217,10 +217,10 @@
 }
 
 // recordFinished records that a request of this router has finished at an
-// engine, from which the queue estimates waits. The owner reports the new load
-// only with its next digest; until then the last known load is corrected here.
-// Otherwise a chat's next turn would find its engine still busy with the
-// previous one.
+// engine. The queue estimates waits from the weights of finished requests. The
+// owner reports the new load only with its next digest; until then the last
+// known load is corrected here. Otherwise a chat's next turn would find its
+// engine still busy with the previous one.
 func (s *scheduler) recordFinished(h heldPermit) {
 	s.mu.Lock()
 	s.queue.Observe(time.Now(), h.weight)
--- a/internal/serve/board/board.go
+++ b/internal/serve/board/board.go
@@ -17,7 +17,8 @@
 	"damaskrouter.example/damaskrouter/internal/store/config"
 )
 
-// Router is another router, or this one, as this router knows it.
+// Router is a router of the fleet, as known to the router that runs this board; it may be that
+// router itself.
 type Router struct {
 	Name string
 	// ID is the rendezvous identity of Name.
@@ -153,8 +154,8 @@
 }
 
 // EngineOwner returns the live router that owns an engine, or false for an engine that is not in
-// the snapshot. Engines are few and carry the traffic, so that ownership spreads them evenly
-// instead of by plain rendezvous hashing.
+// the snapshot. Because engines are few and carry the traffic, they are spread evenly over the
+// routers, which plain rendezvous hashing would not do.
 func (s *Snapshot) EngineOwner(id uint64) (Router, bool) {
 	i, ok := s.ownership.owners[id]
 	if !ok || i == rendezvous.NoOwner {
--- a/internal/serve/board/ownership.go
+++ b/internal/serve/board/ownership.go
@@ -7,17 +7,19 @@
 	"damaskrouter.example/damaskrouter/internal/decide/rendezvous"
 )
 
-// ownerLoadFactor bounds the engines of one router as a multiple of the mean. It keeps the
-// remainders of many small pools from accumulating at the same routers. A tighter bound moves more
-// engines when a router or an engine is added or removed.
+// ownerLoadFactor sets candidates.limit as a multiple of the mean number of engines per router. The
+// engines of a pool are divided evenly among the routers, and the limit keeps the engines left over
+// from many small pools from accumulating at the same routers. A tighter limit moves more engines
+// when a router or an engine is added or removed.
 const ownerLoadFactor = 1.5
 
 // ownership is the mapping of engines to the live routers that own them. Each router computes it
 // from the live routers and the engines of each group. Routers with different views of the fleet
 // may disagree; the permit ledgers allow for that.
 //
-// It is computed again only if one of these inputs has changed, because most snapshots are
-// published for other reasons and the computation takes milliseconds in a large fleet.
+// The mapping is computed again only if the live routers or the engines have changed, because most
+// snapshots are published for other reasons and the computation takes milliseconds in a large
+// fleet.
 type ownership struct {
 	live []uint64
 	// regions are the regions of the live routers, index for index.
@@ -85,8 +87,8 @@
 	indexes []int
 	// load is the number of engines that each router has been assigned.
 	load []int
-	// limit is the number of engines at which a router is no longer assigned any of a pool's
-	// remainder.
+	// limit is the number of engines up to which a router is preferred for an engine that is left
+	// over after a pool has been divided evenly. See rendezvous.Spread.
 	limit int
 }
 
--- a/internal/serve/controller/configs.go
+++ b/internal/serve/controller/configs.go
@@ -32,9 +32,10 @@
 // headKey is the only key of items of the kind ItemConfigHead.
 const headKey = "head"
 
-// Configs follows the configuration chain. Two routers read its head from the table service. The
-// others receive a new head by gossip and fetch its version from a router where it is active. The
-// active version is only ever replaced by a newer one.
+// Configs follows the configuration chain. Two routers read its head, which is the number and hash
+// of the newest version, from the table service. The others receive a new head by gossip and fetch
+// its version from a router where it is active. The active version is only ever replaced by a newer
+// one.
 type Configs struct {
 	Board  *board.Board
 	Chain  *config.Chain
@@ -154,7 +155,8 @@
 	c.announce(h)
 }
 
-// wanted returns the newest known head if its version is worth fetching, or a zero head.
+// wanted returns the newest known head, or a zero head if its version is not newer than the active
+// one or was rejected before.
 func (c *Configs) wanted() config.Head {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/serve/controller/fleet.go
+++ b/internal/serve/controller/fleet.go
@@ -11,7 +11,8 @@
 // VMsArgs requests the VM list unless the requester's list, with Etag as its hash, is up to date.
 type VMsArgs struct{ Etag uint64 }
 
-// VMsReply is the VM list that a relay holds.
+// VMsReply is the VM list of a relay: a router that reads the platform's list and passes it to
+// other routers.
 type VMsReply struct {
 	// Known is false if the relay has no recent list.
 	Known bool
--- a/internal/serve/controller/handoff.go
+++ b/internal/serve/controller/handoff.go
@@ -23,8 +23,9 @@
 	// handoffBytesPerSecond bounds the transfer rate so that transfers don't slow down the engines'
 	// requests.
 	handoffBytesPerSecond = 64 << 20
-	// handoffBurst is the size above which a single cache is charged as handoffBurst bytes. It is
-	// meant to be at least the largest cache.
+	// handoffBurst is the most that a single cache is charged against the transfer rate, in bytes,
+	// because the limiter rejects a larger amount. It is meant to be at least the size of the
+	// largest cache.
 	handoffBurst   = 64 << 20
 	handoffTimeout = 10 * time.Second
 )
@@ -38,8 +39,8 @@
 	Facts    *admission.CacheIndex
 	Log      *log.Logger
 
-	// Moved counts the prefixes transferred, and those of pools without another engine; Failed
-	// counts the failed transfers.
+	// Moved counts the transferred prefixes, and also the prefixes of pools without another engine,
+	// which are not transferred. Failed counts the failed transfers.
 	Moved, Failed atomic.Int64
 
 	// started are the incarnations whose transfer was started, by engine name.
@@ -120,8 +121,8 @@
 	return nil
 }
 
-// nextEngine returns the engine that is first in the chat's rendezvous order without from. All
-// routers select it without a message once from is no longer listed.
+// nextEngine returns the first engine other than from in the chat's rendezvous order. Once from is
+// no longer listed, all routers select this engine for the chat without exchanging messages.
 func (h *Handoff) nextEngine(from board.Engine, chat uint64) (board.Engine, bool) {
 	g := h.Board.Snapshot().Group(from.Pool, from.Region)
 	if g == nil {
--- a/internal/serve/controller/vms.go
+++ b/internal/serve/controller/vms.go
@@ -18,8 +18,8 @@
 const (
 	// vmPollPeriod is the time between two reads of the VM list.
 	vmPollPeriod = 2 * time.Second
-	// routersPerRelay is the number of routers that share one reader of the platform's VM list. It
-	// limits the reads to one for each twenty routers of the fleet.
+	// routersPerRelay is the number of routers that share one relay, which reads the platform's VM
+	// list for them. It limits the reads to one for each twenty routers of the fleet.
 	routersPerRelay = 20
 	vmTimeout       = 2 * time.Second
 )
--- a/internal/serve/quota/owner.go
+++ b/internal/serve/quota/owner.go
@@ -67,7 +67,7 @@
 }
 
 // Sync applies a new snapshot: it drops the ledgers of accounts that this
-// router no longer owns, and makes reports due to the new owners of accounts in
+// router no longer owns, and schedules reports to the new owners of accounts in
 // use here.
 func (q *Quota) Sync(snap *board.Snapshot) {
 	now := time.Now()
--- a/internal/serve/quota/quota.go
+++ b/internal/serve/quota/quota.go
@@ -26,8 +26,9 @@
 	// renewInterval is how often leases are checked for renewal.
 	renewInterval = 500 * time.Millisecond
 	// maxOwnerWait limits how long one request waits for replies of the owner.
-	// One reply may not be enough for all requests that wait; each call ends
-	// within a few milliseconds, or fails, and then the static share decides.
+	// One reply may not contain enough tokens for all requests that wait. Each
+	// call ends within a few milliseconds, or fails; after a failure the
+	// router's static share of the limit decides.
 	maxOwnerWait = time.Second
 )
 
@@ -56,8 +57,8 @@
 	// owners maps the accounts of the configuration to their owners in the last
 	// snapshot.
 	owners map[string]string
-	// liveHolders and configVersion are those of the last snapshot that changed
-	// either, knownHolders all routers of that snapshot.
+	// liveHolders and configVersion are those of the last snapshot in which
+	// either of them changed. knownHolders are all routers of that snapshot.
 	liveHolders   []string
 	configVersion uint64
 	knownHolders  map[string]bool
--- a/internal/serve/sse/sse_test.go
+++ b/internal/serve/sse/sse_test.go
@@ -48,9 +48,10 @@
 	})
 }
 
-// A caller's silence timeout is reset by heartbeats between events, and only by
-// them. A reader that hides comments makes a live connection look dead; one
-// that reports other lines as comments hides a dead one.
+// A caller's idle timeout is reset by heartbeats between events, but must not
+// be reset by other lines. A reader that hides comments makes a live connection
+// look dead; one that reports other lines as comments makes a dead one look
+// alive.
 func TestReaderReportsOnlyComments(t *testing.T) {
 	r := NewReader(strings.NewReader("\nretry: 1\nother\n"+Heartbeat+Heartbeat+"data: x\n\n"), 0)
 	comments := 0
--- a/internal/serve/traffic/chat.go
+++ b/internal/serve/traffic/chat.go
@@ -222,9 +222,10 @@
 	}
 }
 
-// attemptFailed ends an attempt that produced no chunk. The engine may be
-// executing it: a chat can be repeated, but the first copy must not keep using
-// the engine.
+// attemptFailed ends an attempt that produced no chunk. The engine may still be
+// executing the request. A chat may be executed again at another engine, but
+// the first execution must not continue to occupy its engine, so it is
+// canceled.
 func (r *chatRequest) attemptFailed(grant *admission.Grant, err error) {
 	if !upstream.SentOf(err).NotExecuted() {
 		r.s.cancelInBackground(r.upstreamCall(grant))
--- a/internal/serve/traffic/detached.go
+++ b/internal/serve/traffic/detached.go
@@ -13,8 +13,8 @@
 )
 
 // detachedStream is a stream whose caller has disconnected. It is kept for the
-// resume grace, during which the caller may resume it at any router. Then the
-// request is canceled at the engine.
+// resume grace, during which the caller may resume it at any router. If the
+// caller does not, the request is then canceled at the engine.
 type detachedStream struct {
 	response *chatResponse
 	timer    *time.Timer
--- a/internal/serve/traffic/locate.go
+++ b/internal/serve/traffic/locate.go
@@ -57,10 +57,10 @@
 	return out
 }
 
-// serviceOwner returns the owner of one of the service's VMs, drawn at random
-// so that callers spread over the owners and their permits are granted locally.
-// It returns false if the caller may not call the service or no VM of it is
-// available.
+// serviceOwner returns the owner of one of the service's VMs. The VM is drawn
+// at random, so that callers spread over the owners, and each owner can grant
+// its callers' permits without a message. It returns false if the caller may
+// not call the service or no VM of it is available.
 func (s *Server) serviceOwner(caller *callerInfo, name string) (board.Router, bool) {
 	svc, ok := caller.config.Service(name)
 	if !ok || !caller.account.MayCall(name) {
--- a/internal/serve/traffic/response.go
+++ b/internal/serve/traffic/response.go
@@ -121,9 +121,9 @@
 	})
 }
 
-// expire ends a stream whose caller did not resume it within the grace. Here
-// the permit is released first: if another router has adopted it, the engine
-// must not be stopped.
+// expire ends a stream whose caller did not resume it within the resume grace.
+// Unlike abort, it releases the permit first: if another router has adopted the
+// permit, the engine must not be stopped.
 func (r *chatResponse) expire() {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.ctx), cancelTimeout)
 	defer cancel()
--- a/internal/serve/upstream/call.go
+++ b/internal/serve/upstream/call.go
@@ -176,8 +176,9 @@
 	}
 }
 
-// engineRequest returns the request to send. Only pooled requests use pooled
-// connections and return theirs to the pool. Errors: ErrCall.
+// engineRequest returns the request to send. Only a request with pooled set may
+// use a pooled connection, and only its connection returns to the pool. Errors:
+// ErrCall.
 func (c *Client) engineRequest(r request) (*engineconn.Request, error) {
 	if _, err := netip.ParseAddrPort(r.call.Address); err != nil {
 		return nil, ErrCall.New("address %q is no IP and port", r.call.Address)
@@ -270,9 +271,9 @@
 	return f
 }
 
-// isResponse reports whether the status is a response to the request itself
-// rather than a refusal. A 4xx of a plain service is, unless the service states
-// that it executed nothing.
+// isResponse reports whether res is a response to the request itself rather
+// than a refusal. A 4xx of a plain service is a response, unless the service
+// states that it executed nothing.
 func isResponse(r request, res *http.Response) bool {
 	switch {
 	case res.StatusCode < http.StatusOK:
--- a/internal/serve/upstream/failure.go
+++ b/internal/serve/upstream/failure.go
@@ -98,8 +98,8 @@
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Cause }
 
-// SentOf returns the statement of err about the execution. An error that is not
-// a *Failure proves nothing, so it counts as SentNoReply.
+// SentOf returns what err states about the execution. An error that is not a
+// *Failure proves nothing, so it counts as SentNoReply.
 func SentOf(err error) Sent {
 	if err == nil {
 		return Replied
--- a/internal/serve/upstream/stream.go
+++ b/internal/serve/upstream/stream.go
@@ -84,9 +84,10 @@
 	}, 0)
 }
 
-// Resume continues the stream of call.RequestID at chunk from. It always opens a
-// new connection, since the pooled ones may be as dead as that of the interrupted
-// stream. The caller must close the stream.
+// Resume continues the stream of call.RequestID at chunk from. It always opens
+// a new connection: if the network has dropped the connection of the
+// interrupted stream, it may have dropped the pooled ones too. The caller must
+// close the stream.
 func (c *Client) Resume(ctx context.Context, call Call, from int) (*Stream, error) {
 	return c.openStream(ctx, request{
 		op:            opResume,
