--- a/internal/serve/admission/admission.go
+++ b/internal/serve/admission/admission.go
@@ -70,8 +70,9 @@
 }
 
 // Abort ends the permit of a stream whose caller has disconnected. It reports
-// whether this router still held the permit: the caller may have resumed the
-// stream at another router, where it continues.
+// whether this router still held the permit: if the caller has resumed the
+// stream at another router, that router holds the permit and the stream
+// continues there.
 func (g *Grant) Abort(ctx context.Context) (wasHeld bool) {
 	g.once.Do(func() { wasHeld = g.a.abort(ctx, g.ID) })
 	return wasHeld
--- a/internal/serve/admission/cacheindex.go
+++ b/internal/serve/admission/cacheindex.go
@@ -86,8 +86,8 @@
 	q.Now = time.Now()
 	if q.Hint != nil {
 		if _, ok := c.incarnations[q.Hint.Engine]; !ok {
-			// The hint is the only source for this engine here. If the
-			// incarnation is outdated, the engine's owner rejects the permit
+			// This router knows no incarnation of the engine but the one in the
+			// hint. If that one is outdated, the engine's owner rejects the permit
 			// request.
 			c.incarnations[q.Hint.Engine] = q.Hint.Incarnation
 		}
--- a/internal/serve/admission/remote.go
+++ b/internal/serve/admission/remote.go
@@ -79,7 +79,7 @@
 	// Moved are permits that have been transferred to another holder.
 	Moved []int
 	// NotOwned are permits of engines that the called router doesn't own; the
-	// caller must send them to the current owner.
+	// holder must release them at the current owner.
 	NotOwned []int
 }
 
--- a/internal/serve/controller/configs.go
+++ b/internal/serve/controller/configs.go
@@ -169,7 +169,7 @@
 // fetchUnannounced fetches a version whose head was not announced to this router from a peer that
 // reports it as active. A new router gets its first version this way during an outage of the store;
 // it serves no requests until then. Any other router may have missed the broadcast of a head and
-// would otherwise wait ten seconds or more for a digest.
+// would otherwise wait ten seconds or more until a membership digest shows that it lacks the head.
 func (c *Configs) fetchUnannounced(ctx context.Context) {
 	c.fetchFromPeers(ctx, config.Head{Version: c.firstUnknownVersion()})
 }
--- a/internal/serve/controller/configs_test.go
+++ b/internal/serve/controller/configs_test.go
@@ -85,8 +85,9 @@
 
 // Guards against an accepted change that becomes active at one router ten seconds or more after all
 // others. This happens if the broadcast of the head, which is sent a limited number of times,
-// doesn't reach the router, and its next digest is far off. The version that each packet reports
-// for its sender must be enough to start a fetch.
+// doesn't reach the router: the next membership digest, which would show that it lacks the head,
+// may be that far off. The version that each packet reports for its sender must be enough to start
+// a fetch.
 func TestRouterWithoutAnnouncementFetchesFromPeers(t *testing.T) {
 	other := &aheadPeer{reply: replyOf(2, secondBase)}
 	c := newLaggingConfigs(t, other)
--- a/internal/serve/controller/vms.go
+++ b/internal/serve/controller/vms.go
@@ -57,8 +57,8 @@
 	}
 	vms, err := v.List.List(ctx)
 	if err != nil {
-		// While the list can't be read, the last one and its engines stay in use. An engine that
-		// starts to drain is still detected by its own report.
+		// While the list can't be read, the last one and the engines in it stay in use. An engine
+		// that starts to drain is still detected by its own report.
 		v.Log.Debug("VM list not read", "cause", err)
 		return
 	}
--- a/internal/serve/quota/quota.go
+++ b/internal/serve/quota/quota.go
@@ -26,9 +26,9 @@
 	// renewInterval is how often leases are checked for renewal.
 	renewInterval = 500 * time.Millisecond
 	// maxOwnerWait limits how long one request waits for replies of the owner.
-	// One reply may not contain enough tokens for all requests that wait. Each
-	// call ends within a few milliseconds, or fails; after a failure the
-	// router's static share of the limit decides.
+	// One reply may not contain enough tokens for all requests that wait, so a
+	// request may wait for several. Each call ends within a few milliseconds,
+	// or fails; after a failure the router's static share of the limit decides.
 	maxOwnerWait = time.Second
 )
 
--- a/internal/serve/router/router.go
+++ b/internal/serve/router/router.go
@@ -179,10 +179,10 @@
 }
 
 // Drain removes the router from the fleet without interrupting requests. Callers may cache the
-// router's address for the time to live of a locate response. Therefore the router first leaves the
-// locate responses but still serves new requests for that time. Then it refuses new requests, which
-// callers send to other routers, and waits for those in progress. At the drain deadline it closes
-// the remaining streams, which callers resume at other routers.
+// router's address for the time to live of a locate response. Therefore locate responses first stop
+// naming this router, while it still serves new requests for that time. Then it refuses new
+// requests, which callers send to other routers, and waits for those in progress. At the drain
+// deadline it closes the remaining streams, which callers resume at other routers.
 func (r *Router) Drain(ctx context.Context) {
 	r.log.Info("draining")
 	r.board.UpdateWait(func(s *board.State) { s.Draining = true })
--- a/internal/serve/traffic/chat.go
+++ b/internal/serve/traffic/chat.go
@@ -161,8 +161,8 @@
 	if err := r.setPlacement(hint); err != nil {
 		return err
 	}
-	// Complete responses are streamed from the engine as well, since only a
-	// stream can be resumed when its connection breaks.
+	// The engine streams the response even if the caller did not request a stream,
+	// since only a stream can be resumed when its connection breaks.
 	upstreamBody := r.body
 	upstreamBody.Stream = true
 	raw, err := json.Marshal(upstreamBody)
--- a/internal/serve/traffic/locate.go
+++ b/internal/serve/traffic/locate.go
@@ -121,9 +121,9 @@
 	return out
 }
 
-// localRouters returns the live routers of the region and their ids. It returns
-// all live routers if the region has none, since the network between regions
-// may fail.
+// localRouters returns the live routers of the region and their ids: the
+// network to another region may fail. If the region has no live router, it
+// returns all live routers.
 func localRouters(snap *board.Snapshot, region string) ([]board.Router, []uint64) {
 	var local []board.Router
 	var ids []uint64
--- a/internal/serve/traffic/retry.go
+++ b/internal/serve/traffic/retry.go
@@ -115,8 +115,8 @@
 	return retry.SentNoReply
 }
 
-// cancelInBackground cancels a request at an engine whose response is no longer
-// needed.
+// cancelInBackground cancels at its engine a request whose response is no
+// longer needed.
 func (s *Server) cancelInBackground(call upstream.Call) {
 	s.inFlight.Add(1)
 	go func() {
--- a/internal/serve/traffic/server.go
+++ b/internal/serve/traffic/server.go
@@ -29,8 +29,8 @@
 type Admitter interface {
 	// Admit waits for a grant. Its errors are *apierr.Error.
 	Admit(ctx context.Context, req *admission.Request) (*admission.Grant, error)
-	// Home returns the owner of the engine that a chat without evidence is sent
-	// to.
+	// Home returns the owner of the engine that serves a chat if no cached prefix
+	// of the chat is known.
 	Home(p *config.Pool, chat uint64) (board.Router, bool)
 	// Adopt transfers the permit of a stream that is resumed here to this
 	// router. It fails if the engine was removed or restarted.
--- a/internal/serve/traffic/services.go
+++ b/internal/serve/traffic/services.go
@@ -80,7 +80,7 @@
 	if refusal != nil {
 		return resp, refusal
 	}
-	// Returned as an error, a nil *apierr.Error would not equal nil.
+	// A nil *apierr.Error returned as an error would not equal nil.
 	return resp, nil
 }
 
--- a/internal/serve/upstream/client.go
+++ b/internal/serve/upstream/client.go
@@ -38,9 +38,9 @@
 	IdleGap time.Duration
 	// IdleConn is how long an idle connection stays in the pool.
 	IdleConn time.Duration
-	// ConnAge is how long after its opening a connection is reused. A device
-	// between router and upstream may have dropped its state of the connection,
-	// which is noticed only by a timeout.
+	// ConnAge is the age up to which a connection is reused. A device between
+	// router and upstream may have dropped its state of an older connection, which
+	// is noticed only by a timeout.
 	ConnAge time.Duration
 	// MaxIdlePerHost bounds the idle connections to one upstream.
 	MaxIdlePerHost int
--- a/internal/serve/upstream/control.go
+++ b/internal/serve/upstream/control.go
@@ -14,8 +14,8 @@
 // EventPage is a page of an engine's cache events.
 type EventPage struct {
 	wire.CacheEvents
-	// Gap is set if events are missing between the requested sequence number and
-	// the last event of the page. The known state of the cache is then unreliable.
+	// Gap is set if events are missing between the argument after of Events and the
+	// last event of the page. The known state of the cache is then unreliable.
 	Gap bool
 }
 
