--- a/internal/serve/admission/engines.go
+++ b/internal/serve/admission/engines.go
@@ -262,8 +262,8 @@
 }
 
 // hasPermits reports whether a report lists any permit. Empty reports are
-// normally not sent: an owner that gets no report from a holder drops none of
-// its permits until permit.Config.SilenceTimeout, and then only those that the
+// normally not sent: an owner that gets no message from a holder drops none
+// of its permits until permit.Config.SilenceTimeout, and then only those that the
 // engine's report shows to have ended.
 func hasPermits(args ReportArgs) bool {
 	for _, list := range args.Engines {
--- a/internal/serve/admission/releasequeue.go
+++ b/internal/serve/admission/releasequeue.go
@@ -62,7 +62,7 @@
 // owner returns the owner of an engine. An engine that is no longer in the
 // fleet has none, and its permits ended with it. If the engine is missing only
 // from this router's view, its owner treats this router as dead after some time
-// without a report, and then drops the permits that the engine's report shows
+// without a message, and then drops the permits that the engine's report shows
 // to have ended.
 func (q *releaseQueue) owner(engine uint64) (board.Router, bool) {
 	snap := q.a.opts.Board.Snapshot()
