--- a/internal/serve/admission/admission.go
+++ b/internal/serve/admission/admission.go
@@ -70,8 +70,9 @@
 }
 
 // Abort ends the permit of a stream whose caller has disconnected. It reports
-// whether this router still held the permit: the caller may have resumed the
-// stream at another router, where it continues.
+// whether this router still held the permit: if the caller has resumed the
+// stream at another router, that router holds the permit and the stream
+// continues there.
 func (g *Grant) Abort(ctx context.Context) (wasHeld bool) {
 	g.once.Do(func() { wasHeld = g.a.abort(ctx, g.ID) })
 	return wasHeld
@@ -82,8 +83,9 @@
 	DefaultMaxWait = 30 * time.Second
 	// DefaultCallTimeout is the default of Options.CallTimeout.
 	DefaultCallTimeout = 400 * time.Millisecond
-	// maxPlacementAttempts limits the engines tried for one placement, so that
-	// a request is queued instead of following loads that change meanwhile.
+	// maxPlacementAttempts limits the engines tried for one placement. After
+	// them the request is queued: while the loads change, further attempts
+	// would probably be denied too.
 	maxPlacementAttempts = 3
 	// noEngineRetryAfter is the Retry-After value while a pool has no engine in
 	// service.
@@ -93,7 +95,7 @@
 // Options configures an Admission.
 type Options struct {
 	Board *board.Board
-	// Caller makes the calls to the owners of other engines.
+	// Caller makes the calls to the routers that own other engines.
 	Caller *peer.Caller
 	// Self is this router's name; Instance distinguishes its restarts.
 	Self     string
@@ -253,8 +255,8 @@
 }
 
 // Sync applies a new snapshot: it opens the ledgers of engines that this router
-// now owns and closes those of engines that it no longer owns. Waiting requests
-// are tried again.
+// now owns and closes those of engines that it no longer owns. Then the
+// schedulers retry their waiting requests.
 func (a *Admission) Sync(snap *board.Snapshot) {
 	now := time.Now()
 	a.ledgers.sync(now, snap)
--- a/internal/serve/controller/configs.go
+++ b/internal/serve/controller/configs.go
@@ -32,9 +32,10 @@
 // headKey is the only key of items of the kind ItemConfigHead.
 const headKey = "head"
 
-// Configs follows the configuration chain. Two routers read its head from the table service. The
-// others receive a new head by gossip and fetch its version from a router where it is active. The
-// active version is only ever replaced by a newer one.
+// Configs follows the configuration chain. Two routers read its head, which is the number and hash
+// of the newest version, from the table service. The others receive a new head by gossip and fetch
+// its version from a router where it is active. The active version is only ever replaced by a newer
+// one.
 type Configs struct {
 	Board  *board.Board
 	Chain  *config.Chain
@@ -154,7 +155,8 @@
 	c.announce(h)
 }
 
-// wanted returns the newest known head if its version is worth fetching, or a zero head.
+// wanted returns the newest known head, or a zero head if its version is not newer than the active
+// one or was rejected before.
 func (c *Configs) wanted() config.Head {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -167,7 +169,7 @@
 // fetchUnannounced fetches a version whose head was not announced to this router from a peer that
 // reports it as active. A new router gets its first version this way during an outage of the store;
 // it serves no requests until then. Any other router may have missed the broadcast of a head and
-// would otherwise wait ten seconds or more for a digest.
+// would otherwise wait ten seconds or more until a membership digest shows that it lacks the head.
 func (c *Configs) fetchUnannounced(ctx context.Context) {
 	c.fetchFromPeers(ctx, config.Head{Version: c.firstUnknownVersion()})
 }
