--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -154,8 +154,8 @@
 	})
 }
 
-// pageSize returns how many items to request when the number that remains is
-// given; 0 means all.
+// pageSize returns how many items to request as the next page when remaining
+// items are still to be printed; a remaining of 0 means all items.
 func pageSize(remaining int) int {
 	if remaining <= 0 || remaining > api.MaxLimit {
 		return api.MaxLimit
--- a/internal/cli/routers.go
+++ b/internal/cli/routers.go
@@ -31,7 +31,8 @@
 	// routerTimeout bounds a request to a router, which may call three other routers
 	// before it responds.
 	routerTimeout = 5 * time.Second
-	// maxRouterReply bounds the response, in bytes. That of 380 routers takes 100 KB.
+	// maxRouterReply bounds a router's response, in bytes. The fleet status of
+	// 380 routers takes 100 KB.
 	maxRouterReply = 8 << 20
 	// watchInterval is the delay between two requests of --watch.
 	watchInterval = 2 * time.Second
--- a/internal/operate/access/operator.go
+++ b/internal/operate/access/operator.go
@@ -15,9 +15,10 @@
 
 // The roles, from the fewest permissions to the most.
 const (
-	// RoleViewer may read.
+	// RoleViewer may read the status and the configuration.
 	RoleViewer Role = "viewer"
-	// RoleEditor may also change resources of its teams.
+	// RoleEditor may also read the audit trail and change the configuration of
+	// its teams.
 	RoleEditor Role = "editor"
 	// RoleAdmin may also resolve claims and issue tokens.
 	RoleAdmin Role = "admin"
--- a/internal/operate/access/secret.go
+++ b/internal/operate/access/secret.go
@@ -3,9 +3,10 @@
 // have a role and a scope of teams. The package does no I/O and keeps secrets
 // only as hashes.
 //
-// The hash is a plain SHA-256. A slow password hash protects secrets that can
-// be guessed. These are 256 random bits, which cannot be guessed, and a slow
-// hash for each request would let attackers exhaust a router cheaply.
+// The hash is a plain SHA-256. A slow password hash is needed only for secrets
+// that can be guessed. The secrets here are 256 random bits, which cannot be
+// guessed, and a slow hash for each request would let attackers exhaust a
+// router cheaply.
 package access
 
 import (
--- a/internal/operate/admin/access_test.go
+++ b/internal/operate/admin/access_test.go
@@ -140,10 +140,11 @@
 	return f()
 }
 
-// A late copy of the transaction that added an operator must not restore it after
-// it was revoked. The reply to the first copy is lost, a retry adds the operator,
-// it is revoked, and the first copy arrives. If revoking deleted the row, its
-// version would restart and the condition of the late copy would hold again.
+// A late copy of the transaction that added an operator must not restore it
+// after it was revoked. The reply to the first copy is lost, a retry adds the
+// operator, it is revoked, and the first copy arrives. If revoking deleted the
+// row, the condition of the late copy, that the row is absent, would hold
+// again.
 func TestLateCommitDoesNotRestoreRevokedOperator(t *testing.T) {
 	h := newHarness(t)
 	h.store.Script(platformtest.OpCommit, platformtest.LateEffect)
--- a/internal/operate/admin/api/api.go
+++ b/internal/operate/admin/api/api.go
@@ -109,8 +109,8 @@
 	Files Files `json:"files"`
 }
 
-// CheckReply lists the problems of a bundle. It would be accepted if all lists
-// are empty.
+// CheckReply lists the problems of a bundle. The bundle would be accepted if
+// all lists are empty.
 type CheckReply struct {
 	// Version is the active version that the bundle was compared with.
 	Version uint64 `json:"version"`
--- a/internal/operate/admin/claims.go
+++ b/internal/operate/admin/claims.go
@@ -39,10 +39,10 @@
 
 // resolveClaim applies an operator's verdict to a claim without an outcome.
 //
-// Package claim writes the row of the claim, so the audit entry cannot be part of
-// that transaction. An entry is written before it: if it were written only
-// afterwards and the store failed in between, a verdict could take effect without
-// an entry.
+// Package claim writes the row of the claim, so the audit entry cannot be part
+// of that transaction. resolveClaim therefore writes an entry before the
+// verdict: if it wrote the entry only afterwards and the store failed in
+// between, a verdict could take effect without an entry.
 func (s *Server) resolveClaim(c *requestContext) error {
 	var req api.ResolveRequest
 	if err := decodeBody(c, maxBody, &req); err != nil {
--- a/internal/operate/admin/fixed_use.go
+++ b/internal/operate/admin/fixed_use.go
@@ -14,9 +14,10 @@
 
 // WithUse returns a Table that makes all calls of table with the given use.
 //
-// The configuration chain makes its calls with the use of routers that follow the
-// head. Operators who read old versions would exhaust the call budget that a
-// router needs to read the head, and accepted changes would be applied late.
+// The configuration chain makes all its calls with platform.UseConfig, which is
+// also the use with which a router reads the head. Without WithUse, operators
+// who read old versions would exhaust that budget, and the router would apply
+// accepted changes late.
 func WithUse(table platform.Table, use platform.Use) platform.Table {
 	return &fixedUse{table: table, use: use}
 }
--- a/internal/operate/admin/operator_cache.go
+++ b/internal/operate/admin/operator_cache.go
@@ -17,9 +17,10 @@
 // ErrRow means that an operator's row cannot be decoded or encoded.
 var ErrRow = errs.Class("admin: corrupt operator row")
 
-// TableOperators holds the operators that the API has issued tokens to, keyed by
-// name. Rows are never deleted: a revoked operator keeps the version of its row,
-// so that a late copy of the transaction that created it cannot restore it.
+// TableOperators holds the operators that the API has issued tokens to, keyed
+// by name. Rows are never deleted: the row of a revoked operator stays, so that
+// a late copy of the transaction that created the operator finds a newer
+// version of the row and fails instead of restoring the operator.
 const TableOperators = "operators"
 
 // BootstrapOperator is the operator whose token hash is in the settings. It has
--- a/internal/operate/admin/status.go
+++ b/internal/operate/admin/status.go
@@ -23,8 +23,8 @@
 		return err
 	}
 	for _, r := range st.Routers {
-		// A draining router may exit before it applies the version, and the
-		// change would never become complete.
+		// A draining router may exit before it applies the version. If it
+		// counted as lagging, the change would never be complete.
 		if r.State == api.RouterLive && r.ConfigVersion < st.Version {
 			st.Lagging = append(st.Lagging, r.Name)
 		}
@@ -33,8 +33,9 @@
 	return c.JSON(http.StatusOK, st)
 }
 
-// statusVersion sets the version to compare with. While the store is down, it uses
-// the newest active version of any router instead of the head.
+// statusVersion sets the version to compare with: the one in the query, else
+// the head. While the store is down, it uses the newest active version of any
+// router instead of the head.
 func (s *Server) statusVersion(c *requestContext, snap *board.Snapshot, st *api.Status) error {
 	if text := c.QueryParam(api.ParamVersion); text != "" {
 		version, err := parseVersion(text)
--- a/internal/secure/keys/cert.go
+++ b/internal/secure/keys/cert.go
@@ -109,8 +109,8 @@
 	return roots, nil
 }
 
-// validate rejects a certificate that peers would reject, so that a bad file
-// causes one counted reload failure instead of failing every later handshake.
+// validate rejects a certificate that peers would reject, so that a bad file is
+// counted as a failed reload instead of failing every later handshake.
 func (id *identity) validate(now time.Time) error {
 	leaf := id.cert.Leaf
 	if now.Before(leaf.NotBefore) || now.After(leaf.NotAfter) {
--- a/internal/secure/keys/generate.go
+++ b/internal/secure/keys/generate.go
@@ -73,9 +73,9 @@
 }
 
 // loadOrCreateAuthority creates an authority only if there is no certificate of
-// one. If the certificate exists and its key is stored elsewhere, loading fails:
-// a new authority would replace it, and routers would reject the certificates
-// that it signs.
+// one. If the certificate exists and its key is stored elsewhere, loading
+// fails: a new authority would replace the existing one, and routers would
+// reject the certificates that the new one signs.
 func loadOrCreateAuthority(dir string, o GenerateOptions) (*tls.Certificate, error) {
 	_, err := os.Stat(PathsIn(dir, authorityName).Cert)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/secure/keys/reload.go
+++ b/internal/secure/keys/reload.go
@@ -27,8 +27,8 @@
 // check reloads if a file has changed since the last successful load. A failed
 // load never replaces the current value: otherwise an incomplete or wrong file
 // would make every router that it was copied to reject all new connections. The
-// load is tried again at each check, since certificate and key are two files and
-// are rarely both updated at the first check.
+// load is tried again at each check, since certificate and key are two files,
+// and the first check often finds only one of them updated.
 func (r *reloader[T]) check() (bool, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/secure/secret/accessors.go
+++ b/internal/secure/secret/accessors.go
@@ -9,8 +9,8 @@
 	"damaskrouter.example/damaskrouter/internal/secure/token"
 )
 
-// FleetKeys returns the fleet keys for calls between routers. It has the type
-// peer.Keys.
+// FleetKeys returns the fleet keys for calls between routers. The method has
+// the type peer.Keys.
 func (s *Store) FleetKeys() []peer.FleetKey { return s.current.Load().peerKeys }
 
 // GossipKeys returns the fleet keys for gossip packets.
--- a/internal/secure/secret/keyset.go
+++ b/internal/secure/secret/keyset.go
@@ -101,8 +101,8 @@
 	for _, n := range next {
 		for _, o := range old {
 			// Other routers still have the old secret under this id and would
-			// reject MACs made with the new one. There would be no step of the
-			// rotation at which both are accepted.
+			// reject MACs made with the new one. At no step of the rotation
+			// would both secrets be accepted.
 			if n.id == o.id && !bytes.Equal(n.secret, o.secret) {
 				return ErrKeys.New("%s key %q has the same id, or one-byte id, as the active key %q; give the new key another id", use, n.name, o.name)
 			}
--- a/internal/secure/secret/secret_test.go
+++ b/internal/secure/secret/secret_test.go
@@ -138,7 +138,8 @@
 	r.server.Sweep()
 }
 
-// checkReachable calls to and has it open a hint and a resume token.
+// checkReachable makes a call from r to the router to, which must also open a
+// hint and a resume token that r has signed.
 func (r *router) checkReachable(t *testing.T, to *router) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
--- a/internal/secure/token/hint.go
+++ b/internal/secure/token/hint.go
@@ -21,7 +21,8 @@
 	Model uint64
 	// Engine is the hash of the engine's name.
 	Engine uint64
-	// Incarnation is the engine's incarnation; a later one has an empty cache.
+	// Incarnation is the engine's incarnation; a later incarnation has an empty
+	// cache.
 	Incarnation uint64
 	// Prefix is the chain hash at the last message boundary of the prefix.
 	Prefix uint64
--- a/internal/secure/token/resume.go
+++ b/internal/secure/token/resume.go
@@ -31,8 +31,8 @@
 	RequestID string
 	// Engine is the name of the engine.
 	Engine string
-	// Incarnation is the engine's incarnation; a later one does not have the
-	// stream.
+	// Incarnation is the engine's incarnation; a later incarnation does not
+	// have the stream.
 	Incarnation uint64
 	// Chat is the hash of account and chat id; 0 if the request had no chat id.
 	Chat uint64
--- a/internal/store/claim/claim_test.go
+++ b/internal/store/claim/claim_test.go
@@ -32,8 +32,8 @@
 	return errors.As(err, &notExecuted)
 }
 
-// endingAfterSend returns an ending that is possible for a request that was
-// sent. It replaces "refused", which is not.
+// endingAfterSend returns the ending, or "finish" in place of "refused", since
+// a request that was sent can't end as refused.
 func endingAfterSend(ending string) string {
 	if ending == "refused" {
 		return "finish"
@@ -112,10 +112,11 @@
 	require.NoError(t, b.Finish(ctx, out.Claim, response))
 }
 
-// A release that the network delivers twice must not remove the next claim, or its
-// request would be executed again: a releases its claim, b claims, a's release
-// arrives again, and c claims. It fails if a release deletes the row and versions
-// start again, so that b's row has the version of a's.
+// A release that the network delivers twice must not remove the next claim, or
+// its request would be executed again: router a releases its claim, b claims
+// the key, a's release arrives again, and c claims the key. The test fails if a
+// release deletes the row and versions start again, so that b's row has the
+// version that a's row had.
 func TestReleaseDeliveredTwice(t *testing.T) {
 	table := newFakeTable()
 	a, b, c := newStore(table, "a"), newStore(table, "b"), newStore(table, "c")
--- a/internal/store/claim/decide.go
+++ b/internal/store/claim/decide.go
@@ -4,7 +4,7 @@
 type decision int
 
 const (
-	// decisionOwn: an earlier attempt of this call wrote the row.
+	// decisionOwn: this call wrote the row, in this attempt or an earlier one.
 	decisionOwn decision = iota
 	// decisionReclaim: the new claim may replace the row.
 	decisionReclaim
--- a/internal/store/claim/errors.go
+++ b/internal/store/claim/errors.go
@@ -31,8 +31,8 @@
 // Earlier requests with the same key may have been executed, so the caller should retry with the
 // same key, never with a new one.
 type NotExecutedError struct {
-	// RowMayExist reports that a claim row may remain. It blocks the key until
-	// this router or an operator releases it.
+	// RowMayExist reports that a claim row may remain. The row blocks the key
+	// until this router or an operator releases it.
 	RowMayExist bool
 	// Cause is the last error of the store.
 	Cause error
--- a/internal/store/claim/operator.go
+++ b/internal/store/claim/operator.go
@@ -23,13 +23,13 @@
 
 // The verdicts.
 const (
-	// VerdictExecuted means that the request was executed. It closes the key
-	// permanently; the response is not available.
+	// VerdictExecuted means that the request was executed. The key can't be
+	// claimed again, and the response is not available.
 	VerdictExecuted Verdict = "ran"
-	// VerdictNotExecuted means that the request was not executed and will not be.
-	// It allows the key to be claimed again. It is correct only if the holder's
-	// VM no longer exists or the upstream is known to reject the request: a
-	// holder that is merely paused may still send it.
+	// VerdictNotExecuted means that the request was not executed and will not
+	// be. The key can then be claimed again. The verdict is correct only if the
+	// holder's VM no longer exists or the upstream is known to reject the
+	// request: a holder that is merely paused may still send it.
 	VerdictNotExecuted Verdict = "not-run"
 )
 
--- a/internal/store/claim/store.go
+++ b/internal/store/claim/store.go
@@ -214,9 +214,9 @@
 // abort returns the *NotExecutedError of the request. Nothing was sent and, as the
 // claim is discarded here, nothing ever will be.
 //
-// A write without a reply may still leave a row, for which later requests would get
-// ErrOutcomeUnknown although the request was never executed. So the row is
-// released.
+// A write whose reply was lost may still leave a row. Later requests with the
+// same key would then get ErrOutcomeUnknown although the request was never
+// executed, so abort releases the row.
 func (b *begin) abort(ctx context.Context, cause error) error {
 	if cause == nil {
 		cause = ErrNotRecorded.New("row changed in every attempt")
@@ -245,10 +245,11 @@
 // to the upstream was made, or the upstream rejected the request before executing
 // it. Errors: as of Finish.
 //
-// The row is not deleted. The versions of a deleted row may start again at 1, so
-// a delete that the network delivers a second time would match the version of
-// the next holder's claim and remove it, and the request would be executed twice.
-// With a refused row the versions keep increasing.
+// Release doesn't delete the row. If a store starts the versions of a deleted
+// row again at 1, a delete that the network delivers a second time would match
+// the version of the next holder's claim and remove it, and the request would
+// be executed twice. The versions of a refused row keep increasing in any
+// store.
 //
 // If the store doesn't record the release, the key stays blocked. The Store
 // therefore remembers the claim, so that this router may replace it later.
@@ -391,7 +392,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.released) >= maxReleased {
-		// Dropping tokens is safe: their rows then only block their keys.
+		// Dropping the tokens is safe: a row whose release was not recorded
+		// then blocks its key, but no request is executed twice.
 		clear(s.released)
 	}
 	s.released[token] = struct{}{}
--- a/internal/store/claim/sweep.go
+++ b/internal/store/claim/sweep.go
@@ -13,9 +13,9 @@
 	// sweepTable and sweepKey identify the row that holds the progress.
 	sweepTable = "claim_sweep"
 	sweepKey   = "progress"
-	// retainedRounds is the number of rounds for which a done or refused claim is
-	// retained. The more rounds, the shorter the time for which a sweeper has
-	// to run to complete one.
+	// retainedRounds is the number of rounds for which a done or refused claim
+	// is retained. With more rounds, the time for which one sweeper has to run
+	// before it may start the next round, retention/retainedRounds, is shorter.
 	retainedRounds = 8
 	// pageSize is the maximum number of claims that one step reads and writes. It
 	// leaves one write of the transaction for the progress.
@@ -38,7 +38,7 @@
 // Age is counted in rounds, not by timestamps: a VM whose clock steps forward
 // would delete recent claims, and a repeated request would be executed again. A
 // sweeper starts a round only after it has observed the end of the previous one
-// for a share of the retention period on its own monotonic clock.
+// for 1/retainedRounds of the retention period on its own monotonic clock.
 //
 // A Sweeper must not be used concurrently.
 type Sweeper struct {
@@ -56,12 +56,13 @@
 }
 
 // Step processes one page of claims, or does nothing if no round is due, and
-// returns the number of rows that it is known to have deleted. now is the monotonic
-// time since a fixed moment in this process. A step makes at most two reads and
-// one transaction; the caller determines how often it is called. Sweepers of
-// several processes may run at the same time: a conflict means that another one
-// was faster and is not an error. Errors: ErrCorrupt and those of the table
-// service. No cleanup is needed after an error.
+// returns the number of rows that it is known to have deleted. now is the
+// monotonic time since a fixed moment in this process. A step makes at most two
+// reads and one transaction; the caller determines how often it is called.
+// Sweepers of several processes may run at the same time: a conflict means that
+// another one wrote the progress first, and Step doesn't return it as an error.
+// Errors: ErrCorrupt and those of the table service. No cleanup is needed after
+// an error.
 func (s *Sweeper) Step(ctx context.Context, now time.Duration) (deleted int, err error) {
 	row, p, err := s.loadProgress(ctx)
 	if err != nil {
@@ -130,8 +131,9 @@
 	return write, err == nil
 }
 
-// commit writes a page together with the progress. The condition on the version of
-// the progress row admits only one sweeper's page: a delayed page fails completely.
+// commit writes a page together with the progress. The condition on the version
+// of the progress row lets only one sweeper's page take effect: the transaction
+// of a delayed page fails as a whole.
 func (s *Sweeper) commit(ctx context.Context, version int64, p progress, writes []platform.Write) (deleted int, err error) {
 	value, err := json.Marshal(p)
 	if err != nil {
--- a/internal/store/config/chain.go
+++ b/internal/store/config/chain.go
@@ -338,8 +338,9 @@
 //
 // A reply can be lost after the writes took effect, and writes can take effect
 // after the sender stopped waiting for the reply. The absence of the change id
-// therefore proves nothing while the head has not changed. The same transaction
-// is sent again instead; its conditions let only one copy take effect.
+// therefore proves nothing while the head has not changed. So commit sends the
+// same transaction again, and the conditions of its writes let only one copy
+// take effect.
 func (c *Chain) commit(ctx context.Context, change Change, next Version, writes []platform.Write) (Version, error) {
 	var unknownErr, lastErr error
 	for range maxCommitAttempts {
@@ -368,7 +369,7 @@
 
 // commitError selects the error that commit returns. Once one copy of the
 // transaction had an unknown outcome, a later error of the stores must not be
-// reported as "not accepted", because that copy may be active.
+// reported as "not accepted", because that copy may have taken effect.
 func commitError(change Change, unknownErr, lastErr error) error {
 	if unknownErr == nil || isFinal(lastErr) {
 		return lastErr
@@ -376,8 +377,9 @@
 	return &OutcomeUnknownError{ChangeID: change.ChangeID, Cause: lastErr}
 }
 
-// hadNoEffect reports whether the error means that nothing was sent to the table
-// service. Any other error, such as that of a context, does not prove it.
+// hadNoEffect reports whether the error means that nothing was sent to the
+// table service. Any other error, such as that of a context, leaves open
+// whether the request was sent.
 func hadNoEffect(err error) bool {
 	return platform.ErrUnavailable.Has(err) || platform.ErrBudget.Has(err)
 }
--- a/internal/store/config/chain_test.go
+++ b/internal/store/config/chain_test.go
@@ -268,9 +268,10 @@
 	},
 }
 
-// Guards against a change with a higher version than one that began after it was
-// accepted. Several clients read and accept concurrently, with lost, delayed and
-// unsent requests and lost replies.
+// Guards against versions in the wrong order: a change that begins after
+// another one was accepted must get the higher version. Several clients read
+// and accept concurrently, with lost, delayed and unsent requests and lost
+// replies.
 func TestChainIsLinearizable(t *testing.T) {
 	const clients, operations, histories = 4, 12, 20
 	for seed := range uint64(histories) {
--- a/internal/store/config/errors.go
+++ b/internal/store/config/errors.go
@@ -79,8 +79,9 @@
 	return fmt.Sprintf("config: change id %s was used for version %d with other content", e.ChangeID, e.Version)
 }
 
-// ForkError reports two different contents for one version. The chain makes this
-// impossible, so one of the two did not come from it.
+// ForkError reports two different contents for one version. The chain accepts
+// only one content for each version, so one of the two did not come from the
+// chain.
 type ForkError struct {
 	Version uint64
 	// InForce is the hash of the active content, Offered that of the other.
--- a/internal/store/config/follower.go
+++ b/internal/store/config/follower.go
@@ -94,7 +94,7 @@
 }
 
 // build checks the offer and builds the complete configuration, so that no part
-// of it is active before all of it is usable.
+// of the configuration becomes active unless all of it is usable.
 func (f *Follower) build(version uint64, hash, actual Hash, b Bundle) (*Active, error) {
 	if version == 0 {
 		return nil, ErrCorrupt.New("versions start at 1")
--- a/internal/store/config/record.go
+++ b/internal/store/config/record.go
@@ -34,7 +34,8 @@
 	MaxEncodedBytes = 16 << 20
 	// MaxInlineBytes is the maximum size of a compressed bundle that is stored
 	// in the version row itself; a larger one is stored in the object store. A
-	// row holds 64 KB, and the encoding in the row adds a third to the bundle.
+	// row holds 64 KB, and the base64 encoding in the row adds a third to the
+	// size of the bundle.
 	MaxInlineBytes = 40 << 10
 )
 
--- a/internal/store/config/route.go
+++ b/internal/store/config/route.go
@@ -80,8 +80,8 @@
 }
 
 // moreSpecific reports whether a is more specific than b: at the first segment
-// where only one of the two patterns has a wildcard, it is b. Both must match
-// the same path.
+// where only one of the two patterns has a wildcard, the wildcard is in b. Both
+// must match the same path.
 func moreSpecific(a, b string) bool {
 	aSegments, bSegments := patternSegments(a), patternSegments(b)
 	for i := range aSegments {
--- a/internal/store/config/validate.go
+++ b/internal/store/config/validate.go
@@ -192,8 +192,9 @@
 	}
 }
 
-// checkKeyHashes rejects an API key that belongs to two accounts, because it
-// would be undefined whose chats and limits apply to its callers.
+// checkKeyHashes rejects an API key that belongs to two accounts, because the
+// chats and limits of either account could then apply to a request with that
+// key.
 func (c *baseChecker) checkKeyHashes() {
 	owners := make(map[string]string)
 	for i, a := range c.doc.Accounts {
--- a/internal/store/platform/breaker.go
+++ b/internal/store/platform/breaker.go
@@ -59,7 +59,7 @@
 
 // Breaker is a circuit breaker in front of a Table. While it is open, calls
 // fail immediately without any effect, and a recovering store doesn't receive
-// all callers at once. It is safe for concurrent use.
+// the calls of all callers at once. It is safe for concurrent use.
 type Breaker struct {
 	next    Table
 	breaker *gobreaker.TwoStepCircuitBreaker[struct{}]
@@ -209,7 +209,7 @@
 	case ErrUnavailable.Has(err), ErrOutcomeUnknown.Has(err):
 		return errFailed
 	default:
-		// A healthy store replies with a conflict or a missing row too.
+		// A conflict and a missing row are replies of a healthy store, too.
 		return nil
 	}
 }
--- a/internal/store/platform/budget.go
+++ b/internal/store/platform/budget.go
@@ -36,7 +36,8 @@
 }
 
 // chargedTo maps uses that are charged to the limit of another use and have no
-// limit of their own. They leave their reserve of that limit unused, too.
+// limit of their own. A use in chargedTo must leave its share in reserves
+// unused in that limit, as it must in the total.
 //
 // Without the reserve, the pages that retention reads exhaust the router's
 // budget for claims, and non-idempotent requests are refused while the store is
@@ -59,8 +60,8 @@
 	// that the platform grants the fleet.
 	Total Rates
 	// PerUse limits single uses in addition; a use that is not listed has only
-	// the limit of the total. Without a limit on claims a flood of them would
-	// starve the configuration.
+	// the limit of the total. Without a limit on claims, many claims at once
+	// would leave no calls for the configuration.
 	PerUse map[Use]Rates
 	// Burst is the size of a full bucket, as the time in which it fills: that
 	// number of calls may be made at once. Zero means DefaultBurst.
--- a/internal/store/platform/commit_once.go
+++ b/internal/store/platform/commit_once.go
@@ -43,9 +43,10 @@
 // checks the marker as well, since the conflicting row may stem from its own
 // earlier copy.
 //
-// Versions may start again when a row is deleted. The rows in the transaction's
-// conditions must therefore not be deleted while a request can be in transit;
-// otherwise the condition of a delayed copy may hold again.
+// Once a row is deleted, a condition on its absence holds again, and a store
+// may start the row's versions again. The rows in the transaction's conditions
+// must therefore not be deleted while a request can be in transit; otherwise
+// the condition of a delayed copy may hold again.
 //
 // ctx should have a deadline: during an outage CommitOnce retries until ctx ends.
 //
--- a/internal/store/platform/commit_once_test.go
+++ b/internal/store/platform/commit_once_test.go
@@ -49,9 +49,9 @@
 }
 
 // A key must not be claimed twice, nor a claim that took effect be reported as
-// failed. That happens if an unknown outcome counts as a failure, a marker that
-// is still in transit as one that will never exist, or a conflict with the
-// owner's own earlier copy as a conflict with another owner.
+// failed. That happens if CommitOnce treats an unknown outcome as a failure, a
+// marker that is still in transit as one that will never exist, or a conflict
+// with the owner's own earlier copy as a conflict with another owner.
 func TestCommitOnceResolvesLostReplies(t *testing.T) {
 	type script map[platformtest.Op][]platformtest.Fault
 	cases := []struct {
--- a/internal/store/platform/decorators_test.go
+++ b/internal/store/platform/decorators_test.go
@@ -114,7 +114,9 @@
 			c.call(t, b, fake)
 			assert.Equal(t, c.open, isOpen(b))
 
-			// A call that counts as a failure makes three failures, any other two.
+			// The call is made between two failures. If it counts as a failure,
+			// the breaker opens at three failures, otherwise at two, so that it
+			// stays closed only if the call counts as a success.
 			opts.Failures = 3
 			if !c.open {
 				opts.Failures = 2
