--- a/internal/operate/admin/admin.go
+++ b/internal/operate/admin/admin.go
@@ -143,9 +143,10 @@
 
 func (c *requestContext) ctx() context.Context { return c.Request().Context() }
 
-// requireOperator wraps h so that it serves only authenticated operators.
-// Changes need a current list of operators. Reads accept an outdated list while
-// the store is down, because operators need them during an outage.
+// requireOperator wraps h so that it serves only authenticated operators. GET
+// requests accept an outdated list of operators while the store is down,
+// because operators need them during an outage. All other requests need a
+// current list.
 func (s *Server) requireOperator(h handler) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		readOnly := c.Request().Method == http.MethodGet
--- a/internal/operate/admin/errors.go
+++ b/internal/operate/admin/errors.go
@@ -40,7 +40,7 @@
 	}
 	f := translate(err)
 	if c.Request().Method == http.MethodGet {
-		// A read never takes effect.
+		// A GET request changes nothing.
 		f.Ran = apierr.RanNo
 	}
 	h := c.Response().Header()
--- a/internal/operate/admin/operator_cache.go
+++ b/internal/operate/admin/operator_cache.go
@@ -160,8 +160,8 @@
 	c.operators, c.loadedAt, c.loadErr = operators, now, nil
 }
 
-// validOperators skips revoked operators and invalid rows: one invalid row must
-// not lock out all operators.
+// validOperators leaves out revoked operators and rows that are invalid on
+// their own, so that one such row doesn't lock out all operators.
 func (c *operatorCache) validOperators(rows []storedOperator) []access.Operator {
 	var out []access.Operator
 	for _, row := range rows {
