--- a/client/conversation.go
+++ b/client/conversation.go
@@ -23,8 +23,8 @@
 	hint     string
 	// Adapter names a fine-tuned adapter; empty for the base model.
 	Adapter string
-	// Priority is the priority class of the requests; empty for the account's
-	// default.
+	// Priority is the priority class of the requests; empty for normal. A
+	// router lowers a class above the account's maximum to the maximum.
 	Priority string
 	// MaxTokens bounds the length of each response; zero leaves it to the engine.
 	MaxTokens int
