--- a/internal/edge/callers/callers.go
+++ b/internal/edge/callers/callers.go
@@ -52,7 +52,8 @@
 	closed atomic.Bool
 }
 
-// busyExcess is the fraction of the limit by which connections that are all busy may exceed it.
+// busyExcess is the fraction of the limit by which the number of connections may exceed the limit
+// while all of them are busy.
 const busyExcess = 0.1
 
 // New returns a Limit of maxConns connections. maxConns may change over time and is called with the
@@ -134,7 +135,7 @@
 	defer l.mu.Unlock()
 	tracked := l.conns[c]
 	if tracked == nil {
-		// The Limit has closed it.
+		// The Limit has closed this connection and no longer tracks it.
 		return nil
 	}
 	if tracked.idle != nil {
--- a/internal/edge/feed/feed_test.go
+++ b/internal/edge/feed/feed_test.go
@@ -86,8 +86,9 @@
 	require.True(t, d.trusted(parent.Name, time.Second+minDistrust+2*minDistrust))
 }
 
-// Guards against calls from every router while the store is down for all. After some readers have
-// failed in turn, the store counts as down and the default order applies again.
+// Guards against store calls by every router during an outage that affects all of them. After
+// maxFailedReaders routers in turn have failed to reach the store, it is considered down, and
+// parents are selected as if all routers were trusted.
 func TestStoreOutageForAllRestoresDefaultOrder(t *testing.T) {
 	live := peersIn("x", "x", "x", "x", "x", "x", "x", "x", "x")
 	self := live[0]
@@ -123,8 +124,8 @@
 }
 
 // Guards against sending a large configuration twice over slow links: a router that pulled again
-// before its board held the first reply got the same update twice. Applying a reply waits for the
-// board.
+// before its board held the first reply got the same update twice. A router must apply a reply and
+// wait until its board holds it before it pulls again.
 func TestConfigIsSentOnceToEachRouter(t *testing.T) {
 	runFleet(t, sameStore, func(f *fakeFleet, s *fakeStore) {
 		f.sent.Clear()
@@ -138,8 +139,9 @@
 	})
 }
 
-// Guards against a late configuration when the store rejects only the reader, or does not reply
-// it, while it serves the other routers. The reader reports this and the next router reads.
+// Guards against a late configuration when the store rejects only the reader, or does not reply to
+// the reader, while it serves the other routers. The reader reports that it cannot reach the store,
+// and the next router reads.
 func TestReaderRejectedByStoreIsReplaced(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		var bad *fakeStore
@@ -167,7 +169,7 @@
 
 // Guards against late engine updates when the store is unreachable for three successive readers.
 // Each of them hung for a whole watch before the next one tried, and a request reached an engine
-// 3.2 s after it had left. The first call of a new reader must succeed or fail quickly.
+// 3.2 s after the engine had left. The first call of a new reader must succeed or fail quickly.
 func TestThreeReadersInARowCutOffFromStore(t *testing.T) {
 	var bad *fakeStore
 	stores := func(live []Peer, good *fakeStore) map[string]*fakeStore {
@@ -194,9 +196,10 @@
 	})
 }
 
-// Guards against seconds without a reader: the store rejects two routers, one distrusts itself and
-// pulls from the other, which still pulls from the first. The chain in the reply reveals the cycle,
-// and the router that finds itself in it continues alone.
+// Guards against several seconds in which no router reads the store: the store rejects two routers,
+// and one of them distrusts itself and pulls from the other, which still pulls from the first. The
+// chain in the reply shows this cycle. A router that finds its own name in the chain and still
+// trusts itself distrusts the other one and becomes the reader.
 func TestTwoRejectedReadersDoNotPullFromEachOther(t *testing.T) {
 	var bad *fakeStore
 	stores := func(live []Peer, good *fakeStore) map[string]*fakeStore {
@@ -273,10 +276,10 @@
 	})
 }
 
-// Guards against a configuration used more than two seconds after its replacement by routers that
-// reach the store. The reader reports the store as lost; then it and the first router of each site
-// are cut off and the configuration changes. The outdated report prevented the others from reading
-// while they called one unreachable router after the other.
+// Guards against routers that reach the store and still use a configuration more than two seconds
+// after it was replaced. The reader reports the store as lost; then it and the first router of each
+// site are cut off and the configuration changes. The outdated report prevented the others from
+// reading while they called one unreachable router after the other.
 func TestOutdatedStoreLostReportDoesNotBlockReading(t *testing.T) {
 	var bad *fakeStore
 	var cut []string
--- a/internal/edge/feed/report.go
+++ b/internal/edge/feed/report.go
@@ -25,15 +25,16 @@
 
 const (
 	// inFlightChange is the relative change of a request count above which it is reported again.
-	// With it, an engine gets at most 1.98 times the mean load where the bound is 1.8. Up to nine
-	// requests, every change is reported.
+	// With a value of 0.1, an engine gets at most 1.98 times the mean load where the bound is 1.8.
+	// Up to nine requests, every change is reported.
 	inFlightChange = 0.1
 	// goodChange is the relative change for successful requests, badChange for failed ones.
 	// Successes matter only in relation to failures and are sent with each report of those.
 	goodChange = 0.5
 	badChange  = 0.25
-	// minOutcomeChange is the change in outcomes below which no report is sent, in requests. It is
-	// an eighth of the successes assumed for an engine about which nothing is known.
+	// minOutcomeChange is the change in an engine's successes or failures, in requests, below which
+	// no report is sent. It is an eighth of priorSuccesses in package health, the successes assumed
+	// for an engine without any recorded outcome.
 	minOutcomeChange = 0.25
 )
 
--- a/internal/fleet/membership/roster.go
+++ b/internal/fleet/membership/roster.go
@@ -1,10 +1,11 @@
 package membership
 
 // Packets spread membership changes slowly, to limit their bytes: after 300 routers started at
-// once, it took 25 seconds until each knew all others, and meanwhile loads, budgets and duties were
-// divided incorrectly. Routers that call one another anyway therefore exchange changed rows along
-// with these calls. A change then reaches every router within a few calls and costs each router the
-// bytes of one row. Packets still detect failures, and cover for exchanges that did not take place.
+// once, it took 25 seconds until each knew all others, and meanwhile loads, budgets and duties, such
+// as the duty to read the store, were divided incorrectly among them. Routers that call one another
+// anyway therefore exchange changed rows along with these calls. A change then reaches every router
+// within a few calls and costs each router the bytes of one row. Packets still detect failures, and
+// spread the changes that failed exchanges did not.
 
 // RosterRequest is the request of a roster exchange.
 type RosterRequest struct {
@@ -101,9 +102,9 @@
 }
 
 // rosterRows returns the rows to send to an instance. A suspicion is local and left out, and a
-// dead row is sent without its description. A router that is regarded as dead receives its own
-// row in each exchange, so that it can refute it. Otherwise rows are not sent back to the
-// instance they came from.
+// dead row is sent without its description. An instance that this router regards as suspect or
+// dead receives its own row in each exchange, so that it can refute a report of its death.
+// Otherwise rows are not sent back to the instance they came from.
 func (d *Detector) rosterRows(to uint64, isNew func(*row) bool) []Member {
 	include := func(r *row) bool {
 		switch {
@@ -167,7 +168,8 @@
 	r.changedRevision = d.revision
 	r.learnedFrom = d.mergingFrom
 	if r == d.self {
-		// The router's own row may refute what others report, so it is sent to them as well.
+		// The own row may have changed to refute a row that the other router of this exchange
+		// sent, so it must be sent to that router as well.
 		r.learnedFrom = 0
 	}
 }
--- a/internal/fleet/membership/sync.go
+++ b/internal/fleet/membership/sync.go
@@ -15,8 +15,8 @@
 // digest makes up for it.
 const maxTransfers = 16
 
-// itemsBucket is the bit that stands for the items in a mask of differing buckets. The lower
-// bits stand for the buckets of members.
+// itemsBucket is the number of the bit that is set in a mask of differing digest buckets if the
+// items differ. The lower bits are for the buckets of members.
 const itemsBucket = DigestBuckets
 
 // digestReplyInterval is the minimum time between any digest sent by this router and a digest
@@ -97,8 +97,9 @@
 	d.send(to, id, g, d.self.ID)
 }
 
-// handleDigest starts a transfer of the differing buckets. The receiver of a first digest
-// replies with its own, so that the sender transfers its rows as well.
+// handleDigest starts a transfer of the differing buckets to the sender of a digest. If the digest
+// is not itself a reply, this router replies with its own digest, so that the sender transfers its
+// rows as well. It sends no reply within digestReplyInterval of the last digest that it sent.
 func (d *Detector) handleDigest(from string, id uint64, remote Digest) {
 	mask := d.digest().differing(remote)
 	if mask == 0 {
--- a/internal/serve/traffic/chat.go
+++ b/internal/serve/traffic/chat.go
@@ -161,8 +161,8 @@
 	if err := r.setPlacement(hint); err != nil {
 		return err
 	}
-	// Complete responses are streamed from the engine as well, since only a
-	// stream can be resumed when its connection breaks.
+	// The engine streams the response even if the caller did not request a stream,
+	// since only a stream can be resumed when its connection breaks.
 	upstreamBody := r.body
 	upstreamBody.Stream = true
 	raw, err := json.Marshal(upstreamBody)
@@ -222,9 +222,10 @@
 	}
 }
 
-// attemptFailed ends an attempt that produced no chunk. The engine may be
-// executing it: a chat can be repeated, but the first copy must not keep using
-// the engine.
+// attemptFailed ends an attempt that produced no chunk. The engine may still be
+// executing the request. A chat may be executed again at another engine, but
+// the first execution must not continue to occupy its engine, so it is
+// canceled.
 func (r *chatRequest) attemptFailed(grant *admission.Grant, err error) {
 	if !upstream.SentOf(err).NotExecuted() {
 		r.s.cancelInBackground(r.upstreamCall(grant))
